--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -16,7 +16,7 @@
 from mountgauge.connections.scheduler import GOLDEN
 from mountgauge.connections.settings import default_settings
 from mountgauge.core.ports import Answer, End, Status, Submission, Taken
-from rillspindle.interface import Grade
+from rillspindle.interface import MessageClass
 
 KEY_HEADER = "idempotency-key"
 _MOST_UNSETTLED = 4096  # publishes of one connection that wait for their end
@@ -30,7 +30,7 @@
         self,
         submit: Callable[[Submission], None],
         names: tuple[str, ...],
-        grades: tuple[Grade, ...],
+        grades: tuple[MessageClass, ...],
         most: int,
         access: Access | None = None,
         heartbeat: int = 30,
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -24,7 +24,7 @@
         self, rules: io.Settings, table: HopTable, journal: Journal, held: HeldMessages, waits: Waits
     ) -> None:
         self.rules = rules
-        self.grades: Mapping[str, io.Grade] = {}  # by the classes' names
+        self.grades: Mapping[str, io.MessageClass] = {}  # by the classes' names
         self.list_lease: LeaseCheck | None = None  # of the source of lists; None: they need none
         self.stopped = False  # nothing new is sent
         self._table, self._journal, self._held, self._waits = table, journal, held, waits
--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -85,12 +85,12 @@
 
 def _repeats() -> None:
     """Takes every class for one that may be repeated freely."""
-    grade = interface.Grade
+    grade = interface.MessageClass
 
-    def lax(**fields: Any) -> interface.Grade:
+    def lax(**fields: Any) -> interface.MessageClass:
         return grade(**{**fields, "semantics": "idempotent"})
 
-    setattr(interface, "Grade", lax)  # noqa: B010
+    setattr(interface, "MessageClass", lax)  # noqa: B010
 
 
 def _deaf_to_waits() -> None:
--- a/rillspindle/interface.py
+++ b/rillspindle/interface.py
@@ -236,7 +236,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grade:
+class MessageClass:
     """A class of message."""
 
     aim: float
@@ -257,7 +257,7 @@
     zone: int
     tick: float
     subscribe: bool
-    grades: tuple[Grade, ...]
+    grades: tuple[MessageClass, ...]
     zones: int
     attempts_cap: int
     connect_timeout: float
@@ -293,14 +293,14 @@
                 raise ValueError(f"setting {path}: {'missing' if value is None else 'wrong type'}")
             return value
 
-        def grade(place: int, raw: Any) -> Grade:
+        def grade(place: int, raw: Any) -> MessageClass:
             def of(name: str, *kinds: type, default: Any = None) -> Any:
                 value = raw.get(name, default) if isinstance(raw, Mapping) else None
                 if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
                     raise ValueError(f"setting grades[{place}].{name}: missing or wrong type")
                 return value
 
-            return Grade(
+            return MessageClass(
                 aim=float(of("aim", int, float)),
                 deadline=float(of("deadline", int, float)),
                 semantics=of("semantics", str),
--- a/rillspindle/send_guard.py
+++ b/rillspindle/send_guard.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from rillspindle.interface import Grade
+from rillspindle.interface import MessageClass
 
 TRANSIT_S = 0.02  # for which a byte that was written may be on its way to the endpoint
 # After a start: for so long nothing is taken on while the journal of an ended process cannot be read.
@@ -45,7 +45,9 @@
     """A message as its holder knows it now."""
 
     expires: float
-    grade: Grade | None  # None: the settings no longer name its class, so no repeat is known to be allowed
+    grade: (
+        MessageClass | None
+    )  # None: the settings no longer name its class, so no repeat is known to be allowed
     ran: Sequence[tuple[float, int]]  # when, and in which zone, each attempt began that may have run
     ended: bool = False
     on_record: bool = True
@@ -95,7 +97,7 @@
     return _endpoint_refusal(endpoint, begun, now)
 
 
-def repeat_until(grade: Grade | None, ran: Sequence[tuple[float, int]], zone: int) -> float | Refusal:
+def repeat_until(grade: MessageClass | None, ran: Sequence[tuple[float, int]], zone: int) -> float | Refusal:
     """Until when a message may be sent to an endpoint in this zone; infinite where repeats do no harm."""
     if not ran or (grade is not None and grade.semantics == "idempotent"):
         return math.inf
@@ -106,7 +108,7 @@
     return min(at for at, _ in ran) + grade.repeat_window - TRANSIT_S
 
 
-def may_hand_back(grade: Grade | None, may_have_run: bool) -> bool:
+def may_hand_back(grade: MessageClass | None, may_have_run: bool) -> bool:
     """Whether its client may be told that handing the message in again does no harm."""
     if not may_have_run:
         return True
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -13,7 +13,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from rillspindle.interface import Grade
+from rillspindle.interface import MessageClass
 from rillspindle.list_evidence import ListEvidence
 
 HOLD_UP_S = 0.15  # between reading a clock and writing, for which deadlines and windows allow
@@ -56,7 +56,7 @@
     """A message whose last byte has left."""
 
     id: str
-    grade: Grade | None
+    grade: MessageClass | None
     expires: float
     on_record: bool
 
@@ -167,7 +167,7 @@
         if not attempts.may_have_run:
             del self._messages[message]
 
-    def handed_back(self, message: str, grade: Grade | None) -> None:
+    def handed_back(self, message: str, grade: MessageClass | None) -> None:
         """Its client was told that it may hand the message in again."""
         attempts = self._messages.get(message)
         if attempts is None or not (attempts.out or attempts.may_have_run):
@@ -187,7 +187,7 @@
         self._on_violation(Violation(rule, message, why))
 
 
-def _forbidden_repeat(grade: Grade | None, attempts: _Attempts, zone: int, now: float) -> str:
+def _forbidden_repeat(grade: MessageClass | None, attempts: _Attempts, zone: int, now: float) -> str:
     """Why a repeat is not allowed; "" where it is."""
     if grade is not None and grade.semantics == "idempotent":
         return ""
--- a/rillspindle/state.py
+++ b/rillspindle/state.py
@@ -98,7 +98,7 @@
 
     id: int
     expires: float
-    grade: io.Grade
+    grade: io.MessageClass
     dest: Dest
     key: int
     by_half: bool
--- a/tests/test_amqp_states.py
+++ b/tests/test_amqp_states.py
@@ -11,10 +11,10 @@
 from mountgauge.amqp.clients import AmqpClients
 from mountgauge.amqp.connection import AmqpConnection
 from mountgauge.core.ports import End, Status, Submission, Taken
-from rillspindle.interface import Grade
+from rillspindle.interface import MessageClass
 from tests.helper import Transport, receive
 
-GRADE = Grade(2.0, 8.0, "idempotent", "all", 8.0, False, 1.0, 0.3)
+GRADE = MessageClass(2.0, 8.0, "idempotent", "all", 8.0, False, 1.0, 0.3)
 ENDS = [End(Status.DELIVERED), End(Status.DEFERRED, 250), End(Status.UNDELIVERABLE)]
 OPENING = [
     codec.PROTOCOL_HEADER,
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rillspindle.interface import Grade
+from rillspindle.interface import MessageClass
 from rillspindle.send_guard import (
     TRANSIT_S,
     UNREAD_JOURNAL_S,
@@ -31,8 +31,8 @@
 HOP = Place("h", "127.0.0.1", 1)
 
 
-def grade(semantics: str, group: str = "all") -> Grade:
-    return Grade(2.0, 12.0, semantics, group, WINDOW_S, False, 1.0, 0.2)
+def grade(semantics: str, group: str = "all") -> MessageClass:
+    return MessageClass(2.0, 12.0, semantics, group, WINDOW_S, False, 1.0, 0.2)
 
 
 IDEMPOTENT, KEYED, ZONED, ONCE = (
@@ -40,7 +40,9 @@
 )  # fmt: skip
 
 
-def message(kind: Grade | None = IDEMPOTENT, *ran: tuple[float, int], expires: float = 110.0) -> MessageState:
+def message(
+    kind: MessageClass | None = IDEMPOTENT, *ran: tuple[float, int], expires: float = 110.0
+) -> MessageState:
     return MessageState(expires, kind, ran)
 
 
@@ -91,7 +93,7 @@
     (IDEMPOTENT, True), (KEYED, True), (ZONED, False), (ONCE, False), (None, False),
 ])  # fmt: skip
 def test_what_may_have_run_is_handed_back_only_where_that_is_harmless(
-    kind: Grade | None, harmless: bool
+    kind: MessageClass | None, harmless: bool
 ) -> None:
     assert may_hand_back(kind, True) is harmless
     assert may_hand_back(kind, False)
@@ -120,7 +122,7 @@
         super().__init__(GRACE_S, self.found.append)
         self.listed(True, [(HOP, True)], NOW)
 
-    def send(self, kind: Grade | None, now: float, zone: int = 0, expires: float = 1e9) -> None:
+    def send(self, kind: MessageClass | None, now: float, zone: int = 0, expires: float = 1e9) -> None:
         self.first_byte(["m"], HOP, now)
         self.last_byte([SentMessage("m", kind, expires, True)], zone, 7, now)
 
@@ -162,7 +164,7 @@
 ])  # fmt: skip
 @pytest.mark.parametrize("restored", [False, True])
 def test_a_repeat_that_the_class_does_not_allow_counts(
-    kind: Grade | None, after: float, zone: int, rules: list[Rule], restored: bool
+    kind: MessageClass | None, after: float, zone: int, rules: list[Rule], restored: bool
 ) -> None:
     monitor = Watched()
     if restored:
@@ -227,7 +229,7 @@
     ),
 )
 def test_what_the_guard_lets_through_is_never_counted(
-    kind: Grade, steps: list[tuple[float, int, bool, float]]
+    kind: MessageClass, steps: list[tuple[float, int, bool, float]]
 ) -> None:
     """Also where the sender is held up between its look and its write for as long as the pages allow."""
     monitor, ran, now = Watched(), list[tuple[float, int]](), NOW
