--- a/mountgauge/core/config.py
+++ b/mountgauge/core/config.py
@@ -200,7 +200,7 @@
             )
             limits = raw.get("limits", {})
             rules = Settings.from_mapping(settings)
-            for place, one in enumerate(rules.grades):
+            for place, one in enumerate(rules.message_classes):
                 if not one.deadline > 0:
                     raise ConfigError(f"setting grades[{place}].deadline: not a positive number")
             if not rules.attempts_cap > 0:
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -74,7 +74,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()  # for metrics: ends and outcomes
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
         state = SendState(self.rules, self.table, journal, self.held, self.waits)
-        state.grades = dict(zip(names.grades, self.rules.grades, strict=False))
+        state.grades = dict(zip(names.grades, self.rules.message_classes, strict=False))
         self.ends = MessageEnds(journal, self.held, fronts, self.counts, state, self.monitor, clock.now)
         self.attempts = Attempts(
             state, clock, journal, self.table, self.held, self.waits, self.counts, self.monitor,
@@ -321,7 +321,7 @@
         self.policy.set = self.rules = self.attempts.state.rules = self.admission.rules = rules
         self.table.balancers = rules.balancers
         self.names = self.admission.names = names
-        self.attempts.state.grades = dict(zip(names.grades, rules.grades, strict=False))
+        self.attempts.state.grades = dict(zip(names.grades, rules.message_classes, strict=False))
         self.monitor.drain_grace_s = rules.drain_grace
 
     def maintain(self, detached: set[str]) -> None:
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -179,7 +179,7 @@
         room, _ = shares(self.config.limits.sockets, rules.workers)
         self.registry = Registry(replace(settings, most=min(settings.most, room)))
         if operator.resp is not None:
-            deadlines = [grade.deadline for grade in rules.grades]
+            deadlines = [grade.deadline for grade in rules.message_classes]
             resp = Clients(
                 self.sender.submit, names.grades, settings.most_resp, deadlines=deadlines,
                 access=operator.access, registry=self.registry,
@@ -188,7 +188,7 @@
             self.add_console(resp)
         if operator.amqp is not None:
             amqp = AmqpClients(
-                self.sender.submit, names.grades, rules.grades, settings.most_amqp, operator.access,
+                self.sender.submit, names.grades, rules.message_classes, settings.most_amqp, operator.access,
                 operator.amqp.heartbeat, operator.amqp.exchange, self.registry,
             )  # fmt: skip
             self.fronts["amqp"] = amqp
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -46,7 +46,7 @@
         self.sender.admission.cut_off = self.discovery.cut_off
         self.map = self.discovery
         self.registry = Registry(platform_settings(clients))
-        deadlines = [grade.deadline for grade in rules.grades]
+        deadlines = [grade.deadline for grade in rules.message_classes]
         self.front = Clients(
             self.sender.submit, names.grades, clients, deadlines=deadlines, registry=self.registry
         )
@@ -82,7 +82,7 @@
             self.sender.retune(config.rules, config.names)
             self.discovery.retune(config.names, WatchBounds.of(config.rules))
             self._evidence.retune(config.rules)
-            self.front.retune(config.names.grades, [grade.deadline for grade in config.rules.grades])
+            self.front.retune(config.names.grades, [grade.deadline for grade in config.rules.message_classes])
             classes, attempts = ",".join(config.names.grades), config.rules.attempts_cap
             log.info("retuned", extra=kv(classes=classes, attempts=attempts))
         needs = [name for name in _FIXED if getattr(config, name) != getattr(old, name)]
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -236,7 +236,7 @@
         sender = self.runtime.sender
         now, wall, policy = stamp.monotonic, stamp.wall, sender.policy
         rules, origin = sender.rules, self.identity.id
-        lasts = wall + bounds.remembered(max(grade.deadline for grade in rules.grades), rules.cold)
+        lasts = wall + bounds.remembered(max(grade.deadline for grade in rules.message_classes), rules.cold)
         found = [Fact("list", "", sender.version, wall, origin, wall + 86_400)] if sender.version >= 0 else []
         for dest in policy.dests.values():
             route = dest.route
--- a/rillspindle/interface.py
+++ b/rillspindle/interface.py
@@ -257,7 +257,7 @@
     zone: int
     tick: float
     subscribe: bool
-    grades: tuple[MessageClass, ...]
+    message_classes: tuple[MessageClass, ...]
     zones: int
     attempts_cap: int
     connect_timeout: float
@@ -317,7 +317,7 @@
             zone=get("zone", int, default=0),
             tick=float(get("tick", *number)),
             subscribe=get("discovery", str) == "subscribe",
-            grades=tuple(grade(place, raw) for place, raw in enumerate(get("grades", list, tuple))),
+            message_classes=tuple(grade(place, raw) for place, raw in enumerate(get("grades", list, tuple))),
             zones=len(get("localities", list, tuple, default=())),
             attempts_cap=get("ceilings.attemptsCap", int),
             connect_timeout=float(get("ceilings.connectTimeout", *number)),
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -131,7 +131,7 @@
     # Life of a message
     def _take(self, event: io.Incoming | io.Restored) -> None:
         """A new message; or one of an earlier process: its attempts count, out of time it ends at once."""
-        grade, dest = self.set.grades[event.grade], self.catalog.dest(event.dest)
+        grade, dest = self.set.message_classes[event.grade], self.catalog.dest(event.dest)
         msg = Message(event.msg_id, event.expires, grade, dest, 0, self.set.loses_by_half)
         self.msgs[msg.id] = msg
         dest.open += 1
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -121,7 +121,7 @@
         folder = tmp_path / str(down)
         folder.mkdir()
         bench = Bench(folder)
-        window = bench.sender.rules.grades[1].repeat_window
+        window = bench.sender.rules.message_classes[1].repeat_window
         assert 0.5 < window < 20
         bench.sender.start(bench.hops(Readiness.READY))
         bench.pass_time(0.01)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -138,8 +138,8 @@
                 self.entries[one.endpoint] = one
 
     def message(self) -> None:
-        grade, number = self.draw.randrange(len(self.policy.set.grades)), next(self.numbers)
-        expires = self.now + self.policy.set.grades[grade].deadline
+        grade, number = self.draw.randrange(len(self.policy.set.message_classes)), next(self.numbers)
+        expires = self.now + self.policy.set.message_classes[grade].deadline
         destination = self.draw.randrange(self.destinations)
         key = self.draw.randrange(4)
         self.feed(io.Incoming(number, 0, expires, 0, 0.0, destination, grade, key))
