--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -127,7 +127,7 @@
 def _backlog_arrival(count: int) -> Sample:
     """A message comes for it while there are slots, but none for one destination alone."""
     policy, fresh = _backlogged(count)
-    policy.set = replace(policy.set, workers=3)
+    policy.settings = replace(policy.settings, workers=3)
     return lambda: timed(lambda: policy.handle(incoming(fresh(), 0, _NOW), _NOW))
 
 
--- a/benchmarks/slopes/recovery.py
+++ b/benchmarks/slopes/recovery.py
@@ -35,7 +35,7 @@
     """The subsystem alone, on a runtime that has only what it asks of it; each destination is asked for."""
     policy = asked_policy(count)
     stamp = Stamp("", 1_000_101.0, 101.0, 1_000_101.0)
-    core = SimpleNamespace(policy=policy, rules=policy.set, version=1)
+    core = SimpleNamespace(policy=policy, rules=policy.settings, version=1)
     part = RecoverySubsystem.__new__(RecoverySubsystem)
     part.runtime = cast("Runtime", SimpleNamespace(sender=core))
     part.identity = Identity("slopes", "0" * 16, 1, False)
--- a/benchmarks/slow_start_model.py
+++ b/benchmarks/slow_start_model.py
@@ -295,7 +295,7 @@
     def _on_offer(self, offered: float) -> None:
         place = self._draw.choices(range(self.scene.senders), self._shares)[0]
         grade = self._draw.randrange(2)
-        deadline = self.senders[place].policy.set.message_classes[grade].deadline
+        deadline = self.senders[place].policy.settings.message_classes[grade].deadline
         self._on_again(_Message(place, self.now + deadline, grade))
         self._at(self.now + self._draw.expovariate(offered), "offer", offered)
 
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -38,7 +38,7 @@
         began: float,
     ) -> None:
         """`began`: when the process did, on the sender's clock in seconds."""
-        self.rules, self.names = policy.set, names
+        self.rules, self.names = policy.settings, names
         self.gate: Gate | None = None  # where tenants are counted
         # Discovery has told this process of the whole list, or that the known one holds.
         self.list_told = False
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -62,7 +62,7 @@
         clock: Clock,
         fronts: Mapping[str, SenderSide],
     ) -> None:
-        self.policy, self.rules, self.names = policy, policy.set, names
+        self.policy, self.rules, self.names = policy, policy.settings, names
         self.journal, self.clock, self.fronts = journal, clock, fronts
         self.map: MapSource
         self.table = HopTable(self.rules.balancers)
@@ -318,7 +318,7 @@
 
     def retune(self, rules: io.Settings, names: Names) -> None:
         """New settings from a reread file: messages under way keep the class that the module gave them."""
-        self.policy.set = self.rules = self.attempts.state.rules = self.admission.rules = rules
+        self.policy.settings = self.rules = self.attempts.state.rules = self.admission.rules = rules
         self.table.balancers = rules.balancers
         self.names = self.admission.names = names
         self.attempts.state.grades = dict(zip(names.grades, rules.message_classes, strict=False))
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -50,7 +50,7 @@
     """The decisions of one node. Feed it every event in order; carry out the actions in order."""
 
     def __init__(self, settings: Mapping[str, Any], seed: int) -> None:
-        self.set = io.Settings.from_mapping(settings)
+        self.settings = io.Settings.from_mapping(settings)
         self.random = Random(seed)
         self.catalog = Catalog()
         self.eps, self.dests = self.catalog.endpoints, self.catalog.dests
@@ -58,8 +58,8 @@
         self.late: dict[int, Message] = {}  # over, with attempts still out
         self.keys: dict[int, deque[Message]] = {}
         self.key_free: dict[int, float] = {}
-        self.pace_least = PACE_LEAST / self.set.balancers
-        self.many = self.set.balancers > NODES_PER_SLOT * self.set.workers
+        self.pace_least = PACE_LEAST / self.settings.balancers
+        self.many = self.settings.balancers > NODES_PER_SLOT * self.settings.workers
         self.busy = self.watch_tries = self.logged = 0  # slots taken, failed list calls, log lines
         self.starved = False  # a message could go but for a slot
         self.now = self.born = 0.0
@@ -89,12 +89,12 @@
         """Bring the list up to date; ask for changes where they don't come by themselves."""
         if event.how == io.ListKind.FAILED:
             self.watch_tries += 1
-            delay = self._jitter(min(self.set.ask_within / 4, 0.25 * 2**self.watch_tries))
+            delay = self._jitter(min(self.settings.ask_within / 4, 0.25 * 2**self.watch_tries))
             # calls that wait too long cost discovery too: all nodes must find a place in its time
-            others = min(LIST_CALL * self.set.balancers, self.set.ask_within) if self.many else 0.0
+            others = min(LIST_CALL * self.settings.balancers, self.settings.ask_within) if self.many else 0.0
             self.out.append(io.Schedule(delay + others * self.random.random(), 1 << 40))
             return
-        if event.how == io.ListKind.CACHED and self.set.subscribe:
+        if event.how == io.ListKind.CACHED and self.settings.subscribe:
             self.out.append(io.Watch(True))
         elif event.how != io.ListKind.CACHED:
             self.watch_tries = 0
@@ -105,25 +105,25 @@
                 self.catalog.remove(entry.endpoint)
             else:
                 self._enlist(entry)
-        self.catalog.refresh(self.now, FORGET * self.set.cold)
+        self.catalog.refresh(self.now, FORGET * self.settings.cold)
         for dest in self.catalog.waiting():
             self._pump(dest)
 
     def _enlist(self, entry: io.Entry) -> None:
         dest = self.catalog.dest(entry.owner)
         if (ep := self.eps.get(entry.endpoint)) is None:  # what was learned is not of this one
-            route = Route() if self.set.routes_apart[entry.kind] else dest.route
+            route = Route() if self.settings.routes_apart[entry.kind] else dest.route
             ep = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
             self.catalog.add(ep)
             route.window_end, route.misses = 0.0, 0
             route.pace = max(route.pace, route.limit * (not route.ramp))
         self.catalog.set_ready(ep, entry.readiness == Readiness.READY)
-        if self.set.weights in ("nominal", "rough") and entry.scale > 0:
-            sure = 1.0 if self.set.weights == "nominal" else WEIGHT_TRUST
-            ep.route.limit = sure * entry.scale / self.set.balancers
+        if self.settings.weights in ("nominal", "rough") and entry.scale > 0:
+            sure = 1.0 if self.settings.weights == "nominal" else WEIGHT_TRUST
+            ep.route.limit = sure * entry.scale / self.settings.balancers
             if self.many and ep.route.pace == math.inf:  # else each is refused before it learns it
                 ep.route.pace = ep.route.limit
-        if self.set.ramp and not ep.route.ramp and ep.route.rate_at == -math.inf:
+        if self.settings.ramp and not ep.route.ramp and ep.route.rate_at == -math.inf:
             ep.route.ramp, ep.route.cold_since = RAMP, self.now if ep.route.limit else -math.inf
             ep.route.pace = min(ep.route.pace, self._ramp_start(ep))
             ep.route.next_at = self.now + self._turn(ep, self.random.random())
@@ -131,8 +131,8 @@
     # Life of a message
     def _take(self, event: io.Incoming | io.Restored) -> None:
         """A new message; or one of an earlier process: its attempts count, out of time it ends at once."""
-        grade, dest = self.set.message_classes[event.grade], self.catalog.dest(event.dest)
-        msg = Message(event.msg_id, event.expires, grade, dest, 0, self.set.loses_by_half)
+        grade, dest = self.settings.message_classes[event.grade], self.catalog.dest(event.dest)
+        msg = Message(event.msg_id, event.expires, grade, dest, 0, self.settings.loses_by_half)
         self.msgs[msg.id] = msg
         dest.open += 1
         owed_until = self.now + OWED * (msg.expires - self.now)
@@ -149,9 +149,9 @@
     def _last_moment(self, msg: Message) -> float:
         """When no call for a held message can pay any more, or its destination may have forgotten the key."""
         usual = min((ep.usual for ep in msg.dest.endpoints), default=0.0)
-        last = msg.expires - max(min(usual, msg.grade.aim), 4 * self.set.tick)
+        last = msg.expires - max(min(usual, msg.grade.aim), 4 * self.settings.tick)
         if msg.grade.semantics == "deduplicated" and msg.ran:
-            last = min(last, msg.ran[0][0] + msg.grade.repeat_window - 2 * self.set.tick)
+            last = min(last, msg.ran[0][0] + msg.grade.repeat_window - 2 * self.settings.tick)
         return last
 
     def _hold(self, msg: Message) -> None:
@@ -160,8 +160,8 @@
         self.out.append(io.Schedule(max(0.0, self._last_moment(msg) - self.now), msg.id))
         self.catalog.hold(msg)
         self._pump(dest)
-        full = len(self.msgs) > self.set.max_open * OPEN_SHARE
-        if msg.id in dest.held and (full or len(dest.held) > self.set.max_open * DEST_SHARE):
+        full = len(self.msgs) > self.settings.max_open * OPEN_SHARE
+        if msg.id in dest.held and (full or len(dest.held) > self.settings.max_open * DEST_SHARE):
             then = {d: self.now + self._drain_time(d) for d in (self.catalog.waiting() if full else [dest])}
             held = [m for d in then for m in d.held.values() if m.ran or m.owed_until <= self.now]
             if held:  # what has surely not run is owed a try, also over a restart
@@ -176,7 +176,7 @@
 
     def _end(self, msg: Message) -> None:
         """Give up on a message at once: refused where handing in again is harmless, else failed (rule 2)."""
-        again = min(self._drain_time(msg.dest), self.set.max_retry_after)
+        again = min(self._drain_time(msg.dest), self.settings.max_retry_after)
         harmless = msg.repeatable or not (msg.ran or msg.out)
         self.out.append(io.PushBack(msg.id, again) if harmless else io.Abort(msg.id))
         self._close(msg)
@@ -210,7 +210,7 @@
                 dest.wake_at = math.inf
                 self._pump(dest)
         elif (msg := self.msgs.get(token)) is not None and not msg.out:
-            if self._last_moment(msg) <= self.now + self.set.tick:
+            if self._last_moment(msg) <= self.now + self.settings.tick:
                 self._end(msg)
             else:
                 self.out.append(io.Schedule(self._last_moment(msg) - self.now, msg.id))
@@ -225,15 +225,18 @@
         """Pace after refusals as full; slow start after an outage (rule 4)."""
         route, demand = ep.route, self._demand(ep.dest)
         age = self.now - route.cold_since if route.rate_at >= route.cold_since else 0.0
-        if age >= self.set.cold:
+        if age >= self.settings.cold:
             return route.pace
-        base = max(route.rate, route.limit, demand, 1 / self.set.cold)
-        warm = self.set.start_capacity + (1 - self.set.start_capacity) * max(0.0, age) / self.set.cold
-        return min(route.pace, SLOW_START_PART * self.set.fall_multiple * warm * base)
+        base = max(route.rate, route.limit, demand, 1 / self.settings.cold)
+        warm = (
+            self.settings.start_capacity
+            + (1 - self.settings.start_capacity) * max(0.0, age) / self.settings.cold
+        )
+        return min(route.pace, SLOW_START_PART * self.settings.fall_multiple * warm * base)
 
     def _ramp_start(self, ep: Endpoint) -> float:
         """Calls/s that a cold destination surely takes from this node; an unlisted one: two after another."""
-        return max(self.set.start_capacity * ep.route.limit or 2 / FIRST_USUAL, self.pace_least)
+        return max(self.settings.start_capacity * ep.route.limit or 2 / FIRST_USUAL, self.pace_least)
 
     def _turn(self, ep: Endpoint, part: float = 1.0) -> float:
         """s to the next call. A ramp rises while it waits: a thin sender would hardly ever learn."""
@@ -247,7 +250,9 @@
     def _window(self, ep: Endpoint) -> float:
         """The fail window grows with the outage, as about demand x age nodes then try (rule 4)."""
         age, gap = self.now - ep.route.down_at, 1 / max(self._demand(ep.dest), self.pace_least)
-        share = self.set.fall_multiple * self.set.start_capacity  # later the other nodes have met it too
+        share = (
+            self.settings.fall_multiple * self.settings.start_capacity
+        )  # later the other nodes have met it too
         share *= TRIAL_SHARE if age < gap else 1.0
         return self._jitter(max(FAIL_WINDOW, min(age, gap) / share))
 
@@ -263,7 +268,7 @@
 
     def _joins(self, ep: Endpoint) -> bool:
         """What goes to one endpoint in one turn travels as one call, up to the kind's batch."""
-        most = self.set.kind_batch[ep.kind]
+        most = self.settings.kind_batch[ep.kind]
         return any(call.at == self.now and not call.trial and call.size < most for call in ep.calls[-1:])
 
     def _turn_at(self, msg: Message) -> float:
@@ -278,7 +283,7 @@
             return
         wake = math.inf
         open_gate = any(self._may_call(ep) <= self.now for ep in dest.endpoints)
-        if open_gate and self.busy >= self.set.workers and not any(map(self._joins, dest.endpoints)):
+        if open_gate and self.busy >= self.settings.workers and not any(map(self._joins, dest.endpoints)):
             self.starved = True  # what is held is not looked through where nothing can go
         elif open_gate:
             then = self.now + self._drain_time(dest)
@@ -294,22 +299,24 @@
                     break  # one that may go anywhere found no place: nor will the rest
         if dest.held:
             wake = min([wake, *(at for ep in dest.endpoints if (at := self._may_call(ep)) > self.now)])
-            if wake < dest.wake_at - self.set.tick:
+            if wake < dest.wake_at - self.settings.tick:
                 dest.wake_at = wake
-                self.out.append(io.Schedule(max(wake - self.now, self.set.tick), (1 << 32) + dest.id))
+                self.out.append(io.Schedule(max(wake - self.now, self.settings.tick), (1 << 32) + dest.id))
 
     def _choose(self, msg: Message) -> Endpoint | None:
         """An endpoint for this message now: a call to join, a zombie due its trial, or the soonest answer."""
         allowed = [ep for ep in msg.dest.endpoints if self._allowed(msg, ep)]
         if (joined := next((ep for ep in allowed if self._joins(ep)), None)) is not None:
             return joined
-        room = len([1 for ep in msg.dest.endpoints for _ in ep.calls]) < max(2, DEST_SHARE * self.set.workers)
+        room = len([1 for ep in msg.dest.endpoints for _ in ep.calls]) < max(
+            2, DEST_SHARE * self.settings.workers
+        )
         ready = [ep for ep in allowed if self._may_call(ep) <= self.now]
-        self.starved = self.starved or bool(ready and self.busy >= self.set.workers)
-        if not ready or not room or self.busy >= self.set.workers:
+        self.starved = self.starved or bool(ready and self.busy >= self.settings.workers)
+        if not ready or not room or self.busy >= self.settings.workers:
             return None
         # what other nodes have out there is not known: were the quickest taken, all would take the same
-        more, draw = (self.set.balancers - 1) / self.set.workers, self.random.random
+        more, draw = (self.settings.balancers - 1) / self.settings.workers, self.random.random
         return min(ready, key=lambda ep: (ep.failed_at == 0, ep.usual * (1 + len(ep.calls) + more * draw())))
 
     def _send(self, msg: Message, ep: Endpoint) -> None:
@@ -333,11 +340,11 @@
         # a message that takes long takes long again: what has timed out is given longer each time
         patience = max(ep.usual + LATE_DEVS * ep.dev, LEAST_PATIENCE * msg.grade.aim)
         patience *= 2 ** min(len(msg.ran), 3)
-        scarce = self.busy >= SCARCE * self.set.workers
+        scarce = self.busy >= SCARCE * self.settings.workers
         if call.trial or not (scarce and msg.repeatable):
-            patience += self.set.connect_timeout
+            patience += self.settings.connect_timeout
         if call.trial or scarce:
-            patience = min(patience, self.set.connect_timeout + msg.grade.aim)
+            patience = min(patience, self.settings.connect_timeout + msg.grade.aim)
         call.patience = max(call.patience, patience)
         self.out.append(io.Issue(msg.id, ep.id, min(patience, msg.expires - self.now)))
 
@@ -354,12 +361,12 @@
             call.ep.calls.remove(call)
             self.busy -= 1
         self._judge(call, event)
-        if self.set.balancers > NODES_PER_PLACE * self.set.workers and not call.ep.calls:
+        if self.settings.balancers > NODES_PER_PLACE * self.settings.workers and not call.ep.calls:
             self.out.append(io.Close(call.ep.id))  # the nodes' idle connections would fill its table
         if event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT):
             msg.ran.append((call.at, call.ep.zone))
         if msg.key and event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            self.key_free[msg.key] = self.now + self.set.turn_gap
+            self.key_free[msg.key] = self.now + self.settings.turn_gap
         if msg.done:
             self.late.pop(msg.id, None)
             self._next_of_key(msg)
@@ -367,7 +374,7 @@
             self._close(msg)
         elif not msg.out:
             self._again(msg, event.outcome)
-        if self.starved and self.busy < self.set.workers:
+        if self.starved and self.busy < self.settings.workers:
             self.starved = False
             for dest in sorted(self.catalog.waiting(), key=self._slot_worth, reverse=True):
                 self._pump(dest)
@@ -379,13 +386,13 @@
         if not dest.held or not dest.endpoints:
             return 0.0
         usual = min(ep.usual for ep in dest.endpoints)
-        batch = max(self.set.kind_batch[ep.kind] for ep in dest.endpoints)
+        batch = max(self.settings.kind_batch[ep.kind] for ep in dest.endpoints)
         return sum(nlargest(batch, (msg.worth(self.now + usual) for msg in dest.held.values()))) / usual
 
     def _again(self, msg: Message, outcome: int) -> None:
         """A further attempt, where the rules and the time left allow one."""
         over = msg.ran and msg.grade.semantics == "at_most_once"
-        if over or msg.attempts >= self.set.attempts_cap or self._last_moment(msg) <= self.now:
+        if over or msg.attempts >= self.settings.attempts_cap or self._last_moment(msg) <= self.now:
             self._end(msg)
         else:
             if outcome == Outcome.ERROR:
@@ -397,7 +404,7 @@
         ep, outcome = call.ep, event.outcome
         if event.remark_ms > 0 and outcome != Outcome.MOOT:
             ep.route.wait_until = max(ep.route.wait_until, self.now + event.remark_ms / 1000)
-        cut_off = outcome == Outcome.TIMEOUT and event.spent + self.set.tick < call.patience
+        cut_off = outcome == Outcome.TIMEOUT and event.spent + self.settings.tick < call.patience
         if cut_off or event.stale:
             # the message's own time ended the attempt, or a kept connection had gone, which says nothing of
             # the endpoint: where it has gone too, the next attempt gets no connection
@@ -410,8 +417,8 @@
         call.judged = outcome
         ep.route.full += FULL_GAIN * ((outcome == Outcome.FULL) - ep.route.full)
         ep.route.full_since = min(ep.route.full_since, self.now) if ep.route.full > 0.5 else math.inf
-        if (reported := dict(zip(self.set.report_fields, event.stats, strict=False)).get("x1", 0.0)) > 0:
-            ep.route.limit = reported / self.set.balancers * WEIGHT_TRUST
+        if (reported := dict(zip(self.settings.report_fields, event.stats, strict=False)).get("x1", 0.0)) > 0:
+            ep.route.limit = reported / self.settings.balancers * WEIGHT_TRUST
         if outcome == Outcome.OK:
             self._answered(ep, event.spent)
         elif outcome == Outcome.FULL:
@@ -439,7 +446,7 @@
             ep.failed_at, ep.trial, ep.bad = 0.0, False, min(ep.bad, UNSAFE_BAD)
             self._log(f"up {ep.id.hex()}: answered")
         ep.misses = 0
-        if self.now - route.cold_since >= self.set.cold:
+        if self.now - route.cold_since >= self.settings.cold:
             route.rate = route.rate * math.exp((route.rate_at - self.now) / RATE_SPAN) + 1 / RATE_SPAN
         if route.rate_at < route.cold_since:  # slow start counts from the first answer, at any endpoint
             route.cold_since = self.now
@@ -455,18 +462,20 @@
     def _full(self, call: Call, wait: float) -> None:
         """Over its limit, or shut: heed a told wait (rule 5) and lower the pace."""
         ep, route = call.ep, call.ep.route
-        if wait > self.set.fall:  # longer than a limit needs: shut, and cold when it opens
+        if wait > self.settings.fall:  # longer than a limit needs: shut, and cold when it opens
             route.cold_since = route.wait_until
-        if self.now - ep.answered_at > self.set.fall:  # full and nothing else: shut, not over its limit
+        if self.now - ep.answered_at > self.settings.fall:  # full and nothing else: shut, not over its limit
             self._bad(call, False)
         if self.now - route.cut_at >= 1.0:  # halved at most once a second
             route.cut_at = self.now
             recent = route.calls_since(self.now - RATE_SPAN) / RATE_SPAN
             recent = max(self.pace_least, PACE_CUT * (recent if route.pace == math.inf else route.pace))
             # one of many nodes sees too few refusals to tell a lowered limit from a clump: it goes below it
-            if route.ramp or self.now - route.full_since > self.set.fall + PROVEN / (route.limit or recent):
+            if route.ramp or self.now - route.full_since > self.settings.fall + PROVEN / (
+                route.limit or recent
+            ):
                 route.ramp = RAMP_CUT  # longer than a limit takes to recover: floors may hold it up
-            floor = 0.0 if route.ramp else route.limit * (1 - self.set.ramp * route.full)
+            floor = 0.0 if route.ramp else route.limit * (1 - self.settings.ramp * route.full)
             route.pace = max(floor * (PACE_CUT if self.many else 1.0), recent)
         # a turn of the pace, at random: many nodes are refused, or told to wait, at one time
         rest = (1 + self.many) * self.random.random() / max(route.pace, self.pace_least)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -27,7 +27,7 @@
         if event.how == io.ListKind.FAILED:
             super()._list(event)
             return
-        if event.how == io.ListKind.CACHED and self.set.subscribe:
+        if event.how == io.ListKind.CACHED and self.settings.subscribe:
             self.out.append(io.Watch(True))
         elif event.how != io.ListKind.CACHED:
             self.watch_tries = 0
@@ -39,18 +39,18 @@
                 self.eps.pop(entry.endpoint, None)
                 continue
             dest = self.catalog.dest(entry.owner)
-            route = Route() if self.set.routes_apart[entry.kind] else dest.route
+            route = Route() if self.settings.routes_apart[entry.kind] else dest.route
             new = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
             if (ep := self.eps.setdefault(entry.endpoint, new)) is new:
                 route.window_end, route.misses = 0.0, 0
                 route.pace = max(route.pace, route.limit * (not route.ramp))
             ep.ready = entry.readiness == Readiness.READY
-            if self.set.weights in ("nominal", "rough") and entry.scale > 0:
-                sure = 1.0 if self.set.weights == "nominal" else WEIGHT_TRUST
-                ep.route.limit = sure * entry.scale / self.set.balancers
+            if self.settings.weights in ("nominal", "rough") and entry.scale > 0:
+                sure = 1.0 if self.settings.weights == "nominal" else WEIGHT_TRUST
+                ep.route.limit = sure * entry.scale / self.settings.balancers
                 if self.many and ep.route.pace == float("inf"):
                     ep.route.pace = ep.route.limit
-            if self.set.ramp and not ep.route.ramp and ep.route.rate_at == -float("inf"):
+            if self.settings.ramp and not ep.route.ramp and ep.route.rate_at == -float("inf"):
                 ep.route.ramp = RAMP
                 ep.route.cold_since = self.now if ep.route.limit else -float("inf")
                 ep.route.pace = min(ep.route.pace, self._ramp_start(ep))
@@ -62,7 +62,7 @@
             latest = max(dest.seen_at, dest.route.rate_at, dest.route.cold_since)
             if dest.id in named:
                 dest.seen_at = self.now
-            elif self.now - latest > FORGET * self.set.cold:
+            elif self.now - latest > FORGET * self.settings.cold:
                 del self.dests[dest.id]
 
 
@@ -138,8 +138,8 @@
                 self.entries[one.endpoint] = one
 
     def message(self) -> None:
-        grade, number = self.draw.randrange(len(self.policy.set.message_classes)), next(self.numbers)
-        expires = self.now + self.policy.set.message_classes[grade].deadline
+        grade, number = self.draw.randrange(len(self.policy.settings.message_classes)), next(self.numbers)
+        expires = self.now + self.policy.settings.message_classes[grade].deadline
         destination = self.draw.randrange(self.destinations)
         key = self.draw.randrange(4)
         self.feed(io.Incoming(number, 0, expires, 0, 0.0, destination, grade, key))
@@ -234,7 +234,7 @@
     policy.handle(io.Targets(ListKind.FULL, 2, entries), now)
     sizes = []
     for _ in range(40):
-        now += FORGET * policy.set.cold / 10
+        now += FORGET * policy.settings.cold / 10
         policy.handle(io.Targets(ListKind.DELTA, 3, ()), now)
         sizes.append(len(policy.dests))
     assert sizes[8] == 10 * SWEEP, "none is forgotten before its time"
@@ -244,13 +244,13 @@
 
 def test_a_destination_that_has_just_lost_its_endpoint_is_kept_for_its_time() -> None:
     policy = listed(10 * SWEEP)
-    now = 100.0 + 3 * FORGET * policy.set.cold
+    now = 100.0 + 3 * FORGET * policy.settings.cold
     policy.handle(io.Targets(ListKind.DELTA, 2, ()), now)
     gone = io.Entry(Readiness.GONE, 0.0, 0.0, 0, 7, 0, b"e7")
     policy.handle(io.Targets(ListKind.DELTA, 3, (gone,)), now + 1.0)
     policy.handle(io.Targets(ListKind.DELTA, 4, ()), now + 2.0)
     assert 7 in policy.dests
-    policy.handle(io.Targets(ListKind.DELTA, 5, ()), now + FORGET * policy.set.cold + 3.0)
+    policy.handle(io.Targets(ListKind.DELTA, 5, ()), now + FORGET * policy.settings.cold + 3.0)
     assert 7 not in policy.dests
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -260,7 +260,7 @@
         d.now += 0.1
         d.respond(number, Outcome.OK)
         d.respond(100 + number, Outcome.OK)
-    d.policy.busy = d.policy.set.workers
+    d.policy.busy = d.policy.settings.workers
     for number in range(200, 203):
         d.incoming(number)
         d.incoming(300 + number, dest=1)
