--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -184,7 +184,7 @@
         return any(
             record.destination == destination
             and record.started_ms >= number
-            and record.id.encode() in self.policy.eps
+            and record.id.encode() in self.policy.endpoints
             for record in self.store.records(shard).values()
         )
 
--- a/mountgauge/lab/scale/world.py
+++ b/mountgauge/lab/scale/world.py
@@ -392,7 +392,7 @@
                 held = machine.store.records(shard)
                 wanted = listed.get(shard, {})
                 right = held.keys() == wanted.keys() and all(
-                    _same(record, wanted[name]) and name.encode() in machine.policy.eps
+                    _same(record, wanted[name]) and name.encode() in machine.policy.endpoints
                     for name, record in held.items()
                 )
                 wrong += shard not in machine.store or not right
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -53,7 +53,7 @@
         self.settings = io.Settings.from_mapping(settings)
         self.random = Random(seed)
         self.catalog = Catalog()
-        self.eps, self.dests = self.catalog.endpoints, self.catalog.dests
+        self.endpoints, self.dests = self.catalog.endpoints, self.catalog.dests
         self.msgs: dict[int, Message] = {}
         self.late: dict[int, Message] = {}  # over, with attempts still out
         self.keys: dict[int, deque[Message]] = {}
@@ -111,7 +111,7 @@
 
     def _enlist(self, entry: io.Entry) -> None:
         dest = self.catalog.dest(entry.owner)
-        if (ep := self.eps.get(entry.endpoint)) is None:  # what was learned is not of this one
+        if (ep := self.endpoints.get(entry.endpoint)) is None:  # what was learned is not of this one
             route = Route() if self.settings.routes_apart[entry.kind] else dest.route
             ep = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
             self.catalog.add(ep)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -33,15 +33,15 @@
             self.watch_tries = 0
         if event.how != io.ListKind.DELTA:
             listed = {entry.endpoint for entry in event.entries}
-            self.eps = {name: ep for name, ep in self.eps.items() if name in listed}
+            self.endpoints = {name: ep for name, ep in self.endpoints.items() if name in listed}
         for entry in event.entries:
             if entry.readiness == Readiness.GONE:
-                self.eps.pop(entry.endpoint, None)
+                self.endpoints.pop(entry.endpoint, None)
                 continue
             dest = self.catalog.dest(entry.owner)
             route = Route() if self.settings.routes_apart[entry.kind] else dest.route
             new = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
-            if (ep := self.eps.setdefault(entry.endpoint, new)) is new:
+            if (ep := self.endpoints.setdefault(entry.endpoint, new)) is new:
                 route.window_end, route.misses = 0.0, 0
                 route.pace = max(route.pace, route.limit * (not route.ramp))
             ep.ready = entry.readiness == Readiness.READY
@@ -55,9 +55,9 @@
                 ep.route.cold_since = self.now if ep.route.limit else -float("inf")
                 ep.route.pace = min(ep.route.pace, self._ramp_start(ep))
                 ep.route.next_at = self.now + self._turn(ep, self.random.random())
-        named = {ep.dest.id for ep in self.eps.values()} | {msg.dest.id for msg in self.msgs.values()}
+        named = {ep.dest.id for ep in self.endpoints.values()} | {msg.dest.id for msg in self.msgs.values()}
         for dest in list(self.dests.values()):
-            dest.endpoints = [ep for ep in self.eps.values() if ep.ready and ep.dest is dest]
+            dest.endpoints = [ep for ep in self.endpoints.values() if ep.ready and ep.dest is dest]
             self._pump(dest)
             latest = max(dest.seen_at, dest.route.rate_at, dest.route.cold_since)
             if dest.id in named:
@@ -76,7 +76,7 @@
 def plain_policy(env: dict[str, Any], seed: int) -> Policy:
     policy = PlainPolicy(env, seed)
     policy.catalog = PlainCatalog()
-    policy.eps, policy.dests = policy.catalog.endpoints, policy.catalog.dests
+    policy.endpoints, policy.dests = policy.catalog.endpoints, policy.catalog.dests
     return policy
 
 
@@ -188,7 +188,7 @@
         stream.play(700)
     assert quick.trace == plain.trace
     assert list(quick.policy.dests) == list(plain.policy.dests)
-    assert list(quick.policy.eps) == list(plain.policy.eps)
+    assert list(quick.policy.endpoints) == list(plain.policy.endpoints)
     kinds = {type(action) for _, action in quick.trace}
     assert {io.Issue, io.Schedule, io.PushBack} <= kinds, "the stream reached what it is to compare"
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -123,7 +123,7 @@
     d.now += 0.8
     for number in (20, 21, 22, 23):
         d.respond(number, Outcome.RESET)
-    ep = next(iter(d.policy.eps.values()))
+    ep = next(iter(d.policy.endpoints.values()))
     assert (ep.misses, ep.route.misses, ep.route.cold_since) == (1, 1, -math.inf)
     assert d.pending(), "a zombie at once: the trial goes without a window"
 
@@ -139,7 +139,7 @@
     fail(d, 2, 4)
     sent(d)
     d.respond(2, Outcome.OK)
-    route = next(iter(d.policy.eps.values())).route
+    route = next(iter(d.policy.endpoints.values())).route
     began = route.cold_since
     assert began == d.now, "slow start counts from the first answer"
     d.now += 5.0
@@ -182,7 +182,7 @@
     for number in range(20, 24):
         d.incoming(number, left=0.15)
     d.advance(d.now + 0.2)
-    ep = next(iter(d.policy.eps.values()))
+    ep = next(iter(d.policy.endpoints.values()))
     assert all(d.held[n].answered for n in range(20, 24)) and not d.pending()
     assert (ep.misses, ep.bad, ep.failed_at) == (0, 0.0, 0.0)
     d.incoming(30)
@@ -200,7 +200,7 @@
     for number in range(20, 24):
         d.held[number].sends[0]["outcome"] = Outcome.RESET
         d.feed(i.Response(number, 0.01, entry(1).endpoint, Outcome.RESET, 0, False, 0, (), True))
-    ep = next(iter(d.policy.eps.values()))
+    ep = next(iter(d.policy.endpoints.values()))
     assert (ep.misses, ep.bad, ep.failed_at) == (0, 0.0, 0.0)
     assert sorted({m for m, _ in d.pending()}) == [20, 21, 22, 23], "all of them go again at once"
 
@@ -217,7 +217,7 @@
     assert not d.pending()
     d.held[2].answered = True
     d.feed(i.Withdrawn(2))
-    d.now = max(ep.window_end for ep in d.policy.eps.values()) + 1.0
+    d.now = max(ep.window_end for ep in d.policy.endpoints.values()) + 1.0
     d.incoming(3, left=0.3)
     assert [m for m, _ in d.pending()] == [3], "the trial"
     d.incoming(4, left=60)
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -107,18 +107,18 @@
     """Its id was known, so its health, its destination and its connections were taken to be the old one's."""
     closed: list[str] = []
     setattr(bench.sender.next_hops, "close_idle", closed.append)  # noqa: B010
-    old = bench.sender.policy.eps[b"h0"]
+    old = bench.sender.policy.endpoints[b"h0"]
     (same,) = bench.hops(Readiness.READY).hops
     for new in (same._replace(port=2), same._replace(port=2, entry=same.entry._replace(owner=8))):
         bench.sender.list_changed(MapUpdate(2, False, (new,)))
         bench.pass_time(0.01)
-        found = bench.sender.policy.eps[b"h0"]
+        found = bench.sender.policy.endpoints[b"h0"]
         assert found is not old and found.dest.id == new.entry.owner and bench.sender.hops["h0"] == new
         old = found
     assert closed == ["h0"]
     bench.sender.list_changed(MapUpdate(3, True, ()))
     bench.pass_time(0.01)
-    assert closed == ["h0", "h0"] and not bench.sender.policy.eps
+    assert closed == ["h0", "h0"] and not bench.sender.policy.endpoints
 
 
 def test_endpoints_that_come_and_go_leave_nothing_behind(bench: Bench) -> None:
@@ -128,7 +128,7 @@
         bench.sender.waits[f"route-{n}"] = bench.time + 0.5
         bench.pass_time(5.0)
     policy = bench.sender.policy
-    assert len(policy.eps) == len(bench.sender.hops) == 1 and len(bench.sender.waits) <= 1
+    assert len(policy.endpoints) == len(bench.sender.hops) == 1 and len(bench.sender.waits) <= 1
     assert len(policy.dests) < 60 and len(bench.sender.listed) < 200
 
 
