--- a/mountgauge/recovery/destinations.py
+++ b/mountgauge/recovery/destinations.py
@@ -40,7 +40,7 @@
     """The destinations that are asked for: the worst of each one's routes."""
     found: dict[int, DestinationState] = {}
     order = [DestinationState.SHOWN, DestinationState.RAMPING, DestinationState.HELD_UP]
-    for dest in policy.dests.values():
+    for dest in policy.destinations.values():
         if not dest.held and not _called(dest):
             continue
         routes = [one for one in routes_of(dest) if one.calls or one is dest.route]
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -238,7 +238,7 @@
         rules, origin = sender.rules, self.identity.id
         lasts = wall + bounds.remembered(max(grade.deadline for grade in rules.message_classes), rules.cold)
         found = [Fact("list", "", sender.version, wall, origin, wall + 86_400)] if sender.version >= 0 else []
-        for dest in policy.dests.values():
+        for dest in policy.destinations.values():
             route = dest.route
             if route.wait_until > now:
                 until = round(wall + route.wait_until - now, 1)
--- a/rillspindle/catalog.py
+++ b/rillspindle/catalog.py
@@ -21,7 +21,7 @@
     """
 
     def __init__(self) -> None:
-        self.dests: dict[int, Dest] = {}
+        self.destinations: dict[int, Dest] = {}
         self.endpoints: dict[io.EndpointId, Endpoint] = {}
         self._created = 0
         self._changed: dict[Dest, None] = {}  # since the last `refresh`
@@ -31,10 +31,10 @@
 
     def dest(self, dest_id: int) -> Dest:
         """The destination with this id, made where it is not known."""
-        dest = self.dests.get(dest_id)
+        dest = self.destinations.get(dest_id)
         if dest is None:
             self._created += 1
-            dest = self.dests[dest_id] = Dest(dest_id, self._created)
+            dest = self.destinations[dest_id] = Dest(dest_id, self._created)
             self._unlisted[dest] = None
         return dest
 
@@ -95,6 +95,6 @@
             if dest.open:
                 dest.seen_at = now
             if now - max(dest.seen_at, dest.route.rate_at, dest.route.cold_since) > forget_after:
-                del self.dests[dest.id]
+                del self.destinations[dest.id]
             else:
                 self._unlisted[dest] = None
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -53,7 +53,7 @@
         self.settings = io.Settings.from_mapping(settings)
         self.random = Random(seed)
         self.catalog = Catalog()
-        self.endpoints, self.dests = self.catalog.endpoints, self.catalog.dests
+        self.endpoints, self.destinations = self.catalog.endpoints, self.catalog.destinations
         self.msgs: dict[int, Message] = {}
         self.late: dict[int, Message] = {}  # over, with attempts still out
         self.keys: dict[int, deque[Message]] = {}
@@ -206,7 +206,7 @@
         if token == 1 << 40:
             self.out.append(io.Watch(True))
         elif token >= 1 << 32:
-            if (dest := self.dests.get(token - (1 << 32))) is not None:
+            if (dest := self.destinations.get(token - (1 << 32))) is not None:
                 dest.wake_at = math.inf
                 self._pump(dest)
         elif (msg := self.msgs.get(token)) is not None and not msg.out:
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -98,7 +98,7 @@
         if d.pending() and len(d.held[1].sends) < 5:
             d.respond(1, Outcome.CONNECT_FAILED)
     d.incoming(2, left=60)
-    route = d.policy.dests[0].route
+    route = d.policy.destinations[0].route
     route.window_end = d.now + 30
     assert route.pace < route.limit
     d.targets(ListKind.FULL, entry(2, scale=RATE))
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -56,27 +56,27 @@
                 ep.route.pace = min(ep.route.pace, self._ramp_start(ep))
                 ep.route.next_at = self.now + self._turn(ep, self.random.random())
         named = {ep.dest.id for ep in self.endpoints.values()} | {msg.dest.id for msg in self.msgs.values()}
-        for dest in list(self.dests.values()):
+        for dest in list(self.destinations.values()):
             dest.endpoints = [ep for ep in self.endpoints.values() if ep.ready and ep.dest is dest]
             self._pump(dest)
             latest = max(dest.seen_at, dest.route.rate_at, dest.route.cold_since)
             if dest.id in named:
                 dest.seen_at = self.now
             elif self.now - latest > FORGET * self.settings.cold:
-                del self.dests[dest.id]
+                del self.destinations[dest.id]
 
 
 class PlainCatalog(Catalog):
     """Looks for held messages at every destination."""
 
     def waiting(self) -> list[Dest]:
-        return [dest for dest in self.dests.values() if dest.held]
+        return [dest for dest in self.destinations.values() if dest.held]
 
 
 def plain_policy(env: dict[str, Any], seed: int) -> Policy:
     policy = PlainPolicy(env, seed)
     policy.catalog = PlainCatalog()
-    policy.endpoints, policy.dests = policy.catalog.endpoints, policy.catalog.dests
+    policy.endpoints, policy.destinations = policy.catalog.endpoints, policy.catalog.destinations
     return policy
 
 
@@ -187,7 +187,7 @@
     for stream in (quick, plain):
         stream.play(700)
     assert quick.trace == plain.trace
-    assert list(quick.policy.dests) == list(plain.policy.dests)
+    assert list(quick.policy.destinations) == list(plain.policy.destinations)
     assert list(quick.policy.endpoints) == list(plain.policy.endpoints)
     kinds = {type(action) for _, action in quick.trace}
     assert {io.Issue, io.Schedule, io.PushBack} <= kinds, "the stream reached what it is to compare"
@@ -209,7 +209,7 @@
         io.Entry(Readiness.READY, 0.0, 0.0, 0, number, 0, b"e%d" % number) for number in range(destinations)
     )
     policy.handle(io.Targets(ListKind.FULL, 1, entries), 100.0)
-    for dest in policy.dests.values():
+    for dest in policy.destinations.values():
         dest.listed = CountingDest(dest.listed)
     return policy
 
@@ -220,9 +220,9 @@
     CountingDest.walks = 0
     leaving = io.Entry(Readiness.DRAINING, 0.0, 0.0, 0, 7, 0, b"e7")
     policy.handle(io.Targets(ListKind.DELTA, 2, (leaving,)), 101.0)
-    assert policy.dests[7].endpoints == []
+    assert policy.destinations[7].endpoints == []
     assert CountingDest.walks == 1
-    assert all(dest.seen_at < 101.0 for dest in policy.dests.values()), "none that is listed is swept"
+    assert all(dest.seen_at < 101.0 for dest in policy.destinations.values()), "none that is listed is swept"
 
 
 def test_old_destinations_are_forgotten_by_and_by() -> None:
@@ -236,10 +236,10 @@
     for _ in range(40):
         now += FORGET * policy.settings.cold / 10
         policy.handle(io.Targets(ListKind.DELTA, 3, ()), now)
-        sizes.append(len(policy.dests))
+        sizes.append(len(policy.destinations))
     assert sizes[8] == 10 * SWEEP, "none is forgotten before its time"
     assert all(before - after <= SWEEP for before, after in itertools.pairwise(sizes))
-    assert set(policy.dests) == set(kept)
+    assert set(policy.destinations) == set(kept)
 
 
 def test_a_destination_that_has_just_lost_its_endpoint_is_kept_for_its_time() -> None:
@@ -249,9 +249,9 @@
     gone = io.Entry(Readiness.GONE, 0.0, 0.0, 0, 7, 0, b"e7")
     policy.handle(io.Targets(ListKind.DELTA, 3, (gone,)), now + 1.0)
     policy.handle(io.Targets(ListKind.DELTA, 4, ()), now + 2.0)
-    assert 7 in policy.dests
+    assert 7 in policy.destinations
     policy.handle(io.Targets(ListKind.DELTA, 5, ()), now + FORGET * policy.settings.cold + 3.0)
-    assert 7 not in policy.dests
+    assert 7 not in policy.destinations
 
 
 def test_messages_are_counted_at_their_destination() -> None:
@@ -261,5 +261,5 @@
     open_messages: dict[int, list[Message]] = {}
     for message in stream.policy.msgs.values():
         open_messages.setdefault(message.dest.id, []).append(message)
-    for dest in stream.policy.dests.values():
+    for dest in stream.policy.destinations.values():
         assert dest.open == len(open_messages.get(dest.id, []))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -264,7 +264,7 @@
     for number in range(200, 203):
         d.incoming(number)
         d.incoming(300 + number, dest=1)
-    one, many = d.policy.dests[0], d.policy.dests[1]
+    one, many = d.policy.destinations[0], d.policy.destinations[1]
     assert d.policy._slot_worth(many) > 2 * d.policy._slot_worth(one) > 0
 
 
@@ -452,7 +452,7 @@
         for msg, attempt in d.pending():
             d.respond(msg, Outcome.FULL, number=attempt)
         d.advance(d.now + 0.4)
-    assert d.policy.dests[0].route.pace >= 12.0 / 2 * 0.6
+    assert d.policy.destinations[0].route.pace >= 12.0 / 2 * 0.6
 
 
 def test_the_floor_does_not_hold_an_outage_up() -> None:
@@ -470,13 +470,13 @@
     by_five = [len([1 for at in calls if start + at_s <= at < start + at_s + 5]) for at_s in range(0, 30, 5)]
     assert by_five[-1] <= 0.1 * by_five[0], by_five
     assert by_five[-1] >= 1, "a single trial goes on"
-    before = d.policy.dests[0].route.pace
+    before = d.policy.destinations[0].route.pace
     for number in range(600, 900):
         d.incoming(number, left=8)
         d.advance(d.now + 0.05)
         for msg, attempt in d.pending():
             d.respond(msg, Outcome.OK, number=attempt)
-    assert before < 1 < 9 < d.policy.dests[0].route.pace
+    assert before < 1 < 9 < d.policy.destinations[0].route.pace
 
 
 def test_a_clump_of_refusals_amid_answers_is_no_outage() -> None:
@@ -486,7 +486,7 @@
         if (number, 0) in d.pending():
             d.respond(number, Outcome.OK if number % 3 == 0 else Outcome.FULL, number=0)
         d.now += 0.05
-    assert d.now - d.policy.dests[0].route.cold_since > 100
+    assert d.now - d.policy.destinations[0].route.cold_since > 100
 
 
 def test_a_freed_slot_goes_where_it_earns_most() -> None:
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -129,7 +129,7 @@
         bench.pass_time(5.0)
     policy = bench.sender.policy
     assert len(policy.endpoints) == len(bench.sender.hops) == 1 and len(bench.sender.waits) <= 1
-    assert len(policy.dests) < 60 and len(bench.sender.listed) < 200
+    assert len(policy.destinations) < 60 and len(bench.sender.listed) < 200
 
 
 def test_taken_on_then_attempted_then_ended(bench: Bench) -> None:
@@ -420,8 +420,8 @@
         bench.take(f"m{n}", left=60.0)
     bench.pass_time(0.01)
     for others in range(2):
-        assert (len(policy.msgs) < len(policy.dests)) is bool(others)
-        held = {(dest.id, ""): len(dest.held) for dest in policy.dests.values() if dest.held}
+        assert (len(policy.msgs) < len(policy.destinations)) is bool(others)
+        held = {(dest.id, ""): len(dest.held) for dest in policy.destinations.values() if dest.held}
         assert sum(held.values()) > 1 and len(sender.attempts.parked) > 1
         assert sender.waiting == {**held, (7, "h0"): len(sender.attempts.parked)}
         for dest in range(100, 200):
