--- a/benchmarks/comeback_model.py
+++ b/benchmarks/comeback_model.py
@@ -154,7 +154,7 @@
     zero = fleet.now
     fleet.capacity.go_cold(zero)
     for place in fleet._rng.sample(range(members), max(1, members * 4 // 5)):
-        held = len(fleet.lives[place].policy.msgs)
+        held = len(fleet.lives[place].policy.messages)
         fleet.start(place, held)
     could = fleet.capacity.could(zero, zero + 5)
     fleet.play(seconds)
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -78,7 +78,7 @@
         if one.dest not in self._table.listed:
             # Until discovery has spoken, the destination may be newer than the last process's list.
             return End(Status.UNDELIVERABLE) if self.list_told else End(Status.DEFERRED, _ASK_AGAIN_MS)
-        if len(self._policy.msgs) >= self.rules.max_open or not self._journal.room(len(one.body)):
+        if len(self._policy.messages) >= self.rules.max_open or not self._journal.room(len(one.body)):
             return End(Status.DEFERRED)
         return self._refused_by_limits(one, now)
 
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -175,7 +175,7 @@
         that the module holds.
         """
         found = Counter((call.hop.entry.owner, call.hop.id) for call in self.attempts.parked)
-        msgs, dests = self.policy.msgs, self.policy.destinations
+        msgs, dests = self.policy.messages, self.policy.destinations
         if len(msgs) < len(dests):
             found.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.held)
         else:
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -54,7 +54,7 @@
         self.random = Random(seed)
         self.catalog = Catalog()
         self.endpoints, self.destinations = self.catalog.endpoints, self.catalog.destinations
-        self.msgs: dict[int, Message] = {}
+        self.messages: dict[int, Message] = {}
         self.late: dict[int, Message] = {}  # over, with attempts still out
         self.keys: dict[int, deque[Message]] = {}
         self.key_free: dict[int, float] = {}
@@ -80,8 +80,8 @@
             case io.Remembered(dest_id, wait, pace):  # it makes a start more careful, never bolder
                 route = self.catalog.dest(dest_id).route
                 route.wait_until, route.pace = max(route.wait_until, now + wait), min(route.pace, pace)
-            case io.Withdrawn(msg_id) if msg_id in self.msgs:
-                self._close(self.msgs[msg_id])
+            case io.Withdrawn(msg_id) if msg_id in self.messages:
+                self._close(self.messages[msg_id])
         return self.out
 
     # Discovery
@@ -133,7 +133,7 @@
         """A new message; or one of an earlier process: its attempts count, out of time it ends at once."""
         grade, dest = self.settings.message_classes[event.grade], self.catalog.dest(event.dest)
         msg = Message(event.msg_id, event.expires, grade, dest, 0, self.settings.loses_by_half)
-        self.msgs[msg.id] = msg
+        self.messages[msg.id] = msg
         dest.open += 1
         owed_until = self.now + OWED * (msg.expires - self.now)
         if isinstance(event, io.Restored):
@@ -160,7 +160,7 @@
         self.out.append(io.Schedule(max(0.0, self._last_moment(msg) - self.now), msg.id))
         self.catalog.hold(msg)
         self._pump(dest)
-        full = len(self.msgs) > self.settings.max_open * OPEN_SHARE
+        full = len(self.messages) > self.settings.max_open * OPEN_SHARE
         if msg.id in dest.held and (full or len(dest.held) > self.settings.max_open * DEST_SHARE):
             then = {d: self.now + self._drain_time(d) for d in (self.catalog.waiting() if full else [dest])}
             held = [m for d in then for m in d.held.values() if m.ran or m.owed_until <= self.now]
@@ -184,7 +184,7 @@
     def _close(self, msg: Message) -> None:
         """The message is over; attempts still out keep their slot and their key."""
         msg.done = True
-        self.msgs.pop(msg.id, None)
+        self.messages.pop(msg.id, None)
         msg.dest.open -= 1
         msg.dest.held.pop(msg.id, None)
         if msg.out:
@@ -209,7 +209,7 @@
             if (dest := self.destinations.get(token - (1 << 32))) is not None:
                 dest.wake_at = math.inf
                 self._pump(dest)
-        elif (msg := self.msgs.get(token)) is not None and not msg.out:
+        elif (msg := self.messages.get(token)) is not None and not msg.out:
             if self._last_moment(msg) <= self.now + self.settings.tick:
                 self._end(msg)
             else:
@@ -352,7 +352,7 @@
         return span * (1 + JITTER * self.random.random())
 
     def _outcome(self, event: io.Response) -> None:
-        msg = self.msgs.get(event.msg_id) or self.late.get(event.msg_id)
+        msg = self.messages.get(event.msg_id) or self.late.get(event.msg_id)
         if msg is None or event.send_no not in msg.out:
             return
         call = msg.out.pop(event.send_no)
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -87,7 +87,7 @@
 
 
 def kept(driver: Driver, messages: list[int]) -> set[int]:
-    return {number for number in messages if number in driver.policy.msgs}
+    return {number for number in messages if number in driver.policy.messages}
 
 
 OLD, NEW = list(range(1, SHARE + 1)), list(range(100, 100 + LIMIT))
--- a/tests/sharding/test_owners.py
+++ b/tests/sharding/test_owners.py
@@ -74,7 +74,7 @@
     assert most_over(fleet, since, RULES["fallMultiple"]) <= 0
     assert most_over(fleet, since, 0.75 * RULES["fallMultiple"]) <= 0  # with room to spare
     if moved:
-        assert not fleet.lives[0].policy.msgs  # the one before has ended what it took on
+        assert not fleet.lives[0].policy.messages  # the one before has ended what it took on
     assert sum(at >= since for at in fleet.served) >= 0.4 * rate * 20.0  # it is there to be used
 
 
--- a/tests/test_both_protocols.py
+++ b/tests/test_both_protocols.py
@@ -177,6 +177,6 @@
             world.hops[0].script = ["silent"]
             ends = [await world.client.take(f"m{number}") for number in range(220)]
             assert "deferred" in ends and "undeliverable" not in ends
-            assert len(world.runtime.sender.policy.msgs) <= 200
+            assert len(world.runtime.sender.policy.messages) <= 200
 
     run(main(), 40)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -55,7 +55,9 @@
                 ep.route.cold_since = self.now if ep.route.limit else -float("inf")
                 ep.route.pace = min(ep.route.pace, self._ramp_start(ep))
                 ep.route.next_at = self.now + self._turn(ep, self.random.random())
-        named = {ep.dest.id for ep in self.endpoints.values()} | {msg.dest.id for msg in self.msgs.values()}
+        named = {ep.dest.id for ep in self.endpoints.values()} | {
+            msg.dest.id for msg in self.messages.values()
+        }
         for dest in list(self.destinations.values()):
             dest.endpoints = [ep for ep in self.endpoints.values() if ep.ready and ep.dest is dest]
             self._pump(dest)
@@ -259,7 +261,7 @@
     stream = Stream(Policy(settings(), 3), random.Random(3), 5)
     stream.play(300)
     open_messages: dict[int, list[Message]] = {}
-    for message in stream.policy.msgs.values():
+    for message in stream.policy.messages.values():
         open_messages.setdefault(message.dest.id, []).append(message)
     for dest in stream.policy.destinations.values():
         assert dest.open == len(open_messages.get(dest.id, []))
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -420,7 +420,7 @@
         bench.take(f"m{n}", left=60.0)
     bench.pass_time(0.01)
     for others in range(2):
-        assert (len(policy.msgs) < len(policy.destinations)) is bool(others)
+        assert (len(policy.messages) < len(policy.destinations)) is bool(others)
         held = {(dest.id, ""): len(dest.held) for dest in policy.destinations.values() if dest.held}
         assert sum(held.values()) > 1 and len(sender.attempts.parked) > 1
         assert sender.waiting == {**held, (7, "h0"): len(sender.attempts.parked)}
