--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -62,12 +62,12 @@
         self.many = self.settings.balancers > NODES_PER_SLOT * self.settings.workers
         self.busy = self.watch_tries = self.logged = 0  # slots taken, failed list calls, log lines
         self.starved = False  # a message could go but for a slot
-        self.now = self.born = 0.0
+        self.now = self.started_at = 0.0
         self.out: list[io.Action] = []
 
     def handle(self, event: io.Event, now: float) -> list[io.Action]:
         """Take one event; return what to do, in order."""
-        self.now, self.out, self.born = now, [], self.born or now
+        self.now, self.out, self.started_at = now, [], self.started_at or now
         match event:
             case io.Incoming() | io.Restored():
                 self._take(event)
@@ -245,7 +245,7 @@
 
     def _demand(self, dest: Dest) -> float:
         """Messages a second that this node takes for a destination, over all its time."""
-        return dest.taken / max(self.now - self.born, RATE_SPAN)
+        return dest.taken / max(self.now - self.started_at, RATE_SPAN)
 
     def _window(self, ep: Endpoint) -> float:
         """The fail window grows with the outage, as about demand x age nodes then try (rule 4)."""
