--- a/mountgauge/recovery/destinations.py
+++ b/mountgauge/recovery/destinations.py
@@ -12,7 +12,7 @@
 
 def held_up(policy: Policy, route: Route, now: float) -> bool:
     """Whether most calls have been refused for longer than a limit takes to recover."""
-    turns = 2 / max(route.limit or route.pace, policy.pace_least)
+    turns = 2 / max(route.limit or route.pace, policy.min_rate)
     return route.full > _MOSTLY and now - route.full_since > policy.settings.fall + turns
 
 
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -58,7 +58,7 @@
         self.late: dict[int, Message] = {}  # over, with attempts still out
         self.keys: dict[int, deque[Message]] = {}
         self.key_free: dict[int, float] = {}
-        self.pace_least = PACE_LEAST / self.settings.balancers
+        self.min_rate = PACE_LEAST / self.settings.balancers
         self.many = self.settings.balancers > NODES_PER_SLOT * self.settings.workers
         self.busy = self.watch_tries = self.logged = 0  # slots taken, failed list calls, log lines
         self.starved = False  # a message could go but for a slot
@@ -172,7 +172,7 @@
         shut = min((self._may_call(ep) for ep in dest.endpoints), default=math.inf) - self.now
         routes = list({id(ep.route): ep.route for ep in dest.endpoints}.values())
         rate = sum(min(max(r.rate, r.limit, 1.0), r.pace) for r in routes)
-        return max(0.5, shut if shut < math.inf else FAIL_WINDOW, len(dest.held) / max(rate, self.pace_least))
+        return max(0.5, shut if shut < math.inf else FAIL_WINDOW, len(dest.held) / max(rate, self.min_rate))
 
     def _end(self, msg: Message) -> None:
         """Give up on a message at once: refused where handing in again is harmless, else failed (rule 2)."""
@@ -236,11 +236,11 @@
 
     def _ramp_start(self, ep: Endpoint) -> float:
         """Calls/s that a cold destination surely takes from this node; an unlisted one: two after another."""
-        return max(self.settings.start_capacity * ep.route.limit or 2 / FIRST_USUAL, self.pace_least)
+        return max(self.settings.start_capacity * ep.route.limit or 2 / FIRST_USUAL, self.min_rate)
 
     def _turn(self, ep: Endpoint, part: float = 1.0) -> float:
         """s to the next call. A ramp rises while it waits: a thin sender would hardly ever learn."""
-        rate, ramp = max(self._rate_cap(ep), self.pace_least) / part, ep.route.ramp
+        rate, ramp = max(self._rate_cap(ep), self.min_rate) / part, ep.route.ramp
         return math.log1p(ramp / rate) / ramp if ramp else 1 / rate
 
     def _demand(self, dest: Dest) -> float:
@@ -249,7 +249,7 @@
 
     def _window(self, ep: Endpoint) -> float:
         """The fail window grows with the outage, as about demand x age nodes then try (rule 4)."""
-        age, gap = self.now - ep.route.down_at, 1 / max(self._demand(ep.dest), self.pace_least)
+        age, gap = self.now - ep.route.down_at, 1 / max(self._demand(ep.dest), self.min_rate)
         share = (
             self.settings.fall_multiple * self.settings.start_capacity
         )  # later the other nodes have met it too
@@ -469,7 +469,7 @@
         if self.now - route.cut_at >= 1.0:  # halved at most once a second
             route.cut_at = self.now
             recent = route.calls_since(self.now - RATE_SPAN) / RATE_SPAN
-            recent = max(self.pace_least, PACE_CUT * (recent if route.pace == math.inf else route.pace))
+            recent = max(self.min_rate, PACE_CUT * (recent if route.pace == math.inf else route.pace))
             # one of many nodes sees too few refusals to tell a lowered limit from a clump: it goes below it
             if route.ramp or self.now - route.full_since > self.settings.fall + PROVEN / (
                 route.limit or recent
@@ -478,7 +478,7 @@
             floor = 0.0 if route.ramp else route.limit * (1 - self.settings.ramp * route.full)
             route.pace = max(floor * (PACE_CUT if self.many else 1.0), recent)
         # a turn of the pace, at random: many nodes are refused, or told to wait, at one time
-        rest = (1 + self.many) * self.random.random() / max(route.pace, self.pace_least)
+        rest = (1 + self.many) * self.random.random() / max(route.pace, self.min_rate)
         route.next_at = max(route.next_at, max(self.now, route.wait_until) + rest)
 
     def _bad(self, call: Call, fatal: bool) -> None:
