--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -154,7 +154,7 @@
           axis=Axis.MESSAGES, sizes=_BACKLOG, repeats=3),
     Probe("policy-backlog-answer", _backlog_answer, "rillspindle.policy.Policy._slot_worth, _pump",
           axis=Axis.MESSAGES, sizes=_BACKLOG),
-    Probe("policy-backlog-arrival", _backlog_arrival, "rillspindle.policy.Policy._pump (list of dest.held)",
+    Probe("policy-backlog-arrival", _backlog_arrival, "rillspindle.policy.Policy._pump (list of dest.queued)",
           axis=Axis.MESSAGES, sizes=_BACKLOG),
     Probe("policy-held-memory", _held_memory, "rillspindle.state.Message",
           axis=Axis.MESSAGES, sizes=_BACKLOG, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -177,11 +177,11 @@
         found = Counter((call.hop.entry.owner, call.hop.id) for call in self.attempts.parked)
         msgs, dests = self.policy.messages, self.policy.destinations
         if len(msgs) < len(dests):
-            found.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.held)
+            found.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.queued)
         else:
             for dest in dests.values():
-                if dest.held:
-                    found[dest.id, ""] = len(dest.held)
+                if dest.queued:
+                    found[dest.id, ""] = len(dest.queued)
         return found
 
     def admit(self, call: Call, items: list[Item]) -> list[Item]:
--- a/mountgauge/recovery/destinations.py
+++ b/mountgauge/recovery/destinations.py
@@ -20,7 +20,7 @@
     if held_up(policy, route, now):
         return DestinationState.HELD_UP
     asked = dest.taken / max(now - policy.started_at, 8.0)
-    if not route.ramp or (not dest.held and route.pace >= 2 * asked):
+    if not route.ramp or (not dest.queued and route.pace >= 2 * asked):
         return DestinationState.SHOWN
     return DestinationState.RAMPING
 
@@ -41,10 +41,10 @@
     found: dict[int, DestinationState] = {}
     order = [DestinationState.SHOWN, DestinationState.RAMPING, DestinationState.HELD_UP]
     for dest in policy.destinations.values():
-        if not dest.held and not _called(dest):
+        if not dest.queued and not _called(dest):
             continue
         routes = [one for one in routes_of(dest) if one.calls or one is dest.route]
         last = max((one.calls[-1] for one in routes if one.calls), default=-1e9)
-        if dest.held or now - last < _ASKED_S:
+        if dest.queued or now - last < _ASKED_S:
             found[dest.id] = max((_state(policy, dest, one, now) for one in routes), key=order.index)
     return found
--- a/rillspindle/catalog.py
+++ b/rillspindle/catalog.py
@@ -78,12 +78,12 @@
 
     def hold(self, message: Message) -> None:
         """The message waits at its destination."""
-        message.dest.held[message.id] = message
+        message.dest.queued[message.id] = message
         self._waiting.add(message.dest)
 
     def waiting(self) -> list[Dest]:
         """The destinations with held messages, in the order in which they became known."""
-        self._waiting = {dest for dest in self._waiting if dest.held}
+        self._waiting = {dest for dest in self._waiting if dest.queued}
         return sorted(self._waiting, key=lambda dest: dest.number)
 
     def _sweep(self, now: float, forget_after: float) -> None:
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -161,9 +161,9 @@
         self.catalog.hold(msg)
         self._pump(dest)
         full = len(self.messages) > self.settings.max_open * OPEN_SHARE
-        if msg.id in dest.held and (full or len(dest.held) > self.settings.max_open * DEST_SHARE):
+        if msg.id in dest.queued and (full or len(dest.queued) > self.settings.max_open * DEST_SHARE):
             then = {d: self.now + self._drain_time(d) for d in (self.catalog.waiting() if full else [dest])}
-            held = [m for d in then for m in d.held.values() if m.ran or m.owed_until <= self.now]
+            held = [m for d in then for m in d.queued.values() if m.ran or m.owed_until <= self.now]
             if held:  # what has surely not run is owed a try, also over a restart
                 self._end(min(held, key=lambda m: (m.worth(then[m.dest]), -m.born)))
 
@@ -172,7 +172,7 @@
         shut = min((self._may_call(ep) for ep in dest.endpoints), default=math.inf) - self.now
         routes = list({id(ep.route): ep.route for ep in dest.endpoints}.values())
         rate = sum(min(max(r.rate, r.limit, 1.0), r.pace) for r in routes)
-        return max(0.5, shut if shut < math.inf else FAIL_WINDOW, len(dest.held) / max(rate, self.min_rate))
+        return max(0.5, shut if shut < math.inf else FAIL_WINDOW, len(dest.queued) / max(rate, self.min_rate))
 
     def _end(self, msg: Message) -> None:
         """Give up on a message at once: refused where handing in again is harmless, else failed (rule 2)."""
@@ -186,7 +186,7 @@
         msg.done = True
         self.messages.pop(msg.id, None)
         msg.dest.open -= 1
-        msg.dest.held.pop(msg.id, None)
+        msg.dest.queued.pop(msg.id, None)
         if msg.out:
             self.late[msg.id] = msg
         self._next_of_key(msg)
@@ -279,7 +279,7 @@
 
     def _pump(self, dest: Dest) -> None:
         """Send what may go of what is held, dearest first; ask to be woken for the rest."""
-        if not dest.held:
+        if not dest.queued:
             return
         wake = math.inf
         open_gate = any(self._may_call(ep) <= self.now for ep in dest.endpoints)
@@ -287,7 +287,7 @@
             self.starved = True  # what is held is not looked through where nothing can go
         elif open_gate:
             then = self.now + self._drain_time(dest)
-            held = list(dest.held.values())
+            held = list(dest.queued.values())
             held = held[:LOOKED] + held[max(LOOKED, len(held) - LOOKED) :]  # of restored ones and of new ones
             loss = {m.id: m.worth(then) - m.worth(self.now) for m in held}
             for msg in sorted(held, key=lambda m: (loss[m.id], m.born)):
@@ -297,7 +297,7 @@
                     self._send(msg, ep)
                 elif not msg.ran and msg.grade.semantics != "at_most_once":
                     break  # one that may go anywhere found no place: nor will the rest
-        if dest.held:
+        if dest.queued:
             wake = min([wake, *(at for ep in dest.endpoints if (at := self._may_call(ep)) > self.now)])
             if wake < dest.wake_at - self.settings.tick:
                 dest.wake_at = wake
@@ -333,7 +333,7 @@
                 if ep.route.misses > PROVEN:  # one trial for all endpoints of a route
                     ep.route.window_end = ep.window_end
         call.left, call.size = call.left + 1, call.size + 1
-        del msg.dest.held[msg.id]
+        del msg.dest.queued[msg.id]
         msg.out[msg.attempts] = call
         msg.attempts += 1
         # silence must not hold slots: no connect time where a repeat is harmless, no longer than it is worth
@@ -383,11 +383,11 @@
 
     def _slot_worth(self, dest: Dest) -> float:
         """What a slot earns in a second at a destination: slow ones must not starve the quick ones."""
-        if not dest.held or not dest.endpoints:
+        if not dest.queued or not dest.endpoints:
             return 0.0
         usual = min(ep.usual for ep in dest.endpoints)
         batch = max(self.settings.kind_batch[ep.kind] for ep in dest.endpoints)
-        return sum(nlargest(batch, (msg.worth(self.now + usual) for msg in dest.held.values()))) / usual
+        return sum(nlargest(batch, (msg.worth(self.now + usual) for msg in dest.queued.values()))) / usual
 
     def _again(self, msg: Message, outcome: int) -> None:
         """A further attempt, where the rules and the time left allow one."""
--- a/rillspindle/state.py
+++ b/rillspindle/state.py
@@ -84,7 +84,7 @@
     number: int  # in the order in which destinations became known
     listed: dict[io.EndpointId, Endpoint] = field(default_factory=dict)
     endpoints: list[Endpoint] = field(default_factory=list)  # those listed that are ready
-    held: dict[int, Message] = field(default_factory=dict)
+    queued: dict[int, Message] = field(default_factory=dict)
     route: Route = field(default_factory=Route)
     wake_at: float = math.inf
     taken: int = 0  # messages taken for it
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -72,7 +72,7 @@
     """Looks for held messages at every destination."""
 
     def waiting(self) -> list[Dest]:
-        return [dest for dest in self.destinations.values() if dest.held]
+        return [dest for dest in self.destinations.values() if dest.queued]
 
 
 def plain_policy(env: dict[str, Any], seed: int) -> Policy:
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -421,7 +421,7 @@
     bench.pass_time(0.01)
     for others in range(2):
         assert (len(policy.messages) < len(policy.destinations)) is bool(others)
-        held = {(dest.id, ""): len(dest.held) for dest in policy.destinations.values() if dest.held}
+        held = {(dest.id, ""): len(dest.queued) for dest in policy.destinations.values() if dest.queued}
         assert sum(held.values()) > 1 and len(sender.attempts.parked) > 1
         assert sender.waiting == {**held, (7, "h0"): len(sender.attempts.parked)}
         for dest in range(100, 200):
