--- a/mountgauge/recovery/destinations.py
+++ b/mountgauge/recovery/destinations.py
@@ -19,7 +19,7 @@
 def _state(policy: Policy, dest: Dest, route: Route, now: float) -> DestinationState:
     if held_up(policy, route, now):
         return DestinationState.HELD_UP
-    asked = dest.taken / max(now - policy.started_at, 8.0)
+    asked = dest.accepted / max(now - policy.started_at, 8.0)
     if not route.ramp or (not dest.queued and route.pace >= 2 * asked):
         return DestinationState.SHOWN
     return DestinationState.RAMPING
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -139,7 +139,7 @@
         if isinstance(event, io.Restored):
             msg.attempts, msg.ran, msg.owed_until = event.attempts, list(event.ran), owed_until
             return self._again(msg, Outcome.MOOT)
-        dest.taken += 1
+        dest.accepted += 1
         if grade.by_arrival and event.key:
             msg.key = event.key
             self.keys.setdefault(msg.key, deque()).append(msg)
@@ -245,7 +245,7 @@
 
     def _demand(self, dest: Dest) -> float:
         """Messages a second that this node takes for a destination, over all its time."""
-        return dest.taken / max(self.now - self.started_at, RATE_SPAN)
+        return dest.accepted / max(self.now - self.started_at, RATE_SPAN)
 
     def _window(self, ep: Endpoint) -> float:
         """The fail window grows with the outage, as about demand x age nodes then try (rule 4)."""
--- a/rillspindle/state.py
+++ b/rillspindle/state.py
@@ -87,7 +87,7 @@
     queued: dict[int, Message] = field(default_factory=dict)
     route: Route = field(default_factory=Route)
     wake_at: float = math.inf
-    taken: int = 0  # messages taken for it
+    accepted: int = 0  # messages taken for it
     open: int = 0  # messages that are not over
     seen_at: float = 0.0  # last listed, or asked for
 
