--- a/mountgauge/recovery/destinations.py
+++ b/mountgauge/recovery/destinations.py
@@ -12,7 +12,7 @@
 
 def held_up(policy: Policy, route: Route, now: float) -> bool:
     """Whether most calls have been refused for longer than a limit takes to recover."""
-    turns = 2 / max(route.limit or route.pace, policy.min_rate)
+    turns = 2 / max(route.limit or route.rate_limit, policy.min_rate)
     return route.full > _MOSTLY and now - route.full_since > policy.settings.fall + turns
 
 
@@ -20,7 +20,7 @@
     if held_up(policy, route, now):
         return DestinationState.HELD_UP
     asked = dest.accepted / max(now - policy.started_at, 8.0)
-    if not route.ramp or (not dest.queued and route.pace >= 2 * asked):
+    if not route.ramp or (not dest.queued and route.rate_limit >= 2 * asked):
         return DestinationState.SHOWN
     return DestinationState.RAMPING
 
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -243,8 +243,8 @@
             if route.wait_until > now:
                 until = round(wall + route.wait_until - now, 1)
                 found.append(Fact("wait", str(dest.id), until, until - route.wait_until + now, origin, until))
-            if route.limit and route.pace < 0.5 * route.limit:
-                found.append(Fact("pace", str(dest.id), round(route.pace, 3), wall, origin, lasts))
+            if route.limit and route.rate_limit < 0.5 * route.limit:
+                found.append(Fact("pace", str(dest.id), round(route.rate_limit, 3), wall, origin, lasts))
         return found
 
     def _remember(self) -> None:
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -79,7 +79,10 @@
                 self._list(event)
             case io.Remembered(dest_id, wait, pace):  # it makes a start more careful, never bolder
                 route = self.catalog.dest(dest_id).route
-                route.wait_until, route.pace = max(route.wait_until, now + wait), min(route.pace, pace)
+                route.wait_until, route.rate_limit = (
+                    max(route.wait_until, now + wait),
+                    min(route.rate_limit, pace),
+                )
             case io.Withdrawn(msg_id) if msg_id in self.messages:
                 self._close(self.messages[msg_id])
         return self.out
@@ -116,16 +119,16 @@
             ep = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
             self.catalog.add(ep)
             route.window_end, route.misses = 0.0, 0
-            route.pace = max(route.pace, route.limit * (not route.ramp))
+            route.rate_limit = max(route.rate_limit, route.limit * (not route.ramp))
         self.catalog.set_ready(ep, entry.readiness == Readiness.READY)
         if self.settings.weights in ("nominal", "rough") and entry.scale > 0:
             sure = 1.0 if self.settings.weights == "nominal" else WEIGHT_TRUST
             ep.route.limit = sure * entry.scale / self.settings.balancers
-            if self.many and ep.route.pace == math.inf:  # else each is refused before it learns it
-                ep.route.pace = ep.route.limit
+            if self.many and ep.route.rate_limit == math.inf:  # else each is refused before it learns it
+                ep.route.rate_limit = ep.route.limit
         if self.settings.ramp and not ep.route.ramp and ep.route.rate_at == -math.inf:
             ep.route.ramp, ep.route.cold_since = RAMP, self.now if ep.route.limit else -math.inf
-            ep.route.pace = min(ep.route.pace, self._ramp_start(ep))
+            ep.route.rate_limit = min(ep.route.rate_limit, self._ramp_start(ep))
             ep.route.next_at = self.now + self._turn(ep, self.random.random())
 
     # Life of a message
@@ -171,7 +174,7 @@
         """How long what is held for a destination will take to go out, a closed gate included."""
         shut = min((self._may_call(ep) for ep in dest.endpoints), default=math.inf) - self.now
         routes = list({id(ep.route): ep.route for ep in dest.endpoints}.values())
-        rate = sum(min(max(r.rate, r.limit, 1.0), r.pace) for r in routes)
+        rate = sum(min(max(r.rate, r.limit, 1.0), r.rate_limit) for r in routes)
         return max(0.5, shut if shut < math.inf else FAIL_WINDOW, len(dest.queued) / max(rate, self.min_rate))
 
     def _end(self, msg: Message) -> None:
@@ -226,13 +229,13 @@
         route, demand = ep.route, self._demand(ep.dest)
         age = self.now - route.cold_since if route.rate_at >= route.cold_since else 0.0
         if age >= self.settings.cold:
-            return route.pace
+            return route.rate_limit
         base = max(route.rate, route.limit, demand, 1 / self.settings.cold)
         warm = (
             self.settings.start_capacity
             + (1 - self.settings.start_capacity) * max(0.0, age) / self.settings.cold
         )
-        return min(route.pace, SLOW_START_PART * self.settings.fall_multiple * warm * base)
+        return min(route.rate_limit, SLOW_START_PART * self.settings.fall_multiple * warm * base)
 
     def _ramp_start(self, ep: Endpoint) -> float:
         """Calls/s that a cold destination surely takes from this node; an unlisted one: two after another."""
@@ -451,12 +454,14 @@
         if route.rate_at < route.cold_since:  # slow start counts from the first answer, at any endpoint
             route.cold_since = self.now
         if route.ramp:  # an answer vouches for the time since the one before, a turn of the pace at most
-            route.pace = max(route.pace, self._ramp_start(ep))
-            route.pace *= math.exp(route.ramp * min(self.now - route.rate_at, self._turn(ep)))
-            if route.pace >= max(route.limit, 2 * self._demand(ep.dest)):
-                route.ramp, route.pace = 0.0, route.limit or math.inf
+            route.rate_limit = max(route.rate_limit, self._ramp_start(ep))
+            route.rate_limit *= math.exp(route.ramp * min(self.now - route.rate_at, self._turn(ep)))
+            if route.rate_limit >= max(route.limit, 2 * self._demand(ep.dest)):
+                route.ramp, route.rate_limit = 0.0, route.limit or math.inf
         else:
-            route.pace += (PACE_BACK if route.pace < route.limit else PACE_ON) * route.limit or PACE_STEP
+            route.rate_limit += (
+                PACE_BACK if route.rate_limit < route.limit else PACE_ON
+            ) * route.limit or PACE_STEP
         route.rate_at, route.misses, route.window_end = self.now, 0, 0.0
 
     def _full(self, call: Call, wait: float) -> None:
@@ -469,16 +474,18 @@
         if self.now - route.cut_at >= 1.0:  # halved at most once a second
             route.cut_at = self.now
             recent = route.calls_since(self.now - RATE_SPAN) / RATE_SPAN
-            recent = max(self.min_rate, PACE_CUT * (recent if route.pace == math.inf else route.pace))
+            recent = max(
+                self.min_rate, PACE_CUT * (recent if route.rate_limit == math.inf else route.rate_limit)
+            )
             # one of many nodes sees too few refusals to tell a lowered limit from a clump: it goes below it
             if route.ramp or self.now - route.full_since > self.settings.fall + PROVEN / (
                 route.limit or recent
             ):
                 route.ramp = RAMP_CUT  # longer than a limit takes to recover: floors may hold it up
             floor = 0.0 if route.ramp else route.limit * (1 - self.settings.ramp * route.full)
-            route.pace = max(floor * (PACE_CUT if self.many else 1.0), recent)
+            route.rate_limit = max(floor * (PACE_CUT if self.many else 1.0), recent)
         # a turn of the pace, at random: many nodes are refused, or told to wait, at one time
-        rest = (1 + self.many) * self.random.random() / max(route.pace, self.min_rate)
+        rest = (1 + self.many) * self.random.random() / max(route.rate_limit, self.min_rate)
         route.next_at = max(route.next_at, max(self.now, route.wait_until) + rest)
 
     def _bad(self, call: Call, fatal: bool) -> None:
--- a/rillspindle/state.py
+++ b/rillspindle/state.py
@@ -17,7 +17,7 @@
 
     wait_until: float = 0.0  # told wait
     next_at: float = 0.0  # earliest next call under pace or slow start
-    pace: float = math.inf  # calls/s
+    rate_limit: float = math.inf  # calls/s
     ramp: float = 0.0  # 1/s by which answers raise a pace that has no floor; 0: it has shown what it bears
     cut_at: float = -math.inf
     full: float = 0.0  # share of refusals as full
--- a/tests/recovery/test_module.py
+++ b/tests/recovery/test_module.py
@@ -61,7 +61,7 @@
     boasting.feed(io.Remembered(0, 0.0, 1e9))
     for d in (fresh, knowing, boasting):
         d.targets(ListKind.CACHED, entry(1, scale=20.0))
-    paces = [d.policy.destinations[0].route.pace for d in (fresh, knowing, boasting)]
+    paces = [d.policy.destinations[0].route.rate_limit for d in (fresh, knowing, boasting)]
     assert paces[1] == 0.25 < paces[0] == paces[2] == 20.0 / 2 * 0.2
     knowing.incoming(1)
     knowing.advance(knowing.now + 1.4)
--- a/tests/test_fleet_growth.py
+++ b/tests/test_fleet_growth.py
@@ -100,9 +100,9 @@
     d.incoming(2, left=60)
     route = d.policy.destinations[0].route
     route.window_end = d.now + 30
-    assert route.pace < route.limit
+    assert route.rate_limit < route.limit
     d.targets(ListKind.FULL, entry(2, scale=RATE))
-    assert route.pace == route.limit
+    assert route.rate_limit == route.limit
     assert d.issued(), "it goes at once"
 
 
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -43,17 +43,17 @@
             new = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
             if (ep := self.endpoints.setdefault(entry.endpoint, new)) is new:
                 route.window_end, route.misses = 0.0, 0
-                route.pace = max(route.pace, route.limit * (not route.ramp))
+                route.rate_limit = max(route.rate_limit, route.limit * (not route.ramp))
             ep.ready = entry.readiness == Readiness.READY
             if self.settings.weights in ("nominal", "rough") and entry.scale > 0:
                 sure = 1.0 if self.settings.weights == "nominal" else WEIGHT_TRUST
                 ep.route.limit = sure * entry.scale / self.settings.balancers
-                if self.many and ep.route.pace == float("inf"):
-                    ep.route.pace = ep.route.limit
+                if self.many and ep.route.rate_limit == float("inf"):
+                    ep.route.rate_limit = ep.route.limit
             if self.settings.ramp and not ep.route.ramp and ep.route.rate_at == -float("inf"):
                 ep.route.ramp = RAMP
                 ep.route.cold_since = self.now if ep.route.limit else -float("inf")
-                ep.route.pace = min(ep.route.pace, self._ramp_start(ep))
+                ep.route.rate_limit = min(ep.route.rate_limit, self._ramp_start(ep))
                 ep.route.next_at = self.now + self._turn(ep, self.random.random())
         named = {ep.dest.id for ep in self.endpoints.values()} | {
             msg.dest.id for msg in self.messages.values()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -452,7 +452,7 @@
         for msg, attempt in d.pending():
             d.respond(msg, Outcome.FULL, number=attempt)
         d.advance(d.now + 0.4)
-    assert d.policy.destinations[0].route.pace >= 12.0 / 2 * 0.6
+    assert d.policy.destinations[0].route.rate_limit >= 12.0 / 2 * 0.6
 
 
 def test_the_floor_does_not_hold_an_outage_up() -> None:
@@ -470,13 +470,13 @@
     by_five = [len([1 for at in calls if start + at_s <= at < start + at_s + 5]) for at_s in range(0, 30, 5)]
     assert by_five[-1] <= 0.1 * by_five[0], by_five
     assert by_five[-1] >= 1, "a single trial goes on"
-    before = d.policy.destinations[0].route.pace
+    before = d.policy.destinations[0].route.rate_limit
     for number in range(600, 900):
         d.incoming(number, left=8)
         d.advance(d.now + 0.05)
         for msg, attempt in d.pending():
             d.respond(msg, Outcome.OK, number=attempt)
-    assert before < 1 < 9 < d.policy.destinations[0].route.pace
+    assert before < 1 < 9 < d.policy.destinations[0].route.rate_limit
 
 
 def test_a_clump_of_refusals_amid_answers_is_no_outage() -> None:
