--- a/mountgauge/recovery/destinations.py
+++ b/mountgauge/recovery/destinations.py
@@ -13,7 +13,7 @@
 def held_up(policy: Policy, route: Route, now: float) -> bool:
     """Whether most calls have been refused for longer than a limit takes to recover."""
     turns = 2 / max(route.limit or route.rate_limit, policy.min_rate)
-    return route.full > _MOSTLY and now - route.full_since > policy.settings.fall + turns
+    return route.reject_share > _MOSTLY and now - route.reject_since > policy.settings.fall + turns
 
 
 def _state(policy: Policy, dest: Dest, route: Route, now: float) -> DestinationState:
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -418,8 +418,10 @@
         if call.judged and (outcome != Outcome.OK or call.judged == Outcome.OK):
             return
         call.judged = outcome
-        ep.route.full += FULL_GAIN * ((outcome == Outcome.FULL) - ep.route.full)
-        ep.route.full_since = min(ep.route.full_since, self.now) if ep.route.full > 0.5 else math.inf
+        ep.route.reject_share += FULL_GAIN * ((outcome == Outcome.FULL) - ep.route.reject_share)
+        ep.route.reject_since = (
+            min(ep.route.reject_since, self.now) if ep.route.reject_share > 0.5 else math.inf
+        )
         if (reported := dict(zip(self.settings.report_fields, event.stats, strict=False)).get("x1", 0.0)) > 0:
             ep.route.limit = reported / self.settings.balancers * WEIGHT_TRUST
         if outcome == Outcome.OK:
@@ -478,11 +480,11 @@
                 self.min_rate, PACE_CUT * (recent if route.rate_limit == math.inf else route.rate_limit)
             )
             # one of many nodes sees too few refusals to tell a lowered limit from a clump: it goes below it
-            if route.ramp or self.now - route.full_since > self.settings.fall + PROVEN / (
+            if route.ramp or self.now - route.reject_since > self.settings.fall + PROVEN / (
                 route.limit or recent
             ):
                 route.ramp = RAMP_CUT  # longer than a limit takes to recover: floors may hold it up
-            floor = 0.0 if route.ramp else route.limit * (1 - self.settings.ramp * route.full)
+            floor = 0.0 if route.ramp else route.limit * (1 - self.settings.ramp * route.reject_share)
             route.rate_limit = max(floor * (PACE_CUT if self.many else 1.0), recent)
         # a turn of the pace, at random: many nodes are refused, or told to wait, at one time
         rest = (1 + self.many) * self.random.random() / max(route.rate_limit, self.min_rate)
--- a/rillspindle/state.py
+++ b/rillspindle/state.py
@@ -20,8 +20,8 @@
     rate_limit: float = math.inf  # calls/s
     ramp: float = 0.0  # 1/s by which answers raise a pace that has no floor; 0: it has shown what it bears
     cut_at: float = -math.inf
-    full: float = 0.0  # share of refusals as full
-    full_since: float = math.inf  # since when they are most
+    reject_share: float = 0.0  # share of refusals as full
+    reject_since: float = math.inf  # since when they are most
     cold_since: float = -math.inf  # last sign of an outage, or the first success after it
     rate: float = 0.0  # own healthy rate, calls/s
     rate_at: float = -math.inf  # latest answer
