--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -114,7 +114,7 @@
 def _backlog_answer(count: int) -> Sample:
     """A message comes, a call is answered, and the next message goes: the backlog stays."""
     policy, fresh = _backlogged(count)
-    out = [number for number, message in policy.messages.items() if message.out]
+    out = [number for number, message in policy.messages.items() if message.in_flight]
 
     def one() -> None:
         policy.handle(incoming(fresh(), 0, _NOW), _NOW)
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -180,7 +180,7 @@
     def _end(self, msg: Message) -> None:
         """Give up on a message at once: refused where handing in again is harmless, else failed (rule 2)."""
         again = min(self._drain_time(msg.dest), self.settings.max_retry_after)
-        harmless = msg.repeatable or not (msg.ran or msg.out)
+        harmless = msg.repeatable or not (msg.ran or msg.in_flight)
         self.out.append(io.PushBack(msg.id, again) if harmless else io.Abort(msg.id))
         self._close(msg)
 
@@ -190,14 +190,14 @@
         self.messages.pop(msg.id, None)
         msg.dest.open -= 1
         msg.dest.queued.pop(msg.id, None)
-        if msg.out:
+        if msg.in_flight:
             self.late[msg.id] = msg
         self._next_of_key(msg)
 
     def _next_of_key(self, msg: Message) -> None:
         """In order by key: the next one may go when all before it are over and have no attempt out."""
         queue = self.keys.get(msg.key, deque())
-        while queue and queue[0].done and not queue[0].out:
+        while queue and queue[0].done and not queue[0].in_flight:
             queue.popleft()
         if queue:
             self._pump(queue[0].dest)
@@ -212,7 +212,7 @@
             if (dest := self.destinations.get(token - (1 << 32))) is not None:
                 dest.wake_at = math.inf
                 self._pump(dest)
-        elif (msg := self.messages.get(token)) is not None and not msg.out:
+        elif (msg := self.messages.get(token)) is not None and not msg.in_flight:
             if self._last_moment(msg) <= self.now + self.settings.tick:
                 self._end(msg)
             else:
@@ -337,7 +337,7 @@
                     ep.route.window_end = ep.window_end
         call.left, call.size = call.left + 1, call.size + 1
         del msg.dest.queued[msg.id]
-        msg.out[msg.attempts] = call
+        msg.in_flight[msg.attempts] = call
         msg.attempts += 1
         # silence must not hold slots: no connect time where a repeat is harmless, no longer than it is worth
         # a message that takes long takes long again: what has timed out is given longer each time
@@ -356,9 +356,9 @@
 
     def _outcome(self, event: io.Response) -> None:
         msg = self.messages.get(event.msg_id) or self.late.get(event.msg_id)
-        if msg is None or event.send_no not in msg.out:
+        if msg is None or event.send_no not in msg.in_flight:
             return
-        call = msg.out.pop(event.send_no)
+        call = msg.in_flight.pop(event.send_no)
         call.left -= 1
         if not call.left:
             call.ep.calls.remove(call)
@@ -375,7 +375,7 @@
             self._next_of_key(msg)
         elif event.over:
             self._close(msg)
-        elif not msg.out:
+        elif not msg.in_flight:
             self._again(msg, event.outcome)
         if self.starved and self.busy < self.settings.workers:
             self.starved = False
--- a/rillspindle/state.py
+++ b/rillspindle/state.py
@@ -103,7 +103,7 @@
     key: int
     by_half: bool
     attempts: int = 0
-    out: dict[int, Call] = field(default_factory=dict)  # attempts without outcome
+    in_flight: dict[int, Call] = field(default_factory=dict)  # attempts without outcome
     ran: list[tuple[float, int]] = field(default_factory=list)  # send time and zone of what may have run
     not_before: float = 0.0
     owed_until: float = 0.0  # before then it is not given up untried for want of room; 0: not taken on yet
