--- a/benchmarks/slow_start_model.py
+++ b/benchmarks/slow_start_model.py
@@ -290,7 +290,7 @@
         attempt = sender.attempts.get(issue.msg_id, 0)
         sender.attempts[issue.msg_id] = attempt + 1
         call.messages.append((issue.msg_id, attempt))
-        call.give_up_after = max(call.give_up_after, issue.give_up_after)
+        call.give_up_after = max(call.give_up_after, issue.timeout)
 
     def _on_offer(self, offered: float) -> None:
         place = self._draw.choices(range(self.scene.senders), self._shares)[0]
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -83,7 +83,7 @@
             return
         stored = held.stored
         item = Item(held.number, send_no, stored.id, stored.key, stored.grade, stored.body, held.expires)
-        give_up_at = now + max(0.0, action.give_up_after)
+        give_up_at = now + max(0.0, action.timeout)
         if (full := calls.full(hop)) is not None:
             self.start(full)
         held.call = calls.add(item, hop, give_up_at)
--- a/rillspindle/interface.py
+++ b/rillspindle/interface.py
@@ -160,7 +160,7 @@
 
     msg_id: int
     endpoint: EndpointId
-    give_up_after: float
+    timeout: float
 
 
 class StopAttempt(NamedTuple):
--- a/rillspindle/wire.py
+++ b/rillspindle/wire.py
@@ -146,8 +146,8 @@
 def encode(node: int, action: i.Action) -> bytes:
     """One action as a record."""
     match action:
-        case i.Issue(msg, endpoint, give_up_after):
-            return _ISSUE.pack(89, node, msg, endpoint, give_up_after)
+        case i.Issue(msg, endpoint, timeout):
+            return _ISSUE.pack(89, node, msg, endpoint, timeout)
         case i.Schedule(delay, token):
             return _SCHEDULE.pack(85, node, delay, token)
         case i.PushBack(msg, retry_after):
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -157,7 +157,7 @@
         assert not held.answered, "rule 1: sent after its answer"
         assert e.owner == held.event.dest
         assert len(held.sends) < self.env["ceilings"]["attemptsCap"]
-        assert action.give_up_after > 0
+        assert action.timeout > 0
         if not self.env["ceilings"]["mayDuplicate"]:
             assert all(s["outcome"] is not None for s in held.sends), "rule 2: two at once"
         for send in self.maybe_ran(held):
@@ -184,7 +184,7 @@
                 "endpoint": action.endpoint,
                 "at": self.now,
                 "outcome": None,
-                "limit": min(action.give_up_after, held.event.expires - self.now),
+                "limit": min(action.timeout, held.event.expires - self.now),
             }
         )
         assert self.slots() <= self.env["extra"]["workers"], "more calls out than slots"
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -113,7 +113,7 @@
         self.tries[issue.msg_id] = send_no + 1
         outcomes = [Outcome.OK] * 6 + [Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT]
         outcome = self.draw.choice(outcomes)
-        spent = issue.give_up_after if outcome == Outcome.TIMEOUT else self.draw.uniform(0.01, 0.6)
+        spent = issue.timeout if outcome == Outcome.TIMEOUT else self.draw.uniform(0.01, 0.6)
         told_ms = self.draw.choice([0, 0, 400, 3000]) if outcome == Outcome.FULL else 0
         over = outcome == Outcome.OK
         response = io.Response(issue.msg_id, spent, issue.endpoint, outcome, send_no, over, told_ms, ())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -163,12 +163,12 @@
         d.incoming(number)
     for number in range(104, 108):
         d.incoming(number, dest=1)
-    limits = [a.give_up_after for a in d.trace if isinstance(a, i.Issue) and a.msg_id >= 100]
+    limits = [a.timeout for a in d.trace if isinstance(a, i.Issue) and a.msg_id >= 100]
     assert len(limits) == 8 and min(limits) >= LEAST_PATIENCE * 2.0
     (late,) = [m for m, _ in d.pending() if m == 103]
     d.now += 0.6
     d.respond(late, Outcome.TIMEOUT)
-    again = [a.give_up_after for a in d.last if isinstance(a, i.Issue) and a.msg_id == late]
+    again = [a.timeout for a in d.last if isinstance(a, i.Issue) and a.msg_id == late]
     assert not again or again[0] >= 2 * LEAST_PATIENCE * 2.0, "a message that takes long takes long again"
 
 
@@ -440,7 +440,7 @@
     for number in range(30):
         d.incoming(number)
         d.advance(d.now + 2)
-    patience = [a.give_up_after for a in d.trace if isinstance(a, i.Issue)]
+    patience = [a.timeout for a in d.trace if isinstance(a, i.Issue)]
     assert max(patience) <= 1.0 + 2.0 + 1e-9, "connect time and aim at most for a trial"
 
 
