--- a/mountgauge/core/ends.py
+++ b/mountgauge/core/ends.py
@@ -74,7 +74,7 @@
             return end
         out = held.call is not None and any(item.number == held.number for item in held.call.sent)
         grade = self._state.grades.get(held.stored.grade)
-        if send_guard.may_hand_back(grade, out or bool(held.stored.ran)):
+        if send_guard.may_reject(grade, out or bool(held.stored.ran)):
             return end
         self._counts["withheld", send_guard.Refusal.MAY_HAVE_RUN] += 1
         return End(Status.UNDELIVERABLE)
--- a/rillspindle/send_guard.py
+++ b/rillspindle/send_guard.py
@@ -108,7 +108,7 @@
     return min(at for at, _ in ran) + grade.repeat_window - TRANSIT_S
 
 
-def may_hand_back(grade: MessageClass | None, may_have_run: bool) -> bool:
+def may_reject(grade: MessageClass | None, may_have_run: bool) -> bool:
     """Whether its client may be told that handing the message in again does no harm."""
     if not may_have_run:
         return True
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -18,7 +18,7 @@
     Refusal,
     SendPermit,
     holds,
-    may_hand_back,
+    may_reject,
     may_take_on,
     may_tell_end,
     permit_send,
@@ -95,8 +95,8 @@
 def test_what_may_have_run_is_handed_back_only_where_that_is_harmless(
     kind: MessageClass | None, harmless: bool
 ) -> None:
-    assert may_hand_back(kind, True) is harmless
-    assert may_hand_back(kind, False)
+    assert may_reject(kind, True) is harmless
+    assert may_reject(kind, False)
 
 
 def test_a_start_waits_for_an_unread_journal_within_a_bound() -> None:
