--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -67,7 +67,7 @@
             return End(Status.DEFERRED)
         if (known := self.known(one)) is not None:
             return known
-        if not send_guard.may_take_on(bool(self._journal.unread), now - self._began):
+        if not send_guard.may_accept(bool(self._journal.unread), now - self._began):
             return End(Status.DEFERRED, _ASK_AGAIN_MS)
         if self.cut_off():
             self._counts["refused", "cut-off"] += 1
--- a/rillspindle/send_guard.py
+++ b/rillspindle/send_guard.py
@@ -124,7 +124,7 @@
     return on_record or expires <= now
 
 
-def may_take_on(journal_unread: bool, since_start_s: float) -> bool:
+def may_accept(journal_unread: bool, since_start_s: float) -> bool:
     """Whether a message of an unknown id is new for certain: the journal of an ended process that could not
     be read yet may hold it. Bounded, as a disk may never come back; then `permit_send` alone guards it.
     """
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -18,8 +18,8 @@
     Refusal,
     SendPermit,
     holds,
+    may_accept,
     may_reject,
-    may_take_on,
     may_tell_end,
     permit_send,
     repeat_until,
@@ -100,9 +100,9 @@
 
 
 def test_a_start_waits_for_an_unread_journal_within_a_bound() -> None:
-    assert may_take_on(False, 0.0)
-    assert not may_take_on(True, UNREAD_JOURNAL_S - 0.1)
-    assert may_take_on(True, UNREAD_JOURNAL_S)
+    assert may_accept(False, 0.0)
+    assert not may_accept(True, UNREAD_JOURNAL_S - 0.1)
+    assert may_accept(True, UNREAD_JOURNAL_S)
 
 
 def test_an_end_is_told_once_it_is_on_record_or_nobody_sends_the_message_any_more() -> None:
