--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -25,7 +25,7 @@
 from rillspindle import send_guard
 from rillspindle.interface import Outcome
 from rillspindle.send_guard import Refusal, SendPermit
-from rillspindle.send_monitor import Place, SendMonitor, SentMessage
+from rillspindle.send_monitor import EndpointAddress, SendMonitor, SentMessage
 
 log = logging.getLogger("mountgauge.sender")
 
@@ -186,7 +186,7 @@
         now, hop = self._clock.now(), call.hop
         if begun:
             ids = [item.id for item in call.sent]
-            self._monitor.first_byte(ids, Place(hop.id, hop.host, hop.port), now)
+            self._monitor.first_byte(ids, EndpointAddress(hop.id, hop.host, hop.port), now)
         if complete and call.lease is not None:
             messages = [
                 SentMessage(
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -39,7 +39,7 @@
 from rillspindle import Policy
 from rillspindle import interface as io
 from rillspindle.interface import ListKind
-from rillspindle.send_monitor import Place, SendMonitor, Violation
+from rillspindle.send_monitor import EndpointAddress, SendMonitor, Violation
 
 log = logging.getLogger("mountgauge.sender")
 
@@ -289,7 +289,9 @@
         now = self.clock.now()
         whole = how != ListKind.DELTA
         change = self.table.learn(update, whole, now)
-        states = ((Place(*hop[:3]), hop.entry.readiness == io.Readiness.READY) for hop in update.hops)
+        states = (
+            (EndpointAddress(*hop[:3]), hop.entry.readiness == io.Readiness.READY) for hop in update.hops
+        )
         self.monitor.listed(whole, states, now)
         for hop_id in change.closing:
             self.next_hops.close_idle(hop_id)
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -43,7 +43,7 @@
     why: str
 
 
-class Place(NamedTuple):
+class EndpointAddress(NamedTuple):
     """An endpoint at an address: under an old id at a new address it is another one."""
 
     id: str
@@ -79,14 +79,14 @@
         self.violations: Counter[Rule] = Counter(dict.fromkeys(Rule, 0))
         self._on_violation = on_violation
         self.evidence: ListEvidence | None = None  # for the list, where a source is asked for it
-        self._ready: set[Place] = set()
-        self._left: dict[Place, float] = {}  # since when each is known to drain or to have gone
+        self._ready: set[EndpointAddress] = set()
+        self._left: dict[EndpointAddress, float] = {}  # since when each is known to drain or to have gone
         self._waits: dict[object, tuple[float, float]] = {}  # when told, and until when
         self._messages: dict[str, _Attempts] = {}
 
     # What is known
 
-    def listed(self, whole: bool, states: Iterable[tuple[Place, bool]], now: float) -> None:
+    def listed(self, whole: bool, states: Iterable[tuple[EndpointAddress, bool]], now: float) -> None:
         """A list has been taken in: endpoints and whether each is ready. A whole list names all there are."""
         named = dict(states)
         ids = {place.id for place in named}
@@ -118,7 +118,7 @@
 
     # What takes effect
 
-    def first_byte(self, messages: Collection[str], place: Place, now: float) -> None:
+    def first_byte(self, messages: Collection[str], place: EndpointAddress, now: float) -> None:
         """A call has begun to leave."""
         self._check_list(messages, now)
         if place in self._ready:
--- a/tests/test_list_evidence.py
+++ b/tests/test_list_evidence.py
@@ -6,12 +6,12 @@
 
 from rillspindle.interface import Settings
 from rillspindle.list_evidence import NOTIFIED_S, SLACK_S, AnsweredCall, ListEvidence, RefusedCall
-from rillspindle.send_monitor import Place, Rule, SendMonitor, Violation
+from rillspindle.send_monitor import EndpointAddress, Rule, SendMonitor, Violation
 from tests.settings import settings
 
 GRACE_S = 0.25
 SPARE_S = GRACE_S + SLACK_S
-PLACE = Place("e", "127.0.0.1", 80)
+PLACE = EndpointAddress("e", "127.0.0.1", 80)
 
 
 def rules(ask_within_s: float = 10.0, mode: str = "subscribe") -> Settings:
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -24,11 +24,11 @@
     permit_send,
     repeat_until,
 )
-from rillspindle.send_monitor import HOLD_UP_S, Place, Rule, SendMonitor, SentMessage, Violation
+from rillspindle.send_monitor import HOLD_UP_S, EndpointAddress, Rule, SendMonitor, SentMessage, Violation
 
 NOW, WINDOW_S, GRACE_S = 100.0, 7.0, 0.25
 READY = EndpointState(True)
-HOP = Place("h", "127.0.0.1", 1)
+HOP = EndpointAddress("h", "127.0.0.1", 1)
 
 
 def grade(semantics: str, group: str = "all") -> MessageClass:
@@ -135,7 +135,7 @@
 @pytest.mark.parametrize("how", ["drains", "absent", "moved", "never listed"])
 def test_a_first_byte_past_the_grace_counts(how: str) -> None:
     monitor = Watched()
-    other = Place("h", "127.0.0.1", 2)
+    other = EndpointAddress("h", "127.0.0.1", 2)
     match how:
         case "drains":
             monitor.listed(False, [(HOP, False)], NOW)
