--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -210,7 +210,7 @@
             if result.wait > 0:
                 limit = self.state.limit(call.hop)
                 self._waits[limit] = max(self._waits.get(limit, 0.0), now + result.wait)
-                self._monitor.wait_told(limit, now, now + result.wait)
+                self._monitor.wait_required(limit, now, now + result.wait)
                 if self.on_wait is not None:
                     self.on_wait()
             held = self._held.get(item.number)
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -98,7 +98,7 @@
             self._ready.add(place)
             self._left.pop(place, None)
 
-    def wait_told(self, limit: object, now: float, until: float) -> None:
+    def wait_required(self, limit: object, now: float, until: float) -> None:
         """What shares this limit is to be left alone."""
         told_at, before = self._waits.get(limit, (now, -math.inf))
         self._waits[limit] = (told_at if before > now else now, max(before, until))
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -201,7 +201,7 @@
     monitor.send(IDEMPOTENT, NOW + 0.1)
     assert monitor.rules == [Rule.TWO_OUT]
     monitor = Watched()
-    monitor.wait_told(7, NOW, NOW + 1)
+    monitor.wait_required(7, NOW, NOW + 1)
     monitor.send(IDEMPOTENT, NOW + 0.05)
     assert monitor.rules == []
     monitor.outcome("m", never_ran=True)
