--- a/mountgauge/core/ends.py
+++ b/mountgauge/core/ends.py
@@ -47,7 +47,7 @@
     def _tell_if_allowed(self, held: Held, end: End, on_record: bool) -> None:
         now = self._now()
         if send_guard.may_tell_end(on_record, held.expires, now):
-            self._monitor.end_told(held.stored.id, on_record, held.expires, now)
+            self._monitor.outcome_reported(held.stored.id, on_record, held.expires, now)
             self.tell(held, end)
             return
         self._untold[held.number] = held, end
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -177,7 +177,7 @@
         if semantics != "idempotent" and not dropped_anywhere:
             self._count(Rule.HANDED_BACK, message, "it may have run")
 
-    def end_told(self, message: str, on_record: bool, expires: float, now: float) -> None:
+    def outcome_reported(self, message: str, on_record: bool, expires: float, now: float) -> None:
         """The front was told how a message ended."""
         if not on_record and now < expires:
             self._count(Rule.END_NOT_ON_RECORD, message, f"{expires - now:.3f} s before its time")
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -187,10 +187,10 @@
 @pytest.mark.violates
 def test_an_end_that_is_told_before_it_is_on_record_counts() -> None:
     monitor = Watched()
-    monitor.end_told("m", True, NOW + 1.0, NOW)
-    monitor.end_told("m", False, NOW, NOW)
+    monitor.outcome_reported("m", True, NOW + 1.0, NOW)
+    monitor.outcome_reported("m", False, NOW, NOW)
     assert monitor.rules == []
-    monitor.end_told("m", False, NOW + 1.0, NOW)
+    monitor.outcome_reported("m", False, NOW + 1.0, NOW)
     assert monitor.rules == [Rule.END_NOT_ON_RECORD]
 
 
