--- a/mountgauge/core/ends.py
+++ b/mountgauge/core/ends.py
@@ -97,7 +97,7 @@
 
         self._counts["end", end.status.value] += 1
         if end.status is Status.DEFERRED:
-            self._monitor.handed_back(held.stored.id, self._state.grades.get(held.stored.grade))
+            self._monitor.rejected(held.stored.id, self._state.grades.get(held.stored.grade))
         self._front(held).tell(held.stored.id, end, told)
 
     def drop(self, held: Held) -> None:
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -167,7 +167,7 @@
         if not attempts.may_have_run:
             del self._messages[message]
 
-    def handed_back(self, message: str, grade: MessageClass | None) -> None:
+    def rejected(self, message: str, grade: MessageClass | None) -> None:
         """Its client was told that it may hand the message in again."""
         attempts = self._messages.get(message)
         if attempts is None or not (attempts.out or attempts.may_have_run):
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -213,8 +213,8 @@
     monitor = Watched()
     monitor.last_byte([SentMessage("m", ONCE, 1e9, False)], 0, 7, NOW)
     assert monitor.rules == [Rule.NOT_ON_RECORD]
-    monitor.handed_back("m", ONCE)
-    monitor.handed_back("other", ONCE)
+    monitor.rejected("m", ONCE)
+    monitor.rejected("other", ONCE)
     assert monitor.rules == [Rule.NOT_ON_RECORD, Rule.HANDED_BACK]
 
 
