--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -292,7 +292,7 @@
         states = (
             (EndpointAddress(*hop[:3]), hop.entry.readiness == io.Readiness.READY) for hop in update.hops
         )
-        self.monitor.listed(whole, states, now)
+        self.monitor.list_applied(whole, states, now)
         for hop_id in change.closing:
             self.next_hops.close_idle(hop_id)
         self.version = update.version
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -86,7 +86,7 @@
 
     # What is known
 
-    def listed(self, whole: bool, states: Iterable[tuple[EndpointAddress, bool]], now: float) -> None:
+    def list_applied(self, whole: bool, states: Iterable[tuple[EndpointAddress, bool]], now: float) -> None:
         """A list has been taken in: endpoints and whether each is ready. A whole list names all there are."""
         named = dict(states)
         ids = {place.id for place in named}
--- a/tests/test_list_evidence.py
+++ b/tests/test_list_evidence.py
@@ -114,7 +114,7 @@
 def test_a_send_without_evidence_is_counted_whatever_the_list_says() -> None:
     found: list[Violation] = []
     monitor = SendMonitor(GRACE_S, found.append)
-    monitor.listed(True, [(PLACE, True)], 10.0)
+    monitor.list_applied(True, [(PLACE, True)], 10.0)
     monitor.first_byte(["a"], PLACE, 30.0)
     assert not found, "nobody is asked for this list"
     monitor.evidence = ListEvidence(rules())
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -120,7 +120,7 @@
     def __init__(self) -> None:
         self.found: list[Violation] = []
         super().__init__(GRACE_S, self.found.append)
-        self.listed(True, [(HOP, True)], NOW)
+        self.list_applied(True, [(HOP, True)], NOW)
 
     def send(self, kind: MessageClass | None, now: float, zone: int = 0, expires: float = 1e9) -> None:
         self.first_byte(["m"], HOP, now)
@@ -138,11 +138,11 @@
     other = EndpointAddress("h", "127.0.0.1", 2)
     match how:
         case "drains":
-            monitor.listed(False, [(HOP, False)], NOW)
+            monitor.list_applied(False, [(HOP, False)], NOW)
         case "absent":
-            monitor.listed(True, [], NOW)
+            monitor.list_applied(True, [], NOW)
         case "moved":
-            monitor.listed(False, [(other, True)], NOW)
+            monitor.list_applied(False, [(other, True)], NOW)
     if how != "never listed":
         monitor.first_byte(["m"], HOP, NOW + GRACE_S)
         assert monitor.rules == []
