--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -202,7 +202,7 @@
             case Failure.SPOILT:
                 self._evidence.answer_lost(now)
             case Failure.REFUSED:
-                self._evidence.dial_refused(now)
+                self._evidence.connection_refused(now)
             case Failure.UNREACHED:
                 self._evidence.unanswered()
             case Failure.BUSY | Failure.BROKEN:
--- a/rillspindle/list_evidence.py
+++ b/rillspindle/list_evidence.py
@@ -85,7 +85,7 @@
         if call.made_at >= self._lost_at:
             self._lost_at = math.inf
 
-    def dial_refused(self, at: float) -> None:
+    def connection_refused(self, at: float) -> None:
         """Discovery could not be reached then; an agent can't be down."""
         if self._settings.subscribe:
             self._newest = max(self._newest, at)
--- a/tests/test_list_evidence.py
+++ b/tests/test_list_evidence.py
@@ -48,7 +48,7 @@
 def test_the_newest_evidence_counts_and_settings_bound_it() -> None:
     evidence = ListEvidence(rules())
     evidence.answered(answered(10.0))
-    evidence.dial_refused(12.0)
+    evidence.connection_refused(12.0)
     evidence.answered(answered(11.0))
     assert evidence.sends_until() == pytest.approx(12.0 + NOTIFIED_S + SPARE_S)
     evidence.retune(rules(0.5))
@@ -59,7 +59,7 @@
     evidence = ListEvidence(rules())
     evidence.answered(answered(10.0))
     evidence.answer_lost(11.0)
-    evidence.dial_refused(11.5)
+    evidence.connection_refused(11.5)
     evidence.answered(answered(10.9))
     assert evidence.sends_until() == pytest.approx(11.0 + SPARE_S)
     evidence.answered(answered(11.1))
@@ -104,7 +104,7 @@
 def test_no_refusal_of_an_agent_is_evidence() -> None:
     evidence = ListEvidence(rules(mode="automatic"))
     evidence.answered(answered(10.0))
-    evidence.dial_refused(12.0)
+    evidence.connection_refused(12.0)
     evidence.refused(RefusedCall(10.0, 2.0, 11.5, in_words=True))
     evidence.refused(RefusedCall(10.0, 2.0, 11.5, in_words=False))
     assert evidence.sends_until() == pytest.approx(10.0 + NOTIFIED_S + SPARE_S)
