--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -67,7 +67,7 @@
         if on:
             self._watch.start(self._now())
             if self._evidence is not None:
-                self._evidence.began(self._now())
+                self._evidence.started(self._now())
         else:
             self._watch.stop(self._now())
         self._step()
--- a/rillspindle/list_evidence.py
+++ b/rillspindle/list_evidence.py
@@ -69,7 +69,7 @@
         self._down = False  # a watch was ended, and each call since refused
         self._began_at: float | None = None
 
-    def began(self, at: float) -> None:
+    def started(self, at: float) -> None:
         """The process begins to ask for lists."""
         if self._began_at is None:
             self._began_at = at
--- a/tests/test_list_evidence.py
+++ b/tests/test_list_evidence.py
@@ -94,7 +94,7 @@
 
 def test_a_new_process_that_is_refused_in_words_has_its_list_as_of_its_start() -> None:
     evidence = ListEvidence(rules())
-    evidence.began(10.0)
+    evidence.started(10.0)
     assert evidence.sends_until() < 0
     for at in (10.1, 12.0, 17.0):
         evidence.refused(RefusedCall(at, 0.001, at + 0.1, in_words=True))
