--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -81,7 +81,7 @@
         if config.settings != old.settings:
             self.sender.retune(config.rules, config.names)
             self.discovery.retune(config.names, WatchBounds.of(config.rules))
-            self._evidence.retune(config.rules)
+            self._evidence.apply_settings(config.rules)
             self.front.retune(config.names.grades, [grade.deadline for grade in config.rules.message_classes])
             classes, attempts = ",".join(config.names.grades), config.rules.attempts_cap
             log.info("retuned", extra=kv(classes=classes, attempts=attempts))
--- a/rillspindle/list_evidence.py
+++ b/rillspindle/list_evidence.py
@@ -74,7 +74,7 @@
         if self._began_at is None:
             self._began_at = at
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Other settings from now on."""
         self._settings = settings
 
--- a/tests/test_list_evidence.py
+++ b/tests/test_list_evidence.py
@@ -51,7 +51,7 @@
     evidence.connection_refused(12.0)
     evidence.answered(answered(11.0))
     assert evidence.sends_until() == pytest.approx(12.0 + NOTIFIED_S + SPARE_S)
-    evidence.retune(rules(0.5))
+    evidence.apply_settings(rules(0.5))
     assert evidence.sends_until() == pytest.approx(12.0 + 2.0 + SPARE_S)
 
 
