--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -52,7 +52,7 @@
         """A message of a call; one that is not held any more has ended."""
         held = self._held.get(item.number)
         if held is None:
-            return MessageState(item.expires, None, (), ended=True)
+            return MessageState(item.expires, None, (), finished=True)
         return MessageState(
             item.expires,
             self.grades.get(item.grade),
--- a/rillspindle/send_guard.py
+++ b/rillspindle/send_guard.py
@@ -49,7 +49,7 @@
         MessageClass | None
     )  # None: the settings no longer name its class, so no repeat is known to be allowed
     ran: Sequence[tuple[float, int]]  # when, and in which zone, each attempt began that may have run
-    ended: bool = False
+    finished: bool = False
     on_record: bool = True
 
 
@@ -144,7 +144,7 @@
 
 
 def _message_refusal(message: MessageState, now: float) -> Refusal | None:
-    if message.ended:
+    if message.finished:
         return Refusal.MESSAGE_ENDED
     if message.expires <= now:
         return Refusal.MESSAGE_EXPIRED
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(("state", "why"), [
-    (dataclasses.replace(message(), ended=True), Refusal.MESSAGE_ENDED),
+    (dataclasses.replace(message(), finished=True), Refusal.MESSAGE_ENDED),
     (message(expires=NOW), Refusal.MESSAGE_EXPIRED),
     (dataclasses.replace(message(), on_record=False), Refusal.NOT_ON_RECORD),
     (message(ONCE, (99.0, 0)), Refusal.MAY_HAVE_RUN),
