--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -38,7 +38,7 @@
 from tests import helper
 from tests.crossings.test_watches import Discovery
 from tests.helper import HOST, Broker, HttpHop, run, until
-from tests.settings import grade, settings
+from tests.settings import message_class, settings
 from tests.test_console import call as console_call
 from tests.test_peers import bounds
 from tests.test_process import Platform
@@ -101,7 +101,7 @@
 
     def make_sender(self) -> Sender:
         extra = {**settings()["extra"], "workers": 32}
-        env = settings(grades=[grade(aim=8.0)], discovery="subscribe", extra=extra)
+        env = settings(grades=[message_class(aim=8.0)], discovery="subscribe", extra=extra)
         self.journal = Journal(self.folder, 100_000_000)
         sender = Sender(Policy(env, 1), NAMES, self.journal, LoopClock(), {"platform": self})
         self.map = TransportMap(sender, Address(HOST, self.discovery.port), NAMES, bounds(30.0))
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -20,7 +20,7 @@
 from rillspindle import Policy
 from rillspindle.interface import Entry, Outcome, Readiness
 from tests.helper import HOST, Broker, HttpHop, until
-from tests.settings import grade, settings
+from tests.settings import message_class, settings
 from tests.system_call_faults import Faults, FaultyLoop, run_faulty
 from tests.test_sender import Bench
 
@@ -32,8 +32,8 @@
     """A core whose message of the keyed class failed once, so that its repeat is decided in the window."""
 
     def __init__(self, folder: Path, **extra: Any) -> None:
-        keyed = grade("deduplicated", repeatWindow=WINDOW_S, **extra.pop("keyed", {}))
-        grades, kind = [grade(), keyed, grade("at_most_once")], extra.pop("kind", 0)
+        keyed = message_class("deduplicated", repeatWindow=WINDOW_S, **extra.pop("keyed", {}))
+        grades, kind = [message_class(), keyed, message_class("at_most_once")], extra.pop("kind", 0)
         super().__init__(folder, grades=grades, **extra)
         self.sender.start(self.hops(Readiness.READY, kind=kind))
         self.pass_time(0.01)
@@ -105,7 +105,7 @@
         self.answers: list[Answer] = []
         self.endpoint = HttpHop() if wire == "http" else Broker()
         env = settings(
-            grades=[grade("deduplicated", repeatWindow=window_s)],
+            grades=[message_class("deduplicated", repeatWindow=window_s)],
             discovery="subscribe",
             extra={**settings()["extra"], "workers": 32},
         )
--- a/tests/crossings/test_notified.py
+++ b/tests/crossings/test_notified.py
@@ -21,7 +21,7 @@
 from mountgauge.http1 import Message, response
 from mountgauge.lab.ports import reserve_ports
 from tests.helper import HOST, HttpServer, run, until
-from tests.settings import grade, settings
+from tests.settings import message_class, settings
 from tests.test_process import Platform
 
 NOTIFIED_S, AFTER_WAIT_S, AFTER_MOVE_S = 6.0, 2.0, 4.0
@@ -139,7 +139,7 @@
         self.client = asyncio.create_task(self.hand_in())
 
     def config(self, discovery: HttpServer) -> dict[str, Any]:
-        grades = [grade(name="safe")]
+        grades = [message_class(name="safe")]
         env = settings(shapes=["one", "two"], grades=grades, discovery=self.mode)
         env["obligations"] |= {"askWithin": self.ask_s, "drainGrace": DRAIN_GRACE_S}
         if self.senders is not None:
--- a/tests/settings.py
+++ b/tests/settings.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 
-def grade(semantics: str = "idempotent", **extra: Any) -> dict[str, Any]:
+def message_class(semantics: str = "idempotent", **extra: Any) -> dict[str, Any]:
     return {
         "aim": 2.0,
         "deadline": 12.0,
@@ -38,11 +38,11 @@
         "discovery": "automatic",
         "extra": {"kindBatch": [1, 4], "losesWorth": "by_half", "routesApart": [False, True], "workers": 8},
         "grades": [
-            grade(),
-            grade("deduplicated"),
-            grade("deduplicated", group="zone"),
-            grade("at_most_once"),
-            grade("deduplicated", byArrival=True),
+            message_class(),
+            message_class("deduplicated"),
+            message_class("deduplicated", group="zone"),
+            message_class("at_most_once"),
+            message_class("deduplicated", byArrival=True),
         ],
         "localities": ["near", "far"],
         "obligations": {
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -13,7 +13,7 @@
 from mountgauge.http1 import Message, response
 from mountgauge.lab.ports import reserve_ports
 from tests.helper import HOST, HttpServer, no_news, run, until
-from tests.settings import grade, settings
+from tests.settings import message_class, settings
 
 START_LIMIT_S = 25.0  # in which a process must serve, however slow the machine
 
@@ -54,7 +54,11 @@
             (self.port,) = reserve_ports(1)
         line = {"id": "e", "addr": f"{HOST}:{self.endpoint.port}", "zone": "near", "kind": "one", "cell": 7,
                 "state": self.listed, "weight": 1.0, "started_ms": 0}  # fmt: skip
-        grades = [grade(name="safe"), grade("deduplicated", name="keyed"), grade("at_most_once", name="once")]
+        grades = [
+            message_class(name="safe"),
+            message_class("deduplicated", name="keyed"),
+            message_class("at_most_once", name="once"),
+        ]
         raw: dict[str, Any] = {
             "name": "n0", "listen": f"{HOST}:{self.port}", "discovery": f"{HOST}:{self.discovery.port}",
             "seed": "1f", "limits": {"memory_mb": 192, "sockets": 256, "disk_mb": 3},
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,7 +18,7 @@
 from rillspindle.policy import FAIL_WINDOW, LEAST_PATIENCE
 from rillspindle.state import Message
 from tests.driver import Driver, entry
-from tests.settings import grade, settings
+from tests.settings import message_class, settings
 
 SAFE, KEYED, KEYED_ZONE, UNSAFE, ORDERED = range(5)
 
@@ -598,4 +598,12 @@
 
 
 def test_grade_helper_is_complete() -> None:
-    assert set(grade()) >= {"aim", "deadline", "semantics", "group", "repeatWindow", "worth", "lateWorth"}
+    assert set(message_class()) >= {
+        "aim",
+        "deadline",
+        "semantics",
+        "group",
+        "repeatWindow",
+        "worth",
+        "lateWorth",
+    }
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -17,7 +17,7 @@
 from rillspindle import Policy
 from rillspindle.interface import Entry, Issue, Outcome, Readiness, Remembered, Response
 from tests.clocks import SteppedClocks
-from tests.settings import grade, settings
+from tests.settings import message_class, settings
 
 NAMES = Names(("safe", "keyed", "once"), ("near", "far"), ("one", "many"))
 
@@ -42,7 +42,7 @@
         self.told: dict[str, Callable[[], None]] = {}
         self.answers: dict[str, object] = {}
         self.watching = 0
-        grades = [grade(), grade("deduplicated"), grade("at_most_once")]
+        grades = [message_class(), message_class("deduplicated"), message_class("at_most_once")]
         env = settings(**{"grades": grades, "discovery": "subscribe", **extra})
         self.journal = Journal(folder, disk, clock=self, files=files)
         self.sender = Sender(Policy(env, 1), NAMES, self.journal, self, {"platform": self})
