--- a/rillspindle/catalog.py
+++ b/rillspindle/catalog.py
@@ -1,6 +1,6 @@
-"""The destinations and endpoints that one node knows, indexed so that a change costs what it changes.
+"""The destinations and endpoints known to one node, indexed so that a change touches only what it changes.
 
-Keeps records and decides nothing: `policy.py` says what is added, removed and forgotten, and when.
+Decides nothing: `policy.py` says what is added, removed and forgotten, and when.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from rillspindle import interface as io
 from rillspindle.state import Dest, Endpoint, Message
 
-SWEEP = 64  # destinations that one refresh looks at
+SWEEP = 64  # destinations without endpoints that one refresh checks
 
 
 class Catalog:
-    """Every operation costs what it touches, `retain` aside: it walks all endpoints, once a whole list.
+    """Destinations and their endpoints. Only `retain` visits all endpoints, once for each full list.
 
     Times are in seconds of the caller's clock.
     """
@@ -25,12 +25,14 @@
         self.endpoints: dict[io.EndpointId, Endpoint] = {}
         self._created = 0
         self._changed: dict[Dest, None] = {}  # since the last `refresh`
-        self._waiting: set[Dest] = set()  # those with held messages, and some that have none any more
-        self._unlisted: OrderedDict[Dest, None] = OrderedDict()  # without endpoints; swept in this order
+        self._waiting: set[Dest] = set()  # with queued messages, and some without any more
+        self._unlisted: OrderedDict[Dest, None] = (
+            OrderedDict()
+        )  # without endpoints, in the order of the sweep
         self._refreshed_at = 0.0
 
     def dest(self, dest_id: int) -> Dest:
-        """The destination with this id, made where it is not known."""
+        """The destination with this id, created if it is unknown."""
         dest = self.destinations.get(dest_id)
         if dest is None:
             self._created += 1
@@ -39,18 +41,18 @@
         return dest
 
     def add(self, endpoint: Endpoint) -> None:
-        """An endpoint whose id is not known yet."""
+        """Add an endpoint, whose id must be unknown."""
         self.endpoints[endpoint.id] = endpoint
         endpoint.dest.listed[endpoint.id] = endpoint
         self._unlisted.pop(endpoint.dest, None)
 
     def set_ready(self, endpoint: Endpoint, ready: bool) -> None:
-        """Whether it takes new messages; its destination shows it after `refresh`."""
+        """Set whether it accepts new messages; its destination reflects that after `refresh`."""
         endpoint.ready = ready
         self._changed[endpoint.dest] = None
 
     def remove(self, endpoint_id: io.EndpointId) -> None:
-        """The endpoint is gone; an unknown id is passed over."""
+        """Remove an endpoint; an unknown id is ignored."""
         endpoint = self.endpoints.pop(endpoint_id, None)
         if endpoint is None:
             return
@@ -62,13 +64,13 @@
         self._changed[dest] = None
 
     def retain(self, endpoint_ids: Collection[io.EndpointId]) -> None:
-        """Remove every endpoint that is not among these."""
+        """Remove all other endpoints."""
         for endpoint_id in [known for known in self.endpoints if known not in endpoint_ids]:
             self.remove(endpoint_id)
 
     def refresh(self, now: float, forget_after: float) -> None:
-        """The list has been taken in: bring up to date which endpoints are ready, at the destinations that
-        have changed, and forget old destinations; `forget_after` is in seconds.
+        """Update the ready endpoints of the changed destinations after a list was applied, and forget old
+        destinations; `forget_after` is in seconds.
         """
         for dest in self._changed:
             dest.endpoints = [endpoint for endpoint in dest.listed.values() if endpoint.ready]
@@ -76,25 +78,25 @@
         self._refreshed_at = now
         self._sweep(now, forget_after)
 
-    def hold(self, message: Message) -> None:
-        """The message waits at its destination."""
+    def queue(self, message: Message) -> None:
+        """Queue a message at its destination."""
         message.dest.queued[message.id] = message
         self._waiting.add(message.dest)
 
     def waiting(self) -> list[Dest]:
-        """The destinations with held messages, in the order in which they became known."""
+        """The destinations with queued messages, in the order in which they became known."""
         self._waiting = {dest for dest in self._waiting if dest.queued}
         return sorted(self._waiting, key=lambda dest: dest.number)
 
     def _sweep(self, now: float, forget_after: float) -> None:
-        """Look at the next few destinations without endpoints; forget those that have had no endpoint, no
-        message and no answer for that long, in seconds.
+        """Check the next few destinations without endpoints; forget those that have had no endpoint, no
+        message and no answer for `forget_after` seconds.
         """
         for _ in range(min(SWEEP, len(self._unlisted))):
             dest, _ = self._unlisted.popitem(last=False)
-            if dest.open:
+            if dest.unfinished:
                 dest.seen_at = now
-            if now - max(dest.seen_at, dest.route.rate_at, dest.route.cold_since) > forget_after:
+            if now - max(dest.seen_at, dest.route.answered_at, dest.route.cold_since) > forget_after:
                 del self.destinations[dest.id]
             else:
                 self._unlisted[dest] = None
--- a/rillspindle/interface.py
+++ b/rillspindle/interface.py
@@ -1,6 +1,6 @@
-"""Types that cross the boundary of the decision module: settings, events, actions, outcomes.
+"""Types at the boundary of the decision module: settings, events, actions, outcomes.
 
-Nothing in this file decides anything; `policy.py` does.
+Nothing here decides; `policy.py` does.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt went, as the wire has it."""
+    """The outcome of an attempt, by its code on the wire."""
 
     OK = 200
     MOOT = 410
@@ -35,7 +35,7 @@
 
 
 class ListKind(IntEnum):
-    """What a list that came is."""
+    """What a list event contains."""
 
     DELTA = 0
     FULL = 1
@@ -44,7 +44,7 @@
 
 
 class Entry(NamedTuple):
-    """One line of the list of endpoints."""
+    """One line of the list of endpoints; times in s."""
 
     readiness: int
     boot_time: float
@@ -59,15 +59,15 @@
 
 
 class Targets(NamedTuple):
-    """A list of endpoints, or what changed in it."""
+    """A list of endpoints, or its changes."""
 
-    how: int
-    rev: int
+    kind: int
+    revision: int
     entries: tuple[Entry, ...]
 
 
 class Incoming(NamedTuple):
-    """A message that a client hands in."""
+    """A message that a client submits."""
 
     msg_id: int
     tenant: int
@@ -75,49 +75,49 @@
     marks: int
     cost: float
     dest: int
-    grade: int
+    message_class: int
     key: int  # 0: none
 
 
 class Remembered(NamedTuple):
-    """What an earlier life knew of a destination: a told wait that still runs, a pace that was lowered."""
+    """What a previous run knew of a destination: a required wait still running, a lowered send rate limit."""
 
     dest: int
     wait: float  # s from now
-    pace: float  # calls/s of this node; infinite: none
+    rate_limit: float  # send rate limit, calls/s of this node; infinite: none
 
 
 class Restored(NamedTuple):
-    """A message that an earlier process of this node took on and did not end; never on the wire."""
+    """A message that a previous process of this node accepted and did not finish; never on the wire."""
 
     msg_id: int
     expires: float
     dest: int
-    grade: int
+    message_class: int
     attempts: int
-    ran: tuple[tuple[float, int], ...]  # when, and in which zone, each attempt began that may have run
+    maybe_ran: tuple[tuple[float, int], ...]  # start and zone of each attempt that may have run
 
 
 class Response(NamedTuple):
-    """An attempt has ended; `spent` in s."""
+    """The outcome of an attempt; `elapsed` in s."""
 
     msg_id: int
-    spent: float
+    elapsed: float
     endpoint: EndpointId
     outcome: int
     send_no: int
-    over: bool
-    remark_ms: int
+    message_finished: bool  # its client has been answered or has withdrawn it
+    retry_after_ms: int  # required wait; 0: none
     stats: tuple[float, ...]
-    stale: bool = False  # a reset met a kept connection, which may have gone before; never on the wire
+    stale: bool = False  # reset on a kept connection that may have been closed before; never on the wire
 
 
 class UnderWay(NamedTuple):
-    """An attempt goes on; `spent` in s."""
+    """An attempt is still in flight; `elapsed` in s."""
 
     msg_id: int
     endpoint: EndpointId
-    spent: float
+    elapsed: float
     send_no: int
 
 
@@ -128,10 +128,10 @@
 
 
 class Health(NamedTuple):
-    """An endpoint that was inspected has answered, or has not."""
+    """The result of an inspection of an endpoint; `elapsed` in s."""
 
     endpoint: EndpointId
-    spent: float
+    elapsed: float
     outcome: int
     stats: tuple[float, ...]
 
@@ -156,7 +156,7 @@
 
 
 class Issue(NamedTuple):
-    """Begin an attempt, and give it up after so many s."""
+    """Begin an attempt; `timeout` in s."""
 
     msg_id: int
     endpoint: EndpointId
@@ -164,21 +164,21 @@
 
 
 class StopAttempt(NamedTuple):
-    """Give an attempt up."""
+    """Cancel an attempt."""
 
     msg_id: int
     send_no: int
 
 
 class PushBack(NamedTuple):
-    """Turn a message back to its client, which may come again after so many s."""
+    """Reject a message; its client may submit it again after `retry_after` s."""
 
     msg_id: int
     retry_after: float
 
 
 class Abort(NamedTuple):
-    """End a message that can't be delivered."""
+    """Finish a message that can't be delivered."""
 
     msg_id: int
 
@@ -191,25 +191,25 @@
 
 
 class Inspect(NamedTuple):
-    """Ask an endpoint how it is."""
+    """Check the health of an endpoint."""
 
     endpoint: EndpointId
 
 
 class Close(NamedTuple):
-    """Close the connections to an endpoint that are not in use."""
+    """Close the idle connections to an endpoint."""
 
     endpoint: EndpointId
 
 
 class Watch(NamedTuple):
-    """Begin or end watching the list."""
+    """Start or stop watching the list."""
 
     on: bool
 
 
 class Snapshot(NamedTuple):
-    """Ask for the whole list."""
+    """Request the full list."""
 
     pass
 
@@ -237,21 +237,21 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """A class of message."""
+    """A message class: its deadline, whether it may be repeated, and its value; times in s."""
 
-    aim: float
+    target_latency: float
     deadline: float
     semantics: str  # idempotent, deduplicated, at_most_once
     group: str
     repeat_window: float
     by_arrival: bool
-    worth: float
-    late_worth: float
+    value: float  # of an answer within the target latency
+    late_value: float  # its least share, at the deadline
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a node is told at its start. `from_mapping` ignores unknown keys and names a bad one."""
+    """The settings of a node; times in s. `from_mapping` ignores unknown keys and names a bad one."""
 
     balancers: int
     zone: int
@@ -269,9 +269,9 @@
     workers: int
     kind_batch: tuple[int, ...]
     routes_apart: tuple[bool, ...]
-    loses_by_half: bool
+    value_halves: bool
     ask_within: float
-    drain_grace: float  # s after a drain was told in which calls to the endpoint may still begin
+    drain_grace: float  # s after the notice of a drain in which calls to the endpoint may still begin
     cold: float
     fall: float
     fall_multiple: float
@@ -279,7 +279,7 @@
     turn_gap: float
     weights: str
     report_fields: tuple[str, ...]
-    ramp: bool  # at the start a destination must show what it bears, whatever limit is listed
+    ramp: bool  # whether a destination must show its capacity at the start, whatever limit is listed
 
     @classmethod
     def from_mapping(cls, env: Mapping[str, Any]) -> Settings:
@@ -293,31 +293,33 @@
                 raise ValueError(f"setting {path}: {'missing' if value is None else 'wrong type'}")
             return value
 
-        def grade(place: int, raw: Any) -> MessageClass:
-            def of(name: str, *kinds: type, default: Any = None) -> Any:
+        def message_class(index: int, raw: Any) -> MessageClass:
+            def field(name: str, *kinds: type, default: Any = None) -> Any:
                 value = raw.get(name, default) if isinstance(raw, Mapping) else None
                 if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-                    raise ValueError(f"setting grades[{place}].{name}: missing or wrong type")
+                    raise ValueError(f"setting grades[{index}].{name}: missing or wrong type")
                 return value
 
             return MessageClass(
-                aim=float(of("aim", int, float)),
-                deadline=float(of("deadline", int, float)),
-                semantics=of("semantics", str),
-                group=of("group", str, default="all"),
-                repeat_window=float(of("repeatWindow", int, float, default=0.0)),
-                by_arrival=of("byArrival", bool, default=False),
-                worth=float(of("worth", int, float)),
-                late_worth=float(of("lateWorth", int, float)),
+                target_latency=float(field("aim", int, float)),
+                deadline=float(field("deadline", int, float)),
+                semantics=field("semantics", str),
+                group=field("group", str, default="all"),
+                repeat_window=float(field("repeatWindow", int, float, default=0.0)),
+                by_arrival=field("byArrival", bool, default=False),
+                value=float(field("worth", int, float)),
+                late_value=float(field("lateWorth", int, float)),
             )
 
         number = (int, float)
         return cls(
-            balancers=max(1, get("balancers", int)),  # none counted: this one
+            balancers=max(1, get("balancers", int)),  # 0 balancers: only this one
             zone=get("zone", int, default=0),
             tick=float(get("tick", *number)),
             subscribe=get("discovery", str) == "subscribe",
-            message_classes=tuple(grade(place, raw) for place, raw in enumerate(get("grades", list, tuple))),
+            message_classes=tuple(
+                message_class(index, raw) for index, raw in enumerate(get("grades", list, tuple))
+            ),
             zones=len(get("localities", list, tuple, default=())),
             attempts_cap=get("ceilings.attemptsCap", int),
             connect_timeout=float(get("ceilings.connectTimeout", *number)),
@@ -329,7 +331,7 @@
             workers=get("extra.workers", int),
             kind_batch=tuple(get("extra.kindBatch", list, tuple)),
             routes_apart=tuple(get("extra.routesApart", list, tuple)),
-            loses_by_half=get("extra.losesWorth", str, default="even") == "by_half",
+            value_halves=get("extra.losesWorth", str, default="even") == "by_half",
             ask_within=float(get("obligations.askWithin", *number, default=10.0)),
             drain_grace=float(get("obligations.drainGrace", *number, default=0.25)),
             cold=float(get("obligations.cold", *number)),
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -1,4 +1,4 @@
-"""Every decision of the relay: the HostDB mechanism and its extensions (docs/design.md, interface.py)."""
+"""All decisions of the relay: the HostDB mechanism and its extensions (docs/design.md, interface.py)."""
 
 from __future__ import annotations
 
@@ -14,40 +14,40 @@
 from rillspindle.interface import Outcome, Readiness
 from rillspindle.state import Call, Dest, Endpoint, Message, Route
 
-FAIL_WINDOW = 1.0  # s; short, as the paper's "Future" wishes: a trial costs one message, silence costs many
-TRIAL_SHARE = 0.5  # of what a cold destination bears; the rest is for nodes that know of no outage
-JITTER = 0.25  # share by which windows and retries are spread, so that nodes don't try together
-FIRST_USUAL = 0.5  # s; usual time of an endpoint that has not answered yet
-SMOOTH, SMOOTH_DEV = 1 / 8, 1 / 4  # gains of the mean and deviation of answer times, as in RFC 6298
-LATE_DEVS = 4.5  # deviations past the mean at which an attempt is given up: answer times have long tails
-LEAST_PATIENCE = 0.4  # of the aim; sooner than that no answer is late, and a false alarm shuts an endpoint
-PROVEN = 2  # failures in a row that may be chance; more are an outage
-BAD_GAIN = 0.25  # weight of the newest outcome in an endpoint's share of bad ones
-UNSAFE_BAD, AILING, DEAD = 0.3, 0.6, 0.8  # shares of bad outcomes: no unsafe message; an outage; down
-PACE_CUT = 0.5  # factor of the pace at a refusal as full; the first one takes the last calls' rate
-PACE_STEP = 0.1  # calls/s by which each success raises the pace: a tenth of any pace in each second
-PACE_BACK, PACE_ON = 0.2, 0.01  # the same as parts of a known limit: while the pace is below it, and past it
-RAMP, RAMP_CUT = 0.6, 0.3  # 1/s by which a pace rises that must be shown: until a call is refused, and then
-FULL_GAIN = 1 / 8  # weight of the newest outcome in a route's share of refusals
-PACE_LEAST = 0.5  # calls/s of all nodes together; under their part of it a pace holds messages past any use
-RATE_SPAN = 8.0  # s over which a route's healthy rate is averaged
-WEIGHT_TRUST = 0.9  # part of a rough or reported limit that is surely there
-SLOW_START_PART = 1.1  # times this node's healthy share of the budget: healthy rates leave capacity unused
-SCARCE = 0.75  # share of the slots taken from which an unanswered call costs others their turn
-DEST_SHARE = 0.5  # most of the slots, and of the held messages, for one destination
-OPEN_SHARE = 0.9  # most of what may be held in all: past all of it the door shuts for every destination
-RETRY_AFTER_ERROR = 0.3  # s before a message goes out again after an error; doubles with each attempt
-NODES_PER_SLOT = 4  # nodes for each slot of one from which retries fill limits, and each sees little of one
-NODES_PER_PLACE = 16  # the same, from which idle connections fill an endpoint's table
-LIST_CALL = 0.2  # s of discovery's time that a node leaves for each of many others after a failed call
-LOOKED = 256  # held messages that are weighed at once, of the oldest and of the newest
-OWED = 0.7  # of its time in which a message that was taken on and has surely not run is not given up
-FORGET = 10  # times the warm-up after which a destination without endpoints or messages is forgotten
-LOG_LINES = 60  # most log lines of one instance
+FAIL_WINDOW_S = 1.0  # short, as the paper's "Future" suggests: a trial costs one message, no trial many
+TRIAL_SHARE = 0.5  # of a cold destination's capacity; the rest is for nodes not yet aware of the outage
+JITTER_SHARE = 0.25  # by which windows and retries are spread, so that nodes don't retry together
+INITIAL_RTT_S = 0.5  # assumed response time of an endpoint that has not answered yet
+MEAN_GAIN, DEVIATION_GAIN = 1 / 8, 1 / 4  # of the smoothed response time and its deviation, as in RFC 6298
+TIMEOUT_DEVIATIONS = 4.5  # past the mean until an attempt times out: response times have long tails
+MIN_TIMEOUT_SHARE = 0.4  # of the target latency; a shorter timeout marks healthy endpoints down
+CHANCE_FAILURES = 2  # consecutive failures that may be chance; more are an outage
+FAILURE_GAIN = 0.25  # weight of the newest outcome in an endpoint's share of failures
+UNSAFE_SHARE, OUTAGE_SHARE, DOWN_SHARE = 0.3, 0.6, 0.8  # of failures: no unsafe message; outage; down
+RATE_CUT = 0.5  # factor of the send rate limit after a rejection; the first cuts the recent rate
+RATE_STEP = 0.1  # calls/s added by each success: any send rate limit grows by a tenth each second
+STEP_BELOW_LIMIT, STEP_ABOVE_LIMIT = 0.2, 0.01  # of a known limit, below and above it
+RAMP_RATE, CAREFUL_RAMP_RATE = 0.6, 0.3  # 1/s growth of a ramp: before and after the first rejection
+REJECTION_GAIN = 1 / 8  # weight of the newest outcome in a route's share of rejections
+MIN_SEND_RATE = 0.5  # calls/s of all nodes together; below it messages stay queued until they are useless
+RATE_SPAN_S = 8.0  # over which a route's healthy send rate is averaged
+LIMIT_TRUST = 0.9  # share of an approximate or reported limit that can be relied on
+SLOW_START_FACTOR = 1.1  # times this node's share of a slow start: healthy rates leave capacity unused
+SCARCE_SHARE = 0.75  # of the slots in use, from which a call without an answer delays other messages
+DEST_SHARE = 0.5  # of the slots, and of the queued messages, for one destination at most
+OPEN_SHARE = 0.9  # of the messages allowed at once; past it messages of every destination are rejected
+RETRY_DELAY_S = 0.3  # before the retry after an error; doubles with each attempt
+NODES_PER_SLOT = 4  # above this ratio retries fill limits, and each node sees few outcomes of one endpoint
+NODES_PER_CONNECTION = 16  # above this ratio of nodes to slots idle connections fill an endpoint's table
+LIST_CALL_S = 0.2  # of discovery's time that a node leaves to each of the others after a failed list call
+QUEUE_SCAN = 256  # queued messages compared at once, each of the oldest and of the newest
+PROTECTED_SHARE = 0.7  # of its time in which an accepted message that has not run is not abandoned
+FORGET_FACTOR = 10  # times the warm-up after which a destination without endpoints or messages is forgotten
+MAX_LOG_LINES = 60  # of one instance
 
 
 class Policy:
-    """The decisions of one node. Feed it every event in order; carry out the actions in order."""
+    """The decisions of one node. Pass it every event in order; perform the returned actions in order."""
 
     def __init__(self, settings: Mapping[str, Any], seed: int) -> None:
         self.settings = io.Settings.from_mapping(settings)
@@ -55,179 +55,189 @@
         self.catalog = Catalog()
         self.endpoints, self.destinations = self.catalog.endpoints, self.catalog.destinations
         self.messages: dict[int, Message] = {}
-        self.late: dict[int, Message] = {}  # over, with attempts still out
-        self.keys: dict[int, deque[Message]] = {}
-        self.key_free: dict[int, float] = {}
-        self.min_rate = PACE_LEAST / self.settings.balancers
-        self.many = self.settings.balancers > NODES_PER_SLOT * self.settings.workers
-        self.busy = self.watch_tries = self.logged = 0  # slots taken, failed list calls, log lines
-        self.starved = False  # a message could go but for a slot
+        self.finished: dict[int, Message] = {}  # with attempts still in flight
+        self.key_queues: dict[int, deque[Message]] = {}
+        self.key_free_at: dict[int, float] = {}
+        self.min_rate = MIN_SEND_RATE / self.settings.balancers
+        self.many_nodes = self.settings.balancers > NODES_PER_SLOT * self.settings.workers
+        self.used_slots = self.watch_failures = self.log_lines = 0  # `watch_failures`: consecutive ones
+        self.starved = False  # a message could be sent if a slot were free
         self.now = self.started_at = 0.0
-        self.out: list[io.Action] = []
+        self.actions: list[io.Action] = []
 
     def handle(self, event: io.Event, now: float) -> list[io.Action]:
-        """Take one event; return what to do, in order."""
-        self.now, self.out, self.started_at = now, [], self.started_at or now
+        """Apply one event; return the actions to perform, in order."""
+        self.now, self.actions, self.started_at = now, [], self.started_at or now
         match event:
             case io.Incoming() | io.Restored():
                 self._take(event)
             case io.Response():
                 self._outcome(event)
             case io.Ring(token):
-                self._ring(token)
+                self._handle_timer(token)
             case io.Targets():
                 self._list(event)
-            case io.Remembered(dest_id, wait, pace):  # it makes a start more careful, never bolder
+            case io.Remembered(dest_id, wait, limit):  # may only make a start more careful
                 route = self.catalog.dest(dest_id).route
                 route.wait_until, route.rate_limit = (
                     max(route.wait_until, now + wait),
-                    min(route.rate_limit, pace),
+                    min(route.rate_limit, limit),
                 )
             case io.Withdrawn(msg_id) if msg_id in self.messages:
-                self._close(self.messages[msg_id])
-        return self.out
+                self._finish(self.messages[msg_id])
+        return self.actions
 
     # Discovery
     def _list(self, event: io.Targets) -> None:
-        """Bring the list up to date; ask for changes where they don't come by themselves."""
-        if event.how == io.ListKind.FAILED:
-            self.watch_tries += 1
-            delay = self._jitter(min(self.settings.ask_within / 4, 0.25 * 2**self.watch_tries))
-            # calls that wait too long cost discovery too: all nodes must find a place in its time
-            others = min(LIST_CALL * self.settings.balancers, self.settings.ask_within) if self.many else 0.0
-            self.out.append(io.Schedule(delay + others * self.random.random(), 1 << 40))
+        """Apply a list or its changes; start a watch where changes don't arrive without one."""
+        if event.kind == io.ListKind.FAILED:
+            self.watch_failures += 1
+            delay = self._jitter(min(self.settings.ask_within / 4, 0.25 * 2**self.watch_failures))
+            # calls that wait too long load discovery as well: spread those of all nodes over its time
+            span = (
+                min(LIST_CALL_S * self.settings.balancers, self.settings.ask_within)
+                if self.many_nodes
+                else 0.0
+            )
+            self.actions.append(io.Schedule(delay + span * self.random.random(), 1 << 40))
             return
-        if event.how == io.ListKind.CACHED and self.settings.subscribe:
-            self.out.append(io.Watch(True))
-        elif event.how != io.ListKind.CACHED:
-            self.watch_tries = 0
-        if event.how != io.ListKind.DELTA:  # an endpoint missing from a whole list is gone
+        if event.kind == io.ListKind.CACHED and self.settings.subscribe:
+            self.actions.append(io.Watch(True))
+        elif event.kind != io.ListKind.CACHED:
+            self.watch_failures = 0
+        if event.kind != io.ListKind.DELTA:  # an endpoint missing from a full list is gone
             self.catalog.retain({entry.endpoint for entry in event.entries})
         for entry in event.entries:
-            if entry.readiness == Readiness.GONE:  # whoever comes under its id later is another
+            if entry.readiness == Readiness.GONE:  # a later endpoint with this id is a different one
                 self.catalog.remove(entry.endpoint)
             else:
-                self._enlist(entry)
-        self.catalog.refresh(self.now, FORGET * self.settings.cold)
+                self._add_listed(entry)
+        self.catalog.refresh(self.now, FORGET_FACTOR * self.settings.cold)
         for dest in self.catalog.waiting():
             self._pump(dest)
 
-    def _enlist(self, entry: io.Entry) -> None:
+    def _add_listed(self, entry: io.Entry) -> None:
         dest = self.catalog.dest(entry.owner)
-        if (ep := self.endpoints.get(entry.endpoint)) is None:  # what was learned is not of this one
+        if (ep := self.endpoints.get(entry.endpoint)) is None:  # earlier failures were of another endpoint
             route = Route() if self.settings.routes_apart[entry.kind] else dest.route
-            ep = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
+            ep = Endpoint(
+                entry.endpoint, entry.zone, entry.kind, dest, route, INITIAL_RTT_S, INITIAL_RTT_S / 2
+            )
             self.catalog.add(ep)
-            route.window_end, route.misses = 0.0, 0
+            route.window_end, route.failures = 0.0, 0
             route.rate_limit = max(route.rate_limit, route.limit * (not route.ramp))
         self.catalog.set_ready(ep, entry.readiness == Readiness.READY)
         if self.settings.weights in ("nominal", "rough") and entry.scale > 0:
-            sure = 1.0 if self.settings.weights == "nominal" else WEIGHT_TRUST
-            ep.route.limit = sure * entry.scale / self.settings.balancers
-            if self.many and ep.route.rate_limit == math.inf:  # else each is refused before it learns it
+            trust = 1.0 if self.settings.weights == "nominal" else LIMIT_TRUST
+            ep.route.limit = trust * entry.scale / self.settings.balancers
+            if self.many_nodes and ep.route.rate_limit == math.inf:  # else each learns it by rejections
                 ep.route.rate_limit = ep.route.limit
-        if self.settings.ramp and not ep.route.ramp and ep.route.rate_at == -math.inf:
-            ep.route.ramp, ep.route.cold_since = RAMP, self.now if ep.route.limit else -math.inf
+        if self.settings.ramp and not ep.route.ramp and ep.route.answered_at == -math.inf:
+            ep.route.ramp, ep.route.cold_since = RAMP_RATE, self.now if ep.route.limit else -math.inf
             ep.route.rate_limit = min(ep.route.rate_limit, self._ramp_start(ep))
-            ep.route.next_at = self.now + self._turn(ep, self.random.random())
+            ep.route.next_at = self.now + self._interval(ep, self.random.random())
 
-    # Life of a message
+    # Messages
     def _take(self, event: io.Incoming | io.Restored) -> None:
-        """A new message; or one of an earlier process: its attempts count, out of time it ends at once."""
-        grade, dest = self.settings.message_classes[event.grade], self.catalog.dest(event.dest)
-        msg = Message(event.msg_id, event.expires, grade, dest, 0, self.settings.loses_by_half)
+        """Add a new message or a restored one, whose attempts count; one without time left is abandoned."""
+        cls, dest = self.settings.message_classes[event.message_class], self.catalog.dest(event.dest)
+        msg = Message(event.msg_id, event.expires, cls, dest, 0, self.settings.value_halves)
         self.messages[msg.id] = msg
-        dest.open += 1
-        owed_until = self.now + OWED * (msg.expires - self.now)
+        dest.unfinished += 1
+        until = self.now + PROTECTED_SHARE * (msg.expires - self.now)
         if isinstance(event, io.Restored):
-            msg.attempts, msg.ran, msg.owed_until = event.attempts, list(event.ran), owed_until
-            return self._again(msg, Outcome.MOOT)
+            msg.attempts, msg.maybe_ran, msg.protected_until = event.attempts, list(event.maybe_ran), until
+            return self._retry(msg, Outcome.MOOT)
         dest.accepted += 1
-        if grade.by_arrival and event.key:
+        if cls.by_arrival and event.key:
             msg.key = event.key
-            self.keys.setdefault(msg.key, deque()).append(msg)
+            self.key_queues.setdefault(msg.key, deque()).append(msg)
         self._hold(msg)
-        msg.owed_until = owed_until  # not before: until then it is not taken on
-
-    def _last_moment(self, msg: Message) -> float:
-        """When no call for a held message can pay any more, or its destination may have forgotten the key."""
-        usual = min((ep.usual for ep in msg.dest.endpoints), default=0.0)
-        last = msg.expires - max(min(usual, msg.grade.aim), 4 * self.settings.tick)
-        if msg.grade.semantics == "deduplicated" and msg.ran:
-            last = min(last, msg.ran[0][0] + msg.grade.repeat_window - 2 * self.settings.tick)
+        msg.protected_until = until  # set last: up to here the message is not accepted yet
+
+    def _last_useful_at(self, msg: Message) -> float:
+        """When no further call can pay off, or the destination may have forgotten the message's key."""
+        latency = min((ep.latency for ep in msg.dest.endpoints), default=0.0)
+        last = msg.expires - max(min(latency, msg.message_class.target_latency), 4 * self.settings.tick)
+        if msg.message_class.semantics == "deduplicated" and msg.maybe_ran:
+            last = min(last, msg.maybe_ran[0][0] + msg.message_class.repeat_window - 2 * self.settings.tick)
         return last
 
     def _hold(self, msg: Message) -> None:
-        """Hold, and send what may go; past the bound give up what is worth least."""
+        """Queue a message and send what can be sent; above the limit abandon the least valuable one."""
         dest = msg.dest
-        self.out.append(io.Schedule(max(0.0, self._last_moment(msg) - self.now), msg.id))
-        self.catalog.hold(msg)
+        self.actions.append(io.Schedule(max(0.0, self._last_useful_at(msg) - self.now), msg.id))
+        self.catalog.queue(msg)
         self._pump(dest)
         full = len(self.messages) > self.settings.max_open * OPEN_SHARE
         if msg.id in dest.queued and (full or len(dest.queued) > self.settings.max_open * DEST_SHARE):
             then = {d: self.now + self._drain_time(d) for d in (self.catalog.waiting() if full else [dest])}
-            held = [m for d in then for m in d.queued.values() if m.ran or m.owed_until <= self.now]
-            if held:  # what has surely not run is owed a try, also over a restart
-                self._end(min(held, key=lambda m: (m.worth(then[m.dest]), -m.born)))
+            queued = [
+                m for d in then for m in d.queued.values() if m.maybe_ran or m.protected_until <= self.now
+            ]
+            if queued:  # a message that has not run keeps its chance of an attempt, also over a restart
+                self._abandon(min(queued, key=lambda m: (m.value_at(then[m.dest]), -m.created_at)))
 
     def _drain_time(self, dest: Dest) -> float:
-        """How long what is held for a destination will take to go out, a closed gate included."""
-        shut = min((self._may_call(ep) for ep in dest.endpoints), default=math.inf) - self.now
+        """Seconds until all queued messages of a destination are sent, waits and fail windows included."""
+        wait = min((self._next_call_at(ep) for ep in dest.endpoints), default=math.inf) - self.now
         routes = list({id(ep.route): ep.route for ep in dest.endpoints}.values())
         rate = sum(min(max(r.rate, r.limit, 1.0), r.rate_limit) for r in routes)
-        return max(0.5, shut if shut < math.inf else FAIL_WINDOW, len(dest.queued) / max(rate, self.min_rate))
-
-    def _end(self, msg: Message) -> None:
-        """Give up on a message at once: refused where handing in again is harmless, else failed (rule 2)."""
-        again = min(self._drain_time(msg.dest), self.settings.max_retry_after)
-        harmless = msg.repeatable or not (msg.ran or msg.in_flight)
-        self.out.append(io.PushBack(msg.id, again) if harmless else io.Abort(msg.id))
-        self._close(msg)
-
-    def _close(self, msg: Message) -> None:
-        """The message is over; attempts still out keep their slot and their key."""
-        msg.done = True
+        return max(
+            0.5, wait if wait < math.inf else FAIL_WINDOW_S, len(dest.queued) / max(rate, self.min_rate)
+        )
+
+    def _abandon(self, msg: Message) -> None:
+        """Finish a message undelivered: rejected where a resubmission is harmless, else failed (rule 2)."""
+        retry_after = min(self._drain_time(msg.dest), self.settings.max_retry_after)
+        harmless = msg.repeatable or not (msg.maybe_ran or msg.in_flight)
+        self.actions.append(io.PushBack(msg.id, retry_after) if harmless else io.Abort(msg.id))
+        self._finish(msg)
+
+    def _finish(self, msg: Message) -> None:
+        """Remove a finished message; attempts in flight keep their slot and their key."""
+        msg.finished = True
         self.messages.pop(msg.id, None)
-        msg.dest.open -= 1
+        msg.dest.unfinished -= 1
         msg.dest.queued.pop(msg.id, None)
         if msg.in_flight:
-            self.late[msg.id] = msg
-        self._next_of_key(msg)
+            self.finished[msg.id] = msg
+        self._release_key(msg)
 
-    def _next_of_key(self, msg: Message) -> None:
-        """In order by key: the next one may go when all before it are over and have no attempt out."""
-        queue = self.keys.get(msg.key, deque())
-        while queue and queue[0].done and not queue[0].in_flight:
+    def _release_key(self, msg: Message) -> None:
+        """Unblock the next message of a key once all before it are finished, with no attempt in flight."""
+        queue = self.key_queues.get(msg.key, deque())
+        while queue and queue[0].finished and not queue[0].in_flight:
             queue.popleft()
         if queue:
             self._pump(queue[0].dest)
-        elif self.key_free.get(msg.key, 0.0) <= self.now:
-            self.keys.pop(msg.key, None)
-            self.key_free.pop(msg.key, None)
+        elif self.key_free_at.get(msg.key, 0.0) <= self.now:
+            self.key_queues.pop(msg.key, None)
+            self.key_free_at.pop(msg.key, None)
 
-    def _ring(self, token: int) -> None:
+    def _handle_timer(self, token: int) -> None:
         if token == 1 << 40:
-            self.out.append(io.Watch(True))
+            self.actions.append(io.Watch(True))
         elif token >= 1 << 32:
             if (dest := self.destinations.get(token - (1 << 32))) is not None:
                 dest.wake_at = math.inf
                 self._pump(dest)
         elif (msg := self.messages.get(token)) is not None and not msg.in_flight:
-            if self._last_moment(msg) <= self.now + self.settings.tick:
-                self._end(msg)
+            if self._last_useful_at(msg) <= self.now + self.settings.tick:
+                self._abandon(msg)
             else:
-                self.out.append(io.Schedule(self._last_moment(msg) - self.now, msg.id))
+                self.actions.append(io.Schedule(self._last_useful_at(msg) - self.now, msg.id))
 
-    # The gate
-    def _may_call(self, ep: Endpoint) -> float:
-        """Earliest time at which this endpoint may take a call; infinite if only an event can tell."""
+    # Limits on calls
+    def _next_call_at(self, ep: Endpoint) -> float:
+        """Earliest time of the next call to this endpoint; infinite if it depends on an event."""
         at = max(ep.route.wait_until, ep.route.next_at, ep.route.window_end)
         return at if not ep.failed_at else math.inf if ep.trial else max(at, ep.window_end)
 
     def _rate_cap(self, ep: Endpoint) -> float:
-        """Pace after refusals as full; slow start after an outage (rule 4)."""
+        """Calls/s allowed by the send rate limit after rejections and by slow start (rule 4)."""
         route, demand = ep.route, self._demand(ep.dest)
-        age = self.now - route.cold_since if route.rate_at >= route.cold_since else 0.0
+        age = self.now - route.cold_since if route.answered_at >= route.cold_since else 0.0
         if age >= self.settings.cold:
             return route.rate_limit
         base = max(route.rate, route.limit, demand, 1 / self.settings.cold)
@@ -235,92 +245,90 @@
             self.settings.start_capacity
             + (1 - self.settings.start_capacity) * max(0.0, age) / self.settings.cold
         )
-        return min(route.rate_limit, SLOW_START_PART * self.settings.fall_multiple * warm * base)
+        return min(route.rate_limit, SLOW_START_FACTOR * self.settings.fall_multiple * warm * base)
 
     def _ramp_start(self, ep: Endpoint) -> float:
-        """Calls/s that a cold destination surely takes from this node; an unlisted one: two after another."""
-        return max(self.settings.start_capacity * ep.route.limit or 2 / FIRST_USUAL, self.min_rate)
+        """Calls/s of this node that a cold destination can serve; without a known limit two per RTT."""
+        return max(self.settings.start_capacity * ep.route.limit or 2 / INITIAL_RTT_S, self.min_rate)
 
-    def _turn(self, ep: Endpoint, part: float = 1.0) -> float:
-        """s to the next call. A ramp rises while it waits: a thin sender would hardly ever learn."""
+    def _interval(self, ep: Endpoint, part: float = 1.0) -> float:
+        """Seconds to the next call. A ramp grows meanwhile: a rare sender would hardly learn otherwise."""
         rate, ramp = max(self._rate_cap(ep), self.min_rate) / part, ep.route.ramp
         return math.log1p(ramp / rate) / ramp if ramp else 1 / rate
 
     def _demand(self, dest: Dest) -> float:
-        """Messages a second that this node takes for a destination, over all its time."""
-        return dest.accepted / max(self.now - self.started_at, RATE_SPAN)
+        """Messages/s that this node has accepted for a destination since its start."""
+        return dest.accepted / max(self.now - self.started_at, RATE_SPAN_S)
 
-    def _window(self, ep: Endpoint) -> float:
-        """The fail window grows with the outage, as about demand x age nodes then try (rule 4)."""
+    def _fail_window(self, ep: Endpoint) -> float:
+        """The fail window grows with the outage, as about demand * age nodes send trials then (rule 4)."""
         age, gap = self.now - ep.route.down_at, 1 / max(self._demand(ep.dest), self.min_rate)
-        share = (
-            self.settings.fall_multiple * self.settings.start_capacity
-        )  # later the other nodes have met it too
-        share *= TRIAL_SHARE if age < gap else 1.0
-        return self._jitter(max(FAIL_WINDOW, min(age, gap) / share))
+        share = self.settings.fall_multiple * self.settings.start_capacity
+        share *= TRIAL_SHARE if age < gap else 1.0  # after `gap` the other nodes have met the outage too
+        return self._jitter(max(FAIL_WINDOW_S, min(age, gap) / share))
 
     def _allowed(self, msg: Message, ep: Endpoint) -> bool:
-        """No effect twice (rule 2), and no unsafe message where it would likely be lost."""
-        semantics = msg.grade.semantics
+        """Whether the message may be sent there: no duplicate (rule 2), no unsafe one that may get lost."""
+        semantics = msg.message_class.semantics
         if semantics == "at_most_once":
-            return not msg.ran and ep.bad <= UNSAFE_BAD
-        if semantics == "deduplicated" and msg.ran:
-            same = msg.grade.group == "all" or all(zone == ep.zone for _, zone in msg.ran)
-            return same and self._last_moment(msg) > self.now
+            return not msg.maybe_ran and ep.fail_share <= UNSAFE_SHARE
+        if semantics == "deduplicated" and msg.maybe_ran:
+            same = msg.message_class.group == "all" or all(zone == ep.zone for _, zone in msg.maybe_ran)
+            return same and self._last_useful_at(msg) > self.now
         return True
 
     def _joins(self, ep: Endpoint) -> bool:
-        """What goes to one endpoint in one turn travels as one call, up to the kind's batch."""
+        """Whether a call begun at this same time still has capacity, up to the batch size of its kind."""
         most = self.settings.kind_batch[ep.kind]
-        return any(call.at == self.now and not call.trial and call.size < most for call in ep.calls[-1:])
+        return any(call.sent_at == self.now and not call.trial and call.size < most for call in ep.calls[-1:])
 
-    def _turn_at(self, msg: Message) -> float:
-        """Order by key (rule 6) and the rest after an error."""
-        if msg.key and self.keys[msg.key][0] is not msg:
+    def _sendable_at(self, msg: Message) -> float:
+        """When order by key (rule 6) and the delay after an error allow the message to be sent."""
+        if msg.key and self.key_queues[msg.key][0] is not msg:
             return math.inf
-        return max(msg.not_before, 0.0 if msg.attempts else self.key_free.get(msg.key, 0.0))
+        return max(msg.not_before, 0.0 if msg.attempts else self.key_free_at.get(msg.key, 0.0))
 
     def _pump(self, dest: Dest) -> None:
-        """Send what may go of what is held, dearest first; ask to be woken for the rest."""
+        """Send queued messages, those that lose most by waiting first; schedule a timer for the rest."""
         if not dest.queued:
             return
-        wake = math.inf
-        open_gate = any(self._may_call(ep) <= self.now for ep in dest.endpoints)
-        if open_gate and self.busy >= self.settings.workers and not any(map(self._joins, dest.endpoints)):
-            self.starved = True  # what is held is not looked through where nothing can go
-        elif open_gate:
+        due = math.inf
+        is_open = any(self._next_call_at(ep) <= self.now for ep in dest.endpoints)
+        if is_open and self.used_slots >= self.settings.workers and not any(map(self._joins, dest.endpoints)):
+            self.starved = True  # scanning the queue would be useless
+        elif is_open:
             then = self.now + self._drain_time(dest)
-            held = list(dest.queued.values())
-            held = held[:LOOKED] + held[max(LOOKED, len(held) - LOOKED) :]  # of restored ones and of new ones
-            loss = {m.id: m.worth(then) - m.worth(self.now) for m in held}
-            for msg in sorted(held, key=lambda m: (loss[m.id], m.born)):
-                if (turn := self._turn_at(msg)) > self.now:
-                    wake = min(wake, turn)
-                elif (ep := self._choose(msg)) is not None:
+            queued = list(dest.queued.values())  # restored messages come first, new ones last
+            queued = queued[:QUEUE_SCAN] + queued[max(QUEUE_SCAN, len(queued) - QUEUE_SCAN) :]
+            loss = {m.id: m.value_at(then) - m.value_at(self.now) for m in queued}
+            for msg in sorted(queued, key=lambda m: (loss[m.id], m.created_at)):
+                if (sendable_at := self._sendable_at(msg)) > self.now:
+                    due = min(due, sendable_at)
+                elif (ep := self._choose_endpoint(msg)) is not None:
                     self._send(msg, ep)
-                elif not msg.ran and msg.grade.semantics != "at_most_once":
-                    break  # one that may go anywhere found no place: nor will the rest
+                elif not msg.maybe_ran and msg.message_class.semantics != "at_most_once":
+                    break  # one that any endpoint may get found none, so the others won't either
         if dest.queued:
-            wake = min([wake, *(at for ep in dest.endpoints if (at := self._may_call(ep)) > self.now)])
-            if wake < dest.wake_at - self.settings.tick:
-                dest.wake_at = wake
-                self.out.append(io.Schedule(max(wake - self.now, self.settings.tick), (1 << 32) + dest.id))
+            due = min([due, *(at for ep in dest.endpoints if (at := self._next_call_at(ep)) > self.now)])
+            if due < dest.wake_at - self.settings.tick:
+                dest.wake_at = due
+                self.actions.append(io.Schedule(max(due - self.now, self.settings.tick), (1 << 32) + dest.id))
 
-    def _choose(self, msg: Message) -> Endpoint | None:
-        """An endpoint for this message now: a call to join, a zombie due its trial, or the soonest answer."""
+    def _choose_endpoint(self, msg: Message) -> Endpoint | None:
+        """The endpoint for this message: a call to join, one due for a trial, or the soonest answer."""
         allowed = [ep for ep in msg.dest.endpoints if self._allowed(msg, ep)]
         if (joined := next((ep for ep in allowed if self._joins(ep)), None)) is not None:
             return joined
-        room = len([1 for ep in msg.dest.endpoints for _ in ep.calls]) < max(
+        slots_left = len([1 for ep in msg.dest.endpoints for _ in ep.calls]) < max(
             2, DEST_SHARE * self.settings.workers
         )
-        ready = [ep for ep in allowed if self._may_call(ep) <= self.now]
-        self.starved = self.starved or bool(ready and self.busy >= self.settings.workers)
-        if not ready or not room or self.busy >= self.settings.workers:
+        ready = [ep for ep in allowed if self._next_call_at(ep) <= self.now]
+        self.starved = self.starved or bool(ready and self.used_slots >= self.settings.workers)
+        if not ready or not slots_left or self.used_slots >= self.settings.workers:
             return None
-        # what other nodes have out there is not known: were the quickest taken, all would take the same
-        more, draw = (self.settings.balancers - 1) / self.settings.workers, self.random.random
-        return min(ready, key=lambda ep: (ep.failed_at == 0, ep.usual * (1 + len(ep.calls) + more * draw())))
+        # other nodes' calls are unknown: without a random share all nodes would choose the same endpoint
+        more, rnd = (self.settings.balancers - 1) / self.settings.workers, self.random.random
+        return min(ready, key=lambda ep: (ep.failed_at == 0, ep.latency * (1 + len(ep.calls) + more * rnd())))
 
     def _send(self, msg: Message, ep: Endpoint) -> None:
         if self._joins(ep):
@@ -328,56 +336,59 @@
         else:
             call = Call(ep, self.now, ep.failed_at > 0)
             ep.calls.append(call)
-            self.busy += 1
-            ep.route.called(self.now)
-            ep.route.next_at = max(ep.route.next_at, self.now) + self._turn(ep)
-            if ep.failed_at:  # the zombie is marked down again at once
-                ep.trial, ep.window_end = True, self.now + self._window(ep)
-                if ep.route.misses > PROVEN:  # one trial for all endpoints of a route
+            self.used_slots += 1
+            ep.route.record_call(self.now)
+            ep.route.next_at = max(ep.route.next_at, self.now) + self._interval(ep)
+            if ep.failed_at:  # a trial: the endpoint counts as down again at once
+                ep.trial, ep.window_end = True, self.now + self._fail_window(ep)
+                if ep.route.failures > CHANCE_FAILURES:  # one trial for all endpoints of a route
                     ep.route.window_end = ep.window_end
-        call.left, call.size = call.left + 1, call.size + 1
+        call.unanswered, call.size = call.unanswered + 1, call.size + 1
         del msg.dest.queued[msg.id]
         msg.in_flight[msg.attempts] = call
         msg.attempts += 1
-        # silence must not hold slots: no connect time where a repeat is harmless, no longer than it is worth
-        # a message that takes long takes long again: what has timed out is given longer each time
-        patience = max(ep.usual + LATE_DEVS * ep.dev, LEAST_PATIENCE * msg.grade.aim)
-        patience *= 2 ** min(len(msg.ran), 3)
-        scarce = self.busy >= SCARCE * self.settings.workers
+        # unanswered calls must not hold slots: no connect time where a repeat is harmless, and no more than
+        # the target latency besides; longer after each timeout, as a slow message stays slow
+        patience = max(
+            ep.latency + TIMEOUT_DEVIATIONS * ep.latency_dev,
+            MIN_TIMEOUT_SHARE * msg.message_class.target_latency,
+        )
+        patience *= 2 ** min(len(msg.maybe_ran), 3)
+        scarce = self.used_slots >= SCARCE_SHARE * self.settings.workers
         if call.trial or not (scarce and msg.repeatable):
             patience += self.settings.connect_timeout
         if call.trial or scarce:
-            patience = min(patience, self.settings.connect_timeout + msg.grade.aim)
-        call.patience = max(call.patience, patience)
-        self.out.append(io.Issue(msg.id, ep.id, min(patience, msg.expires - self.now)))
+            patience = min(patience, self.settings.connect_timeout + msg.message_class.target_latency)
+        call.timeout = max(call.timeout, patience)
+        self.actions.append(io.Issue(msg.id, ep.id, min(patience, msg.expires - self.now)))
 
     def _jitter(self, span: float) -> float:
-        return span * (1 + JITTER * self.random.random())
+        return span * (1 + JITTER_SHARE * self.random.random())
 
     def _outcome(self, event: io.Response) -> None:
-        msg = self.messages.get(event.msg_id) or self.late.get(event.msg_id)
+        msg = self.messages.get(event.msg_id) or self.finished.get(event.msg_id)
         if msg is None or event.send_no not in msg.in_flight:
             return
         call = msg.in_flight.pop(event.send_no)
-        call.left -= 1
-        if not call.left:
+        call.unanswered -= 1
+        if not call.unanswered:
             call.ep.calls.remove(call)
-            self.busy -= 1
-        self._judge(call, event)
-        if self.settings.balancers > NODES_PER_PLACE * self.settings.workers and not call.ep.calls:
-            self.out.append(io.Close(call.ep.id))  # the nodes' idle connections would fill its table
+            self.used_slots -= 1
+        self._evaluate(call, event)
+        if self.settings.balancers > NODES_PER_CONNECTION * self.settings.workers and not call.ep.calls:
+            self.actions.append(io.Close(call.ep.id))  # idle connections of all nodes would fill its table
         if event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT):
-            msg.ran.append((call.at, call.ep.zone))
+            msg.maybe_ran.append((call.sent_at, call.ep.zone))
         if msg.key and event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED):
-            self.key_free[msg.key] = self.now + self.settings.turn_gap
-        if msg.done:
-            self.late.pop(msg.id, None)
-            self._next_of_key(msg)
-        elif event.over:
-            self._close(msg)
+            self.key_free_at[msg.key] = self.now + self.settings.turn_gap
+        if msg.finished:
+            self.finished.pop(msg.id, None)
+            self._release_key(msg)
+        elif event.message_finished:
+            self._finish(msg)
         elif not msg.in_flight:
-            self._again(msg, event.outcome)
-        if self.starved and self.busy < self.settings.workers:
+            self._retry(msg, event.outcome)
+        if self.starved and self.used_slots < self.settings.workers:
             self.starved = False
             for dest in sorted(self.catalog.waiting(), key=self._slot_worth, reverse=True):
                 self._pump(dest)
@@ -385,134 +396,139 @@
             self._pump(call.ep.dest)
 
     def _slot_worth(self, dest: Dest) -> float:
-        """What a slot earns in a second at a destination: slow ones must not starve the quick ones."""
+        """Value per second of a slot at a destination: slow destinations must not starve fast ones."""
         if not dest.queued or not dest.endpoints:
             return 0.0
-        usual = min(ep.usual for ep in dest.endpoints)
+        delay = min(ep.latency for ep in dest.endpoints)
         batch = max(self.settings.kind_batch[ep.kind] for ep in dest.endpoints)
-        return sum(nlargest(batch, (msg.worth(self.now + usual) for msg in dest.queued.values()))) / usual
+        return sum(nlargest(batch, (msg.value_at(self.now + delay) for msg in dest.queued.values()))) / delay
 
-    def _again(self, msg: Message, outcome: int) -> None:
-        """A further attempt, where the rules and the time left allow one."""
-        over = msg.ran and msg.grade.semantics == "at_most_once"
-        if over or msg.attempts >= self.settings.attempts_cap or self._last_moment(msg) <= self.now:
-            self._end(msg)
+    def _retry(self, msg: Message, outcome: int) -> None:
+        """Queue a message for a further attempt, or abandon it where none is allowed or useful."""
+        over = msg.maybe_ran and msg.message_class.semantics == "at_most_once"
+        if over or msg.attempts >= self.settings.attempts_cap or self._last_useful_at(msg) <= self.now:
+            self._abandon(msg)
         else:
             if outcome == Outcome.ERROR:
-                msg.not_before = self.now + self._jitter(RETRY_AFTER_ERROR * 2 ** (msg.attempts - 1))
+                msg.not_before = self.now + self._jitter(RETRY_DELAY_S * 2 ** (msg.attempts - 1))
             self._hold(msg)
 
-    def _judge(self, call: Call, event: io.Response) -> None:
-        """What an outcome tells of its endpoint and route: messages of one call share their fate, so once."""
+    def _evaluate(self, call: Call, event: io.Response) -> None:
+        """Update endpoint and route from an outcome, once a call: its messages share their outcome."""
         ep, outcome = call.ep, event.outcome
-        if event.remark_ms > 0 and outcome != Outcome.MOOT:
-            ep.route.wait_until = max(ep.route.wait_until, self.now + event.remark_ms / 1000)
-        cut_off = outcome == Outcome.TIMEOUT and event.spent + self.settings.tick < call.patience
+        if event.retry_after_ms > 0 and outcome != Outcome.MOOT:
+            ep.route.wait_until = max(ep.route.wait_until, self.now + event.retry_after_ms / 1000)
+        cut_off = outcome == Outcome.TIMEOUT and event.elapsed + self.settings.tick < call.timeout
         if cut_off or event.stale:
-            # the message's own time ended the attempt, or a kept connection had gone, which says nothing of
-            # the endpoint: where it has gone too, the next attempt gets no connection
-            if call.trial and not call.left:
+            # the message expired, or a kept connection had been closed: neither says anything about the
+            # endpoint, and if it is gone the next attempt fails to connect
+            if call.trial and not call.unanswered:
                 ep.trial, ep.window_end = False, self.now
                 ep.route.window_end = min(ep.route.window_end, self.now)
             return
-        if call.judged and (outcome != Outcome.OK or call.judged == Outcome.OK):
+        if call.outcome and (outcome != Outcome.OK or call.outcome == Outcome.OK):
             return
-        call.judged = outcome
-        ep.route.reject_share += FULL_GAIN * ((outcome == Outcome.FULL) - ep.route.reject_share)
+        call.outcome = outcome
+        ep.route.reject_share += REJECTION_GAIN * ((outcome == Outcome.FULL) - ep.route.reject_share)
         ep.route.reject_since = (
             min(ep.route.reject_since, self.now) if ep.route.reject_share > 0.5 else math.inf
         )
         if (reported := dict(zip(self.settings.report_fields, event.stats, strict=False)).get("x1", 0.0)) > 0:
-            ep.route.limit = reported / self.settings.balancers * WEIGHT_TRUST
+            ep.route.limit = reported / self.settings.balancers * LIMIT_TRUST
         if outcome == Outcome.OK:
-            self._answered(ep, event.spent)
+            self._on_success(ep, event.elapsed)
         elif outcome == Outcome.FULL:
-            self._full(call, event.remark_ms / 1000)
+            self._on_rejected(call, event.retry_after_ms / 1000)
         elif outcome == Outcome.ERROR:
             ep.answered_at = self.now
-            self._bad(call, ep.bad > DEAD or (self.many and self.now - ep.route.rate_at > RATE_SPAN))
+            self._on_failure(
+                call,
+                ep.fail_share > DOWN_SHARE
+                or (self.many_nodes and self.now - ep.route.answered_at > RATE_SPAN_S),
+            )
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET):
-            if outcome == Outcome.TIMEOUT:  # a slow endpoint is found by longer waits, within bounds
-                ep.dev = max(ep.dev, event.spent / 8)
-            self._bad(call, ep.answered_at < call.at)  # where others get through its table is full
+            if outcome == Outcome.TIMEOUT:  # a slow endpoint is recognised by longer timeouts, within bounds
+                ep.latency_dev = max(ep.latency_dev, event.elapsed / 8)
+            self._on_failure(
+                call, ep.answered_at < call.sent_at
+            )  # if others were answered, its table is full
         if call.trial:
             ep.trial = False
 
-    def _answered(self, ep: Endpoint, spent: float) -> None:
-        """A success makes the endpoint live again and raises the pace by a step."""
+    def _on_success(self, ep: Endpoint, elapsed: float) -> None:
+        """A success marks the endpoint up and raises the send rate limit by a step."""
         route, ep.answered_at = ep.route, self.now
-        ep.bad *= 1 - BAD_GAIN
-        ep.dev += SMOOTH_DEV * (abs(spent - ep.usual) - ep.dev)
-        ep.usual += SMOOTH * (spent - ep.usual)
+        ep.fail_share *= 1 - FAILURE_GAIN
+        ep.latency_dev += DEVIATION_GAIN * (abs(elapsed - ep.latency) - ep.latency_dev)
+        ep.latency += MEAN_GAIN * (elapsed - ep.latency)
         if ep.failed_at:
-            # a lone failure while it warms up is chance: starting over each time would never let it warm up
-            if route.misses > PROVEN or ep.bad > AILING:
+            # a single failure during warm-up is chance: a new slow start each time would never finish
+            if route.failures > CHANCE_FAILURES or ep.fail_share > OUTAGE_SHARE:
                 route.cold_since = self.now
-            ep.failed_at, ep.trial, ep.bad = 0.0, False, min(ep.bad, UNSAFE_BAD)
+            ep.failed_at, ep.trial, ep.fail_share = 0.0, False, min(ep.fail_share, UNSAFE_SHARE)
             self._log(f"up {ep.id.hex()}: answered")
-        ep.misses = 0
+        ep.failures = 0
         if self.now - route.cold_since >= self.settings.cold:
-            route.rate = route.rate * math.exp((route.rate_at - self.now) / RATE_SPAN) + 1 / RATE_SPAN
-        if route.rate_at < route.cold_since:  # slow start counts from the first answer, at any endpoint
+            route.rate = route.rate * math.exp((route.answered_at - self.now) / RATE_SPAN_S) + 1 / RATE_SPAN_S
+        if route.answered_at < route.cold_since:  # slow start begins at the first answer of any endpoint
             route.cold_since = self.now
-        if route.ramp:  # an answer vouches for the time since the one before, a turn of the pace at most
+        if route.ramp:  # an answer covers the time since the previous one, up to one interval between calls
             route.rate_limit = max(route.rate_limit, self._ramp_start(ep))
-            route.rate_limit *= math.exp(route.ramp * min(self.now - route.rate_at, self._turn(ep)))
+            route.rate_limit *= math.exp(route.ramp * min(self.now - route.answered_at, self._interval(ep)))
             if route.rate_limit >= max(route.limit, 2 * self._demand(ep.dest)):
                 route.ramp, route.rate_limit = 0.0, route.limit or math.inf
         else:
             route.rate_limit += (
-                PACE_BACK if route.rate_limit < route.limit else PACE_ON
-            ) * route.limit or PACE_STEP
-        route.rate_at, route.misses, route.window_end = self.now, 0, 0.0
+                STEP_BELOW_LIMIT if route.rate_limit < route.limit else STEP_ABOVE_LIMIT
+            ) * route.limit or RATE_STEP
+        route.answered_at, route.failures, route.window_end = self.now, 0, 0.0
 
-    def _full(self, call: Call, wait: float) -> None:
-        """Over its limit, or shut: heed a told wait (rule 5) and lower the pace."""
+    def _on_rejected(self, call: Call, wait: float) -> None:
+        """Over its limit, or closed: apply the required wait (rule 5) and lower the send rate limit."""
         ep, route = call.ep, call.ep.route
-        if wait > self.settings.fall:  # longer than a limit needs: shut, and cold when it opens
+        if wait > self.settings.fall:  # longer than a limit needs: closed, and cold when it opens
             route.cold_since = route.wait_until
-        if self.now - ep.answered_at > self.settings.fall:  # full and nothing else: shut, not over its limit
-            self._bad(call, False)
-        if self.now - route.cut_at >= 1.0:  # halved at most once a second
-            route.cut_at = self.now
-            recent = route.calls_since(self.now - RATE_SPAN) / RATE_SPAN
-            recent = max(
-                self.min_rate, PACE_CUT * (recent if route.rate_limit == math.inf else route.rate_limit)
-            )
-            # one of many nodes sees too few refusals to tell a lowered limit from a clump: it goes below it
-            if route.ramp or self.now - route.reject_since > self.settings.fall + PROVEN / (
-                route.limit or recent
+        if self.now - ep.answered_at > self.settings.fall:  # only rejections: closed, not over its limit
+            self._on_failure(call, False)
+        if self.now - route.reduced_at >= 1.0:  # halved at most once a second
+            route.reduced_at = self.now
+            rate = route.calls_since(self.now - RATE_SPAN_S) / RATE_SPAN_S
+            rate = max(self.min_rate, RATE_CUT * (rate if route.rate_limit == math.inf else route.rate_limit))
+            # one of many nodes sees too few rejections to tell a lower limit from a burst: it goes below it
+            if route.ramp or self.now - route.reject_since > self.settings.fall + CHANCE_FAILURES / (
+                route.limit or rate
             ):
-                route.ramp = RAMP_CUT  # longer than a limit takes to recover: floors may hold it up
+                route.ramp = CAREFUL_RAMP_RATE  # longer than a limit takes to recover: floors may prolong it
             floor = 0.0 if route.ramp else route.limit * (1 - self.settings.ramp * route.reject_share)
-            route.rate_limit = max(floor * (PACE_CUT if self.many else 1.0), recent)
-        # a turn of the pace, at random: many nodes are refused, or told to wait, at one time
-        rest = (1 + self.many) * self.random.random() / max(route.rate_limit, self.min_rate)
+            route.rate_limit = max(floor * (RATE_CUT if self.many_nodes else 1.0), rate)
+        # random, as many nodes are rejected or told to wait at the same time
+        rest = (1 + self.many_nodes) * self.random.random() / max(route.rate_limit, self.min_rate)
         route.next_at = max(route.next_at, max(self.now, route.wait_until) + rest)
 
-    def _bad(self, call: Call, fatal: bool) -> None:
-        """No success; a fatal one marks the endpoint down. A lone one may be chance where an answer vouches
-        for the route: it opens one trial at once; a second a part of the fail window, a third all of it."""
+    def _on_failure(self, call: Call, fatal: bool) -> None:
+        """Record a failure; a fatal one marks the endpoint down. If the route answered recently, a first one
+        may be chance: its trial follows at once, after a second in part of a fail window, then in a full one.
+        """
         ep, route = call.ep, call.ep.route
-        ep.bad, ep.misses = ep.bad + BAD_GAIN * (1 - ep.bad), ep.misses + fatal
-        if ep.bad > AILING or route.misses > PROVEN:
+        ep.fail_share, ep.failures = ep.fail_share + FAILURE_GAIN * (1 - ep.fail_share), ep.failures + fatal
+        if ep.fail_share > OUTAGE_SHARE or route.failures > CHANCE_FAILURES:
             route.cold_since = max(route.cold_since, self.now)
         if not fatal:
             return
         if not ep.failed_at:
-            self._log(f"down {ep.id.hex()}: {Outcome(call.judged).name.lower()}")
-        if not route.misses:
-            route.down_at = call.at
-        # no answer vouches for a route called rarely: a failure is an outage, not chance
-        route.misses += 1 if self.now - route.rate_at < RATE_SPAN else PROVEN + 1
+            self._log(f"down {ep.id.hex()}: {Outcome(call.outcome).name.lower()}")
+        if not route.failures:
+            route.down_at = call.sent_at
+        # without a recent answer of the route a failure is an outage, not chance
+        route.failures += 1 if self.now - route.answered_at < RATE_SPAN_S else CHANCE_FAILURES + 1
         ep.failed_at = self.now
-        count = max(ep.misses, route.misses) - 1
-        later = self.now + self._window(ep) * min(1.0, (count / PROVEN) ** 2)
+        count = max(ep.failures, route.failures) - 1
+        later = self.now + self._fail_window(ep) * min(1.0, (count / CHANCE_FAILURES) ** 2)
         ep.window_end = max(ep.window_end, later) if count else later
-        if route.misses > 1:  # an outage mostly takes all endpoints of a route
+        if route.failures > 1:  # an outage mostly affects all endpoints of a route
             route.window_end = later
 
     def _log(self, line: str) -> None:
-        if self.logged < LOG_LINES:
-            self.logged += 1
-            self.out.append(io.WriteLog(line))
+        if self.log_lines < MAX_LOG_LINES:
+            self.log_lines += 1
+            self.actions.append(io.WriteLog(line))
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -147,13 +147,13 @@
         return [s for s in held.sends if s["outcome"] not in NEVER_RAN]
 
     def check_refusal(self, held: Held) -> None:
-        grade = self.env["grades"][held.event.grade]
+        grade = self.env["grades"][held.event.message_class]
         if self.maybe_ran(held) and grade["semantics"] != "idempotent":
             assert grade["semantics"] == "deduplicated" and grade["group"] == "all", "rule 2: refused"
 
     def check_issue(self, action: i.Issue) -> None:
         held, e = self.held[action.msg_id], self.entries[action.endpoint]
-        grade = self.env["grades"][held.event.grade]
+        grade = self.env["grades"][held.event.message_class]
         assert not held.answered, "rule 1: sent after its answer"
         assert e.owner == held.event.dest
         assert len(held.sends) < self.env["ceilings"]["attemptsCap"]
--- a/tests/recovery/test_module.py
+++ b/tests/recovery/test_module.py
@@ -101,13 +101,13 @@
     for number in range(3000):
         d.policy.handle(io.Restored(10_000 + number, d.now + 60, 0, 0, 0, ()), d.now)
     weighed, served = Counter[float](), 0
-    worth = Message.worth
+    worth = Message.value_at
 
     def counted(self: Message, at: float) -> float:
         weighed[d.now] += 1
         return worth(self, at)
 
-    monkeypatch.setattr(Message, "worth", counted)
+    monkeypatch.setattr(Message, "value_at", counted)
     for number in range(200):
         d.incoming(number, dest=1, left=8)
         d.advance(d.now + 0.05)
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -15,7 +15,7 @@
 from rillspindle import interface as io
 from rillspindle.catalog import SWEEP, Catalog
 from rillspindle.interface import ListKind, Outcome, Readiness
-from rillspindle.policy import FIRST_USUAL, FORGET, RAMP, WEIGHT_TRUST
+from rillspindle.policy import FORGET_FACTOR, INITIAL_RTT_S, LIMIT_TRUST, RAMP_RATE
 from rillspindle.state import Dest, Endpoint, Message, Route
 from tests.settings import settings
 
@@ -24,14 +24,14 @@
     """Goes over every destination and every endpoint on each change: the reference."""
 
     def _list(self, event: io.Targets) -> None:
-        if event.how == io.ListKind.FAILED:
+        if event.kind == io.ListKind.FAILED:
             super()._list(event)
             return
-        if event.how == io.ListKind.CACHED and self.settings.subscribe:
-            self.out.append(io.Watch(True))
-        elif event.how != io.ListKind.CACHED:
-            self.watch_tries = 0
-        if event.how != io.ListKind.DELTA:
+        if event.kind == io.ListKind.CACHED and self.settings.subscribe:
+            self.actions.append(io.Watch(True))
+        elif event.kind != io.ListKind.CACHED:
+            self.watch_failures = 0
+        if event.kind != io.ListKind.DELTA:
             listed = {entry.endpoint for entry in event.entries}
             self.endpoints = {name: ep for name, ep in self.endpoints.items() if name in listed}
         for entry in event.entries:
@@ -40,31 +40,33 @@
                 continue
             dest = self.catalog.dest(entry.owner)
             route = Route() if self.settings.routes_apart[entry.kind] else dest.route
-            new = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
+            new = Endpoint(
+                entry.endpoint, entry.zone, entry.kind, dest, route, INITIAL_RTT_S, INITIAL_RTT_S / 2
+            )
             if (ep := self.endpoints.setdefault(entry.endpoint, new)) is new:
-                route.window_end, route.misses = 0.0, 0
+                route.window_end, route.failures = 0.0, 0
                 route.rate_limit = max(route.rate_limit, route.limit * (not route.ramp))
             ep.ready = entry.readiness == Readiness.READY
             if self.settings.weights in ("nominal", "rough") and entry.scale > 0:
-                sure = 1.0 if self.settings.weights == "nominal" else WEIGHT_TRUST
+                sure = 1.0 if self.settings.weights == "nominal" else LIMIT_TRUST
                 ep.route.limit = sure * entry.scale / self.settings.balancers
-                if self.many and ep.route.rate_limit == float("inf"):
+                if self.many_nodes and ep.route.rate_limit == float("inf"):
                     ep.route.rate_limit = ep.route.limit
-            if self.settings.ramp and not ep.route.ramp and ep.route.rate_at == -float("inf"):
-                ep.route.ramp = RAMP
+            if self.settings.ramp and not ep.route.ramp and ep.route.answered_at == -float("inf"):
+                ep.route.ramp = RAMP_RATE
                 ep.route.cold_since = self.now if ep.route.limit else -float("inf")
                 ep.route.rate_limit = min(ep.route.rate_limit, self._ramp_start(ep))
-                ep.route.next_at = self.now + self._turn(ep, self.random.random())
+                ep.route.next_at = self.now + self._interval(ep, self.random.random())
         named = {ep.dest.id for ep in self.endpoints.values()} | {
             msg.dest.id for msg in self.messages.values()
         }
         for dest in list(self.destinations.values()):
             dest.endpoints = [ep for ep in self.endpoints.values() if ep.ready and ep.dest is dest]
             self._pump(dest)
-            latest = max(dest.seen_at, dest.route.rate_at, dest.route.cold_since)
+            latest = max(dest.seen_at, dest.route.answered_at, dest.route.cold_since)
             if dest.id in named:
                 dest.seen_at = self.now
-            elif self.now - latest > FORGET * self.settings.cold:
+            elif self.now - latest > FORGET_FACTOR * self.settings.cold:
                 del self.destinations[dest.id]
 
 
@@ -236,7 +238,7 @@
     policy.handle(io.Targets(ListKind.FULL, 2, entries), now)
     sizes = []
     for _ in range(40):
-        now += FORGET * policy.settings.cold / 10
+        now += FORGET_FACTOR * policy.settings.cold / 10
         policy.handle(io.Targets(ListKind.DELTA, 3, ()), now)
         sizes.append(len(policy.destinations))
     assert sizes[8] == 10 * SWEEP, "none is forgotten before its time"
@@ -246,13 +248,13 @@
 
 def test_a_destination_that_has_just_lost_its_endpoint_is_kept_for_its_time() -> None:
     policy = listed(10 * SWEEP)
-    now = 100.0 + 3 * FORGET * policy.settings.cold
+    now = 100.0 + 3 * FORGET_FACTOR * policy.settings.cold
     policy.handle(io.Targets(ListKind.DELTA, 2, ()), now)
     gone = io.Entry(Readiness.GONE, 0.0, 0.0, 0, 7, 0, b"e7")
     policy.handle(io.Targets(ListKind.DELTA, 3, (gone,)), now + 1.0)
     policy.handle(io.Targets(ListKind.DELTA, 4, ()), now + 2.0)
     assert 7 in policy.destinations
-    policy.handle(io.Targets(ListKind.DELTA, 5, ()), now + FORGET * policy.settings.cold + 3.0)
+    policy.handle(io.Targets(ListKind.DELTA, 5, ()), now + FORGET_FACTOR * policy.settings.cold + 3.0)
     assert 7 not in policy.destinations
 
 
@@ -264,4 +266,4 @@
     for message in stream.policy.messages.values():
         open_messages.setdefault(message.dest.id, []).append(message)
     for dest in stream.policy.destinations.values():
-        assert dest.open == len(open_messages.get(dest.id, []))
+        assert dest.unfinished == len(open_messages.get(dest.id, []))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,7 +15,7 @@
 from rillspindle import Policy
 from rillspindle import interface as i
 from rillspindle.interface import ListKind, Outcome, Readiness
-from rillspindle.policy import FAIL_WINDOW, LEAST_PATIENCE
+from rillspindle.policy import FAIL_WINDOW_S, MIN_TIMEOUT_SHARE
 from rillspindle.state import Message
 from tests.driver import Driver, entry
 from tests.settings import message_class, settings
@@ -124,7 +124,7 @@
     for number in (20, 21, 22, 23):
         d.respond(number, Outcome.RESET)
     ep = next(iter(d.policy.endpoints.values()))
-    assert (ep.misses, ep.route.misses, ep.route.cold_since) == (1, 1, -math.inf)
+    assert (ep.failures, ep.route.failures, ep.route.cold_since) == (1, 1, -math.inf)
     assert d.pending(), "a zombie at once: the trial goes without a window"
 
 
@@ -164,12 +164,12 @@
     for number in range(104, 108):
         d.incoming(number, dest=1)
     limits = [a.timeout for a in d.trace if isinstance(a, i.Issue) and a.msg_id >= 100]
-    assert len(limits) == 8 and min(limits) >= LEAST_PATIENCE * 2.0
+    assert len(limits) == 8 and min(limits) >= MIN_TIMEOUT_SHARE * 2.0
     (late,) = [m for m, _ in d.pending() if m == 103]
     d.now += 0.6
     d.respond(late, Outcome.TIMEOUT)
     again = [a.timeout for a in d.last if isinstance(a, i.Issue) and a.msg_id == late]
-    assert not again or again[0] >= 2 * LEAST_PATIENCE * 2.0, "a message that takes long takes long again"
+    assert not again or again[0] >= 2 * MIN_TIMEOUT_SHARE * 2.0, "a message that takes long takes long again"
 
 
 def test_an_attempt_that_its_messages_time_cuts_off_says_nothing_of_the_endpoint() -> None:
@@ -184,7 +184,7 @@
     d.advance(d.now + 0.2)
     ep = next(iter(d.policy.endpoints.values()))
     assert all(d.held[n].answered for n in range(20, 24)) and not d.pending()
-    assert (ep.misses, ep.bad, ep.failed_at) == (0, 0.0, 0.0)
+    assert (ep.failures, ep.fail_share, ep.failed_at) == (0, 0.0, 0.0)
     d.incoming(30)
     assert d.issued()
 
@@ -201,7 +201,7 @@
         d.held[number].sends[0]["outcome"] = Outcome.RESET
         d.feed(i.Response(number, 0.01, entry(1).endpoint, Outcome.RESET, 0, False, 0, (), True))
     ep = next(iter(d.policy.endpoints.values()))
-    assert (ep.misses, ep.bad, ep.failed_at) == (0, 0.0, 0.0)
+    assert (ep.failures, ep.fail_share, ep.failed_at) == (0, 0.0, 0.0)
     assert sorted({m for m, _ in d.pending()}) == [20, 21, 22, 23], "all of them go again at once"
 
 
@@ -233,7 +233,7 @@
     for number in range(20, 34):
         d.incoming(number)
     weighed, tried = [0], [0]
-    worth, choose = Message.worth, Policy._choose
+    worth, choose = Message.value_at, Policy._choose_endpoint
 
     def weigh(msg: Message, at: float) -> float:
         weighed[0] += 1
@@ -243,8 +243,8 @@
         tried[0] += 1
         return choose(policy, msg)
 
-    monkeypatch.setattr(Message, "worth", weigh)
-    monkeypatch.setattr(Policy, "_choose", attempt)
+    monkeypatch.setattr(Message, "value_at", weigh)
+    monkeypatch.setattr(Policy, "_choose_endpoint", attempt)
     d.incoming(50)
     assert (weighed[0], tried[0]) == (0, 0)
     d.now += 0.2
@@ -260,7 +260,7 @@
         d.now += 0.1
         d.respond(number, Outcome.OK)
         d.respond(100 + number, Outcome.OK)
-    d.policy.busy = d.policy.settings.workers
+    d.policy.used_slots = d.policy.settings.workers
     for number in range(200, 203):
         d.incoming(number)
         d.incoming(300 + number, dest=1)
@@ -342,7 +342,7 @@
     for number in range(6):
         d.incoming(number)
     assert len(d.pending()) == 6
-    assert d.policy.busy == 2
+    assert d.policy.used_slots == 2
 
 
 def test_slow_start_after_an_outage() -> None:
@@ -391,9 +391,9 @@
     d.incoming(1)
     d.respond(1, Outcome.CONNECT_FAILED)
     assert not d.issued(), "neither a trial nor a sibling at once, from each of many nodes"
-    d.advance(d.now + 0.95 * FAIL_WINDOW)
+    d.advance(d.now + 0.95 * FAIL_WINDOW_S)
     assert not d.pending()
-    d.advance(d.now + FAIL_WINDOW)
+    d.advance(d.now + FAIL_WINDOW_S)
     assert len(d.pending()) == 1, "one trial for all endpoints of the route"
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -31,7 +31,7 @@
     assert [node for node, _ in events] == [3, 3, 5]
     request = events[0][1]
     assert isinstance(request, i.Incoming)
-    assert (request.msg_id, request.marks, request.dest, request.grade) == (0x5D3A91C4, 1, 57, 0)
+    assert (request.msg_id, request.marks, request.dest, request.message_class) == (0x5D3A91C4, 1, 57, 0)
     assert request.key == 0x91F03B7C55D20A64
     assert request.expires == pytest.approx(8.652, abs=0.01)
     assert events[1][1] == i.Ring(77)
@@ -49,7 +49,7 @@
     )
     ((node, event),) = wire.decode(body, 2, lists)
     assert node == 3
-    assert isinstance(event, i.Targets) and event.how == i.ListKind.CACHED and event.rev == 41
+    assert isinstance(event, i.Targets) and event.kind == i.ListKind.CACHED and event.revision == 41
     assert event.entries[0] == i.Entry(2, 0.0, 1.0, 0, 57, 0, bytes.fromhex("0a124a07431f"))
     assert event.entries[1].zone == 1 and event.entries[1].boot_time == pytest.approx(6.1)
 
@@ -58,7 +58,7 @@
     body = bytes.fromhex("120300c4913a5d8b6ce7fba9f1923f0a124a07431fc80000010000000000")
     ((_, event),) = wire.decode(body, 1, {})
     assert isinstance(event, i.Response)
-    assert (event.outcome, event.send_no, event.over, event.stats) == (200, 0, True, ())
+    assert (event.outcome, event.send_no, event.message_finished, event.stats) == (200, 0, True, ())
 
 
 @pytest.mark.parametrize(
