--- a/rillspindle/__init__.py
+++ b/rillspindle/__init__.py
@@ -1,4 +1,4 @@
-"""rillspindle: the decisions of a relay that hands messages on to destinations it does not control."""
+"""rillspindle: the decisions of a relay that forwards messages to destinations it does not control."""
 
 from rillspindle.policy import Policy
 
--- a/rillspindle/adapter.py
+++ b/rillspindle/adapter.py
@@ -21,7 +21,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer each batch until the input ends."""
+    """Reply to each batch until the input ends."""
     nodes: dict[int, Policy] = {}
     lists: dict[int, tuple[Entry, ...]] = {}
     while head := source.read(wire.BATCH.size):
@@ -29,25 +29,25 @@
             raise wire.WireError("input ends inside a header")
         now, length, count, batch = wire.BATCH.unpack(head)
         if length < wire.BATCH.size:
-            raise wire.WireError(f"frame length {length} is under its header's")
+            raise wire.WireError(f"frame length {length} is shorter than its header")
         body = _read(source, length - wire.BATCH.size)
         records: list[bytes] = []
         for node, event in wire.decode(body, count, lists):
             try:
-                if isinstance(event, wire.Born):
+                if isinstance(event, wire.NodeStarted):
                     nodes[node] = Policy(event.env, event.seed)
-                elif isinstance(event, wire.Down):
+                elif isinstance(event, wire.NodeStopped):
                     nodes.pop(node, None)
                 elif node in nodes:
                     records.extend(wire.encode(node, action) for action in nodes[node].handle(event, now))
-            except Exception as error:  # whatever the module raises ends the day with its text
+            except Exception as error:  # any exception of the module ends the run, with its text
                 records.append(wire.encode_fault(node, f"{type(error).__name__}: {error}"))
         sink.write(wire.encode_reply(records, batch))
         sink.flush()
 
 
 def main() -> int:
-    """Serve on stdin and stdout until stdin ends; 1 where what comes can't be read."""
+    """Serve on stdin and stdout until stdin ends; return 1 if the input is malformed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except wire.WireError as error:
--- a/rillspindle/interface.py
+++ b/rillspindle/interface.py
@@ -106,7 +106,7 @@
     endpoint: EndpointId
     outcome: int
     send_no: int
-    message_finished: bool  # its client has been answered or has withdrawn it
+    message_finished: bool  # delivered, withdrawn or expired
     retry_after_ms: int  # required wait; 0: none
     stats: tuple[float, ...]
     stale: bool = False  # reset on a kept connection that may have been closed before; never on the wire
--- a/rillspindle/list_evidence.py
+++ b/rillspindle/list_evidence.py
@@ -1,9 +1,9 @@
-"""When the list of endpoints was last shown to be the newest, from the calls for it alone.
+"""When the list of endpoints was last confirmed as the newest, derived from the list calls alone.
 
-For the run-time check (`send_monitor`): it knows nothing of the lease that a sender keeps on its list, and
-has none of its margins. Pure: no I/O, no clock; times are seconds of one monotonic clock. The figures are the
-platform's: a change counts as told `NOTIFIED_S` after discovery had it and could be reached, or four times
-`askWithin` after it, if that is less; calls may go for the grace of a drain after that.
+For the run-time check (`send_monitor`): independent of the lease that a sender keeps on its list, and without
+its margins. Pure: no I/O, no clock; times are seconds of one monotonic clock. The platform's terms: a change
+counts as notified `NOTIFIED_S` after discovery had it and was reachable, or four times `askWithin` after it,
+if that is less; calls may begin until the drain grace period after that.
 """
 
 from __future__ import annotations
@@ -15,104 +15,104 @@
 
 NOTIFIED_S = 6.0
 FAILED_FACTOR = 4  # times `askWithin`
-SLACK_S = 0.05  # by which every time limit is longer on sockets
-ROUNDING_S = 0.01  # by which a wait may seem shorter to the one who waits
-OUT_SHARE = 1 / 8  # of its wait, after which a watch that is ended was out
-TAKEN_SHARE = 5 / 8  # of its wait, up to which it may have been turned away as a new call all the same
+SLACK_S = 0.05  # added to every time limit on sockets
+ROUNDING_S = 0.01  # by which a wait may be measured as shorter
+MIN_WATCH_SHARE = 1 / 8  # of its wait, after which a call that is ended was a waiting watch
+MAX_REJECTION_SHARE = 5 / 8  # of its wait, up to which the call may still have been rejected as a new one
 
 
 @dataclass(frozen=True, slots=True)
 class AnsweredCall:
-    """A call for the list that was answered in full, and whose answer was taken in."""
+    """A list call that was answered completely, and whose answer was applied."""
 
     made_at: float
-    wait_s: float  # that it asked discovery to wait for something newer
-    newer: bool  # something newer came
+    wait_s: float  # for which discovery was asked to wait for changes
+    newer: bool  # the answer contained changes
     answered_at: float
 
     @property
-    def known_at(self) -> float:
-        """All that discovery had up to this moment is known."""
+    def confirmed_at(self) -> float:
+        """Everything that discovery had up to this time is known."""
         waited = self.answered_at - self.made_at >= self.wait_s - ROUNDING_S
         return self.made_at + self.wait_s if waited and not self.newer else self.made_at
 
 
 @dataclass(frozen=True, slots=True)
 class RefusedCall:
-    """A call for the list that discovery has ended with a refusal in words or a reset."""
+    """A list call that discovery ended with an error answer or a reset."""
 
     made_at: float
     wait_s: float
     ended_at: float
-    in_words: bool
+    has_answer: bool
 
     @property
-    def was_out(self) -> bool:
-        """Whether it was a watch that discovery let wait: it ends watches as it goes down."""
+    def was_waiting(self) -> bool:
+        """Whether it was a waiting watch: discovery ends watches when it goes down."""
         lasted_s = self.ended_at - self.made_at
-        return OUT_SHARE * self.wait_s <= lasted_s < self.wait_s - ROUNDING_S
+        return MIN_WATCH_SHARE * self.wait_s <= lasted_s < self.wait_s - ROUNDING_S
 
     @property
-    def known_at(self) -> float:
-        """From when on it counts, in an outage."""
-        turned_away = self.ended_at - self.made_at < TAKEN_SHARE * self.wait_s
-        return self.made_at if turned_away else self.ended_at
+    def confirmed_at(self) -> float:
+        """The time that it confirms during an outage."""
+        rejected = self.ended_at - self.made_at < MAX_REJECTION_SHARE * self.wait_s
+        return self.made_at if rejected else self.ended_at
 
 
 class ListEvidence:
-    """What the calls of one sender have shown."""
+    """The evidence from the list calls of one sender."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._newest = -math.inf
         self._lost_at = math.inf
-        self._down = False  # a watch was ended, and each call since refused
-        self._began_at: float | None = None
+        self._down = False  # a watch was ended, and each call since was refused
+        self._started_at: float | None = None
 
     def started(self, at: float) -> None:
-        """The process begins to ask for lists."""
-        if self._began_at is None:
-            self._began_at = at
+        """The process starts to request lists."""
+        if self._started_at is None:
+            self._started_at = at
 
     def apply_settings(self, settings: Settings) -> None:
-        """Other settings from now on."""
+        """Use other settings from now on."""
         self._settings = settings
 
     def answered(self, call: AnsweredCall) -> None:
-        """A call has been answered."""
-        self._newest = max(self._newest, call.known_at)
+        """A call was answered."""
+        self._newest = max(self._newest, call.confirmed_at)
         self._down = False
         if call.made_at >= self._lost_at:
             self._lost_at = math.inf
 
     def connection_refused(self, at: float) -> None:
-        """Discovery could not be reached then; an agent can't be down."""
+        """Discovery refused a connection. Counts only with a subscription: an agent can't be down."""
         if self._settings.subscribe:
             self._newest = max(self._newest, at)
 
     def refused(self, call: RefusedCall) -> None:
-        """Discovery has ended a call. That it could not be reached is shown by a watch that was ended, and
-        by each refusal behind it; a 503 alone may come from one that has too many calls. It leaves a new
-        process the list that it was started with, as of then.
+        """Discovery ended a call. A watch that was ended shows an outage, and so does each refusal after it.
+        A 503 alone may mean too many calls: it confirms only the list that a new process started with, as of
+        its start.
         """
-        self._down = self._down or call.was_out
+        self._down = self._down or call.was_waiting
         if not self._settings.subscribe:
             return
-        if self._down or not call.in_words:
-            self._newest = max(self._newest, call.known_at)
-        elif self._began_at is not None:
-            self._newest = max(self._newest, self._began_at)
+        if self._down or not call.has_answer:
+            self._newest = max(self._newest, call.confirmed_at)
+        elif self._started_at is not None:
+            self._newest = max(self._newest, self._started_at)
 
     def unanswered(self) -> None:
-        """A call has not been answered in time: discovery, if it was down, may be back."""
+        """A call was not answered in time: if discovery was down, it may be up again."""
         self._down = False
 
     def answer_lost(self, at: float) -> None:
-        """A part of an answer had arrived, and nothing of it was taken in."""
+        """An answer arrived incomplete, and nothing of it was applied."""
         self._lost_at = at
 
-    def sends_until(self) -> float:
-        """Up to when calls may go by the list."""
+    def sends_allowed_until(self) -> float:
+        """Until when calls may begin by the list."""
         notified_s = min(NOTIFIED_S, FAILED_FACTOR * self._settings.ask_within)
         grace_s = self._settings.drain_grace + SLACK_S
         return min(self._newest + notified_s, self._lost_at) + grace_s
--- a/rillspindle/wire.py
+++ b/rillspindle/wire.py
@@ -1,4 +1,4 @@
-"""Binary codec of the wire: pure functions between frames and the types of interface.py."""
+"""Binary codec: pure functions between frames and the types of interface.py."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 _HEALTH = struct.Struct("<H6sdHB")
 _RING = struct.Struct("<HQ")
 _UNDER_WAY = struct.Struct("<HI6sdB")
-_BORN = struct.Struct("<HQI")
-_DOWN = struct.Struct("<H")
+_NODE_STARTED = struct.Struct("<HQI")
+_NODE_STOPPED = struct.Struct("<H")
 _WHISPER = struct.Struct("<HIH")
 _STOP = struct.Struct("<BHIB")
 _NODE_ENDPOINT = struct.Struct("<BH6s")
@@ -33,48 +33,48 @@
 _ISSUE = struct.Struct("<BHI6sd")
 _WATCH = struct.Struct("<BHB")
 _PUSH_BACK = struct.Struct("<BHId")
-_TEXT_MOST = 65535
+_MAX_TEXT_BYTES = 65535
 
 
 class WireError(ValueError):
-    """A frame that the wire does not allow."""
+    """A malformed frame."""
 
 
-class Born(NamedTuple):
-    """A node has been started, with these settings."""
+class NodeStarted(NamedTuple):
+    """A node was started with these settings."""
 
     seed: int
     env: dict[str, Any]
 
 
-class Down(NamedTuple):
-    """A node has gone."""
+class NodeStopped(NamedTuple):
+    """A node was stopped."""
 
     pass
 
 
 class _Reader:
-    """A place in a frame that refuses to read past its end."""
+    """Reads a frame from its start and raises `WireError` past its end."""
 
-    __slots__ = ("at", "frame")
+    __slots__ = ("frame", "offset")
 
     def __init__(self, frame: bytes) -> None:
         self.frame = frame
-        self.at = 0
+        self.offset = 0
 
-    def take(self, shape: struct.Struct) -> tuple[Any, ...]:
+    def unpack(self, shape: struct.Struct) -> tuple[Any, ...]:
         try:
-            values = shape.unpack_from(self.frame, self.at)
+            values = shape.unpack_from(self.frame, self.offset)
         except struct.error:
-            raise WireError(f"frame cut short at byte {self.at}") from None
-        self.at += shape.size
+            raise WireError(f"frame cut short at byte {self.offset}") from None
+        self.offset += shape.size
         return values
 
     def bytes(self, count: int) -> bytes:
-        if self.at + count > len(self.frame):
-            raise WireError(f"frame cut short at byte {self.at}")
-        self.at += count
-        return self.frame[self.at - count : self.at]
+        if self.offset + count > len(self.frame):
+            raise WireError(f"frame cut short at byte {self.offset}")
+        self.offset += count
+        return self.frame[self.offset - count : self.offset]
 
     def floats(self, count: int) -> tuple[float, ...]:
         return struct.unpack(f"<{count}f", self.bytes(4 * count))
@@ -82,69 +82,74 @@
 
 def decode(
     body: bytes, count: int, lists: dict[int, tuple[i.Entry, ...]]
-) -> Iterator[tuple[int, i.Event | Born | Down]]:
-    """Yield (node, event) in order. `lists` holds the numbered catalogues and is brought up to date."""
+) -> Iterator[tuple[int, i.Event | NodeStarted | NodeStopped]]:
+    """Yield (node, event) in order. `lists` contains the numbered lists of endpoints and is updated."""
     reader = _Reader(body)
     for _ in range(count):
         code = reader.bytes(1)[0]
         if code == 17:
-            node, msg, tenant, expires, marks, cost, dest, grade, key = reader.take(_INCOMING)
-            yield node, i.Incoming(msg, tenant, expires, marks, cost, int(dest), grade, key)
+            node, msg, tenant, expires, marks, cost, dest, message_class, key = reader.unpack(_INCOMING)
+            yield node, i.Incoming(msg, tenant, expires, marks, cost, int(dest), message_class, key)
         elif code == 18:
-            node, msg, spent, endpoint, state, send_no, over, remark, n = reader.take(_RESPONSE)
+            node, msg, elapsed, endpoint, state, send_no, finished, retry_after_ms, n = reader.unpack(
+                _RESPONSE
+            )
             stats = reader.floats(n)
-            yield node, i.Response(msg, spent, endpoint, state, send_no, bool(over), remark, stats)
+            yield (
+                node,
+                i.Response(msg, elapsed, endpoint, state, send_no, bool(finished), retry_after_ms, stats),
+            )
         elif code == 22:
-            node, token = reader.take(_RING)
+            node, token = reader.unpack(_RING)
             yield node, i.Ring(token)
         elif code == 19:
-            node, msg = reader.take(_WITHDRAWN)
+            node, msg = reader.unpack(_WITHDRAWN)
             yield node, i.Withdrawn(msg)
         elif code == 16:
-            number, n = reader.take(_LIST)
-            lists[number] = tuple(i.Entry._make(reader.take(_ENTRY)) for _ in range(n))
+            number, n = reader.unpack(_LIST)
+            lists[number] = tuple(i.Entry._make(reader.unpack(_ENTRY)) for _ in range(n))
         elif code == 21:
-            node, how, rev, number = reader.take(_TARGETS)
-            if how != i.ListKind.FAILED and number not in lists:
-                raise WireError(f"list {number} was never given")
-            yield node, i.Targets(how, rev, () if how == i.ListKind.FAILED else lists[number])
+            node, kind, revision, number = reader.unpack(_TARGETS)
+            if kind != i.ListKind.FAILED and number not in lists:
+                raise WireError(f"list {number} is not defined")
+            yield node, i.Targets(kind, revision, () if kind == i.ListKind.FAILED else lists[number])
         elif code == 20:
-            node, endpoint, spent, state, n = reader.take(_HEALTH)
-            yield node, i.Health(endpoint, spent, state, reader.floats(n))
+            node, endpoint, elapsed, state, n = reader.unpack(_HEALTH)
+            yield node, i.Health(endpoint, elapsed, state, reader.floats(n))
         elif code == 23:
-            node, msg, endpoint, spent, send_no = reader.take(_UNDER_WAY)
-            yield node, i.UnderWay(msg, endpoint, spent, send_no)
+            node, msg, endpoint, elapsed, send_no = reader.unpack(_UNDER_WAY)
+            yield node, i.UnderWay(msg, endpoint, elapsed, send_no)
         elif code == 24:
-            node, seed, n = reader.take(_BORN)
+            node, seed, n = reader.unpack(_NODE_STARTED)
             try:
                 env = json.loads(reader.bytes(n))
             except ValueError as error:
                 raise WireError(f"settings are not JSON: {error}") from None
-            yield node, Born(seed, env)
+            yield node, NodeStarted(seed, env)
         elif code == 25:
-            (node,) = reader.take(_DOWN)
-            yield node, Down()
+            (node,) = reader.unpack(_NODE_STOPPED)
+            yield node, NodeStopped()
         elif code == 26:
-            node, peer, n = reader.take(_WHISPER)
+            node, peer, n = reader.unpack(_WHISPER)
             yield node, i.Whisper(peer, reader.bytes(n))
         else:
             raise WireError(f"unknown record code {code}")
-    if reader.at != len(body):
-        raise WireError(f"{len(body) - reader.at} bytes left behind the last record")
+    if reader.offset != len(body):
+        raise WireError(f"{len(body) - reader.offset} bytes after the last record")
 
 
 def _text(code: int, node: int, line: str) -> bytes:
-    content = line.encode("utf-8", "replace")[:_TEXT_MOST]
+    content = line.encode("utf-8", "replace")[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, node, len(content)) + content
 
 
 def encode_fault(node: int, line: str) -> bytes:
-    """A fault of a node, told in a line, as a record."""
+    """A fault of a node as a record with one line of text."""
     return _text(87, node, line)
 
 
 def encode(node: int, action: i.Action) -> bytes:
-    """One action as a record."""
+    """Encode one action as a record."""
     match action:
         case i.Issue(msg, endpoint, timeout):
             return _ISSUE.pack(89, node, msg, endpoint, timeout)
@@ -171,6 +176,6 @@
 
 
 def encode_reply(records: list[bytes], batch: int) -> bytes:
-    """The records that answer a batch, with their head."""
+    """The reply to a batch: its records behind a header."""
     body = b"".join(records)
     return REPLY.pack(len(records), REPLY.size + len(body), batch) + body
--- a/tests/test_list_evidence.py
+++ b/tests/test_list_evidence.py
@@ -25,11 +25,11 @@
 
 
 def test_without_an_answer_nothing_may_go() -> None:
-    assert ListEvidence(rules()).sends_until() < 0
+    assert ListEvidence(rules()).sends_allowed_until() < 0
 
 
 @pytest.mark.parametrize(
-    ("call", "known_at"),
+    ("call", "confirmed_at"),
     [
         (AnsweredCall(10.0, 4.0, False, 14.0), 14.0),
         (AnsweredCall(10.0, 4.0, False, 13.995), 14.0),
@@ -39,10 +39,10 @@
     ],
     ids=["waited in vain", "rounded", "answered too soon", "something newer", "a slow answer"],
 )
-def test_an_answer_shows_what_discovery_had_as_it_was_asked(call: AnsweredCall, known_at: float) -> None:
+def test_an_answer_shows_what_discovery_had_as_it_was_asked(call: AnsweredCall, confirmed_at: float) -> None:
     evidence = ListEvidence(rules())
     evidence.answered(call)
-    assert evidence.sends_until() == pytest.approx(known_at + NOTIFIED_S + SPARE_S)
+    assert evidence.sends_allowed_until() == pytest.approx(confirmed_at + NOTIFIED_S + SPARE_S)
 
 
 def test_the_newest_evidence_counts_and_settings_bound_it() -> None:
@@ -50,9 +50,9 @@
     evidence.answered(answered(10.0))
     evidence.connection_refused(12.0)
     evidence.answered(answered(11.0))
-    assert evidence.sends_until() == pytest.approx(12.0 + NOTIFIED_S + SPARE_S)
+    assert evidence.sends_allowed_until() == pytest.approx(12.0 + NOTIFIED_S + SPARE_S)
     evidence.apply_settings(rules(0.5))
-    assert evidence.sends_until() == pytest.approx(12.0 + 2.0 + SPARE_S)
+    assert evidence.sends_allowed_until() == pytest.approx(12.0 + 2.0 + SPARE_S)
 
 
 def test_a_lost_answer_counts_until_a_call_made_after_it_is_answered() -> None:
@@ -61,9 +61,9 @@
     evidence.answer_lost(11.0)
     evidence.connection_refused(11.5)
     evidence.answered(answered(10.9))
-    assert evidence.sends_until() == pytest.approx(11.0 + SPARE_S)
+    assert evidence.sends_allowed_until() == pytest.approx(11.0 + SPARE_S)
     evidence.answered(answered(11.1))
-    assert evidence.sends_until() == pytest.approx(11.5 + NOTIFIED_S + SPARE_S)
+    assert evidence.sends_allowed_until() == pytest.approx(11.5 + NOTIFIED_S + SPARE_S)
 
 
 @pytest.mark.parametrize(
@@ -82,32 +82,32 @@
 ) -> None:
     evidence = ListEvidence(rules())
     evidence.answered(answered(10.0))
-    evidence.refused(RefusedCall(10.0, 4.0, 10.0 + ended_after_s, in_words=True))
+    evidence.refused(RefusedCall(10.0, 4.0, 10.0 + ended_after_s, has_answer=True))
     if between == "unanswered":
         evidence.unanswered()
     elif between == "answered":
         evidence.answered(answered(15.0))
-    before = evidence.sends_until()
-    evidence.refused(RefusedCall(17.0, 0.001, 18.0, in_words=True))
-    assert (evidence.sends_until() > before) is renewed
+    before = evidence.sends_allowed_until()
+    evidence.refused(RefusedCall(17.0, 0.001, 18.0, has_answer=True))
+    assert (evidence.sends_allowed_until() > before) is renewed
 
 
 def test_a_new_process_that_is_refused_in_words_has_its_list_as_of_its_start() -> None:
     evidence = ListEvidence(rules())
     evidence.started(10.0)
-    assert evidence.sends_until() < 0
+    assert evidence.sends_allowed_until() < 0
     for at in (10.1, 12.0, 17.0):
-        evidence.refused(RefusedCall(at, 0.001, at + 0.1, in_words=True))
-        assert evidence.sends_until() == pytest.approx(10.0 + NOTIFIED_S + SPARE_S)
+        evidence.refused(RefusedCall(at, 0.001, at + 0.1, has_answer=True))
+        assert evidence.sends_allowed_until() == pytest.approx(10.0 + NOTIFIED_S + SPARE_S)
 
 
 def test_no_refusal_of_an_agent_is_evidence() -> None:
     evidence = ListEvidence(rules(mode="automatic"))
     evidence.answered(answered(10.0))
     evidence.connection_refused(12.0)
-    evidence.refused(RefusedCall(10.0, 2.0, 11.5, in_words=True))
-    evidence.refused(RefusedCall(10.0, 2.0, 11.5, in_words=False))
-    assert evidence.sends_until() == pytest.approx(10.0 + NOTIFIED_S + SPARE_S)
+    evidence.refused(RefusedCall(10.0, 2.0, 11.5, has_answer=True))
+    evidence.refused(RefusedCall(10.0, 2.0, 11.5, has_answer=False))
+    assert evidence.sends_allowed_until() == pytest.approx(10.0 + NOTIFIED_S + SPARE_S)
 
 
 @pytest.mark.violates
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -24,7 +24,14 @@
     permit_send,
     repeat_until,
 )
-from rillspindle.send_monitor import HOLD_UP_S, EndpointAddress, Rule, SendMonitor, SentMessage, Violation
+from rillspindle.send_monitor import (
+    PAUSE_ALLOWANCE_S,
+    EndpointAddress,
+    Rule,
+    SendMonitor,
+    SentMessage,
+    Violation,
+)
 
 NOW, WINDOW_S, GRACE_S = 100.0, 7.0, 0.25
 READY = EndpointState(True)
@@ -55,7 +62,7 @@
 
 @pytest.mark.parametrize(("endpoint", "why"), [
     (EndpointState(False), Refusal.ENDPOINT_LEFT),
-    (EndpointState(True, wait_until=NOW + 1), Refusal.TOLD_TO_WAIT),
+    (EndpointState(True, wait_until=NOW + 1), Refusal.WAIT_REQUIRED),
     (EndpointState(True, list_valid=False), Refusal.LIST_LEASE_ENDED),
     (EndpointState(True, stopped=True), Refusal.STOPPED),
 ])  # fmt: skip
@@ -63,25 +70,25 @@
     assert permit_send(message(), endpoint, 108.0, NOW) is why
     assert holds(SendPermit(108.0), endpoint, False, NOW) is why
     later = holds(SendPermit(108.0), endpoint, True, NOW)  # what has begun goes on, but not within a wait
-    assert later is (why if why is Refusal.TOLD_TO_WAIT else None)
+    assert later is (why if why is Refusal.WAIT_REQUIRED else None)
 
 
 @pytest.mark.parametrize(("state", "why"), [
-    (dataclasses.replace(message(), finished=True), Refusal.MESSAGE_ENDED),
+    (dataclasses.replace(message(), finished=True), Refusal.MESSAGE_FINISHED),
     (message(expires=NOW), Refusal.MESSAGE_EXPIRED),
     (dataclasses.replace(message(), on_record=False), Refusal.NOT_ON_RECORD),
     (message(ONCE, (99.0, 0)), Refusal.MAY_HAVE_RUN),
     (message(None, (99.0, 0)), Refusal.MAY_HAVE_RUN),
     (message(ZONED, (99.0, 1)), Refusal.OTHER_GROUP),
-    (message(KEYED, (NOW - WINDOW_S, 0)), Refusal.WINDOW_OVER),
+    (message(KEYED, (NOW - WINDOW_S, 0)), Refusal.REPEAT_WINDOW_OVER),
 ])  # fmt: skip
 def test_a_message_that_may_not_be_sent(state: MessageState, why: Refusal) -> None:
     assert permit_send(state, READY, 108.0, NOW) is why
 
 
 def test_a_call_that_is_over_is_not_begun_and_a_permit_that_is_over_does_not_hold() -> None:
-    assert permit_send(message(), READY, NOW, NOW) is Refusal.CALL_OVER
-    assert holds(SendPermit(NOW), READY, True, NOW) is Refusal.CALL_OVER
+    assert permit_send(message(), READY, NOW, NOW) is Refusal.CALL_FINISHED
+    assert holds(SendPermit(NOW), READY, True, NOW) is Refusal.CALL_FINISHED
 
 
 def test_repeats_without_harm_have_no_end() -> None:
@@ -156,7 +163,7 @@
 @pytest.mark.parametrize(("kind", "after", "zone", "rules"), [
     (IDEMPOTENT, 50.0, 1, []),
     (KEYED, WINDOW_S, 1, []),
-    (KEYED, WINDOW_S + HOLD_UP_S + 0.01, 0, [Rule.DUPLICATE]),
+    (KEYED, WINDOW_S + PAUSE_ALLOWANCE_S + 0.01, 0, [Rule.DUPLICATE]),
     (ZONED, 1.0, 1, [Rule.DUPLICATE]),
     (ZONED, 1.0, 0, []),
     (ONCE, 0.1, 0, [Rule.DUPLICATE]),
@@ -199,7 +206,7 @@
     monitor = Watched()
     monitor.send(IDEMPOTENT, NOW)
     monitor.send(IDEMPOTENT, NOW + 0.1)
-    assert monitor.rules == [Rule.TWO_OUT]
+    assert monitor.rules == [Rule.CONCURRENT_CALLS]
     monitor = Watched()
     monitor.wait_required(7, NOW, NOW + 1)
     monitor.send(IDEMPOTENT, NOW + 0.05)
@@ -208,14 +215,14 @@
     monitor.send(IDEMPOTENT, NOW + 0.5)
     assert monitor.rules == [Rule.WAIT]
     monitor = Watched()
-    monitor.send(IDEMPOTENT, NOW, expires=NOW - HOLD_UP_S - 0.01)
+    monitor.send(IDEMPOTENT, NOW, expires=NOW - PAUSE_ALLOWANCE_S - 0.01)
     assert monitor.rules == [Rule.LATE]
     monitor = Watched()
     monitor.last_byte([SentMessage("m", ONCE, 1e9, False)], 0, 7, NOW)
     assert monitor.rules == [Rule.NOT_ON_RECORD]
     monitor.rejected("m", ONCE)
     monitor.rejected("other", ONCE)
-    assert monitor.rules == [Rule.NOT_ON_RECORD, Rule.HANDED_BACK]
+    assert monitor.rules == [Rule.NOT_ON_RECORD, Rule.UNSAFE_REJECTION]
 
 
 KINDS = st.sampled_from([IDEMPOTENT, KEYED, ZONED, ONCE])
@@ -224,7 +231,7 @@
 @given(
     kind=KINDS,
     steps=st.lists(
-        st.tuples(st.floats(0.0, 5.0), st.integers(0, 1), st.booleans(), st.floats(0.0, HOLD_UP_S)),
+        st.tuples(st.floats(0.0, 5.0), st.integers(0, 1), st.booleans(), st.floats(0.0, PAUSE_ALLOWANCE_S)),
         max_size=8,
     ),
 )
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -89,7 +89,7 @@
         list(wire.decode(b"\x63", 1, {}))
     with pytest.raises(wire.WireError, match="cut short"):
         list(wire.decode(b"\x16\x03\x00", 1, {}))
-    with pytest.raises(wire.WireError, match="left behind"):
+    with pytest.raises(wire.WireError, match="bytes after the last record"):
         list(wire.decode(b"\x19\x03\x00\x00", 1, {}))
 
 
