--- a/tests/settings.py
+++ b/tests/settings.py
@@ -1,4 +1,4 @@
-"""Settings for tests: the shape that a node gets at its start, with figures of the tests' own."""
+"""Settings for tests: the structure that a node receives at its start, with values for tests."""
 
 from __future__ import annotations
 
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -1,4 +1,4 @@
-"""A change of the list costs what it changes, and decides what the plain way over the whole list decides."""
+"""A change of the list touches only what it changes, with the same decisions as a pass over the full list."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from tests.settings import settings
 
 
-class PlainPolicy(Policy):
-    """Goes over every destination and every endpoint on each change: the reference."""
+class ReferencePolicy(Policy):
+    """The reference: visits every destination and every endpoint on each change."""
 
     def _list(self, event: io.Targets) -> None:
         if event.kind == io.ListKind.FAILED:
@@ -48,8 +48,8 @@
                 route.rate_limit = max(route.rate_limit, route.limit * (not route.ramp))
             ep.ready = entry.readiness == Readiness.READY
             if self.settings.weights in ("nominal", "rough") and entry.scale > 0:
-                sure = 1.0 if self.settings.weights == "nominal" else LIMIT_TRUST
-                ep.route.limit = sure * entry.scale / self.settings.balancers
+                trust = 1.0 if self.settings.weights == "nominal" else LIMIT_TRUST
+                ep.route.limit = trust * entry.scale / self.settings.balancers
                 if self.many_nodes and ep.route.rate_limit == float("inf"):
                     ep.route.rate_limit = ep.route.limit
             if self.settings.ramp and not ep.route.ramp and ep.route.answered_at == -float("inf"):
@@ -70,16 +70,16 @@
                 del self.destinations[dest.id]
 
 
-class PlainCatalog(Catalog):
-    """Looks for held messages at every destination."""
+class ReferenceCatalog(Catalog):
+    """Looks for queued messages at every destination."""
 
     def waiting(self) -> list[Dest]:
         return [dest for dest in self.destinations.values() if dest.queued]
 
 
-def plain_policy(env: dict[str, Any], seed: int) -> Policy:
-    policy = PlainPolicy(env, seed)
-    policy.catalog = PlainCatalog()
+def reference_policy(env: dict[str, Any], seed: int) -> Policy:
+    policy = ReferencePolicy(env, seed)
+    policy.catalog = ReferenceCatalog()
     policy.endpoints, policy.destinations = policy.catalog.endpoints, policy.catalog.destinations
     return policy
 
@@ -116,9 +116,11 @@
         outcomes = [Outcome.OK] * 6 + [Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT]
         outcome = self.draw.choice(outcomes)
         spent = issue.timeout if outcome == Outcome.TIMEOUT else self.draw.uniform(0.01, 0.6)
-        told_ms = self.draw.choice([0, 0, 400, 3000]) if outcome == Outcome.FULL else 0
-        over = outcome == Outcome.OK
-        response = io.Response(issue.msg_id, spent, issue.endpoint, outcome, send_no, over, told_ms, ())
+        retry_after_ms = self.draw.choice([0, 0, 400, 3000]) if outcome == Outcome.FULL else 0
+        finished = outcome == Outcome.OK
+        response = io.Response(
+            issue.msg_id, spent, issue.endpoint, outcome, send_no, finished, retry_after_ms, ()
+        )
         self.later(spent, response)
 
     def entry(self) -> io.Entry:
@@ -142,11 +144,14 @@
                 self.entries[one.endpoint] = one
 
     def message(self) -> None:
-        grade, number = self.draw.randrange(len(self.policy.settings.message_classes)), next(self.numbers)
-        expires = self.now + self.policy.settings.message_classes[grade].deadline
+        message_class, number = (
+            self.draw.randrange(len(self.policy.settings.message_classes)),
+            next(self.numbers),
+        )
+        expires = self.now + self.policy.settings.message_classes[message_class].deadline
         destination = self.draw.randrange(self.destinations)
         key = self.draw.randrange(4)
-        self.feed(io.Incoming(number, 0, expires, 0, 0.0, destination, grade, key))
+        self.feed(io.Incoming(number, 0, expires, 0, 0.0, destination, message_class, key))
 
     def advance(self, seconds: float) -> None:
         end = self.now + seconds
@@ -165,7 +170,7 @@
                 self.change_list()
             elif step == "failed":
                 self.feed(io.Targets(ListKind.FAILED, 1, ()))
-            else:  # a pause is long enough for a destination to be forgotten
+            else:  # after a pause of this length a destination is forgotten
                 self.advance(self.draw.uniform(0.0, 0.4) if step == "time" else 120.0)
 
 
@@ -184,21 +189,21 @@
     ],
     ids=["plain", "few-slots", "ramp", "many-nodes"],
 )
-def test_same_actions_in_the_same_order_as_the_plain_way(changed: dict[str, Any], seed: int) -> None:
+def test_same_actions_in_the_same_order_as_the_reference(changed: dict[str, Any], seed: int) -> None:
     env = settings(**changed)
-    quick = Stream(Policy(env, seed), random.Random(seed), SWEEP // 2)
-    plain = Stream(plain_policy(env, seed), random.Random(seed), SWEEP // 2)
-    for stream in (quick, plain):
+    fast = Stream(Policy(env, seed), random.Random(seed), SWEEP // 2)
+    reference = Stream(reference_policy(env, seed), random.Random(seed), SWEEP // 2)
+    for stream in (fast, reference):
         stream.play(700)
-    assert quick.trace == plain.trace
-    assert list(quick.policy.destinations) == list(plain.policy.destinations)
-    assert list(quick.policy.endpoints) == list(plain.policy.endpoints)
-    kinds = {type(action) for _, action in quick.trace}
-    assert {io.Issue, io.Schedule, io.PushBack} <= kinds, "the stream reached what it is to compare"
+    assert fast.trace == reference.trace
+    assert list(fast.policy.destinations) == list(reference.policy.destinations)
+    assert list(fast.policy.endpoints) == list(reference.policy.endpoints)
+    kinds = {type(action) for _, action in fast.trace}
+    assert {io.Issue, io.Schedule, io.PushBack} <= kinds, "the stream produced the actions to compare"
 
 
 class CountingDest(dict[bytes, Endpoint]):
-    """A destination's endpoints; counts how often they are gone over."""
+    """The endpoints of a destination; counts how often they are iterated over."""
 
     walks = 0
 
@@ -219,18 +224,20 @@
 
 
 @pytest.mark.parametrize("destinations", [100, 5000])
-def test_a_change_goes_over_its_own_destination_alone(destinations: int) -> None:
+def test_a_change_visits_only_its_own_destination(destinations: int) -> None:
     policy = listed(destinations)
     CountingDest.walks = 0
     leaving = io.Entry(Readiness.DRAINING, 0.0, 0.0, 0, 7, 0, b"e7")
     policy.handle(io.Targets(ListKind.DELTA, 2, (leaving,)), 101.0)
     assert policy.destinations[7].endpoints == []
     assert CountingDest.walks == 1
-    assert all(dest.seen_at < 101.0 for dest in policy.destinations.values()), "none that is listed is swept"
+    assert all(dest.seen_at < 101.0 for dest in policy.destinations.values()), (
+        "no listed destination is swept"
+    )
 
 
-def test_old_destinations_are_forgotten_by_and_by() -> None:
-    """Those with endpoints or messages stay, however long the sweep takes to come round."""
+def test_old_destinations_are_forgotten_gradually() -> None:
+    """Those with endpoints or messages stay, however many sweeps pass."""
     policy = listed(10 * SWEEP)
     kept = range(0, 10 * SWEEP, 5)
     entries = tuple(io.Entry(Readiness.READY, 0.0, 0.0, 0, number, 0, b"e%d" % number) for number in kept)
@@ -246,7 +253,7 @@
     assert set(policy.destinations) == set(kept)
 
 
-def test_a_destination_that_has_just_lost_its_endpoint_is_kept_for_its_time() -> None:
+def test_a_destination_that_lost_its_endpoint_is_kept_for_the_full_time() -> None:
     policy = listed(10 * SWEEP)
     now = 100.0 + 3 * FORGET_FACTOR * policy.settings.cold
     policy.handle(io.Targets(ListKind.DELTA, 2, ()), now)
@@ -258,8 +265,8 @@
     assert 7 not in policy.destinations
 
 
-def test_messages_are_counted_at_their_destination() -> None:
-    """What a destination has open is what the node has open for it, whatever happened to it."""
+def test_unfinished_messages_are_counted_by_destination() -> None:
+    """The count of a destination equals the unfinished messages of the node for it, after any history."""
     stream = Stream(Policy(settings(), 3), random.Random(3), 5)
     stream.play(300)
     open_messages: dict[int, list[Message]] = {}
--- a/tests/test_send_guard.py
+++ b/tests/test_send_guard.py
@@ -1,4 +1,4 @@
-"""The guard and the run-time check beside it: tables of what each allows, and that the two agree."""
+"""The guard and the run-time check: tables of what each allows, and that they agree."""
 
 from __future__ import annotations
 
@@ -38,12 +38,13 @@
 HOP = EndpointAddress("h", "127.0.0.1", 1)
 
 
-def grade(semantics: str, group: str = "all") -> MessageClass:
+def message_class(semantics: str, group: str = "all") -> MessageClass:
     return MessageClass(2.0, 12.0, semantics, group, WINDOW_S, False, 1.0, 0.2)
 
 
 IDEMPOTENT, KEYED, ZONED, ONCE = (
-    grade("idempotent"), grade("deduplicated"), grade("deduplicated", "zone"), grade("at_most_once"),
+    message_class("idempotent"), message_class("deduplicated"), message_class("deduplicated", "zone"),
+    message_class("at_most_once"),
 )  # fmt: skip
 
 
@@ -53,7 +54,7 @@
     return MessageState(expires, kind, ran)
 
 
-def test_a_permit_ends_with_the_earliest_of_what_it_rests_on() -> None:
+def test_a_permit_ends_with_the_first_of_its_conditions() -> None:
     assert permit_send(message(), READY, 108.0, NOW) == SendPermit(108.0)
     assert permit_send(message(expires=105.0), READY, 108.0, NOW) == SendPermit(105.0)
     repeat = permit_send(message(KEYED, (96.0, 0), (98.0, 0)), READY, 108.0, NOW)
@@ -69,7 +70,7 @@
 def test_an_endpoint_that_may_not_be_called(endpoint: EndpointState, why: Refusal) -> None:
     assert permit_send(message(), endpoint, 108.0, NOW) is why
     assert holds(SendPermit(108.0), endpoint, False, NOW) is why
-    later = holds(SendPermit(108.0), endpoint, True, NOW)  # what has begun goes on, but not within a wait
+    later = holds(SendPermit(108.0), endpoint, True, NOW)  # a begun call continues, but not within a wait
     assert later is (why if why is Refusal.WAIT_REQUIRED else None)
 
 
@@ -86,12 +87,12 @@
     assert permit_send(state, READY, 108.0, NOW) is why
 
 
-def test_a_call_that_is_over_is_not_begun_and_a_permit_that_is_over_does_not_hold() -> None:
+def test_a_finished_call_is_not_begun_and_an_expired_permit_does_not_hold() -> None:
     assert permit_send(message(), READY, NOW, NOW) is Refusal.CALL_FINISHED
     assert holds(SendPermit(NOW), READY, True, NOW) is Refusal.CALL_FINISHED
 
 
-def test_repeats_without_harm_have_no_end() -> None:
+def test_harmless_repeats_have_no_time_limit() -> None:
     assert repeat_until(IDEMPOTENT, [(1.0, 0)], 1) == math.inf
     assert repeat_until(ONCE, [], 0) == repeat_until(None, [], 0) == math.inf
 
@@ -99,7 +100,7 @@
 @pytest.mark.parametrize(("kind", "harmless"), [
     (IDEMPOTENT, True), (KEYED, True), (ZONED, False), (ONCE, False), (None, False),
 ])  # fmt: skip
-def test_what_may_have_run_is_handed_back_only_where_that_is_harmless(
+def test_a_message_that_may_have_run_is_rejected_only_where_a_repeat_is_harmless(
     kind: MessageClass | None, harmless: bool
 ) -> None:
     assert may_reject(kind, True) is harmless
@@ -112,7 +113,7 @@
     assert may_accept(True, UNREAD_JOURNAL_S)
 
 
-def test_an_end_is_told_once_it_is_on_record_or_nobody_sends_the_message_any_more() -> None:
+def test_an_outcome_is_reported_once_it_is_on_record_or_the_message_has_expired() -> None:
     assert may_tell_end(True, NOW + 1.0, NOW)
     assert not may_tell_end(False, NOW + 1.0, NOW)
     assert may_tell_end(False, NOW, NOW)
@@ -121,8 +122,8 @@
 # The run-time check
 
 
-class Watched(SendMonitor):
-    """A monitor that keeps what it found, with one endpoint that is ready."""
+class RecordingMonitor(SendMonitor):
+    """A monitor that keeps its violations, with one ready endpoint."""
 
     def __init__(self) -> None:
         self.found: list[Violation] = []
@@ -140,8 +141,8 @@
 
 @pytest.mark.violates
 @pytest.mark.parametrize("how", ["drains", "absent", "moved", "never listed"])
-def test_a_first_byte_past_the_grace_counts(how: str) -> None:
-    monitor = Watched()
+def test_a_first_byte_after_the_grace_period_counts(how: str) -> None:
+    monitor = RecordingMonitor()
     other = EndpointAddress("h", "127.0.0.1", 2)
     match how:
         case "drains":
@@ -170,10 +171,10 @@
     (None, 0.1, 0, [Rule.DUPLICATE]),
 ])  # fmt: skip
 @pytest.mark.parametrize("restored", [False, True])
-def test_a_repeat_that_the_class_does_not_allow_counts(
+def test_a_repeat_not_allowed_by_the_message_class_counts(
     kind: MessageClass | None, after: float, zone: int, rules: list[Rule], restored: bool
 ) -> None:
-    monitor = Watched()
+    monitor = RecordingMonitor()
     if restored:
         monitor.restored("m", [(NOW, 0)])
     else:
@@ -183,8 +184,8 @@
     assert monitor.rules == rules
 
 
-def test_what_never_ran_may_be_sent_again() -> None:
-    monitor = Watched()
+def test_a_message_that_never_ran_may_be_sent_again() -> None:
+    monitor = RecordingMonitor()
     monitor.send(ONCE, NOW)
     monitor.outcome("m", never_ran=True)
     monitor.send(ONCE, NOW + 1)
@@ -192,8 +193,8 @@
 
 
 @pytest.mark.violates
-def test_an_end_that_is_told_before_it_is_on_record_counts() -> None:
-    monitor = Watched()
+def test_an_outcome_reported_before_it_is_on_record_counts() -> None:
+    monitor = RecordingMonitor()
     monitor.outcome_reported("m", True, NOW + 1.0, NOW)
     monitor.outcome_reported("m", False, NOW, NOW)
     assert monitor.rules == []
@@ -202,22 +203,22 @@
 
 
 @pytest.mark.violates
-def test_the_other_rules_count() -> None:
-    monitor = Watched()
+def test_violations_of_the_other_rules_count() -> None:
+    monitor = RecordingMonitor()
     monitor.send(IDEMPOTENT, NOW)
     monitor.send(IDEMPOTENT, NOW + 0.1)
     assert monitor.rules == [Rule.CONCURRENT_CALLS]
-    monitor = Watched()
+    monitor = RecordingMonitor()
     monitor.wait_required(7, NOW, NOW + 1)
     monitor.send(IDEMPOTENT, NOW + 0.05)
     assert monitor.rules == []
     monitor.outcome("m", never_ran=True)
     monitor.send(IDEMPOTENT, NOW + 0.5)
     assert monitor.rules == [Rule.WAIT]
-    monitor = Watched()
+    monitor = RecordingMonitor()
     monitor.send(IDEMPOTENT, NOW, expires=NOW - PAUSE_ALLOWANCE_S - 0.01)
     assert monitor.rules == [Rule.LATE]
-    monitor = Watched()
+    monitor = RecordingMonitor()
     monitor.last_byte([SentMessage("m", ONCE, 1e9, False)], 0, 7, NOW)
     assert monitor.rules == [Rule.NOT_ON_RECORD]
     monitor.rejected("m", ONCE)
@@ -235,19 +236,19 @@
         max_size=8,
     ),
 )
-def test_what_the_guard_lets_through_is_never_counted(
+def test_a_send_permitted_by_the_guard_is_never_a_violation(
     kind: MessageClass, steps: list[tuple[float, int, bool, float]]
 ) -> None:
-    """Also where the sender is held up between its look and its write for as long as the pages allow."""
-    monitor, ran, now = Watched(), list[tuple[float, int]](), NOW
-    for pause, zone, never_ran, held_up in steps:
-        now += pause
+    """Even if the sender pauses between its check and its write for as long as the pages allow."""
+    monitor, ran, now = RecordingMonitor(), list[tuple[float, int]](), NOW
+    for idle_s, zone, never_ran, paused_s in steps:
+        now += idle_s
         state = MessageState(1e9, kind, ran)
         permit = permit_send(state, EndpointState(True, zone), 1e9, now)
         if isinstance(permit, Refusal):
             continue
         began = now
-        now += held_up
+        now += paused_s
         if not never_ran:
             ran.append((began, zone))
         monitor.send(kind, now, zone)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire of the decision module: batches of bytes to events, actions to bytes, and its process."""
+"""The codec of the decision module: bytes to events, actions to bytes, and the adapter process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 CLOCK = bytes.fromhex("508d976e12d32040")
 
 
-def test_events_of_a_batch() -> None:
+def test_events_of_a_batch_are_decoded() -> None:
     body = bytes.fromhex(
         "110300c4913a5d0000cba145b6f34d21400100fa7e6abc7493883f"
         + "00006442"
@@ -38,7 +38,7 @@
     assert events[2][1] == i.Withdrawn(0x0E6F2B19)
 
 
-def test_list_and_targets() -> None:
+def test_a_list_and_its_targets_are_decoded() -> None:
     lists: dict[int, tuple[i.Entry, ...]] = {}
     body = bytes.fromhex(
         "100000000002000000"
@@ -54,7 +54,7 @@
     assert event.entries[1].zone == 1 and event.entries[1].boot_time == pytest.approx(6.1)
 
 
-def test_response() -> None:
+def test_a_response_is_decoded() -> None:
     body = bytes.fromhex("120300c4913a5d8b6ce7fba9f1923f0a124a07431fc80000010000000000")
     ((_, event),) = wire.decode(body, 1, {})
     assert isinstance(event, i.Response)
@@ -80,11 +80,11 @@
         (i.MemoTo(0xFFFFFFFF, b"hi 7"), "520300ffffffff040068692037"),
     ],
 )
-def test_actions(action: i.Action, expected: str) -> None:
+def test_actions_are_encoded(action: i.Action, expected: str) -> None:
     assert wire.encode(3, action).hex() == expected
 
 
-def test_malformed() -> None:
+def test_malformed_frames_are_reported() -> None:
     with pytest.raises(wire.WireError, match="unknown record code 99"):
         list(wire.decode(b"\x63", 1, {}))
     with pytest.raises(wire.WireError, match="cut short"):
@@ -103,14 +103,14 @@
     )
 
 
-def born(node: int, env: object) -> bytes:
+def node_started(node: int, env: object) -> bytes:
     text = json.dumps(env).encode()
     return b"\x18" + struct.pack("<HQI", node, 9, len(text)) + text
 
 
 def test_adapter_over_pipes() -> None:
     entry = struct.pack("<BdfBHH6s", 2, 0.0, 0.0, 0, 57, 0, bytes.fromhex("0a124a07431f"))
-    first = born(3, settings(unknown={"a": 1})) + b"\x10" + struct.pack("<II", 0, 1) + entry
+    first = node_started(3, settings(unknown={"a": 1})) + b"\x10" + struct.pack("<II", 0, 1) + entry
     first += b"\x15" + struct.pack("<HBQI", 3, 2, 41, 0)
     second = b"\x11" + struct.pack("<HIHdHdfBQ", 3, 1234, 0, 12.0, 0, 0.0, 57.0, 0, 0)
     down = b"\x19" + struct.pack("<H", 3)
@@ -123,9 +123,9 @@
     assert done.stdout[-12:] == struct.pack("<III", 0, 12, 4)
 
 
-def test_adapter_tells_what_is_wrong() -> None:
+def test_adapter_reports_malformed_input_and_bad_settings() -> None:
     assert b"INTERNAL" not in run_adapter(b"").stdout
     cut = run_adapter(frame(b"\x16\x03", 1, 1))
     assert cut.returncode != 0 and b"cut short" in cut.stderr
-    fault = run_adapter(frame(born(3, {"balancers": "two"}), 1, 1))
+    fault = run_adapter(frame(node_started(3, {"balancers": "two"}), 1, 1))
     assert fault.returncode == 0 and b"ValueError: setting" in fault.stdout
