--- a/rillspindle/interface.py
+++ b/rillspindle/interface.py
@@ -48,7 +48,7 @@
 
     readiness: int
     boot_time: float
-    scale: float
+    scale: float  # its limit, calls/s; 0: not listed
     zone: int
     owner: int  # the destination
     kind: int
@@ -266,17 +266,17 @@
     may_duplicate: bool
     cancel: bool
     probes: bool
-    workers: int
-    kind_batch: tuple[int, ...]
-    routes_apart: tuple[bool, ...]
+    workers: int  # slots: calls in flight at most
+    kind_batch: tuple[int, ...]  # most messages of a call, by kind of endpoint
+    routes_apart: tuple[bool, ...]  # whether each endpoint has its own route, by kind
     value_halves: bool
     ask_within: float
     drain_grace: float  # s after the notice of a drain in which calls to the endpoint may still begin
-    cold: float
+    cold: float  # until a cold destination has its full capacity
     fall: float
     fall_multiple: float
-    start_capacity: float
-    turn_gap: float
+    start_capacity: float  # share of its capacity that a cold destination has at first
+    turn_gap: float  # after a lost attempt, before the next message of its key
     weights: str
     report_fields: tuple[str, ...]
     ramp: bool  # whether a destination must show its capacity at the start, whatever limit is listed
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -14,7 +14,7 @@
 from rillspindle.interface import Outcome, Readiness
 from rillspindle.state import Call, Dest, Endpoint, Message, Route
 
-FAIL_WINDOW_S = 1.0  # short, as the paper's "Future" suggests: a trial costs one message, no trial many
+FAIL_WINDOW_S = 1.0  # short, as the paper's "Future" suggests: a trial costs one message, missing ones many
 TRIAL_SHARE = 0.5  # of a cold destination's capacity; the rest is for nodes not yet aware of the outage
 JITTER_SHARE = 0.25  # by which windows and retries are spread, so that nodes don't retry together
 INITIAL_RTT_S = 0.5  # assumed response time of an endpoint that has not answered yet
@@ -35,10 +35,10 @@
 SLOW_START_FACTOR = 1.1  # times this node's share of a slow start: healthy rates leave capacity unused
 SCARCE_SHARE = 0.75  # of the slots in use, from which a call without an answer delays other messages
 DEST_SHARE = 0.5  # of the slots, and of the queued messages, for one destination at most
-OPEN_SHARE = 0.9  # of the messages allowed at once; past it messages of every destination are rejected
+OPEN_SHARE = 0.9  # of the messages allowed at once: at the maximum every destination is rejected
 RETRY_DELAY_S = 0.3  # before the retry after an error; doubles with each attempt
-NODES_PER_SLOT = 4  # above this ratio retries fill limits, and each node sees few outcomes of one endpoint
-NODES_PER_CONNECTION = 16  # above this ratio of nodes to slots idle connections fill an endpoint's table
+NODES_PER_SLOT = 4  # above this ratio retries fill limits, and each node sees few of the outcomes
+NODES_PER_CONNECTION = 16  # above this ratio idle connections of the nodes fill an endpoint's table
 LIST_CALL_S = 0.2  # of discovery's time that a node leaves to each of the others after a failed list call
 QUEUE_SCAN = 256  # queued messages compared at once, each of the oldest and of the newest
 PROTECTED_SHARE = 0.7  # of its time in which an accepted message that has not run is not abandoned
@@ -60,7 +60,7 @@
         self.key_free_at: dict[int, float] = {}
         self.min_rate = MIN_SEND_RATE / self.settings.balancers
         self.many_nodes = self.settings.balancers > NODES_PER_SLOT * self.settings.workers
-        self.used_slots = self.watch_failures = self.log_lines = 0  # `watch_failures`: consecutive ones
+        self.used_slots = self.watch_failures = self.log_lines = 0  # `watch_failures`: in a row
         self.starved = False  # a message could be sent if a slot were free
         self.now = self.started_at = 0.0
         self.actions: list[io.Action] = []
@@ -251,9 +251,9 @@
         """Calls/s of this node that a cold destination can serve; without a known limit two per RTT."""
         return max(self.settings.start_capacity * ep.route.limit or 2 / INITIAL_RTT_S, self.min_rate)
 
-    def _interval(self, ep: Endpoint, part: float = 1.0) -> float:
+    def _interval(self, ep: Endpoint, share: float = 1.0) -> float:
         """Seconds to the next call. A ramp grows meanwhile: a rare sender would hardly learn otherwise."""
-        rate, ramp = max(self._rate_cap(ep), self.min_rate) / part, ep.route.ramp
+        rate, ramp = max(self._rate_cap(ep), self.min_rate) / share, ep.route.ramp
         return math.log1p(ramp / rate) / ramp if ramp else 1 / rate
 
     def _demand(self, dest: Dest) -> float:
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -32,9 +32,7 @@
     LATE = "late"  # a last byte after the message expired
     NOT_ON_RECORD = "not-on-record"  # a call of a message that is not in the journal
     UNSAFE_REJECTION = "handed-back"  # rejected as harmless to submit again, but it may have run
-    END_NOT_ON_RECORD = (
-        "end-not-on-record"  # an outcome reported although the next process would send the message
-    )
+    END_NOT_ON_RECORD = "end-not-on-record"  # an outcome reported that the next process would not know
 
 
 class Violation(NamedTuple):
