--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -405,8 +405,8 @@
 
     def _retry(self, msg: Message, outcome: int) -> None:
         """Queue a message for a further attempt, or abandon it where none is allowed or useful."""
-        over = msg.maybe_ran and msg.message_class.semantics == "at_most_once"
-        if over or msg.attempts >= self.settings.attempts_cap or self._last_useful_at(msg) <= self.now:
+        no_repeat = msg.maybe_ran and msg.message_class.semantics == "at_most_once"
+        if no_repeat or msg.attempts >= self.settings.attempts_cap or self._last_useful_at(msg) <= self.now:
             self._abandon(msg)
         else:
             if outcome == Outcome.ERROR:
@@ -494,20 +494,20 @@
             route.reduced_at = self.now
             rate = route.calls_since(self.now - RATE_SPAN_S) / RATE_SPAN_S
             rate = max(self.min_rate, RATE_CUT * (rate if route.rate_limit == math.inf else route.rate_limit))
-            # one of many nodes sees too few rejections to tell a lower limit from a burst: it goes below it
+            # with few rejections per node a lower limit looks like a burst: many nodes go below the floor
             if route.ramp or self.now - route.reject_since > self.settings.fall + CHANCE_FAILURES / (
                 route.limit or rate
             ):
                 route.ramp = CAREFUL_RAMP_RATE  # longer than a limit takes to recover: floors may prolong it
             floor = 0.0 if route.ramp else route.limit * (1 - self.settings.ramp * route.reject_share)
             route.rate_limit = max(floor * (RATE_CUT if self.many_nodes else 1.0), rate)
-        # random, as many nodes are rejected or told to wait at the same time
+        # random, as many nodes are rejected or have to wait at the same time
         rest = (1 + self.many_nodes) * self.random.random() / max(route.rate_limit, self.min_rate)
         route.next_at = max(route.next_at, max(self.now, route.wait_until) + rest)
 
     def _on_failure(self, call: Call, fatal: bool) -> None:
         """Record a failure; a fatal one marks the endpoint down. If the route answered recently, a first one
-        may be chance: its trial follows at once, after a second in part of a fail window, then in a full one.
+        may be chance: its trial is due at once, after a second in part of the window, after a third in all.
         """
         ep, route = call.ep, call.ep.route
         ep.fail_share, ep.failures = ep.fail_share + FAILURE_GAIN * (1 - ep.fail_share), ep.failures + fatal
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -86,12 +86,12 @@
 
     # Notifications
 
-    def list_applied(self, whole: bool, states: Iterable[tuple[EndpointAddress, bool]], now: float) -> None:
-        """A list was applied: endpoints and whether each is ready. A full list (`whole`) names all."""
+    def list_applied(self, full: bool, states: Iterable[tuple[EndpointAddress, bool]], now: float) -> None:
+        """A list was applied: endpoints and whether each is ready. A full list names all."""
         named = dict(states)
         ids = {endpoint.id for endpoint in named}
         gone = [
-            endpoint for endpoint in self._ready if endpoint not in named and (whole or endpoint.id in ids)
+            endpoint for endpoint in self._ready if endpoint not in named and (full or endpoint.id in ids)
         ]
         for endpoint in [*gone, *(endpoint for endpoint, ready in named.items() if not ready)]:
             self._ready.discard(endpoint)
