--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -114,7 +114,7 @@
 def _backlog_answer(count: int) -> Sample:
     """A message comes, a call is answered, and the next message goes: the backlog stays."""
     policy, fresh = _backlogged(count)
-    out = [number for number, message in policy.msgs.items() if message.out]
+    out = [number for number, message in policy.messages.items() if message.in_flight]
 
     def one() -> None:
         policy.handle(incoming(fresh(), 0, _NOW), _NOW)
@@ -127,7 +127,7 @@
 def _backlog_arrival(count: int) -> Sample:
     """A message comes for it while there are slots, but none for one destination alone."""
     policy, fresh = _backlogged(count)
-    policy.set = replace(policy.set, workers=3)
+    policy.settings = replace(policy.settings, workers=3)
     return lambda: timed(lambda: policy.handle(incoming(fresh(), 0, _NOW), _NOW))
 
 
@@ -154,7 +154,7 @@
           axis=Axis.MESSAGES, sizes=_BACKLOG, repeats=3),
     Probe("policy-backlog-answer", _backlog_answer, "rillspindle.policy.Policy._slot_worth, _pump",
           axis=Axis.MESSAGES, sizes=_BACKLOG),
-    Probe("policy-backlog-arrival", _backlog_arrival, "rillspindle.policy.Policy._pump (list of dest.held)",
+    Probe("policy-backlog-arrival", _backlog_arrival, "rillspindle.policy.Policy._pump (list of dest.queued)",
           axis=Axis.MESSAGES, sizes=_BACKLOG),
     Probe("policy-held-memory", _held_memory, "rillspindle.state.Message",
           axis=Axis.MESSAGES, sizes=_BACKLOG, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
--- a/benchmarks/slow_start_model.py
+++ b/benchmarks/slow_start_model.py
@@ -290,12 +290,12 @@
         attempt = sender.attempts.get(issue.msg_id, 0)
         sender.attempts[issue.msg_id] = attempt + 1
         call.messages.append((issue.msg_id, attempt))
-        call.give_up_after = max(call.give_up_after, issue.give_up_after)
+        call.give_up_after = max(call.give_up_after, issue.timeout)
 
     def _on_offer(self, offered: float) -> None:
         place = self._draw.choices(range(self.scene.senders), self._shares)[0]
         grade = self._draw.randrange(2)
-        deadline = self.senders[place].policy.set.grades[grade].deadline
+        deadline = self.senders[place].policy.settings.message_classes[grade].deadline
         self._on_again(_Message(place, self.now + deadline, grade))
         self._at(self.now + self._draw.expovariate(offered), "offer", offered)
 
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -38,7 +38,7 @@
         began: float,
     ) -> None:
         """`began`: when the process did, on the sender's clock in seconds."""
-        self.rules, self.names = policy.set, names
+        self.rules, self.names = policy.settings, names
         self.gate: Gate | None = None  # where tenants are counted
         # Discovery has told this process of the whole list, or that the known one holds.
         self.list_told = False
@@ -67,7 +67,7 @@
             return End(Status.DEFERRED)
         if (known := self.known(one)) is not None:
             return known
-        if not send_guard.may_take_on(bool(self._journal.unread), now - self._began):
+        if not send_guard.may_accept(bool(self._journal.unread), now - self._began):
             return End(Status.DEFERRED, _ASK_AGAIN_MS)
         if self.cut_off():
             self._counts["refused", "cut-off"] += 1
@@ -78,7 +78,7 @@
         if one.dest not in self._table.listed:
             # Until discovery has spoken, the destination may be newer than the last process's list.
             return End(Status.UNDELIVERABLE) if self.list_told else End(Status.DEFERRED, _ASK_AGAIN_MS)
-        if len(self._policy.msgs) >= self.rules.max_open or not self._journal.room(len(one.body)):
+        if len(self._policy.messages) >= self.rules.max_open or not self._journal.room(len(one.body)):
             return End(Status.DEFERRED)
         return self._refused_by_limits(one, now)
 
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -25,7 +25,7 @@
 from rillspindle import send_guard
 from rillspindle.interface import Outcome
 from rillspindle.send_guard import Refusal, SendPermit
-from rillspindle.send_monitor import Place, SendMonitor, SentMessage
+from rillspindle.send_monitor import EndpointAddress, SendMonitor, SentMessage
 
 log = logging.getLogger("mountgauge.sender")
 
@@ -83,7 +83,7 @@
             return
         stored = held.stored
         item = Item(held.number, send_no, stored.id, stored.key, stored.grade, stored.body, held.expires)
-        give_up_at = now + max(0.0, action.give_up_after)
+        give_up_at = now + max(0.0, action.timeout)
         if (full := calls.full(hop)) is not None:
             self.start(full)
         held.call = calls.add(item, hop, give_up_at)
@@ -186,7 +186,7 @@
         now, hop = self._clock.now(), call.hop
         if begun:
             ids = [item.id for item in call.sent]
-            self._monitor.first_byte(ids, Place(hop.id, hop.host, hop.port), now)
+            self._monitor.first_byte(ids, EndpointAddress(hop.id, hop.host, hop.port), now)
         if complete and call.lease is not None:
             messages = [
                 SentMessage(
@@ -210,7 +210,7 @@
             if result.wait > 0:
                 limit = self.state.limit(call.hop)
                 self._waits[limit] = max(self._waits.get(limit, 0.0), now + result.wait)
-                self._monitor.wait_told(limit, now, now + result.wait)
+                self._monitor.wait_required(limit, now, now + result.wait)
                 if self.on_wait is not None:
                     self.on_wait()
             held = self._held.get(item.number)
--- a/mountgauge/core/ends.py
+++ b/mountgauge/core/ends.py
@@ -47,7 +47,7 @@
     def _tell_if_allowed(self, held: Held, end: End, on_record: bool) -> None:
         now = self._now()
         if send_guard.may_tell_end(on_record, held.expires, now):
-            self._monitor.end_told(held.stored.id, on_record, held.expires, now)
+            self._monitor.outcome_reported(held.stored.id, on_record, held.expires, now)
             self.tell(held, end)
             return
         self._untold[held.number] = held, end
@@ -74,7 +74,7 @@
             return end
         out = held.call is not None and any(item.number == held.number for item in held.call.sent)
         grade = self._state.grades.get(held.stored.grade)
-        if send_guard.may_hand_back(grade, out or bool(held.stored.ran)):
+        if send_guard.may_reject(grade, out or bool(held.stored.ran)):
             return end
         self._counts["withheld", send_guard.Refusal.MAY_HAVE_RUN] += 1
         return End(Status.UNDELIVERABLE)
@@ -97,7 +97,7 @@
 
         self._counts["end", end.status.value] += 1
         if end.status is Status.DEFERRED:
-            self._monitor.handed_back(held.stored.id, self._state.grades.get(held.stored.grade))
+            self._monitor.rejected(held.stored.id, self._state.grades.get(held.stored.grade))
         self._front(held).tell(held.stored.id, end, told)
 
     def drop(self, held: Held) -> None:
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -24,7 +24,7 @@
         self, rules: io.Settings, table: HopTable, journal: Journal, held: HeldMessages, waits: Waits
     ) -> None:
         self.rules = rules
-        self.grades: Mapping[str, io.Grade] = {}  # by the classes' names
+        self.grades: Mapping[str, io.MessageClass] = {}  # by the classes' names
         self.list_lease: LeaseCheck | None = None  # of the source of lists; None: they need none
         self.stopped = False  # nothing new is sent
         self._table, self._journal, self._held, self._waits = table, journal, held, waits
@@ -52,7 +52,7 @@
         """A message of a call; one that is not held any more has ended."""
         held = self._held.get(item.number)
         if held is None:
-            return MessageState(item.expires, None, (), ended=True)
+            return MessageState(item.expires, None, (), finished=True)
         return MessageState(
             item.expires,
             self.grades.get(item.grade),
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -39,7 +39,7 @@
 from rillspindle import Policy
 from rillspindle import interface as io
 from rillspindle.interface import ListKind
-from rillspindle.send_monitor import Place, SendMonitor, Violation
+from rillspindle.send_monitor import EndpointAddress, SendMonitor, Violation
 
 log = logging.getLogger("mountgauge.sender")
 
@@ -62,7 +62,7 @@
         clock: Clock,
         fronts: Mapping[str, SenderSide],
     ) -> None:
-        self.policy, self.rules, self.names = policy, policy.set, names
+        self.policy, self.rules, self.names = policy, policy.settings, names
         self.journal, self.clock, self.fronts = journal, clock, fronts
         self.map: MapSource
         self.table = HopTable(self.rules.balancers)
@@ -74,7 +74,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()  # for metrics: ends and outcomes
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
         state = SendState(self.rules, self.table, journal, self.held, self.waits)
-        state.grades = dict(zip(names.grades, self.rules.grades, strict=False))
+        state.grades = dict(zip(names.grades, self.rules.message_classes, strict=False))
         self.ends = MessageEnds(journal, self.held, fronts, self.counts, state, self.monitor, clock.now)
         self.attempts = Attempts(
             state, clock, journal, self.table, self.held, self.waits, self.counts, self.monitor,
@@ -175,13 +175,13 @@
         that the module holds.
         """
         found = Counter((call.hop.entry.owner, call.hop.id) for call in self.attempts.parked)
-        msgs, dests = self.policy.msgs, self.policy.dests
+        msgs, dests = self.policy.messages, self.policy.destinations
         if len(msgs) < len(dests):
-            found.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.held)
+            found.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.queued)
         else:
             for dest in dests.values():
-                if dest.held:
-                    found[dest.id, ""] = len(dest.held)
+                if dest.queued:
+                    found[dest.id, ""] = len(dest.queued)
         return found
 
     def admit(self, call: Call, items: list[Item]) -> list[Item]:
@@ -289,8 +289,10 @@
         now = self.clock.now()
         whole = how != ListKind.DELTA
         change = self.table.learn(update, whole, now)
-        states = ((Place(*hop[:3]), hop.entry.readiness == io.Readiness.READY) for hop in update.hops)
-        self.monitor.listed(whole, states, now)
+        states = (
+            (EndpointAddress(*hop[:3]), hop.entry.readiness == io.Readiness.READY) for hop in update.hops
+        )
+        self.monitor.list_applied(whole, states, now)
         for hop_id in change.closing:
             self.next_hops.close_idle(hop_id)
         self.version = update.version
@@ -318,10 +320,10 @@
 
     def retune(self, rules: io.Settings, names: Names) -> None:
         """New settings from a reread file: messages under way keep the class that the module gave them."""
-        self.policy.set = self.rules = self.attempts.state.rules = self.admission.rules = rules
+        self.policy.settings = self.rules = self.attempts.state.rules = self.admission.rules = rules
         self.table.balancers = rules.balancers
         self.names = self.admission.names = names
-        self.attempts.state.grades = dict(zip(names.grades, rules.grades, strict=False))
+        self.attempts.state.grades = dict(zip(names.grades, rules.message_classes, strict=False))
         self.monitor.drain_grace_s = rules.drain_grace
 
     def maintain(self, detached: set[str]) -> None:
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -67,7 +67,7 @@
         if on:
             self._watch.start(self._now())
             if self._evidence is not None:
-                self._evidence.began(self._now())
+                self._evidence.started(self._now())
         else:
             self._watch.stop(self._now())
         self._step()
@@ -202,7 +202,7 @@
             case Failure.SPOILT:
                 self._evidence.answer_lost(now)
             case Failure.REFUSED:
-                self._evidence.dial_refused(now)
+                self._evidence.connection_refused(now)
             case Failure.UNREACHED:
                 self._evidence.unanswered()
             case Failure.BUSY | Failure.BROKEN:
--- a/mountgauge/recovery/destinations.py
+++ b/mountgauge/recovery/destinations.py
@@ -12,15 +12,15 @@
 
 def held_up(policy: Policy, route: Route, now: float) -> bool:
     """Whether most calls have been refused for longer than a limit takes to recover."""
-    turns = 2 / max(route.limit or route.pace, policy.pace_least)
-    return route.full > _MOSTLY and now - route.full_since > policy.set.fall + turns
+    turns = 2 / max(route.limit or route.rate_limit, policy.min_rate)
+    return route.reject_share > _MOSTLY and now - route.reject_since > policy.settings.fall + turns
 
 
 def _state(policy: Policy, dest: Dest, route: Route, now: float) -> DestinationState:
     if held_up(policy, route, now):
         return DestinationState.HELD_UP
-    asked = dest.taken / max(now - policy.born, 8.0)
-    if not route.ramp or (not dest.held and route.pace >= 2 * asked):
+    asked = dest.accepted / max(now - policy.started_at, 8.0)
+    if not route.ramp or (not dest.queued and route.rate_limit >= 2 * asked):
         return DestinationState.SHOWN
     return DestinationState.RAMPING
 
@@ -40,11 +40,11 @@
     """The destinations that are asked for: the worst of each one's routes."""
     found: dict[int, DestinationState] = {}
     order = [DestinationState.SHOWN, DestinationState.RAMPING, DestinationState.HELD_UP]
-    for dest in policy.dests.values():
-        if not dest.held and not _called(dest):
+    for dest in policy.destinations.values():
+        if not dest.queued and not _called(dest):
             continue
         routes = [one for one in routes_of(dest) if one.calls or one is dest.route]
         last = max((one.calls[-1] for one in routes if one.calls), default=-1e9)
-        if dest.held or now - last < _ASKED_S:
+        if dest.queued or now - last < _ASKED_S:
             found[dest.id] = max((_state(policy, dest, one, now) for one in routes), key=order.index)
     return found
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -236,15 +236,15 @@
         sender = self.runtime.sender
         now, wall, policy = stamp.monotonic, stamp.wall, sender.policy
         rules, origin = sender.rules, self.identity.id
-        lasts = wall + bounds.remembered(max(grade.deadline for grade in rules.grades), rules.cold)
+        lasts = wall + bounds.remembered(max(grade.deadline for grade in rules.message_classes), rules.cold)
         found = [Fact("list", "", sender.version, wall, origin, wall + 86_400)] if sender.version >= 0 else []
-        for dest in policy.dests.values():
+        for dest in policy.destinations.values():
             route = dest.route
             if route.wait_until > now:
                 until = round(wall + route.wait_until - now, 1)
                 found.append(Fact("wait", str(dest.id), until, until - route.wait_until + now, origin, until))
-            if route.limit and route.pace < 0.5 * route.limit:
-                found.append(Fact("pace", str(dest.id), round(route.pace, 3), wall, origin, lasts))
+            if route.limit and route.rate_limit < 0.5 * route.limit:
+                found.append(Fact("pace", str(dest.id), round(route.rate_limit, 3), wall, origin, lasts))
         return found
 
     def _remember(self) -> None:
--- a/tests/test_list_changes.py
+++ b/tests/test_list_changes.py
@@ -1,4 +1,4 @@
-"""A change of the list costs what it changes, and decides what the plain way over the whole list decides."""
+"""A change of the list touches only what it changes, with the same decisions as a pass over the full list."""
 
 from __future__ import annotations
 
@@ -15,68 +15,72 @@
 from rillspindle import interface as io
 from rillspindle.catalog import SWEEP, Catalog
 from rillspindle.interface import ListKind, Outcome, Readiness
-from rillspindle.policy import FIRST_USUAL, FORGET, RAMP, WEIGHT_TRUST
+from rillspindle.policy import FORGET_FACTOR, INITIAL_RTT_S, LIMIT_TRUST, RAMP_RATE
 from rillspindle.state import Dest, Endpoint, Message, Route
 from tests.settings import settings
 
 
-class PlainPolicy(Policy):
-    """Goes over every destination and every endpoint on each change: the reference."""
+class ReferencePolicy(Policy):
+    """The reference: visits every destination and every endpoint on each change."""
 
     def _list(self, event: io.Targets) -> None:
-        if event.how == io.ListKind.FAILED:
+        if event.kind == io.ListKind.FAILED:
             super()._list(event)
             return
-        if event.how == io.ListKind.CACHED and self.set.subscribe:
-            self.out.append(io.Watch(True))
-        elif event.how != io.ListKind.CACHED:
-            self.watch_tries = 0
-        if event.how != io.ListKind.DELTA:
+        if event.kind == io.ListKind.CACHED and self.settings.subscribe:
+            self.actions.append(io.Watch(True))
+        elif event.kind != io.ListKind.CACHED:
+            self.watch_failures = 0
+        if event.kind != io.ListKind.DELTA:
             listed = {entry.endpoint for entry in event.entries}
-            self.eps = {name: ep for name, ep in self.eps.items() if name in listed}
+            self.endpoints = {name: ep for name, ep in self.endpoints.items() if name in listed}
         for entry in event.entries:
             if entry.readiness == Readiness.GONE:
-                self.eps.pop(entry.endpoint, None)
+                self.endpoints.pop(entry.endpoint, None)
                 continue
             dest = self.catalog.dest(entry.owner)
-            route = Route() if self.set.routes_apart[entry.kind] else dest.route
-            new = Endpoint(entry.endpoint, entry.zone, entry.kind, dest, route, FIRST_USUAL, FIRST_USUAL / 2)
-            if (ep := self.eps.setdefault(entry.endpoint, new)) is new:
-                route.window_end, route.misses = 0.0, 0
-                route.pace = max(route.pace, route.limit * (not route.ramp))
+            route = Route() if self.settings.routes_apart[entry.kind] else dest.route
+            new = Endpoint(
+                entry.endpoint, entry.zone, entry.kind, dest, route, INITIAL_RTT_S, INITIAL_RTT_S / 2
+            )
+            if (ep := self.endpoints.setdefault(entry.endpoint, new)) is new:
+                route.window_end, route.failures = 0.0, 0
+                route.rate_limit = max(route.rate_limit, route.limit * (not route.ramp))
             ep.ready = entry.readiness == Readiness.READY
-            if self.set.weights in ("nominal", "rough") and entry.scale > 0:
-                sure = 1.0 if self.set.weights == "nominal" else WEIGHT_TRUST
-                ep.route.limit = sure * entry.scale / self.set.balancers
-                if self.many and ep.route.pace == float("inf"):
-                    ep.route.pace = ep.route.limit
-            if self.set.ramp and not ep.route.ramp and ep.route.rate_at == -float("inf"):
-                ep.route.ramp = RAMP
+            if self.settings.weights in ("nominal", "rough") and entry.scale > 0:
+                trust = 1.0 if self.settings.weights == "nominal" else LIMIT_TRUST
+                ep.route.limit = trust * entry.scale / self.settings.balancers
+                if self.many_nodes and ep.route.rate_limit == float("inf"):
+                    ep.route.rate_limit = ep.route.limit
+            if self.settings.ramp and not ep.route.ramp and ep.route.answered_at == -float("inf"):
+                ep.route.ramp = RAMP_RATE
                 ep.route.cold_since = self.now if ep.route.limit else -float("inf")
-                ep.route.pace = min(ep.route.pace, self._ramp_start(ep))
-                ep.route.next_at = self.now + self._turn(ep, self.random.random())
-        named = {ep.dest.id for ep in self.eps.values()} | {msg.dest.id for msg in self.msgs.values()}
-        for dest in list(self.dests.values()):
-            dest.endpoints = [ep for ep in self.eps.values() if ep.ready and ep.dest is dest]
+                ep.route.rate_limit = min(ep.route.rate_limit, self._ramp_start(ep))
+                ep.route.next_at = self.now + self._interval(ep, self.random.random())
+        named = {ep.dest.id for ep in self.endpoints.values()} | {
+            msg.dest.id for msg in self.messages.values()
+        }
+        for dest in list(self.destinations.values()):
+            dest.endpoints = [ep for ep in self.endpoints.values() if ep.ready and ep.dest is dest]
             self._pump(dest)
-            latest = max(dest.seen_at, dest.route.rate_at, dest.route.cold_since)
+            latest = max(dest.seen_at, dest.route.answered_at, dest.route.cold_since)
             if dest.id in named:
                 dest.seen_at = self.now
-            elif self.now - latest > FORGET * self.set.cold:
-                del self.dests[dest.id]
+            elif self.now - latest > FORGET_FACTOR * self.settings.cold:
+                del self.destinations[dest.id]
 
 
-class PlainCatalog(Catalog):
-    """Looks for held messages at every destination."""
+class ReferenceCatalog(Catalog):
+    """Looks for queued messages at every destination."""
 
     def waiting(self) -> list[Dest]:
-        return [dest for dest in self.dests.values() if dest.held]
+        return [dest for dest in self.destinations.values() if dest.queued]
 
 
-def plain_policy(env: dict[str, Any], seed: int) -> Policy:
-    policy = PlainPolicy(env, seed)
-    policy.catalog = PlainCatalog()
-    policy.eps, policy.dests = policy.catalog.endpoints, policy.catalog.dests
+def reference_policy(env: dict[str, Any], seed: int) -> Policy:
+    policy = ReferencePolicy(env, seed)
+    policy.catalog = ReferenceCatalog()
+    policy.endpoints, policy.destinations = policy.catalog.endpoints, policy.catalog.destinations
     return policy
 
 
@@ -111,10 +115,12 @@
         self.tries[issue.msg_id] = send_no + 1
         outcomes = [Outcome.OK] * 6 + [Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.TIMEOUT]
         outcome = self.draw.choice(outcomes)
-        spent = issue.give_up_after if outcome == Outcome.TIMEOUT else self.draw.uniform(0.01, 0.6)
-        told_ms = self.draw.choice([0, 0, 400, 3000]) if outcome == Outcome.FULL else 0
-        over = outcome == Outcome.OK
-        response = io.Response(issue.msg_id, spent, issue.endpoint, outcome, send_no, over, told_ms, ())
+        spent = issue.timeout if outcome == Outcome.TIMEOUT else self.draw.uniform(0.01, 0.6)
+        retry_after_ms = self.draw.choice([0, 0, 400, 3000]) if outcome == Outcome.FULL else 0
+        finished = outcome == Outcome.OK
+        response = io.Response(
+            issue.msg_id, spent, issue.endpoint, outcome, send_no, finished, retry_after_ms, ()
+        )
         self.later(spent, response)
 
     def entry(self) -> io.Entry:
@@ -138,11 +144,14 @@
                 self.entries[one.endpoint] = one
 
     def message(self) -> None:
-        grade, number = self.draw.randrange(len(self.policy.set.grades)), next(self.numbers)
-        expires = self.now + self.policy.set.grades[grade].deadline
+        message_class, number = (
+            self.draw.randrange(len(self.policy.settings.message_classes)),
+            next(self.numbers),
+        )
+        expires = self.now + self.policy.settings.message_classes[message_class].deadline
         destination = self.draw.randrange(self.destinations)
         key = self.draw.randrange(4)
-        self.feed(io.Incoming(number, 0, expires, 0, 0.0, destination, grade, key))
+        self.feed(io.Incoming(number, 0, expires, 0, 0.0, destination, message_class, key))
 
     def advance(self, seconds: float) -> None:
         end = self.now + seconds
@@ -161,7 +170,7 @@
                 self.change_list()
             elif step == "failed":
                 self.feed(io.Targets(ListKind.FAILED, 1, ()))
-            else:  # a pause is long enough for a destination to be forgotten
+            else:  # after a pause of this length a destination is forgotten
                 self.advance(self.draw.uniform(0.0, 0.4) if step == "time" else 120.0)
 
 
@@ -180,21 +189,21 @@
     ],
     ids=["plain", "few-slots", "ramp", "many-nodes"],
 )
-def test_same_actions_in_the_same_order_as_the_plain_way(changed: dict[str, Any], seed: int) -> None:
+def test_same_actions_in_the_same_order_as_the_reference(changed: dict[str, Any], seed: int) -> None:
     env = settings(**changed)
-    quick = Stream(Policy(env, seed), random.Random(seed), SWEEP // 2)
-    plain = Stream(plain_policy(env, seed), random.Random(seed), SWEEP // 2)
-    for stream in (quick, plain):
+    fast = Stream(Policy(env, seed), random.Random(seed), SWEEP // 2)
+    reference = Stream(reference_policy(env, seed), random.Random(seed), SWEEP // 2)
+    for stream in (fast, reference):
         stream.play(700)
-    assert quick.trace == plain.trace
-    assert list(quick.policy.dests) == list(plain.policy.dests)
-    assert list(quick.policy.eps) == list(plain.policy.eps)
-    kinds = {type(action) for _, action in quick.trace}
-    assert {io.Issue, io.Schedule, io.PushBack} <= kinds, "the stream reached what it is to compare"
+    assert fast.trace == reference.trace
+    assert list(fast.policy.destinations) == list(reference.policy.destinations)
+    assert list(fast.policy.endpoints) == list(reference.policy.endpoints)
+    kinds = {type(action) for _, action in fast.trace}
+    assert {io.Issue, io.Schedule, io.PushBack} <= kinds, "the stream produced the actions to compare"
 
 
 class CountingDest(dict[bytes, Endpoint]):
-    """A destination's endpoints; counts how often they are gone over."""
+    """The endpoints of a destination; counts how often they are iterated over."""
 
     walks = 0
 
@@ -209,24 +218,26 @@
         io.Entry(Readiness.READY, 0.0, 0.0, 0, number, 0, b"e%d" % number) for number in range(destinations)
     )
     policy.handle(io.Targets(ListKind.FULL, 1, entries), 100.0)
-    for dest in policy.dests.values():
+    for dest in policy.destinations.values():
         dest.listed = CountingDest(dest.listed)
     return policy
 
 
 @pytest.mark.parametrize("destinations", [100, 5000])
-def test_a_change_goes_over_its_own_destination_alone(destinations: int) -> None:
+def test_a_change_visits_only_its_own_destination(destinations: int) -> None:
     policy = listed(destinations)
     CountingDest.walks = 0
     leaving = io.Entry(Readiness.DRAINING, 0.0, 0.0, 0, 7, 0, b"e7")
     policy.handle(io.Targets(ListKind.DELTA, 2, (leaving,)), 101.0)
-    assert policy.dests[7].endpoints == []
+    assert policy.destinations[7].endpoints == []
     assert CountingDest.walks == 1
-    assert all(dest.seen_at < 101.0 for dest in policy.dests.values()), "none that is listed is swept"
+    assert all(dest.seen_at < 101.0 for dest in policy.destinations.values()), (
+        "no listed destination is swept"
+    )
 
 
-def test_old_destinations_are_forgotten_by_and_by() -> None:
-    """Those with endpoints or messages stay, however long the sweep takes to come round."""
+def test_old_destinations_are_forgotten_gradually() -> None:
+    """Those with endpoints or messages stay, however many sweeps pass."""
     policy = listed(10 * SWEEP)
     kept = range(0, 10 * SWEEP, 5)
     entries = tuple(io.Entry(Readiness.READY, 0.0, 0.0, 0, number, 0, b"e%d" % number) for number in kept)
@@ -234,32 +245,32 @@
     policy.handle(io.Targets(ListKind.FULL, 2, entries), now)
     sizes = []
     for _ in range(40):
-        now += FORGET * policy.set.cold / 10
+        now += FORGET_FACTOR * policy.settings.cold / 10
         policy.handle(io.Targets(ListKind.DELTA, 3, ()), now)
-        sizes.append(len(policy.dests))
+        sizes.append(len(policy.destinations))
     assert sizes[8] == 10 * SWEEP, "none is forgotten before its time"
     assert all(before - after <= SWEEP for before, after in itertools.pairwise(sizes))
-    assert set(policy.dests) == set(kept)
+    assert set(policy.destinations) == set(kept)
 
 
-def test_a_destination_that_has_just_lost_its_endpoint_is_kept_for_its_time() -> None:
+def test_a_destination_that_lost_its_endpoint_is_kept_for_the_full_time() -> None:
     policy = listed(10 * SWEEP)
-    now = 100.0 + 3 * FORGET * policy.set.cold
+    now = 100.0 + 3 * FORGET_FACTOR * policy.settings.cold
     policy.handle(io.Targets(ListKind.DELTA, 2, ()), now)
     gone = io.Entry(Readiness.GONE, 0.0, 0.0, 0, 7, 0, b"e7")
     policy.handle(io.Targets(ListKind.DELTA, 3, (gone,)), now + 1.0)
     policy.handle(io.Targets(ListKind.DELTA, 4, ()), now + 2.0)
-    assert 7 in policy.dests
-    policy.handle(io.Targets(ListKind.DELTA, 5, ()), now + FORGET * policy.set.cold + 3.0)
-    assert 7 not in policy.dests
+    assert 7 in policy.destinations
+    policy.handle(io.Targets(ListKind.DELTA, 5, ()), now + FORGET_FACTOR * policy.settings.cold + 3.0)
+    assert 7 not in policy.destinations
 
 
-def test_messages_are_counted_at_their_destination() -> None:
-    """What a destination has open is what the node has open for it, whatever happened to it."""
+def test_unfinished_messages_are_counted_by_destination() -> None:
+    """The count of a destination equals the unfinished messages of the node for it, after any history."""
     stream = Stream(Policy(settings(), 3), random.Random(3), 5)
     stream.play(300)
     open_messages: dict[int, list[Message]] = {}
-    for message in stream.policy.msgs.values():
+    for message in stream.policy.messages.values():
         open_messages.setdefault(message.dest.id, []).append(message)
-    for dest in stream.policy.dests.values():
-        assert dest.open == len(open_messages.get(dest.id, []))
+    for dest in stream.policy.destinations.values():
+        assert dest.unfinished == len(open_messages.get(dest.id, []))
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -17,7 +17,7 @@
 from rillspindle import Policy
 from rillspindle.interface import Entry, Issue, Outcome, Readiness, Remembered, Response
 from tests.clocks import SteppedClocks
-from tests.settings import grade, settings
+from tests.settings import message_class, settings
 
 NAMES = Names(("safe", "keyed", "once"), ("near", "far"), ("one", "many"))
 
@@ -42,7 +42,7 @@
         self.told: dict[str, Callable[[], None]] = {}
         self.answers: dict[str, object] = {}
         self.watching = 0
-        grades = [grade(), grade("deduplicated"), grade("at_most_once")]
+        grades = [message_class(), message_class("deduplicated"), message_class("at_most_once")]
         env = settings(**{"grades": grades, "discovery": "subscribe", **extra})
         self.journal = Journal(folder, disk, clock=self, files=files)
         self.sender = Sender(Policy(env, 1), NAMES, self.journal, self, {"platform": self})
@@ -107,18 +107,18 @@
     """Its id was known, so its health, its destination and its connections were taken to be the old one's."""
     closed: list[str] = []
     setattr(bench.sender.next_hops, "close_idle", closed.append)  # noqa: B010
-    old = bench.sender.policy.eps[b"h0"]
+    old = bench.sender.policy.endpoints[b"h0"]
     (same,) = bench.hops(Readiness.READY).hops
     for new in (same._replace(port=2), same._replace(port=2, entry=same.entry._replace(owner=8))):
         bench.sender.list_changed(MapUpdate(2, False, (new,)))
         bench.pass_time(0.01)
-        found = bench.sender.policy.eps[b"h0"]
+        found = bench.sender.policy.endpoints[b"h0"]
         assert found is not old and found.dest.id == new.entry.owner and bench.sender.hops["h0"] == new
         old = found
     assert closed == ["h0"]
     bench.sender.list_changed(MapUpdate(3, True, ()))
     bench.pass_time(0.01)
-    assert closed == ["h0", "h0"] and not bench.sender.policy.eps
+    assert closed == ["h0", "h0"] and not bench.sender.policy.endpoints
 
 
 def test_endpoints_that_come_and_go_leave_nothing_behind(bench: Bench) -> None:
@@ -128,8 +128,8 @@
         bench.sender.waits[f"route-{n}"] = bench.time + 0.5
         bench.pass_time(5.0)
     policy = bench.sender.policy
-    assert len(policy.eps) == len(bench.sender.hops) == 1 and len(bench.sender.waits) <= 1
-    assert len(policy.dests) < 60 and len(bench.sender.listed) < 200
+    assert len(policy.endpoints) == len(bench.sender.hops) == 1 and len(bench.sender.waits) <= 1
+    assert len(policy.destinations) < 60 and len(bench.sender.listed) < 200
 
 
 def test_taken_on_then_attempted_then_ended(bench: Bench) -> None:
@@ -420,8 +420,8 @@
         bench.take(f"m{n}", left=60.0)
     bench.pass_time(0.01)
     for others in range(2):
-        assert (len(policy.msgs) < len(policy.dests)) is bool(others)
-        held = {(dest.id, ""): len(dest.held) for dest in policy.dests.values() if dest.held}
+        assert (len(policy.messages) < len(policy.destinations)) is bool(others)
+        held = {(dest.id, ""): len(dest.queued) for dest in policy.destinations.values() if dest.queued}
         assert sum(held.values()) > 1 and len(sender.attempts.parked) > 1
         assert sender.waiting == {**held, (7, "h0"): len(sender.attempts.parked)}
         for dest in range(100, 200):
