--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -188,7 +188,7 @@
         # The module asks for a watch only where the simulator would not bring changes by itself; on sockets
         # somebody always has to ask.
         self.map.watch(True)
-        self.sender.on_wait = self.handover.tell
+        self.sender.on_wait = self.handover.share_waits
         await self.handover.begin()
         if self.service is not None:
             self.service.look()
--- a/mountgauge/run/handover.py
+++ b/mountgauge/run/handover.py
@@ -45,7 +45,7 @@
         """An older process serves: what it was told to wait binds this one."""
         if not self.journal.others:
             return
-        self.tell()
+        self.share_waits()
         for _ in range(_FIRST_LOOKS):
             if all(map(self._heard_from, self.journal.others)):
                 break
@@ -59,7 +59,7 @@
             self.adopt()
         if self.journal.others:
             if not self._told:
-                self.tell()
+                self.share_waits()
             self.hear()
 
     def adopt(self) -> None:
@@ -71,7 +71,7 @@
                 with contextlib.suppress(OSError):  # it says until when it holds, and is replaced as a whole
                     self._files.unlink(path)
         elif self.journal.others and not had:  # a newer process beside this one: it is to heed our waits
-            self.tell()
+            self.share_waits()
         self.sender.forget_ended()
         if adopted:
             log.info("adopted", extra=kv(messages=len(adopted)))
@@ -85,7 +85,7 @@
     def _waits_path(self, slot: int) -> Path:
         return self.folder / ("waits" if slot == 0 else f"waits.{slot}")
 
-    def tell(self) -> None:
+    def share_waits(self) -> None:
         """A wait was told to this process: the one beside it is to heed it too."""
         if not self.journal.others:
             return
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -320,7 +320,7 @@
     handover = Handover(new.sender, new.journal, tmp_path, True, files)
     files.fails = {"open", "read", "write", "replace", "unlink", "lock"}
     new.sender.waits[8] = new.time + 9.0
-    handover.tell()
+    handover.share_waits()
     handover.look()
     assert not (tmp_path / "waits.1").exists()
     files.heal()
