--- a/mountgauge/run/handover.py
+++ b/mountgauge/run/handover.py
@@ -50,7 +50,7 @@
             if all(map(self._heard_from, self.journal.others)):
                 break
             await asyncio.sleep(LOOK_EVERY)
-        self.hear()
+        self.apply_shared_waits()
 
     def look(self) -> None:
         """Journals of gone processes; and, while another process serves beside this one, its waits."""
@@ -60,7 +60,7 @@
         if self.journal.others:
             if not self._told:
                 self.share_waits()
-            self.hear()
+            self.apply_shared_waits()
 
     def adopt(self) -> None:
         """Messages of a process that has gone from the same folder become this one's."""
@@ -112,7 +112,7 @@
             log.warning("waits-not-read", extra=kv(path=self.folder.name, error=error))
             return []
 
-    def hear(self) -> None:
+    def apply_shared_waits(self) -> None:
         for path in self._waits_paths():
             if path == self._waits_path(self.journal.slot) or path.name.endswith(".new"):
                 continue
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -59,7 +59,7 @@
     are left to the others by now.
     """
     if runtime.journal.others:
-        runtime.handover.hear()
+        runtime.handover.apply_shared_waits()
     if runtime.service is not None:
         runtime.service.look()
 
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -162,12 +162,12 @@
     old.sender.finished(old.calls[0], {old.calls[0].items[0].number: Result(Outcome.FULL, wait=3.0)})
     theirs.share_waits()
     new.pass_time(0.5)
-    ours.hear()
+    ours.apply_shared_waits()
     assert new.sender.waits[7] - new.time == pytest.approx(2.5, abs=0.01)
     old.step(-2 * step)  # and in the life of the one that tells
     old.sender.waits[7] += 1.0
     theirs.share_waits()
-    ours.hear()
+    ours.apply_shared_waits()
     assert new.sender.waits[7] - new.time == pytest.approx(3.5, abs=0.01)
 
 
