--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -205,7 +205,7 @@
 
     def look(self) -> None:
         """Now and then: what another process on this folder has left or told."""
-        self.handover.look()
+        self.handover.check_others()
         if self.service is not None:
             self.service.look()
 
--- a/mountgauge/run/handover.py
+++ b/mountgauge/run/handover.py
@@ -52,7 +52,7 @@
             await asyncio.sleep(LOOK_EVERY)
         self.apply_shared_waits()
 
-    def look(self) -> None:
+    def check_others(self) -> None:
         """Journals of gone processes; and, while another process serves beside this one, its waits."""
         self._looks += 1
         if (self._looks % _ADOPT_LOOKS == 0 and self.sharing) or self.journal.others:
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -136,7 +136,7 @@
         log.warning("paused", extra=kv(gap_s=round(gap, 3), most_s=self.pulse.most, parked="calls"))
         if not self._own_folder():
             return
-        runtime.handover.look()
+        runtime.handover.check_others()
         if runtime.service is not None:
             runtime.service.look()
         if runtime.map.look_now():
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -321,26 +321,26 @@
     files.fails = {"open", "read", "write", "replace", "unlink", "lock"}
     new.sender.waits[8] = new.time + 9.0
     handover.share_waits()
-    handover.look()
+    handover.check_others()
     assert not (tmp_path / "waits.1").exists()
     files.heal()
-    handover.look()
+    handover.check_others()
     assert (tmp_path / "waits.1").exists(), "told once it can be written"
     old.journal.close()
     for fails in ({"read"}, {"write"}, {"lock"}):
         files.fails = fails
         for _ in range(2):
-            handover.look()
+            handover.check_others()
         assert not new.sender.held
     files.fails = {"unlink"}
     for _ in range(4):
-        handover.look()
+        handover.check_others()
     new.pass_time(0.1)
     assert [item.id for call in new.calls for item in call.items] == ["a"], "once"
     assert not handover.successor()
     files.heal()
     for _ in range(4):
-        handover.look()
+        handover.check_others()
     assert not new.journal.others and not list(tmp_path.glob("waits*"))
 
 
