--- a/mountgauge/recovery/files.py
+++ b/mountgauge/recovery/files.py
@@ -21,7 +21,7 @@
         self.identity, self.remembered_path = folder / "identity", folder / "remembered"
         self._written = b""
 
-    def arrive(self, name: str, journal: bool) -> tuple[Identity, Found, bool]:
+    def start_run(self, name: str, journal: bool) -> tuple[Identity, Found, bool]:
         """This life's identity, what the folder was, and whether the last life ended as it was asked to."""
         content = self._read(self.identity)
         mine, found = who.judge(content, name, journal, secrets.token_hex(8))
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -79,7 +79,7 @@
         runtime = self.runtime
         had = bool(runtime.journal.live or runtime.journal.ends)
         stamp = read(runtime.sender.clock)
-        self.identity, self.found, clean = self.folder.arrive(runtime.config.name, had)
+        self.identity, self.found, clean = self.folder.start_run(runtime.config.name, had)
         self._arrived = True
         try:
             remembered = self.folder.remembered(stamp, self.identity.id, runtime.config.known.version)
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -574,7 +574,7 @@
 def test_a_file_that_cannot_be_replaced_stays_as_it_was(tmp_path: Path, error: int, call: str) -> None:
     files, now = FailingFiles(), Stamp("one", 1000.0, 50.0, 1000.0)
     folder, lists = Folder(tmp_path, files), KeptListFile(tmp_path, SHARDS, files)
-    one, _, _ = folder.arrive("m1", False)
+    one, _, _ = folder.start_run("m1", False)
     fact = Fact("pace", "7", 0.5, 1000.0, one.id, 1060.0)
     folder.remember([fact], now, one.id)
     list_ = KeptList(read(SystemClocks()), kept().placement, kept().snapshots)
@@ -597,7 +597,7 @@
 
 def test_a_start_that_cannot_read_who_it_is_does_not_write_another_over_it(tmp_path: Path) -> None:
     files = FailingFiles()
-    first, _, _ = Folder(tmp_path).arrive("m1", False)
+    first, _, _ = Folder(tmp_path).start_run("m1", False)
     clock = SimpleNamespace(now=lambda: 5.0, wall=lambda: 105.0, boot=lambda: "")
     journal = SimpleNamespace(live={}, ends={}, standing=lambda: True, slot=0)
     sender = SimpleNamespace(clock=clock, list_lease=None, on_list=None)
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -142,15 +142,15 @@
 
 def test_a_folder_tells_its_lives_and_how_the_last_one_ended(tmp_path: Path) -> None:
     folder = Folder(tmp_path)
-    one, found, clean = folder.arrive("m1", False)
+    one, found, clean = folder.start_run("m1", False)
     assert (one.life, found, clean) == (1, Found.FIRST, False) and folder.stands(one)
-    two, found, clean = Folder(tmp_path).arrive("m1", True)
+    two, found, clean = Folder(tmp_path).start_run("m1", True)
     assert (two.id, two.life, found, clean) == (one.id, 2, Found.KEPT, False)
     assert folder.stands(one) and folder.stands(two), "two lives side by side do not write over each other"
     folder.ended(one)
     assert decode((tmp_path / "identity").read_bytes()) == two
     folder.ended(two)
-    assert Folder(tmp_path).arrive("m1", True)[2]
+    assert Folder(tmp_path).start_run("m1", True)[2]
     assert folder.remember([fact()], NOW, LIFE) and not folder.remember([fact()], NOW, LIFE)
     assert folder.remembered(NOW, LIFE, -1).kept == [fact()]
     (tmp_path / "identity").unlink()
