--- a/mountgauge/recovery/files.py
+++ b/mountgauge/recovery/files.py
@@ -26,10 +26,10 @@
         content = self._read(self.identity)
         mine, found = who.judge(content, name, journal, secrets.token_hex(8))
         last = who.decode(content) if content is not None else None
-        self.say(mine)
+        self.write_identity(mine)
         return mine, found, found is Found.KEPT and last is not None and last.clean
 
-    def say(self, identity: Identity) -> None:
+    def write_identity(self, identity: Identity) -> None:
         self._replace(self.identity, who.encode(identity))
 
     def stands(self, identity: Identity) -> bool:
@@ -46,7 +46,7 @@
     def ended(self, identity: Identity) -> None:
         """This life ends as it was asked to; a later one that goes on beside it is left alone."""
         if (found := self._said()) is None or found.life <= identity.life:
-            self.say(identity._replace(clean=True))
+            self.write_identity(identity._replace(clean=True))
 
     def remembered(self, now: Stamp, origin: str, known_version: float) -> Judged:
         return state_file.judged(self._read(self.remembered_path) or b"", now, origin, known_version)
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -202,7 +202,7 @@
 
     def _say(self) -> None:
         try:
-            self.folder.say(self.identity)
+            self.folder.write_identity(self.identity)
         except OSError as error:
             log.error("folder-not-written", extra=kv(error=error))
 
@@ -223,7 +223,7 @@
             if not self._arrived:
                 self._arrive()
             elif not self.folder.stands(self.identity):
-                self.folder.say(self.identity)
+                self.folder.write_identity(self.identity)
             self._failed = False
         except OSError as error:
             if not self._failed:
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -583,7 +583,7 @@
     if call == "write":
         files.fails, files.room = set(), 10
     for write in (
-        lambda: folder.say(one._replace(life=9)),
+        lambda: folder.write_identity(one._replace(life=9)),
         lambda: folder.remember([], now, one.id),
         lambda: lists.write(KeptList(list_.confirmed.before(9.0), list_.placement, ())),
     ):
