--- a/mountgauge/recovery/files.py
+++ b/mountgauge/recovery/files.py
@@ -32,7 +32,7 @@
     def write_identity(self, identity: Identity) -> None:
         self._replace(self.identity, who.encode(identity))
 
-    def stands(self, identity: Identity) -> bool:
+    def holds_identity(self, identity: Identity) -> bool:
         """Whether the folder still says who this is: this life, or a later one that came beside it."""
         return (found := self._said()) is not None and found.id == identity.id and found.life >= identity.life
 
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -222,7 +222,7 @@
                                                      why="its journal was gone while this ran"))  # fmt: skip
             if not self._arrived:
                 self._arrive()
-            elif not self.folder.stands(self.identity):
+            elif not self.folder.holds_identity(self.identity):
                 self.folder.write_identity(self.identity)
             self._failed = False
         except OSError as error:
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -589,7 +589,7 @@
     ):
         with pytest.raises(OSError):
             write()
-    assert folder.stands(one) and not folder.stands(one._replace(life=9))
+    assert folder.holds_identity(one) and not folder.holds_identity(one._replace(life=9))
     assert folder.remembered(now, one.id, -1).kept == [fact] and lists.read() == list_
     files.heal()
     assert folder.remember([], now, one.id), "it is still to be written"
@@ -615,7 +615,7 @@
         assert (tmp_path / "identity").read_bytes().count(first.id.encode()) == 1
         assert recovery._own_folder()
         assert (recovery.identity.id, recovery.identity.life) == (first.id, 2)
-        assert recovery.folder.stands(recovery.identity)
+        assert recovery.folder.holds_identity(recovery.identity)
         assert recovery._timer is not None
         recovery._timer.cancel()
 
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -143,10 +143,12 @@
 def test_a_folder_tells_its_lives_and_how_the_last_one_ended(tmp_path: Path) -> None:
     folder = Folder(tmp_path)
     one, found, clean = folder.start_run("m1", False)
-    assert (one.life, found, clean) == (1, Found.FIRST, False) and folder.stands(one)
+    assert (one.life, found, clean) == (1, Found.FIRST, False) and folder.holds_identity(one)
     two, found, clean = Folder(tmp_path).start_run("m1", True)
     assert (two.id, two.life, found, clean) == (one.id, 2, Found.KEPT, False)
-    assert folder.stands(one) and folder.stands(two), "two lives side by side do not write over each other"
+    assert folder.holds_identity(one) and folder.holds_identity(two), (
+        "two lives side by side do not write over each other"
+    )
     folder.ended(one)
     assert decode((tmp_path / "identity").read_bytes()) == two
     folder.ended(two)
@@ -154,7 +156,7 @@
     assert folder.remember([fact()], NOW, LIFE) and not folder.remember([fact()], NOW, LIFE)
     assert folder.remembered(NOW, LIFE, -1).kept == [fact()]
     (tmp_path / "identity").unlink()
-    assert not folder.stands(two)
+    assert not folder.holds_identity(two)
 
 
 def test_an_emptied_folder_is_written_anew_and_a_taken_one_is_not(tmp_path: Path) -> None:
