--- a/mountgauge/recovery/files.py
+++ b/mountgauge/recovery/files.py
@@ -48,10 +48,10 @@
         if (found := self._said()) is None or found.life <= identity.life:
             self.write_identity(identity._replace(clean=True))
 
-    def remembered(self, now: Stamp, origin: str, known_version: float) -> Judged:
+    def load_facts(self, now: Stamp, origin: str, known_version: float) -> Judged:
         return state_file.judged(self._read(self.remembered_path) or b"", now, origin, known_version)
 
-    def remember(self, facts: list[Fact], now: Stamp, origin: str) -> bool:
+    def save_facts(self, facts: list[Fact], now: Stamp, origin: str) -> bool:
         """Write the facts where they have changed; whether anything was written."""
         content = state_file.encode(facts)
         if content == self._written and self.remembered_path.exists():
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -82,7 +82,7 @@
         self.identity, self.found, clean = self.folder.start_run(runtime.config.name, had)
         self._arrived = True
         try:
-            remembered = self.folder.remembered(stamp, self.identity.id, runtime.config.known.version)
+            remembered = self.folder.load_facts(stamp, self.identity.id, runtime.config.known.version)
         except OSError as error:
             log.error("folder-not-read", extra=kv(error=error))
             remembered = Judged()
@@ -252,7 +252,7 @@
             return  # the older process beside this one writes it
         try:
             stamp = read(self.runtime.sender.clock)
-            self.folder.remember(self.facts(stamp), stamp, self.identity.id)
+            self.folder.save_facts(self.facts(stamp), stamp, self.identity.id)
         except OSError as error:
             log.warning("not-remembered", extra=kv(error=error))
 
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -576,7 +576,7 @@
     folder, lists = Folder(tmp_path, files), KeptListFile(tmp_path, SHARDS, files)
     one, _, _ = folder.start_run("m1", False)
     fact = Fact("pace", "7", 0.5, 1000.0, one.id, 1060.0)
-    folder.remember([fact], now, one.id)
+    folder.save_facts([fact], now, one.id)
     list_ = KeptList(read(SystemClocks()), kept().placement, kept().snapshots)
     lists.write(list_)
     files.error, files.fails = error, {call}
@@ -584,15 +584,15 @@
         files.fails, files.room = set(), 10
     for write in (
         lambda: folder.write_identity(one._replace(life=9)),
-        lambda: folder.remember([], now, one.id),
+        lambda: folder.save_facts([], now, one.id),
         lambda: lists.write(KeptList(list_.confirmed.before(9.0), list_.placement, ())),
     ):
         with pytest.raises(OSError):
             write()
     assert folder.holds_identity(one) and not folder.holds_identity(one._replace(life=9))
-    assert folder.remembered(now, one.id, -1).kept == [fact] and lists.read() == list_
+    assert folder.load_facts(now, one.id, -1).kept == [fact] and lists.read() == list_
     files.heal()
-    assert folder.remember([], now, one.id), "it is still to be written"
+    assert folder.save_facts([], now, one.id), "it is still to be written"
 
 
 def test_a_start_that_cannot_read_who_it_is_does_not_write_another_over_it(tmp_path: Path) -> None:
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -334,8 +334,8 @@
 def remembered(folder: Path, written: Stamp, now: Stamp) -> list[Fact]:
     wait = Fact("wait", "7", written.wall + 8.0, written.wall, "life", written.wall + 8.0)
     pace = Fact("pace", "7", 0.5, written.wall, "life", written.wall + 60.0)
-    assert Folder(folder).remember([wait, pace], written, "life")
-    return Folder(folder).remembered(now, "life", -1).kept
+    assert Folder(folder).save_facts([wait, pace], written, "life")
+    return Folder(folder).load_facts(now, "life", -1).kept
 
 
 @steps
@@ -362,9 +362,9 @@
     old = encode_facts([Fact("wait", "7", 1008.0, 1000.0, "life", 1008.0)])  # of an older version: no clock
     (tmp_path / "remembered").write_bytes(old)
     assert [
-        f.value for f in Folder(tmp_path).remembered(Stamp("", 1003.0, 1.0, 1003.0), "life", -1).kept
+        f.value for f in Folder(tmp_path).load_facts(Stamp("", 1003.0, 1.0, 1003.0), "life", -1).kept
     ] == [1008.0]
-    assert not Folder(tmp_path).remembered(Stamp("", 900.0, 1.0, 900.0), "life", -1).kept
+    assert not Folder(tmp_path).load_facts(Stamp("", 900.0, 1.0, 900.0), "life", -1).kept
 
 
 @pytest.mark.parametrize(
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -153,8 +153,8 @@
     assert decode((tmp_path / "identity").read_bytes()) == two
     folder.ended(two)
     assert Folder(tmp_path).start_run("m1", True)[2]
-    assert folder.remember([fact()], NOW, LIFE) and not folder.remember([fact()], NOW, LIFE)
-    assert folder.remembered(NOW, LIFE, -1).kept == [fact()]
+    assert folder.save_facts([fact()], NOW, LIFE) and not folder.save_facts([fact()], NOW, LIFE)
+    assert folder.load_facts(NOW, LIFE, -1).kept == [fact()]
     (tmp_path / "identity").unlink()
     assert not folder.holds_identity(two)
 
