--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -134,7 +134,7 @@
         """List, drains that operators ordered, and the right to the folder are looked at anew."""
         runtime = self.runtime
         log.warning("paused", extra=kv(gap_s=round(gap, 3), most_s=self.pulse.most, parked="calls"))
-        if not self._own_folder():
+        if not self._check_folder_ownership():
             return
         runtime.handover.check_others()
         if runtime.service is not None:
@@ -160,7 +160,7 @@
             self.runtime.sender.release()
         if now - self._folder_at >= _FOLDER_EVERY:
             self._folder_at = now
-            if self._own_folder():
+            if self._check_folder_ownership():
                 self._remember()
         self._see()
 
@@ -206,7 +206,7 @@
         except OSError as error:
             log.error("folder-not-written", extra=kv(error=error))
 
-    def _own_folder(self) -> bool:
+    def _check_folder_ownership(self) -> bool:
         """Whether the folder is this process's still. One that was emptied is written anew; one that
         another process holds is not this one's any more: it sends nothing, and ends.
         """
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -610,10 +610,10 @@
     async def main() -> None:
         files.fails = {"read"}
         await recovery.start()
-        assert recovery._own_folder()
+        assert recovery._check_folder_ownership()
         files.heal()
         assert (tmp_path / "identity").read_bytes().count(first.id.encode()) == 1
-        assert recovery._own_folder()
+        assert recovery._check_folder_ownership()
         assert (recovery.identity.id, recovery.identity.life) == (first.id, 2)
         assert recovery.folder.holds_identity(recovery.identity)
         assert recovery._timer is not None
