--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -53,7 +53,7 @@
         self.restored = 0
         self._folder_at = now
         self._failed = False
-        self._arrived = False  # the folder says which life this is
+        self._identity_loaded = False  # the folder says which life this is
         self._emptied = 0
         self._timer: asyncio.TimerHandle | None = None
         self._phase_said = ""
@@ -80,7 +80,7 @@
         had = bool(runtime.journal.live or runtime.journal.ends)
         stamp = read(runtime.sender.clock)
         self.identity, self.found, clean = self.folder.start_run(runtime.config.name, had)
-        self._arrived = True
+        self._identity_loaded = True
         try:
             remembered = self.folder.load_facts(stamp, self.identity.id, runtime.config.known.version)
         except OSError as error:
@@ -220,7 +220,7 @@
                 self._emptied += 1
                 log.error("folder-emptied", extra=kv(written_anew=len(runtime.journal.live),
                                                      why="its journal was gone while this ran"))  # fmt: skip
-            if not self._arrived:
+            if not self._identity_loaded:
                 self._arrive()
             elif not self.folder.holds_identity(self.identity):
                 self.folder.write_identity(self.identity)
@@ -248,7 +248,7 @@
         return found
 
     def _remember(self) -> None:
-        if self.runtime.journal.slot or not self._arrived:
+        if self.runtime.journal.slot or not self._identity_loaded:
             return  # the older process beside this one writes it
         try:
             stamp = read(self.runtime.sender.clock)
@@ -263,7 +263,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-            if not self.runtime.taking and self._arrived:  # asked to end
+            if not self.runtime.taking and self._identity_loaded:  # asked to end
                 try:
                     self.folder.ended(self.identity)
                 except OSError as error:
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -604,7 +604,7 @@
     config = SimpleNamespace(name="m1", known=SimpleNamespace(version=-1))
     recovery = RecoverySubsystem.__new__(RecoverySubsystem)
     recovery.runtime = cast(Runtime, SimpleNamespace(journal=journal, sender=sender, config=config))
-    recovery.folder, recovery._arrived, recovery._failed = Folder(tmp_path, files), False, False
+    recovery.folder, recovery._identity_loaded, recovery._failed = Folder(tmp_path, files), False, False
     recovery._timer = None
 
     async def main() -> None:
