--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -64,7 +64,7 @@
         runtime.service.look()
 
 
-async def made(make: Callable[[], Runtime], asked: asyncio.Event) -> Runtime | None:
+async def make_with_retries(make: Callable[[], Runtime], asked: asyncio.Event) -> Runtime | None:
     """The sender, put together. While its folder or its file fails, so that what it owes or is told is not
     known, it waits; None where it is asked to end meanwhile.
     """
@@ -93,7 +93,7 @@
     asked = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, asked.set)
-    if (runtime := await made(make, asked)) is None:
+    if (runtime := await make_with_retries(make, asked)) is None:
         hear_no_more_signals()
         return
     await runtime.start()
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -34,7 +34,7 @@
 from mountgauge.run.base import Runtime
 from mountgauge.run.handover import Handover
 from mountgauge.run.recovery import RecoverySubsystem
-from mountgauge.run.serve import made
+from mountgauge.run.serve import make_with_retries
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
 from tests.sharding.stands import SHARDS
@@ -556,11 +556,11 @@
         raise JournalUnavailableError(errno.EACCES, "not this one's")
 
     async def main() -> None:
-        assert await made(make, asyncio.Event()) is runtime and len(tries) == 3
-        assert await made(never, asked) is None
+        assert await make_with_retries(make, asyncio.Event()) is runtime and len(tries) == 3
+        assert await make_with_retries(never, asked) is None
         async with asyncio.timeout(20):
             with pytest.raises(JournalUnavailableError):
-                await made(wrong, asyncio.Event())
+                await make_with_retries(wrong, asyncio.Event())
 
     asked = asyncio.Event()
     asyncio.run(main())
--- a/tests/test_unreadable_files.py
+++ b/tests/test_unreadable_files.py
@@ -16,7 +16,7 @@
 from mountgauge.core.config import Address, Config, ConfigError
 from mountgauge.relay.service import RelayService
 from mountgauge.run.platform import PlatformRuntime
-from mountgauge.run.serve import made
+from mountgauge.run.serve import make_with_retries
 from tests.helper import HOST, World, run, until
 from tests.settings import settings
 from tests.sharding.test_relay_service import MEMBERS, relay_file
@@ -67,7 +67,7 @@
 
     async def main() -> None:
         unreadable(monkeypatch, platform, 2)
-        runtime = await made(lambda: PlatformRuntime(Config.load()), asyncio.Event())
+        runtime = await make_with_retries(lambda: PlatformRuntime(Config.load()), asyncio.Event())
         assert runtime is not None and runtime.config.name == "n0"
         runtime.close()
 
@@ -80,7 +80,7 @@
     async def main() -> None:
         unreadable(monkeypatch, platform, 9, errno.ENOENT)
         with pytest.raises(ConfigError):
-            await made(lambda: PlatformRuntime(Config.load()), asyncio.Event())
+            await make_with_retries(lambda: PlatformRuntime(Config.load()), asyncio.Event())
 
     run(main())
 
