--- a/mountgauge/recovery/peers.py
+++ b/mountgauge/recovery/peers.py
@@ -10,7 +10,7 @@
         """Whether they have been heard, as far as this start waits for it."""
         return True
 
-    def say(self, phase: int) -> None:
+    def announce_phase(self, phase: int) -> None:
         """This member's phase travels with its gossip: its place among `phases.Phase`."""
 
     def back(self) -> int:
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -178,7 +178,7 @@
             log.warning("held-up", extra=kv(dest=dest, why="most calls are refused; down to single trials"))
         for dest in sorted(before - self.phases.held_up):
             log.info("held-up-over", extra=kv(dest=dest))
-        self.peers.say(_ORDER.index(self.phases.phase))
+        self.peers.announce_phase(_ORDER.index(self.phases.phase))
         self._peers_life()
 
     def _tell(self, change: Change) -> None:
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -47,7 +47,7 @@
     def joined(self) -> bool:
         return self.fleet.unjoined(self._loop.time()) != STARTING
 
-    def say(self, phase: int) -> None:
+    def announce_phase(self, phase: int) -> None:
         self.fleet.phase = phase
 
     def back(self) -> int:
