--- a/mountgauge/recovery/peers.py
+++ b/mountgauge/recovery/peers.py
@@ -13,7 +13,7 @@
     def announce_phase(self, phase: int) -> None:
         """This member's phase travels with its gossip: its place among `phases.Phase`."""
 
-    def back(self) -> int:
+    def members_recovering(self) -> int:
         """Peers that are present and not at full service."""
         return 0
 
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -278,7 +278,7 @@
             "found": self.found.value, "restored": self.restored,
             "to_restore": self.runtime.sender.to_restore, "held": len(self.runtime.sender.held),
             "pauses": self.pulse.pauses, "longest_pause_s": round(self.pulse.longest, 3),
-            "folder_emptied": self._emptied, "peers_coming_back": self.peers.back(),
+            "folder_emptied": self._emptied, "peers_coming_back": self.peers.members_recovering(),
         }  # fmt: skip
 
     def state(self) -> Mapping[str, Any]:
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -50,7 +50,7 @@
     def announce_phase(self, phase: int) -> None:
         self.fleet.phase = phase
 
-    def back(self) -> int:
+    def members_recovering(self) -> int:
         return self.fleet.coming_back()
 
     def outdated(self) -> bool:
