--- a/mountgauge/recovery/peers.py
+++ b/mountgauge/recovery/peers.py
@@ -21,6 +21,6 @@
         """Whether peers have shown that the folder is older than what this name did last."""
         return False
 
-    def earlier_lives(self) -> int:
+    def last_known_run(self) -> int:
         """The least life that peers show this name to have had before; 0: they show none."""
         return 0
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -192,7 +192,7 @@
     def _peers_life(self) -> None:
         """What peers remember of this name shows a folder that was lost or is an old copy."""
         old = self.found is Found.KEPT and self.peers.outdated()
-        known = self.identity.life if old else self.peers.earlier_lives()
+        known = self.identity.life if old else self.peers.last_known_run()
         identity, found = who.peers_say(self.identity, self.found, known)
         if identity != self.identity:
             self.identity, self.found = identity, found
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -56,7 +56,7 @@
     def outdated(self) -> bool:
         return self.fleet.outdated
 
-    def earlier_lives(self) -> int:
+    def last_known_run(self) -> int:
         return int(self.fleet.earlier_life())
 
 
