--- a/mountgauge/agent.py
+++ b/mountgauge/agent.py
@@ -15,7 +15,7 @@
 from mountgauge.core.config import Address, ConfigError
 from mountgauge.log import kv
 from mountgauge.operator_file import Operator, load
-from mountgauge.run import hear_no_more_signals
+from mountgauge.run import block_signals
 from mountgauge.run.reload_retry import ReloadRetry
 from mountgauge.settings_table import Table, faults_of, read
 from mountgauge.status import StatusServer
@@ -211,4 +211,4 @@
     )
     await asked.wait()
     await agent.stop()
-    hear_no_more_signals()
+    block_signals()
--- a/mountgauge/relay/service.py
+++ b/mountgauge/relay/service.py
@@ -22,7 +22,7 @@
 from mountgauge.relay.report import RelayReport, no_messages
 from mountgauge.relay.server import Exchange, PollServer
 from mountgauge.relay.settings import RelayFile, load_relay
-from mountgauge.run import SIGNALS, hear_no_more_signals
+from mountgauge.run import SIGNALS, block_signals
 from mountgauge.run.reload_retry import ReloadRetry
 from mountgauge.sharding.list_watch import ListWatch
 from mountgauge.sharding.messages import Refusal, RefusalReason, Reply
@@ -235,7 +235,7 @@
     await asked.wait()
     stating.cancel()
     await service.stop()
-    hear_no_more_signals()
+    block_signals()
     log.info("stopped", extra=kv(version=service.relay.store.as_of))
 
 
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -15,7 +15,7 @@
 from mountgauge.core.config import FileUnreadableError
 from mountgauge.core.journal import JournalUnavailableError
 from mountgauge.log import kv
-from mountgauge.run import SIGNALS, hear_no_more_signals
+from mountgauge.run import SIGNALS, block_signals
 from mountgauge.run.base import Runtime
 from mountgauge.run.handover import LOOK_EVERY
 
@@ -94,7 +94,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, asked.set)
     if (runtime := await make_with_retries(make, asked)) is None:
-        hear_no_more_signals()
+        block_signals()
         return
     await runtime.start()
     loop.add_signal_handler(signal.SIGHUP, runtime.reload)  # not before there is anything to move
@@ -121,5 +121,5 @@
     await runtime.stop()
     if looking is not None:
         looking.cancel()
-    hear_no_more_signals()
+    block_signals()
     log.info("stopped", extra=kv(left=len(runtime.journal.live), opened=runtime.next_hops.opened))
