--- a/mountgauge/lab/scale/limits.py
+++ b/mountgauge/lab/scale/limits.py
@@ -14,7 +14,7 @@
 from mountgauge.recovery import bounds as recovery_bounds
 
 FACTS_PER_S = 1.0  # writes of what is to be remembered (`run.recovery`)
-LOOKS_PER_S = 1 / recovery_bounds.PULSE_S
+LOOKS_PER_S = 1 / recovery_bounds.CHECK_INTERVAL_S
 BUDGET_TICKS_PER_S = 20.0  # asks of the core what waits (`budgets.service.TICK_S`)
 ONE_CORE = 1.0
 LONGEST_PAUSE_S = recovery_bounds.paused(0.25)  # of the loop, after which what is known is too old
--- a/mountgauge/recovery/bounds.py
+++ b/mountgauge/recovery/bounds.py
@@ -8,11 +8,11 @@
 import math
 
 RESTORED_A_TURN = 256  # messages of an earlier life that one look gives back to the module
-PULSE_S = 0.25  # between two looks at the own clock
+CHECK_INTERVAL_S = 0.25  # between two looks at the own clock
 LIST_CALL_S = 0.2  # of discovery's time that each member leaves for every other after a failed call
 
 
-def restoring(messages: int, every: float = PULSE_S) -> float:
+def restoring(messages: int, every: float = CHECK_INTERVAL_S) -> float:
     """In which all that an earlier life held is back with the module: a part of it each look."""
     return every * max(0, math.ceil(messages / RESTORED_A_TURN) - 1)
 
@@ -44,7 +44,7 @@
         restoring(messages)
         + learning(ask_within, members)
         + ramping(start, rise, cold, headroom)
-        + 2 * PULSE_S
+        + 2 * CHECK_INTERVAL_S
     )
 
 
@@ -54,7 +54,7 @@
     Word of a drain must be heeded within `drain_grace`, so no more than that may have gone by unseen; a
     starved machine is late by some ticks of the pulse, which is no pause.
     """
-    return max(drain_grace, 2 * PULSE_S)
+    return max(drain_grace, 2 * CHECK_INTERVAL_S)
 
 
 def list_too_old(ask_within: float) -> float:
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -72,7 +72,7 @@
         self._source_lease = runtime.sender.list_lease
         runtime.sender.list_lease = self.list_ended
         runtime.sender.on_list = self._list_came
-        self._timer = asyncio.get_running_loop().call_later(bounds.PULSE_S, self._look)
+        self._timer = asyncio.get_running_loop().call_later(bounds.CHECK_INTERVAL_S, self._look)
 
     def _arrive(self) -> None:
         """Begin this life by what the folder says; OSError where it cannot be read or written."""
@@ -149,7 +149,7 @@
     # Now and then
 
     def _look(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(bounds.PULSE_S, self._look)
+        self._timer = asyncio.get_running_loop().call_later(bounds.CHECK_INTERVAL_S, self._look)
         now = self.runtime.sender.clock.now()
         was_looking = self.pulse.looking is not None
         if gap := self.pulse.beat(now):
