--- a/mountgauge/lab/scale/roles.py
+++ b/mountgauge/lab/scale/roles.py
@@ -422,7 +422,7 @@
 def data_rows(kept: Kept, size: FleetSize) -> tuple[Row, ...]:
     slopes, held = kept.slopes, size.backlog_per_sender
     journal, module = "mountgauge.core.journal.Journal", "rillspindle.policy.Policy._pump"
-    turns = held / recovery_bounds.RESTORED_A_TURN
+    turns = held / recovery_bounds.RESTORED_PER_TURN
     of_one = held / size.part_of_destinations
     memory = (Term("journal-start-memory"), Term("sender-restore-memory"))
     start = (Term("journal-start"), Term("sender-restore"))
@@ -460,7 +460,7 @@
             plain(
                 turns * TICK_S,
                 Unit.SECONDS,
-                f"messages / {recovery_bounds.RESTORED_A_TURN} a turn of 5 ms",
+                f"messages / {recovery_bounds.RESTORED_PER_TURN} a turn of 5 ms",
                 size.ready_s,
             ),
             "mountgauge.core.sender.Sender.turn",
--- a/mountgauge/recovery/bounds.py
+++ b/mountgauge/recovery/bounds.py
@@ -7,14 +7,14 @@
 
 import math
 
-RESTORED_A_TURN = 256  # messages of an earlier life that one look gives back to the module
+RESTORED_PER_TURN = 256  # messages of an earlier life that one look gives back to the module
 CHECK_INTERVAL_S = 0.25  # between two looks at the own clock
 LIST_CALL_S = 0.2  # of discovery's time that each member leaves for every other after a failed call
 
 
 def restoring(messages: int, every: float = CHECK_INTERVAL_S) -> float:
     """In which all that an earlier life held is back with the module: a part of it each look."""
-    return every * max(0, math.ceil(messages / RESTORED_A_TURN) - 1)
+    return every * max(0, math.ceil(messages / RESTORED_PER_TURN) - 1)
 
 
 def learning(ask_within: float, members: int, joined: float = 0.0) -> float:
