--- a/mountgauge/recovery/bounds.py
+++ b/mountgauge/recovery/bounds.py
@@ -48,7 +48,7 @@
     )
 
 
-def paused(drain_grace: float) -> float:
+def pause_threshold(drain_grace: float) -> float:
     """A gap between two looks at the clock after which what is known is too old to act on.
 
     Word of a drain must be heeded within `drain_grace`, so no more than that may have gone by unseen; a
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -47,7 +47,7 @@
         now = sender.clock.now()
         self.folder = Folder(runtime.config.state)
         self.phases = Phases(now, bounds.learning(rules.ask_within, rules.balancers))
-        self.pulse = Pulse(bounds.paused(0.25), _LOOK_BOUND, now)
+        self.pulse = Pulse(bounds.pause_threshold(0.25), _LOOK_BOUND, now)
         self.identity = who.Identity(runtime.config.name, "0" * 16, 1, False)
         self.found = Found.FIRST
         self.restored = 0
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -86,7 +86,7 @@
     assert 2.9 < bounds.ramping(0.17, 0.6, 14, 2.2) < 5
     one = bounds.full_service(0, 10, 1, 0.17, 0.6, 14, 2.2)
     assert one < bounds.full_service(5000, 10, 200, 0.17, 0.6, 14, 2.2) < 25
-    assert bounds.paused(0.25) >= 0.25 and bounds.trials(200) == 400
+    assert bounds.pause_threshold(0.25) >= 0.25 and bounds.trials(200) == 400
 
 
 # What is remembered
