--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -20,7 +20,7 @@
     Names,
 )
 from mountgauge.core.ports import NextHop
-from mountgauge.recovery.state_file import ROOM_BYTES as RECOVERY_ROOM
+from mountgauge.recovery.state_file import RESERVED_DISK_BYTES as RECOVERY_ROOM
 from mountgauge.settings_table import Table, faults_of, read
 from rillspindle.interface import Entry, Readiness, Settings
 
--- a/mountgauge/recovery/state_file.py
+++ b/mountgauge/recovery/state_file.py
@@ -21,7 +21,7 @@
 
 MOST_FACTS = 400  # some 50 KB
 MOST_BYTES = 1 << 16
-ROOM_BYTES = 2 * MOST_BYTES + 4096  # of the state folder, with the spare copy and the identity
+RESERVED_DISK_BYTES = 2 * MOST_BYTES + 4096  # of the state folder, with the spare copy and the identity
 _AHEAD_S = 2.0  # that the wall clock may have been set back between two lives, in a file without a clock
 _UNTIL = ("wait", "cold")  # kinds whose value is a time
 
