--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -42,7 +42,7 @@
         log.info("state", extra=kv(held=now.held, slots_used=now.slots_used, violations=violations, **new))
 
 
-async def _looking(look: Callable[[], None]) -> None:
+async def _check_periodically(look: Callable[[], None]) -> None:
     """Look again and again; one look that fails is not the last."""
     while True:
         await asyncio.sleep(LOOK_EVERY)
@@ -111,12 +111,12 @@
     log.info("ready", extra=ready)
     runtime.warn()
     stating = loop.create_task(_state_lines(runtime))
-    looking = loop.create_task(_looking(runtime.look)) if runtime.polls else None
+    looking = loop.create_task(_check_periodically(runtime.look)) if runtime.polls else None
     await asked.wait()
     stating.cancel()
     if looking is not None:
         looking.cancel()
-        looking = loop.create_task(_looking(lambda: _heed(runtime)))
+        looking = loop.create_task(_check_periodically(lambda: _heed(runtime)))
     log.info("stopping", extra=kv(held=len(runtime.sender.held), out=runtime.next_hops.out))
     await runtime.stop()
     if looking is not None:
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -644,7 +644,7 @@
             if len(found) == 1:
                 raise error
 
-        task = asyncio.get_running_loop().create_task(serve._looking(look))
+        task = asyncio.get_running_loop().create_task(serve._check_periodically(look))
         await until(lambda: len(found) == 3)
         task.cancel()
         assert [record.message for record in caplog.records] == [told]
