--- a/mountgauge/cli.py
+++ b/mountgauge/cli.py
@@ -79,7 +79,7 @@
         return 0
     from mountgauge.connections.turn_watch import watched_loop
     from mountgauge.operator_file import load
-    from mountgauge.run.operator import make
+    from mountgauge.run.operator import make_operator_runtime
 
     operator = load(file)
     try:
@@ -88,7 +88,7 @@
         raise ConfigError(f"{file}: state: {error.strerror}: {operator.config.state}") from None
     watch, loop = watched_loop()
     with asyncio.Runner(loop_factory=lambda: loop) as runner:
-        runner.run(serve(lambda: make(operator, watch)))
+        runner.run(serve(lambda: make_operator_runtime(operator, watch)))
     return 0
 
 
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -117,7 +117,7 @@
         self.exporter.close()
 
 
-def make(operator: Operator, watch: TurnWatch | None = None) -> OperatorRuntime:
+def make_operator_runtime(operator: Operator, watch: TurnWatch | None = None) -> OperatorRuntime:
     """The sender of a file, within the descriptors that this process may have."""
     limits = operator.config.limits
     if (had := raise_soft(limits.sockets)) < limits.sockets:
