--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -495,7 +495,7 @@
         await asyncio.sleep(GRACE)
         assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
         assert await process.wait() == 0
-        assert not platform.hooks
+        assert not platform.received_calls
         await platform.stop()
 
     run(main())
@@ -513,7 +513,7 @@
         await asyncio.sleep(GRACE)
         assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
         await asyncio.sleep(GRACE)
-        assert not platform.hooks
+        assert not platform.received_calls
         assert orjson.loads((tmp_path / "state" / "detached").read_bytes()) == ["e"], "for the next process"
         assert await reply(console, "/_endpoints/attach") == 200
         await until(lambda: platform.delivered == ["a"])
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -62,7 +62,7 @@
             found = {one.id for one in journal.live.values() if not one.attempts and one.notice is None}
             journal.close()
             taken = {msg_id for (msg_id, _), answer in zip(first, answers, strict=True) if answer[:1] == b"+"}
-            assert found and found <= taken and not platform.hooks
+            assert found and found <= taken and not platform.received_calls
             await platform.start()
             for burst in range(3):
                 await platform.send(*[(f"b{burst}-{n}", "safe") for n in range(60)])
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -141,7 +141,7 @@
             process = await platform.start()
             platform.hold.clear()
             assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
-            await until(lambda: platform.hooks)
+            await until(lambda: platform.received_calls)
             file, taken = tmp_path / "config.json", ["a"]
             told = file.read_text()
             for number, content in (
@@ -234,7 +234,7 @@
             assert taken and crossed, "requests crossed the end"
             process = await platform.start()
             await until(lambda: set(taken) <= {*platform.delivered, *platform.notices}, 15)
-            ran = platform.hooks
+            ran = platform.received_calls
             assert not crossed & {*ran, *platform.notices}, "read after the shutdown, and sent on"
             refused = {msg_id for one in clients for msg_id in one.refused}
             assert not refused & {*ran, *platform.notices}, "refused, and sent on"
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -245,16 +245,16 @@
         old = await shared.start()
         platform.hold.clear()
         assert await platform.send(("a", "safe"), ("c", "once")) == [b"+OK\r\n"] * 2
-        await until(lambda: sorted(platform.hooks) == ["a", "c"])
+        await until(lambda: sorted(platform.received_calls) == ["a", "c"])
         new = await shared.start()
         old.kill()
         await old.wait()
         platform.hold.set()
         await asyncio.sleep(0.1)  # what was out ends at the endpoint, unseen by its sender
-        platform.hooks.clear()
-        await until(lambda: platform.hooks == ["a"] and platform.notices == {"c": "undeliverable"})
+        platform.received_calls.clear()
+        await until(lambda: platform.received_calls == ["a"] and platform.notices == {"c": "undeliverable"})
         await asyncio.sleep(0.3)
-        assert platform.hooks == ["a"] and not (tmp_path / "state" / "journal").exists()
+        assert platform.received_calls == ["a"] and not (tmp_path / "state" / "journal").exists()
         await shared.end(old, new)
 
     run(main(), 40)
@@ -274,7 +274,7 @@
         assert (await call(consoles[1], "GET", "/_ready"))[0] == 200
         assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
         await asyncio.sleep(0.5)
-        assert platform.hooks == []  # still out, in the new process
+        assert platform.received_calls == []  # still out, in the new process
         assert (await call(consoles[1], "POST", "/_endpoints/attach", b'{"who":"e"}'))[0] == 200
         await until(lambda: platform.delivered == ["a"])
         await shared.end(new)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -24,7 +24,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder, self.hold = folder, asyncio.Event()
         self.hold.set()
-        self.hooks: list[str] = []
+        self.received_calls: list[str] = []
         self.delivered: list[str] = []
         self.notices: dict[str, str] = {}
         self.discovery, self.endpoint = HttpServer(self.answer), HttpServer(self.hook)
@@ -42,7 +42,7 @@
 
     async def hook(self, message: Message) -> bytes:
         msg_id = message.headers["x-trace-id"]
-        self.hooks.append(msg_id)
+        self.received_calls.append(msg_id)
         await self.hold.wait()
         self.delivered.append(msg_id)
         return response(200, "OK", {}, b"")
@@ -128,7 +128,7 @@
         assert loop.time() - began < 3.7 and set(platform.delivered) == {"a", "b"}
         process = await platform.start()
         await asyncio.sleep(0.5)
-        assert len(platform.hooks) == 2 and not platform.notices  # each had its one end before
+        assert len(platform.received_calls) == 2 and not platform.notices  # each had its one end before
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
         await platform.stop()
@@ -145,16 +145,16 @@
         platform.hold.clear()
         messages = [("a", "safe"), ("b", "keyed"), ("c", "once")]
         assert await platform.send(*messages) == [b"+OK\r\n"] * 3
-        await until(lambda: len(platform.hooks) == 4)
+        await until(lambda: len(platform.received_calls) == 4)
         process.kill()
         await process.wait()
         platform.hold.set()
         await asyncio.sleep(0.1)  # what was out ends at the endpoint, unseen by its sender
-        platform.hooks.clear()
+        platform.received_calls.clear()
         process = await platform.start()
-        await until(lambda: len(platform.hooks) == 2 and platform.notices)
+        await until(lambda: len(platform.received_calls) == 2 and platform.notices)
         await asyncio.sleep(0.3)
-        assert sorted(platform.hooks) == ["a", "b"] and platform.notices == {"c": "undeliverable"}
+        assert sorted(platform.received_calls) == ["a", "b"] and platform.notices == {"c": "undeliverable"}
         process.kill()
         await process.wait()
         await platform.stop()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -47,7 +47,7 @@
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         assert await reader.readline() == b"+PONG\r\n"
         assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
-        await until(lambda: platform.hooks == ["a"])
+        await until(lambda: platform.received_calls == ["a"])
         file = tmp_path / "config.json"
         good = json.loads(file.read_text())
         file.write_text("{")
@@ -64,7 +64,7 @@
         await until(lambda: platform.delivered == ["a"])
         platform.hold.clear()
         assert await platform.send(("late", "once")) == [b"+OK\r\n"]
-        await until(lambda: len(platform.hooks) == 2)
+        await until(lambda: len(platform.received_calls) == 2)
         await platform.endpoint.stop()
         await until(lambda: platform.notices == {"late": "undeliverable"} and "/v1/notices" in asked)
         process.send_signal(signal.SIGTERM)
