--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -139,7 +139,7 @@
     async def main() -> None:
         async with Served(tmp_path) as platform:
             process = await platform.start()
-            platform.hold.clear()
+            platform.may_answer.clear()
             assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
             await until(lambda: platform.received_calls)
             file, taken = tmp_path / "config.json", ["a"]
@@ -153,7 +153,7 @@
                 with contextlib.suppress(ConnectionError):  # it has ended taking already, on a slow machine
                     [answer] = await platform.send((name := f"s{len(taken)}", "safe"))
                     taken += [name] if answer == b"+OK\r\n" else []
-            platform.hold.set()
+            platform.may_answer.set()
             assert await process.wait() == 0
             journal = Journal(tmp_path / "state", 3_000_000)
             owed = set(journal.live)
@@ -224,11 +224,11 @@
             tasks = [asyncio.create_task(one.run(platform.port)) for one in clients]
             await until(lambda: len(platform.delivered) > 50)
             if hangs:
-                platform.hold.clear()
+                platform.may_answer.clear()
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
             await asyncio.gather(*tasks)
-            platform.hold.set()
+            platform.may_answer.set()
             taken = [msg_id for one in clients for msg_id in one.taken]
             crossed = {one.crossed for one in clients} - {""}
             assert taken and crossed, "requests crossed the end"
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -22,8 +22,8 @@
     """Discovery, notices and one endpoint, and the sender that is told of them."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.hold = folder, asyncio.Event()
-        self.hold.set()
+        self.folder, self.may_answer = folder, asyncio.Event()
+        self.may_answer.set()
         self.received_calls: list[str] = []
         self.delivered: list[str] = []
         self.notices: dict[str, str] = {}
@@ -43,7 +43,7 @@
     async def hook(self, message: Message) -> bytes:
         msg_id = message.headers["x-trace-id"]
         self.received_calls.append(msg_id)
-        await self.hold.wait()
+        await self.may_answer.wait()
         self.delivered.append(msg_id)
         return response(200, "OK", {}, b"")
 
@@ -110,7 +110,7 @@
     async def main() -> None:
         platform = Platform(tmp_path)
         process = await platform.start()
-        platform.hold.clear()
+        platform.may_answer.clear()
         assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
         loop = asyncio.get_running_loop()
         began = loop.time()
@@ -123,7 +123,7 @@
         assert await reader.readline() == b"+PONG\r\n"
         kept.close()
         await asyncio.sleep(0.6)
-        platform.hold.set()  # what is out is finished
+        platform.may_answer.set()  # what is out is finished
         assert await process.wait() == 0
         assert loop.time() - began < 3.7 and set(platform.delivered) == {"a", "b"}
         process = await platform.start()
@@ -142,13 +142,13 @@
         process = await platform.start()
         assert await platform.send(("warm", "safe")) == [b"+OK\r\n"]
         await until(lambda: "warm" in platform.delivered)
-        platform.hold.clear()
+        platform.may_answer.clear()
         messages = [("a", "safe"), ("b", "keyed"), ("c", "once")]
         assert await platform.send(*messages) == [b"+OK\r\n"] * 3
         await until(lambda: len(platform.received_calls) == 4)
         process.kill()
         await process.wait()
-        platform.hold.set()
+        platform.may_answer.set()
         await asyncio.sleep(0.1)  # what was out ends at the endpoint, unseen by its sender
         platform.received_calls.clear()
         process = await platform.start()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -42,7 +42,7 @@
         await moved.start()
         # The environment keeps the address that the process was started with; the file has the new one.
         process = await platform.start(GW_DISCOVERY=f"{HOST}:{platform.discovery.port}")
-        platform.hold.clear()
+        platform.may_answer.clear()
         reader, writer = await asyncio.open_connection(HOST, platform.port)
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         assert await reader.readline() == b"+PONG\r\n"
@@ -60,9 +60,9 @@
         assert asked[0] == "/registry/instances" and "index=9&" in asked[1]
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         assert await reader.readline() == b"+PONG\r\n"
-        platform.hold.set()
+        platform.may_answer.set()
         await until(lambda: platform.delivered == ["a"])
-        platform.hold.clear()
+        platform.may_answer.clear()
         assert await platform.send(("late", "once")) == [b"+OK\r\n"]
         await until(lambda: len(platform.received_calls) == 2)
         await platform.endpoint.stop()
