--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -206,7 +206,7 @@
             self.told_at = 0.0
             self.calls: list[tuple[str, float]] = []
 
-        async def hook(self, message: Message) -> bytes:
+        async def answer_call(self, message: Message) -> bytes:
             msg_id, now = message.headers["x-trace-id"], asyncio.get_running_loop().time()
             self.calls.append((msg_id, now))
             if msg_id == "w" and not self.told_at:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -27,7 +27,7 @@
         self.received_calls: list[str] = []
         self.delivered: list[str] = []
         self.notices: dict[str, str] = {}
-        self.discovery, self.endpoint = HttpServer(self.answer), HttpServer(self.hook)
+        self.discovery, self.endpoint = HttpServer(self.answer), HttpServer(self.answer_call)
         self.port = 0
         self.listed = "active"  # the endpoint, in what a sender knows at its start
 
@@ -40,7 +40,7 @@
             return response(204, "No Content", {}, b"")
         return await no_news(message)
 
-    async def hook(self, message: Message) -> bytes:
+    async def answer_call(self, message: Message) -> bytes:
         msg_id = message.headers["x-trace-id"]
         self.received_calls.append(msg_id)
         await self.may_answer.wait()
