--- a/mountgauge/run/__init__.py
+++ b/mountgauge/run/__init__.py
@@ -1,16 +1,16 @@
-"""Puts a sender together: the platform's (`platform`) or an operator's (`operator`); what both share is
-`base`.
+"""Assembles and runs a sender: the platform's (`platform`) or an operator's (`operator`), on a common
+runtime (`base`).
 """
 
 import signal
 
-SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}  # what a running sender is told by
+SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP}  # those that a running sender handles
 
 
 def block_signals() -> None:
-    """The process ends of itself from here on: a signal that still comes must not end it otherwise.
+    """Block the handled signals, once the process is about to exit by itself.
 
-    Once the loop is closed they would have their default action again. Blocked ones wait, and go with the
-    process.
+    After the loop is closed they have their default action again, and a late one would change the exit
+    status. Blocked signals stay pending until the process has exited.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -1,4 +1,4 @@
-"""What every sender is made of, whoever set it up: core, journal, peers, clients, and its start and end."""
+"""The runtime that every sender shares: core, journal, peers and clients, and their start and shutdown."""
 
 from __future__ import annotations
 
@@ -32,11 +32,12 @@
 
 log = logging.getLogger("mountgauge.run")
 
-# The others carry this one's share until it is back, so it serves as long as it may: 3.7 s.
-_HAND_OVER = 2.2  # s after SIGTERM in which clients may still come
-_LAST_ATTEMPT = 3.0  # s after SIGTERM from which nothing new is sent
-_LEAVE = 3.35  # s after SIGTERM at which what is still out is left to the journal
-_TO_SUCCESSOR = 1.5  # s after SIGTERM for clients to be answered, where a newer process takes over
+# The other senders carry this one's share until it has restarted, so it serves as long as possible: 3.7 s.
+# All times are seconds after SIGTERM.
+_ACCEPT_UNTIL_S = 2.2  # new clients are accepted
+_SEND_UNTIL_S = 3.0  # new attempts are sent
+_EXIT_AT_S = 3.35  # attempts that are still in flight are left to the journal
+_SUCCESSOR_UNTIL_S = 1.5  # clients are answered, where a newer process takes over
 
 
 class LoopClock(SystemClocks):
@@ -53,7 +54,7 @@
 
 
 class Listener(Protocol):
-    """A front as the runtime starts and ends it."""
+    """A front, as the runtime starts and stops it."""
 
     async def listen(self, host: str, port: int) -> None: ...
 
@@ -65,23 +66,23 @@
 
 
 class Source(MapSource, Protocol):
-    """A source of the transport map that can be told to look, and closed."""
+    """A source of the transport map that can be refreshed on request, and closed."""
 
     @property
     def counts(self) -> Counter[tuple[str, str]]:
-        """What has become of its calls, and what ended the lease on the list."""
+        """The outcomes of its calls, and the causes that ended the lease on the list."""
 
     def state(self) -> Mapping[str, Any]:
-        """For the state line."""
+        """Its fields of the state line."""
 
     def look_now(self) -> bool:
-        """Look at the list anew; whether that is done, or its answer is still to come."""
+        """Refresh the list; False if the answer is still pending."""
 
     def close(self) -> None: ...
 
 
-class LoggedEnds:
-    """Where no platform is to be told of ends, the log is."""
+class LoggedOutcomes:
+    """Logs the outcomes of messages where there is no platform to notify."""
 
     owed = 0
 
@@ -93,13 +94,13 @@
 
 
 def socket_shares(sockets: int, workers: int) -> tuple[int, int]:
-    """How many connections clients and next hops may have, without `[clients]`."""
+    """The numbers of connections for clients and for next hops, without `[clients]`."""
     clients, hops = shares(sockets, workers)
     return min(512, clients), hops
 
 
 class Runtime:
-    """A sender as one running thing. Who sets it up gives it peers, listeners and subsystems."""
+    """A running sender. Its subclasses add the peers, listeners and subsystems."""
 
     next_hops: Router
     map: Source
@@ -107,7 +108,9 @@
 
     def __init__(self, config: Config, notices_at: Address | None) -> None:
         self.config = config
-        self.notices: Notices | LoggedEnds = Notices(notices_at) if notices_at is not None else LoggedEnds()
+        self.notices: Notices | LoggedOutcomes = (
+            Notices(notices_at) if notices_at is not None else LoggedOutcomes()
+        )
         self.fronts: dict[str, SenderSide] = {"platform": self.notices}
         clock = LoopClock()
         self.journal = Journal(config.state, config.limits.disk_bytes, clock=clock)
@@ -115,39 +118,40 @@
         self.sender = Sender(policy, config.names, self.journal, clock, self.fronts)
         self.listeners: list[tuple[Listener, Address]] = []
         self.subsystems: list[Subsystem] = []
-        self.service: Service | None = None  # the console's
-        self.taking = False  # clients are accepted
+        self.service: Service | None = None  # of the console
+        self.accepting = False  # clients are accepted
         self.reload_retry = ReloadRetry(self.reload, "the old settings", log)
         self.handover = Handover(self.sender, self.journal, config.state, config.listen_fd is not None)
 
-    def connect(self) -> None:
-        """The peers stand: the core learns of them."""
+    def attach_peers(self) -> None:
+        """Give the core its next hops and its transport map, once both exist."""
         self.sender.next_hops, self.sender.map = self.next_hops, self.map
 
     def add_console(self, front: Clients | None) -> None:
-        """The console, where one is asked for; `front` is whose clients a lame duck lets go."""
+        """Add the console if it is configured; `front` has the clients that a lame duck closes."""
         if self.config.console is None:
             return
-        from mountgauge.run.console import ConsoleSubsystem  # imported only where it is asked for
+        from mountgauge.run.console import ConsoleSubsystem  # imported only where it is configured
 
-        subsystem = ConsoleSubsystem(self.sender, front, self.registry, self.config, lambda: self.taking)
+        subsystem = ConsoleSubsystem(self.sender, front, self.registry, self.config, lambda: self.accepting)
         self.service = subsystem.service
         self.subsystems.append(subsystem)
 
     def reload(self) -> None:
-        """SIGHUP: read the file again. What may change while it runs moves; nothing is closed for it."""
+        """SIGHUP: read the file again and apply what may change at run time; no connection is closed."""
         raise NotImplementedError
 
     @staticmethod
-    def _told(needs_restart: list[str]) -> None:
+    def _log_reload(needs_restart: list[str]) -> None:
         log.info("reloaded", extra=kv(needs_restart=",".join(needs_restart) or "nothing"))
 
     def warn(self) -> None:
-        """Say at the start what whoever set it up should look at."""
+        """Log doubtful settings at the start."""
 
-    # What others are told
+    # Reports
 
     def snapshot(self) -> Snapshot:
+        """The counts and the load at this moment."""
         sender = self.sender
         counts = sender.counts + self.map.counts
         for listener, _ in self.listeners:
@@ -158,6 +162,7 @@
         return Snapshot(counts, len(sender.held), sender.calls, sender.rules.workers, violations)
 
     def report(self) -> Mapping[str, Any]:
+        """The status page."""
         now = self.snapshot()
         found: dict[str, Any] = {
             "name": self.config.name, "held": now.held, "slots_used": now.slots_used, "slots": now.slots,
@@ -168,25 +173,26 @@
             "violations": now.violations,
         }  # fmt: skip
         for subsystem in self.subsystems:
-            if said := subsystem.report():
-                found[subsystem.name] = said
+            if section := subsystem.report():
+                found[subsystem.name] = section
         return found
 
     def state(self) -> Mapping[str, Any]:
-        """What the list's source and the subsystems add to the state line."""
+        """The fields that the list's source and the subsystems add to the state line."""
         found = dict(self.map.state())
         for subsystem in self.subsystems:
             found |= subsystem.state()
         return found
 
-    # Start and end
+    # Start and shutdown
 
     async def start(self) -> None:
+        """Start the subsystems, the core and the listeners, in this order."""
         for subsystem in self.subsystems:
             await subsystem.start()
         self.sender.start(self.config.known)
-        # The module asks for a watch only where the simulator would not bring changes by itself; on sockets
-        # somebody always has to ask.
+        # The module asks for a watch only where the simulator would not deliver changes by itself; with real
+        # sockets the watch always has to be started.
         self.map.watch(True)
         self.sender.on_wait = self.handover.share_waits
         await self.handover.begin()
@@ -194,30 +200,30 @@
             self.service.look()
         for listener, address in self.listeners:
             await listener.listen(address.host, address.port)
-        self.taking = True
+        self.accepting = True
         for subsystem in self.subsystems:
             await subsystem.serve()
 
     @property
-    def polls(self) -> bool:
-        """Only where another process may share the folder, or operators may call: else no wakeups at all."""
+    def needs_polling(self) -> bool:
+        """Whether another process may share the folder or operators may call; else there are no wakeups."""
         return self.handover.sharing or self.service is not None or bool(self.journal.others)
 
-    def look(self) -> None:
-        """Now and then: what another process on this folder has left or told."""
+    def check_folder(self) -> None:
+        """The periodic check for journals, waits and commands that other processes left in the folder."""
         self.handover.check_others()
         if self.service is not None:
             self.service.look()
 
     async def stop(self) -> None:
-        """Answer through the hand-over, then let go of the clients, finish what is out, leave the rest.
+        """Serve through the hand-over, then close the clients, finish calls in flight, leave the remainder.
 
-        Where a newer process accepts on the same socket, this one stops accepting at once and lets go of
-        its clients as soon as each is answered; what it still holds is left to the journal that the
-        newer one adopts once this one has gone.
+        Where a newer process accepts on the same socket, this one stops accepting at once and closes its
+        clients as soon as each has its answer. Messages that it still has stay in the journal, which the
+        newer process adopts after this one has exited.
         """
         began = time.monotonic()
-        self.taking = False
+        self.accepting = False
         handing = self.handover.successor()
         log.info("handing-over" if handing else "draining", extra=kv(held=len(self.sender.held)))
 
@@ -225,25 +231,26 @@
             return max(0.0, began + until - time.monotonic())
 
         if not handing:
-            await asyncio.sleep(left(_HAND_OVER))
+            await asyncio.sleep(left(_ACCEPT_UNTIL_S))
         for listener, _ in self.listeners:
             listener.stop_listening()
             listener.close_idle()
-        while left(_TO_SUCCESSOR if handing else _LAST_ATTEMPT) and (
+        while left(_SUCCESSOR_UNTIL_S if handing else _SEND_UNTIL_S) and (
             (self.sender.held and not handing) or self.registry.open
         ):
             await asyncio.sleep(0.02)
         self.sender.stop()
-        while left(_LEAVE) and (self.next_hops.out or self.notices.owed):
+        while left(_EXIT_AT_S) and (self.next_hops.out or self.notices.owed):
             await asyncio.sleep(0.02)
         for listener, _ in self.listeners:
             listener.close()
         for subsystem in self.subsystems:
             await subsystem.drain()
-        await asyncio.sleep(0.05)  # the last answers leave
+        await asyncio.sleep(0.05)  # lets the last answers leave
         self.close()
 
     def close(self) -> None:
+        """Release all resources, in the reverse order of their creation."""
         self.reload_retry.cancel()
         for subsystem in reversed(self.subsystems):
             subsystem.stop()
--- a/mountgauge/run/budgets.py
+++ b/mountgauge/run/budgets.py
@@ -1,4 +1,4 @@
-"""Fleet-wide budgets as a subsystem of a sender: they use the socket and the keys of `[fleet]`."""
+"""Fleet-wide budgets as a subsystem of a sender. They use the socket and the keys of `[fleet]`."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class BudgetsSubsystem(Subsystem):
-    """Starts and ends the budgets, and tells of them."""
+    """Starts and stops the budgets, and reports them."""
 
     name = "budgets"
 
--- a/mountgauge/run/console.py
+++ b/mountgauge/run/console.py
@@ -15,7 +15,7 @@
 
 
 class ConsoleSubsystem(Subsystem):
-    """Starts and ends the operators' console."""
+    """Starts and stops the operators' console."""
 
     name = "console"
 
@@ -25,22 +25,22 @@
         front: Clients | None,
         registry: Registry,
         config: Config,
-        taking: Callable[[], bool],
+        accepting: Callable[[], bool],
     ) -> None:
         assert config.console is not None
         self.address = config.console
-        self.service = Service(sender, front, registry, config.state, taking)
+        self.service = Service(sender, front, registry, config.state, accepting)
         self.console = Console(self.service.carry_out)
 
     async def start(self) -> None:
-        """What operators took out is out before the core sends the first message of an earlier process."""
+        """Exclude the endpoints that operators took out, before the core sends a previous run's messages."""
         self.service.look()
 
     async def serve(self) -> None:
         await self.console.listen(self.address)
 
     def reload(self, file: Any) -> list[str]:
-        return []  # its address is compared where the whole file is
+        return []  # the runtime compares the console's address itself
 
     def stop(self) -> None:
         self.console.close()
--- a/mountgauge/run/handover.py
+++ b/mountgauge/run/handover.py
@@ -1,5 +1,7 @@
-"""Another process on the same folder: a hand-over's old or new one. Its journal is adopted once it has
-gone; while it runs, both heed the waits that either was told.
+"""Hand-over between two processes on the same folder, an old and a new one.
+
+The other process's journal is adopted after its process has exited. While both run, each applies the required
+waits (Retry-After) that the other received.
 """
 
 from __future__ import annotations
@@ -17,9 +19,9 @@
 
 log = logging.getLogger("mountgauge.run")
 
-LOOK_EVERY = 0.05  # s between looks at what other processes have told
-_ADOPT_LOOKS = 2  # looks from one look at their journals to the next
-_FIRST_LOOKS = 6  # that a new process waits for the old one's waits at its start
+FOLDER_CHECK_INTERVAL_S = 0.05  # between two checks of the folder for other processes' files
+_CHECKS_PER_ADOPTION = 2  # checks of the folder per check of the other processes' journals
+_STARTUP_CHECKS = 6  # for which a new process waits for the old one's waits at its start
 
 
 def slot_of(journal: Path) -> int:
@@ -29,48 +31,49 @@
 
 
 class Handover:
-    """Adopts what ended processes left on this folder, and exchanges told waits with running ones."""
+    """Adopts the journals of exited processes on this folder, and shares required waits with running ones."""
 
     def __init__(
         self, sender: Sender, journal: Journal, folder: Path, sharing: bool, files: Files | None = None
     ) -> None:
-        """`sharing`: a new process can come beside, on the listening socket that the platform keeps."""
+        """`sharing`: a new process can start beside this one, on the platform's listening socket."""
         self._files = files or SystemFiles()
-        self._told = True  # what this process was told to wait is in its file
+        self._waits_written = True  # this process's file has all its waits
         self.sender, self.journal, self.folder, self.sharing = sender, journal, folder, sharing
-        self._seen: dict[Path, tuple[int, int, int]] = {}
-        self._looks = 0
+        self._read_versions: dict[Path, tuple[int, int, int]] = {}
+        self._checks = 0
 
     async def begin(self) -> None:
-        """An older process serves: what it was told to wait binds this one."""
+        """At the start: share waits with an older process that still serves, and apply its waits."""
         if not self.journal.others:
             return
         self.share_waits()
-        for _ in range(_FIRST_LOOKS):
-            if all(map(self._heard_from, self.journal.others)):
+        for _ in range(_STARTUP_CHECKS):
+            if all(map(self._has_shared_waits, self.journal.others)):
                 break
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(FOLDER_CHECK_INTERVAL_S)
         self.apply_shared_waits()
 
     def check_others(self) -> None:
-        """Journals of gone processes; and, while another process serves beside this one, its waits."""
-        self._looks += 1
-        if (self._looks % _ADOPT_LOOKS == 0 and self.sharing) or self.journal.others:
+        """Adopt the journals of exited processes; apply the waits of a process that runs beside this one."""
+        self._checks += 1
+        if (self._checks % _CHECKS_PER_ADOPTION == 0 and self.sharing) or self.journal.others:
             self.adopt()
         if self.journal.others:
-            if not self._told:
+            if not self._waits_written:
                 self.share_waits()
             self.apply_shared_waits()
 
     def adopt(self) -> None:
-        """Messages of a process that has gone from the same folder become this one's."""
+        """Take over the messages of processes on the same folder that have exited."""
         had = bool(self.journal.others)
         adopted = self.journal.adopt()
-        if had and not self.journal.others:  # what the gone one was told ended with it
+        if had and not self.journal.others:  # the exited process's waits file has no further use
             for path in self._waits_paths():
-                with contextlib.suppress(OSError):  # it says until when it holds, and is replaced as a whole
+                # A file that remains is harmless: its waits expire, and a later write replaces it.
+                with contextlib.suppress(OSError):
                     self._files.unlink(path)
-        elif self.journal.others and not had:  # a newer process beside this one: it is to heed our waits
+        elif self.journal.others and not had:  # a newer process has started: it has to apply these waits
             self.share_waits()
         self.sender.forget_ended()
         if adopted:
@@ -86,21 +89,21 @@
         return self.folder / ("waits" if slot == 0 else f"waits.{slot}")
 
     def share_waits(self) -> None:
-        """A wait was told to this process: the one beside it is to heed it too."""
+        """Write this process's required waits for the other process; called for each new wait."""
         if not self.journal.others:
             return
         content = shared_waits.encode(self.sender.waits, self.journal.time.stamp())
         try:
             write_whole(self._files, self._waits_path(self.journal.slot), content)
         except OSError as error:
-            if self._told:  # the first time: it is tried at each look
+            if self._waits_written:  # logged once; each check retries
                 log.warning("waits-not-shared", extra=kv(error=error))
-            self._told = False
+            self._waits_written = False
         else:
-            self._told = True
+            self._waits_written = True
 
-    def _heard_from(self, journal: Path) -> bool:
-        """Whether the process with this journal has told its waits."""
+    def _has_shared_waits(self, journal: Path) -> bool:
+        """Whether the process with this journal has written its waits."""
         with contextlib.suppress(OSError):
             return self._waits_path(slot_of(journal)).exists()
         return False
@@ -113,19 +116,20 @@
             return []
 
     def apply_shared_waits(self) -> None:
+        """Apply the waits in other processes' files that have changed since they were last read."""
         for path in self._waits_paths():
             if path == self._waits_path(self.journal.slot) or path.name.endswith(".new"):
                 continue
             try:
                 stat = path.stat()
                 version = (stat.st_ino, stat.st_size, stat.st_mtime_ns)
-                if self._seen.get(path) == version:
+                if self._read_versions.get(path) == version:
                     continue
                 content = self._files.read(path)
-                self._seen[path] = version
-                told = shared_waits.decode(content, self.journal.time.stamp())
+                self._read_versions[path] = version
+                waits = shared_waits.decode(content, self.journal.time.stamp())
             except (OSError, ValueError) as error:
                 log.warning("waits-not-read", extra=kv(path=path.name, error=error))
                 continue
-            if shared_waits.merge(self.sender.waits, told):
-                log.info("waits-heard", extra=kv(waits=len(told)))
+            if shared_waits.merge(self.sender.waits, waits):
+                log.info("waits-heard", extra=kv(waits=len(waits)))
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -1,4 +1,4 @@
-"""An operator's sender: the fronts, next hops and optional subsystems that its file sets up."""
+"""An operator's sender: its file configures the fronts, next hops and optional subsystems."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 log = logging.getLogger("mountgauge.run")
 
-_MOST_PUBLISHERS = 64  # AMQP connections: each may hold a megabyte of bodies under way
-_BROKER_IDLE = 60.0  # s without calls after which a broker's connection is let go
+_MAX_AMQP_CONNECTIONS = 64  # each may have a megabyte of partly received bodies
+_BROKER_IDLE_S = 60.0  # without calls, after which the connection to a broker is closed
 
 
 class TenantsSubsystem(Subsystem):
-    """Counts of tenants, shared with the fleet's other members."""
+    """Counts per tenant, shared with the fleet's other members."""
 
     name = "tenants"
 
@@ -63,7 +63,7 @@
 
 
 class ClientsSubsystem(Subsystem):
-    """What connections cost."""
+    """Metrics of the cost of connections."""
 
     name = "clients"
 
@@ -100,7 +100,7 @@
 
 
 class OtlpSubsystem(Subsystem):
-    """Metrics sent over OTLP."""
+    """Export of metrics over OTLP."""
 
     name = "otlp"
 
@@ -118,7 +118,7 @@
 
 
 def make_operator_runtime(operator: Operator, watch: TurnWatch | None = None) -> OperatorRuntime:
-    """The sender of a file, within the descriptors that this process may have."""
+    """Create a file's sender, limited to the descriptors that this process may have."""
     limits = operator.config.limits
     if (had := raise_soft(limits.sockets)) < limits.sockets:
         log.warning("descriptors", extra=kv(wanted=limits.sockets, had=had))
@@ -128,33 +128,33 @@
 
 
 class OperatorRuntime(Runtime):
-    """A sender as an operator's file sets it up."""
+    """A sender that an operator's file configures."""
 
     def __init__(self, operator: Operator, watch: TurnWatch | None = None) -> None:
         super().__init__(operator.config, operator.notices)
         self.operator = operator
         self.tenants: Tenants | None = None
-        self._pages: dict[str, Report] = {}  # of the status server
+        self._pages: dict[str, Report] = {}  # of the status server, by path
         rules = self.config.rules
         _, hops = socket_shares(self.config.limits.sockets, rules.workers)
-        self.sender.admission.list_told = True  # the file is the whole list
+        self.sender.admission.list_told = True  # the file is the complete list
         http = HttpNextHops(self.sender, rules.connect_timeout, self.config.conn_idle, hops - hops // 2)
         self._amqp_hops = AmqpNextHops(
-            self.sender, rules.connect_timeout, _BROKER_IDLE, hops // 2, operator.hops.accounts
+            self.sender, rules.connect_timeout, _BROKER_IDLE_S, hops // 2, operator.hops.accounts
         )
         self.next_hops = Router({"http": http, "amqp": self._amqp_hops}, operator.hops.protocols)
         self.map = self._make_map()
-        self._fronts()
-        self._parts(watch)
-        self.connect()
+        self._add_fronts()
+        self._add_subsystems(watch)
+        self.attach_peers()
 
     def _make_map(self) -> Source:
         sharding = self.operator.sharding
         if sharding is None:
-            file_map = FileMap(self.sender, self.operator, self._learn)
+            file_map = FileMap(self.sender, self.operator, self._apply_hops)
             self.sender.list_lease, file_map.on_read = file_map.lease_ended, self.sender.release
             return file_map
-        from mountgauge.relay.shard_map import ShardMap  # only where it is asked for
+        from mountgauge.relay.shard_map import ShardMap  # imported only where it is configured
         from mountgauge.run.sharding import ShardingSubsystem
 
         grace_s = self.config.rules.drain_grace
@@ -167,17 +167,17 @@
         self._pages["/shards"] = subsystem.shards_page
         return found
 
-    def _learn(self, hops: Hops) -> None:
+    def _apply_hops(self, hops: Hops) -> None:
         self.next_hops.protocols, self._amqp_hops.accounts = hops.protocols, hops.accounts
 
-    def _fronts(self) -> None:
+    def _add_fronts(self) -> None:
         operator, rules, names = self.operator, self.config.rules, self.config.names
         clients, _ = socket_shares(self.config.limits.sockets, rules.workers)
         share = clients // ((operator.resp is not None) + (operator.amqp is not None))
-        settings = operator.clients or default_settings(share, _MOST_PUBLISHERS)
-        # The system may give fewer descriptors than the file counts on: next hops and the rest keep theirs.
-        room, _ = shares(self.config.limits.sockets, rules.workers)
-        self.registry = Registry(replace(settings, most=min(settings.most, room)))
+        settings = operator.clients or default_settings(share, _MAX_AMQP_CONNECTIONS)
+        # The system may allow fewer descriptors than the file assumes; next hops and other files keep theirs.
+        most_clients, _ = shares(self.config.limits.sockets, rules.workers)
+        self.registry = Registry(replace(settings, most=min(settings.most, most_clients)))
         if operator.resp is not None:
             deadlines = [grade.deadline for grade in rules.grades]
             resp = Clients(
@@ -196,12 +196,12 @@
             if operator.resp is None:
                 self.add_console(None)
 
-    def _parts(self, watch: TurnWatch | None) -> None:
-        """What the file's sections switch on."""
+    def _add_subsystems(self, watch: TurnWatch | None) -> None:
+        """Add the subsystems that the file's sections enable."""
         operator = self.operator
         pages = self._pages
         if operator.tenants is not None:
-            from mountgauge.tenants.service import Tenants  # with its libraries: only where it is asked for
+            from mountgauge.tenants.service import Tenants  # with its libraries, only where configured
 
             self.tenants = Tenants(operator.tenants, self.config.name, self.config.state)
             self.sender.admission.gate = self.tenants
@@ -233,9 +233,11 @@
             log.warning("amqp-open", extra=kv(why="no users: anyone may log in, to any virtual host"))
 
     def tenant_metrics(self) -> dict[str, Any]:
+        """The metrics of the tenants, for the export."""
         return {} if self.tenants is None else self.tenants.metrics()
 
     def measured(self) -> list[Measured]:
+        """The metrics of all subsystems, for the export."""
         return [one for subsystem in self.subsystems for one in subsystem.metrics()]
 
     def reload(self) -> None:
@@ -274,4 +276,4 @@
             needs.append("sharding")
         for subsystem in self.subsystems:
             needs += subsystem.reload(operator)
-        self._told(needs)
+        self._log_reload(needs)
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -1,4 +1,4 @@
-"""The platform's sender: RESP2 clients, HTTP next hops, discovery's list, notices; told by GW_CONFIG."""
+"""The platform's sender: RESP2 clients, HTTP next hops, discovery's list and notices; set up by GW_CONFIG."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 log = logging.getLogger("mountgauge.run")
 
-# Between two looks whether calls that wait may go: for evidence, and for an answer that is being read.
+# Between two checks whether waiting calls may be sent: for new evidence, or while an answer is being read.
 RECHECK_S, READ_RECHECK_S = 0.02, 0.005
-_ENDS_SOON = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NOT_ASKED)
-_FIXED = ("listen", "state", "limits")  # what a running process can't change
+_BRIEF_LEASE_ENDS = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NOT_ASKED)
+_RESTART_ONLY = ("listen", "state", "limits")  # settings that a running process cannot change
 
 
 class PlatformRuntime(Runtime):
-    """A sender as the platform sets it up, from `GW_CONFIG`."""
+    """A sender that the platform configures through `GW_CONFIG`."""
 
     def __init__(self, config: Config) -> None:
         super().__init__(config, config.discovery)
@@ -53,13 +53,13 @@
         self.front.inherited = config.listen_fd
         self.listeners.append((self.front, config.listen))
         self.add_console(self.front)
-        self.connect()
+        self.attach_peers()
 
     def _lease_ended(self, dest: int) -> LeaseEnd | None:
-        """Why no call may go by the list; calls that wait are tried again soon."""
+        """Why the list allows no call at present, if so; waiting calls are then retried soon."""
         ended = self.discovery.lease_ended()
         if ended is not None and self._recheck is None:
-            pause_s = READ_RECHECK_S if ended in _ENDS_SOON else RECHECK_S
+            pause_s = READ_RECHECK_S if ended in _BRIEF_LEASE_ENDS else RECHECK_S
             self._recheck = asyncio.get_running_loop().call_later(pause_s, self._release)
         return ended
 
@@ -85,7 +85,7 @@
             self.front.retune(config.names.grades, [grade.deadline for grade in config.rules.grades])
             classes, attempts = ",".join(config.names.grades), config.rules.attempts_cap
             log.info("retuned", extra=kv(classes=classes, attempts=attempts))
-        needs = [name for name in _FIXED if getattr(config, name) != getattr(old, name)]
+        needs = [name for name in _RESTART_ONLY if getattr(config, name) != getattr(old, name)]
         for subsystem in self.subsystems:
             needs += subsystem.reload(config)
-        self._told(needs)
+        self._log_reload(needs)
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -168,7 +168,7 @@
         runtime = self.runtime
         sender, now = runtime.sender, runtime.sender.clock.now()
         seen = Seen(
-            now, runtime.taking, sender.to_restore, sender.admission.list_told, self.peers.joined(),
+            now, runtime.accepting, sender.to_restore, sender.admission.list_told, self.peers.joined(),
             destination_states(sender.policy, now), len(sender.held),
         )  # fmt: skip
         before = self.phases.held_up
@@ -263,7 +263,7 @@
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-            if not self.runtime.taking and self._identity_loaded:  # asked to end
+            if not self.runtime.accepting and self._identity_loaded:  # asked to end
                 try:
                     self.folder.ended(self.identity)
                 except OSError as error:
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -1,4 +1,4 @@
-"""Runs a sender in this process until it is asked to end: signals, state lines, looks at the folder."""
+"""Runs a sender in this process until it is asked to stop: signals, state lines, checks of the folder."""
 
 from __future__ import annotations
 
@@ -17,20 +17,28 @@
 from mountgauge.log import kv
 from mountgauge.run import SIGNALS, block_signals
 from mountgauge.run.base import Runtime
-from mountgauge.run.handover import LOOK_EVERY
+from mountgauge.run.handover import FOLDER_CHECK_INTERVAL_S
 
 log = logging.getLogger("mountgauge.run")
 
-_STATE_EVERY = 5.0  # s
-_START_AGAIN = 0.25  # s from a start that the folder did not let through to the next
-_PASSING = {errno.EIO, errno.ENOSPC, errno.EDQUOT, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EAGAIN}
+_STATE_INTERVAL_S = 5.0
+_START_RETRY_S = 0.25  # between two attempts to start while the folder or the file cannot be read
+_TRANSIENT_ERRNOS = {
+    errno.EIO,
+    errno.ENOSPC,
+    errno.EDQUOT,
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOMEM,
+    errno.EAGAIN,
+}
 
 
-async def _state_lines(runtime: Runtime) -> None:
-    """Now and then one line of what the sender believes, to be held against what its peers see."""
+async def _log_state(runtime: Runtime) -> None:
+    """Log a line of the sender's state at an interval, to compare with what its peers observe."""
     before = Counter[tuple[str, str]]()
     while True:
-        await asyncio.sleep(_STATE_EVERY)
+        await asyncio.sleep(_STATE_INTERVAL_S)
         now = runtime.snapshot()
         new: dict[str, Any] = {
             f"{kind}.{what}" if what else kind: n for (kind, what), n in sorted((now.counts - before).items())
@@ -42,21 +50,21 @@
         log.info("state", extra=kv(held=now.held, slots_used=now.slots_used, violations=violations, **new))
 
 
-async def _check_periodically(look: Callable[[], None]) -> None:
-    """Look again and again; one look that fails is not the last."""
+async def _check_periodically(check: Callable[[], None]) -> None:
+    """Run the check at an interval; a check that fails does not end the loop."""
     while True:
-        await asyncio.sleep(LOOK_EVERY)
+        await asyncio.sleep(FOLDER_CHECK_INTERVAL_S)
         try:
-            look()
-        except OSError as error:  # at the next look, perhaps
+            check()
+        except OSError as error:  # may be transient: the next check tries again
             log.warning("folder-not-read", extra=kv(error=error))
         except Exception:
             log.exception("look-failed")
 
 
-def _heed(runtime: Runtime) -> None:
-    """What another process of this sender tells while this one ends: waits, and endpoints taken out. Journals
-    are left to the others by now.
+def _check_while_stopping(runtime: Runtime) -> None:
+    """Apply another process's waits and excluded endpoints while this one stops. Journals are no longer
+    adopted.
     """
     if runtime.journal.others:
         runtime.handover.apply_shared_waits()
@@ -64,42 +72,46 @@
         runtime.service.look()
 
 
-async def make_with_retries(make: Callable[[], Runtime], asked: asyncio.Event) -> Runtime | None:
-    """The sender, put together. While its folder or its file fails, so that what it owes or is told is not
-    known, it waits; None where it is asked to end meanwhile.
+async def make_with_retries(make: Callable[[], Runtime], stop_requested: asyncio.Event) -> Runtime | None:
+    """Create the sender, and retry while its folder or file fails with a transient error: until then its
+    stored messages and its settings are unknown. None if a stop is requested meanwhile.
     """
-    said = False
-    while not asked.is_set():
+    logged = False
+    while not stop_requested.is_set():
         try:
             return make()
         except (JournalUnavailableError, FileUnreadableError) as error:
-            passing = error.passing if isinstance(error, FileUnreadableError) else error.errno in _PASSING
-            if not passing:
+            transient = (
+                error.passing if isinstance(error, FileUnreadableError) else error.errno in _TRANSIENT_ERRNOS
+            )
+            if not transient:
                 raise
-            if not said:
+            if not logged:
                 log.error("start-waits", extra=kv(error=error))
-            said = True
+            logged = True
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_START_AGAIN):
-                await asked.wait()
+            async with asyncio.timeout(_START_RETRY_S):
+                await stop_requested.wait()
     return None
 
 
 async def serve(make: Callable[[], Runtime]) -> None:
-    """`make` puts the sender together, in the running loop. Signals that came before are heard now: the
-    process is let go of as ever, or reads its file again, once it has begun to serve.
+    """Run the sender that `make` creates in the running loop.
+
+    Signals that arrived before are handled from here on: the process stops as usual, or reads its file again
+    once it serves.
     """
     loop = asyncio.get_running_loop()
-    asked = asyncio.Event()
+    stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
-    if (runtime := await make_with_retries(make, asked)) is None:
+        loop.add_signal_handler(number, stop_requested.set)
+    if (runtime := await make_with_retries(make, stop_requested)) is None:
         block_signals()
         return
     await runtime.start()
-    loop.add_signal_handler(signal.SIGHUP, runtime.reload)  # not before there is anything to move
+    loop.add_signal_handler(signal.SIGHUP, runtime.reload)  # only now is there anything to reload
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
-    # What lives as long as the process is not walked again; the rest is small enough for short pauses.
+    # Objects that live as long as the process are not scanned again, which keeps later collections short.
     gc.collect()
     gc.freeze()
     gc.set_threshold(20_000, 20, 50)
@@ -110,16 +122,18 @@
                max_open=rules.max_open, sockets=limits.sockets, memory=limits.memory_bytes)  # fmt: skip
     log.info("ready", extra=ready)
     runtime.warn()
-    stating = loop.create_task(_state_lines(runtime))
-    looking = loop.create_task(_check_periodically(runtime.look)) if runtime.polls else None
-    await asked.wait()
-    stating.cancel()
-    if looking is not None:
-        looking.cancel()
-        looking = loop.create_task(_check_periodically(lambda: _heed(runtime)))
+    state_task = loop.create_task(_log_state(runtime))
+    check_task = (
+        loop.create_task(_check_periodically(runtime.check_folder)) if runtime.needs_polling else None
+    )
+    await stop_requested.wait()
+    state_task.cancel()
+    if check_task is not None:
+        check_task.cancel()
+        check_task = loop.create_task(_check_periodically(lambda: _check_while_stopping(runtime)))
     log.info("stopping", extra=kv(held=len(runtime.sender.held), out=runtime.next_hops.out))
     await runtime.stop()
-    if looking is not None:
-        looking.cancel()
+    if check_task is not None:
+        check_task.cancel()
     block_signals()
     log.info("stopped", extra=kv(left=len(runtime.journal.live), opened=runtime.next_hops.opened))
--- a/mountgauge/run/sharding.py
+++ b/mountgauge/run/sharding.py
@@ -1,4 +1,4 @@
-"""Sharding as an optional subsystem of a sender: it holds the destinations that are placed on it."""
+"""Sharding as an optional subsystem: the sender holds only the destinations that are placed on it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ShardingSubsystem(Subsystem):
-    """Follows the shards placed here from the first client on, and tells of them."""
+    """Follows the shards that are placed on this sender, once clients are accepted, and reports them."""
 
     name = "sharding"
 
@@ -25,7 +25,7 @@
         sender.scope = shard_map
 
     async def serve(self) -> None:
-        """The known list has been told to the core: what relays say builds on it."""
+        """Follow the relays once the core has the known list, since their changes build on it."""
         self.map.start()
 
     def reload(self, file: Any) -> list[str]:
--- a/mountgauge/run/subsystem.py
+++ b/mountgauge/run/subsystem.py
@@ -1,7 +1,7 @@
-"""What an optional subsystem of a sender looks like to the one that puts it together.
+"""The interface of an optional subsystem of a sender.
 
-Tenants, console, status, OTLP and the like are each one object that a file's section switches on. What is
-off is neither imported nor made.
+Tenants, console, status, OTLP and others are one object each, which a section of the file enables. A disabled
+subsystem is neither imported nor created.
 """
 
 from __future__ import annotations
@@ -13,34 +13,34 @@
 
 
 class Subsystem:
-    """Does nothing by itself: a subsystem overrides what it has."""
+    """The default of each hook does nothing; a subsystem overrides those that it needs."""
 
-    name = ""  # of its section, and of its place in `status`
+    name = ""  # of its section in the file and in `status`
 
     async def start(self) -> None:
-        """Before the first client is let in."""
+        """Called before the first client is accepted."""
 
     async def serve(self) -> None:
-        """Once clients are let in."""
+        """Called once clients are accepted."""
 
     def reload(self, file: Any) -> list[str]:
-        """SIGHUP brought a new file: take what may move; the settings that need a restart are named."""
+        """SIGHUP: apply what a new file may change; returns the names of settings that need a restart."""
         return []
 
     async def drain(self) -> None:
-        """SIGTERM: clients are gone, and what is out is finished; say goodbye."""
+        """SIGTERM: called when clients are closed and calls finished, to notify other members."""
 
     def stop(self) -> None:
-        """Give everything back."""
+        """Release all resources."""
 
     def report(self) -> Mapping[str, Any]:
-        """What `status` shows under its name; empty: nothing."""
+        """Its section in `status`; an empty one is left out."""
         return {}
 
     def state(self) -> Mapping[str, Any]:
-        """What it adds to the state line."""
+        """The fields that it adds to the state line."""
         return {}
 
     def metrics(self) -> Sequence[Measured]:
-        """What it adds to an export."""
+        """The metrics that it adds to an export."""
         return ()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the file is read again, discovery moves, and neither clients, calls nor owed notices are lost."""
+"""SIGHUP reads the file again and may change the address of discovery; no client, call or notice is lost."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
         moved = HttpServer(other)
         await moved.start()
-        # The environment keeps the address that the process was started with; the file has the new one.
+        # The environment keeps the address from the start of the process; the file has the new one.
         process = await platform.start(GW_DISCOVERY=f"{HOST}:{platform.discovery.port}")
         platform.may_answer.clear()
         reader, writer = await asyncio.open_connection(HOST, platform.port)
@@ -56,7 +56,7 @@
         assert process.returncode is None and not asked
         file.write_text(json.dumps({**good, "discovery": f"{HOST}:{moved.port}"}))
         process.send_signal(signal.SIGHUP)
-        await until(lambda: len(asked) >= 2, 2.0)  # though the old address is silent
+        await until(lambda: len(asked) >= 2, 2.0)  # although the old address does not answer
         assert asked[0] == "/registry/instances" and "index=9&" in asked[1]
         writer.write(b"*1\r\n$4\r\nPING\r\n")
         assert await reader.readline() == b"+PONG\r\n"
@@ -75,8 +75,8 @@
     run(main(), 30)
 
 
-def test_a_moved_map_waits_for_no_back_off() -> None:
-    """Failures at the old address, or before the new one serves, must not cost the 4 s of a move."""
+def test_a_map_with_a_new_address_is_read_without_back_off() -> None:
+    """Failures at the old address, or before the new one serves, must not use up the 4 s of a move."""
 
     async def main() -> None:
         paths: list[str] = []
@@ -98,7 +98,7 @@
         watched.watch(True)
         await asyncio.sleep(0.1)
         watched.move(Address(HOST, server.port))
-        watched.watch(True)  # it goes on
+        watched.watch(True)  # the watch continues
         await until(lambda: len(paths) == 4, 1.5)
         assert paths[:3] == ["/registry/instances"] * 3 and "index=2&" in paths[3]
         assert owner.updates[0].full
@@ -109,7 +109,7 @@
     run(main())
 
 
-def test_owed_notices_move_with_their_ends() -> None:
+def test_unsent_notices_move_to_the_new_address() -> None:
     async def main() -> None:
         lines: list[bytes] = []
 
@@ -120,13 +120,13 @@
         silent, server = HttpServer(lambda m: asyncio.sleep(60, None)), HttpServer(take)
         await silent.start()
         await server.start()
-        notices, told = Notices(Address(HOST, silent.port)), list[str]()
-        notices.move(Address(HOST, silent.port))  # nothing owed yet
-        notices.tell("a", End(Status.DEFERRED, 5), lambda: told.append("a"))
+        notices, notified = Notices(Address(HOST, silent.port)), list[str]()
+        notices.move(Address(HOST, silent.port))  # no notice is pending yet
+        notices.tell("a", End(Status.DEFERRED, 5), lambda: notified.append("a"))
         await asyncio.sleep(0.1)
         notices.move(Address(HOST, server.port))
-        notices.tell("b", End(Status.UNDELIVERABLE), lambda: told.append("b"))
-        await until(lambda: len(told) == 2, 0.5)
+        notices.tell("b", End(Status.UNDELIVERABLE), lambda: notified.append("b"))
+        await until(lambda: len(notified) == 2, 0.5)
         assert [json.loads(line)["id"] for line in lines] == ["a", "b"] and not notices.owed
         notices.close()
         for one in (silent, server):
@@ -135,7 +135,7 @@
     run(main())
 
 
-def test_an_operators_sender_reads_its_file_again(tmp_path: Path) -> None:
+def test_an_operators_sender_applies_its_changed_file(tmp_path: Path) -> None:
     async def main() -> None:
         async with World(tmp_path, "amqp") as world:
             text = world.file.read_text()
@@ -148,7 +148,7 @@
             late = type(world.client)(world)
             try:
                 await late.connect()
-                raise AssertionError("an old password still opens")
+                raise AssertionError("an old password is still accepted")
             except (AssertionError, asyncio.IncompleteReadError) as error:
                 assert "403" in str(error)
             assert await world.client.take("m1") is None and await world.client.end("m1") == "delivered"
@@ -162,12 +162,12 @@
             '[[class]]\nname = "note"\nsemantics = "idempotent"\ndeadline = 8\n')  # fmt: skip
     file.write_text(text)
     (tmp_path / "state").mkdir()
-    told: list[list[str]] = []
+    logged: list[list[str]] = []
 
     async def main() -> None:
         operator = load(file)
         runtime = OperatorRuntime(operator)
-        setattr(runtime, "_told", told.append)  # noqa: B010
+        setattr(runtime, "_log_reload", logged.append)  # noqa: B010
         await runtime.start()
         runtime.reload()
         file.write_text(text.replace("deadline = 8", "deadline = 9").replace("127.0.0.1:9", "127.0.0.1:8"))
@@ -177,11 +177,11 @@
         runtime.listeners[0][0].stop_listening()
 
     run(main())
-    assert told == [[], ["settings"]]
+    assert logged == [[], ["settings"]]
 
 
-def test_agent_reads_its_file_again(tmp_path: Path) -> None:
-    """SIGHUP ended the agent and left its instances running."""
+def test_an_agent_applies_its_changed_file(tmp_path: Path) -> None:
+    """Guards against a SIGHUP that ended the agent and left its instances running."""
     for name in ("a", "b", "c"):
         (tmp_path / f"{name}.toml").write_text(
             f'name = "{name}"\nstate = "s-{name}"\n[resp]\nlisten = "127.0.0.1:0"\n'
@@ -216,8 +216,10 @@
     run(main(), 40)
 
 
-def test_new_settings_at_sighup_and_every_broken_form_changes_nothing(tmp_path: Path) -> None:
-    """Classes come and go and attempts drop; an empty, cut, keyless or non-positive file takes nothing."""
+def test_sighup_applies_new_settings_and_ignores_a_broken_file(tmp_path: Path) -> None:
+    """Classes are added and removed, attempts reduced; an empty or cut file, a missing key or a non-positive
+    value changes nothing.
+    """
 
     async def main() -> None:
         platform = Platform(tmp_path)
