--- a/mountgauge/recovery/__init__.py
+++ b/mountgauge/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Recovery after a restart: phases, what is remembered, who this is, and what is too old to act on."""
+"""Recovery after a restart: phases, persisted facts, the sender's identity and detection of stale state."""
--- a/mountgauge/recovery/destinations.py
+++ b/mountgauge/recovery/destinations.py
@@ -1,4 +1,4 @@
-"""The state of each destination, read off the decision module's records. Nothing here decides."""
+"""The state of each destination, derived from the decision module's records. Nothing is decided here."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 from rillspindle import Policy
 from rillspindle.state import Dest, Route
 
-_ASKED_S = 5.0  # s since the last call in which a destination counts as asked for
-_MOSTLY = 0.5  # share of refusals past which a destination refuses most
+_RECENT_CALL_S = 5.0  # s since the last call within which a destination counts as in use
+_HIGH_REFUSAL_SHARE = 0.5  # share of refused calls above which a destination may count as held up
 
 
-def held_up(policy: Policy, route: Route, now: float) -> bool:
+def is_held_up(policy: Policy, route: Route, now: float) -> bool:
     """Whether most calls have been refused for longer than a limit takes to recover."""
     turns = 2 / max(route.limit or route.pace, policy.pace_least)
-    return route.full > _MOSTLY and now - route.full_since > policy.set.fall + turns
+    return route.full > _HIGH_REFUSAL_SHARE and now - route.full_since > policy.set.fall + turns
 
 
 def _state(policy: Policy, dest: Dest, route: Route, now: float) -> DestinationState:
-    if held_up(policy, route, now):
+    if is_held_up(policy, route, now):
         return DestinationState.HELD_UP
     asked = dest.taken / max(now - policy.born, 8.0)
     if not route.ramp or (not dest.held and route.pace >= 2 * asked):
@@ -25,26 +25,26 @@
     return DestinationState.RAMPING
 
 
-def routes_of(dest: Dest) -> list[Route]:
+def unique_routes(dest: Dest) -> list[Route]:
     """The routes of a destination, each once."""
     found = {id(route): route for route in (dest.route, *(ep.route for ep in dest.endpoints))}
     return list(found.values())
 
 
-def _called(dest: Dest) -> bool:
-    """Whether any of its routes has had a call: most of many destinations have not."""
+def _has_calls(dest: Dest) -> bool:
+    """Whether any route of the destination has had a call; of many destinations, most have had none."""
     return bool(dest.route.calls) or any(ep.route.calls for ep in dest.endpoints)
 
 
 def destination_states(policy: Policy, now: float) -> dict[int, DestinationState]:
-    """The destinations that are asked for: the worst of each one's routes."""
+    """The state of each destination in use: the worst state of its routes."""
     found: dict[int, DestinationState] = {}
     order = [DestinationState.SHOWN, DestinationState.RAMPING, DestinationState.HELD_UP]
     for dest in policy.dests.values():
-        if not dest.held and not _called(dest):
+        if not dest.held and not _has_calls(dest):
             continue
-        routes = [one for one in routes_of(dest) if one.calls or one is dest.route]
+        routes = [one for one in unique_routes(dest) if one.calls or one is dest.route]
         last = max((one.calls[-1] for one in routes if one.calls), default=-1e9)
-        if dest.held or now - last < _ASKED_S:
+        if dest.held or now - last < _RECENT_CALL_S:
             found[dest.id] = max((_state(policy, dest, one, now) for one in routes), key=order.index)
     return found
--- a/mountgauge/recovery/phases.py
+++ b/mountgauge/recovery/phases.py
@@ -1,21 +1,21 @@
-"""Phases of a sender that comes back: starting, restoring, learning, ramping, full. No I/O, no clock.
+"""Phases of a restarting sender: starting, restoring, learning, ramping, full. No I/O, no clock.
 
-`Phases.see` is told what is so at a moment and returns the changes. Going on needs its named condition, or
-its bound (`bounds.py`) to have passed; going back needs one too:
+`Phases.update` receives the observed state at a moment and returns the changes. A step forward needs its
+condition or, where there is one, the expiry of its bound (`bounds.py`); a step back needs a condition too:
 
 | from | to | condition |
 | --- | --- | --- |
-| starting | restoring | `serving`: clients are let in |
-| restoring | learning | `restored`: nothing of an earlier life waits to be given back |
-| learning | ramping | `known`: the list was told in this life, peers have joined; or `learn-bound` |
-| ramping | full | `shown`: none that is asked for has still to show what it bears; `idle`: none is |
-| full | ramping | `ramping-anew`: one that is asked for has to show it anew |
-| any but starting | restoring | `adopted`: another life's messages have come |
+| starting | restoring | `serving`: clients are accepted |
+| restoring | learning | `restored`: the module has all messages of previous runs |
+| learning | ramping | `known`: this run has received the list, peers have joined; or `learn-bound` |
+| ramping | full | `shown`: no destination in use is still ramping; `idle`: no destination is in use |
+| full | ramping | `ramping-anew`: a destination in use ramps again |
+| any but starting | restoring | `adopted`: messages of another process were adopted |
 
 Invariant: a destination that is held up (it refuses most calls for longer than a limit takes to recover)
-keeps nobody out of `full`: it is told apart (`held_up`), as its end is not in the sender's hands. So each
-phase ends by itself: restoring takes a part of what is left each look, learning has its bound, and a
-destination that ramps either shows what it bears or is held up.
+does not keep the sender out of `full`. It is reported separately (`held_up`), since the sender cannot end
+that state. So each phase ends by itself: restoring passes on a batch of the remaining messages per check,
+learning has its bound, and a ramping destination either shows its capacity or is held up.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-IDLE_S = 2.0  # s without anything asked for after which a sender that could serve counts as full
+IDLE_S = 2.0  # s without a destination in use after which a sender counts as full
 
 
 class Phase(StrEnum):
-    """How far a start has come."""
+    """Progress of a start."""
 
     STARTING = "starting"
     RESTORING = "restoring"
@@ -39,7 +39,7 @@
 
 
 class DestinationState(StrEnum):
-    """Whether a destination has shown what it bears."""
+    """Whether a destination has shown its capacity."""
 
     SHOWN = "shown"
     RAMPING = "ramping"
@@ -47,22 +47,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
-    """What is so at one moment; times in s."""
+class Observation:
+    """The sender's state at one moment; times in s."""
 
     now: float
     serving: bool = True
-    to_restore: int = 0  # messages of earlier lives that are not with the module yet
-    listed: bool = True  # the list was told in this life
-    joined: bool = True  # peers were heard, or there are none
-    destinations: Mapping[int, DestinationState] = field(default_factory=dict)  # those that are asked for
+    to_restore: int = 0  # messages of previous runs that the module does not have yet
+    listed: bool = True  # this run has received the list
+    joined: bool = True  # peers have answered, or there are none
+    destinations: Mapping[int, DestinationState] = field(default_factory=dict)  # those in use
     held: int = 0
 
     def in_state(self, state: DestinationState) -> frozenset[int]:
+        """The destinations in use that have this state."""
         return frozenset(dest for dest, its in self.destinations.items() if its is state)
 
 
-class Change(NamedTuple):
+class PhaseChange(NamedTuple):
     """A change of phase; `at` in s."""
 
     at: float
@@ -72,45 +73,45 @@
 
 
 class Phases:
-    """The phase that a sender is in; see the module for the table of changes."""
+    """The current phase of a sender; the module's docstring has the table of changes."""
 
     def __init__(self, now: float, learn_bound: float) -> None:
         self.phase, self.since, self.began = Phase.STARTING, now, now
         self.learn_bound = learn_bound
-        self.full_at: float | None = None  # when this life came to full service first
+        self.full_at: float | None = None  # when this run first reached full service
         self.held_most = 0
         self.held_up: frozenset[int] = frozenset()
         self.ramping: frozenset[int] = frozenset()
 
-    def see(self, seen: Seen) -> list[Change]:
-        """Take one look; the changes of phase that it brings, in order."""
-        self.held_most = max(self.held_most, seen.held) if self.full_at is None else self.held_most
-        self.ramping = seen.in_state(DestinationState.RAMPING)
-        self.held_up = seen.in_state(DestinationState.HELD_UP)
-        changes: list[Change] = []
-        while (step := self._next(seen)) is not None and len(changes) < len(Phase):
+    def update(self, observed: Observation) -> list[PhaseChange]:
+        """Apply one observation; the phase changes that it causes, in order."""
+        self.held_most = max(self.held_most, observed.held) if self.full_at is None else self.held_most
+        self.ramping = observed.in_state(DestinationState.RAMPING)
+        self.held_up = observed.in_state(DestinationState.HELD_UP)
+        changes: list[PhaseChange] = []
+        while (step := self._next(observed)) is not None and len(changes) < len(Phase):
             after, why = step
-            changes.append(Change(seen.now, self.phase, after, why))
-            self.phase, self.since = after, seen.now
+            changes.append(PhaseChange(observed.now, self.phase, after, why))
+            self.phase, self.since = after, observed.now
             if after is Phase.FULL and self.full_at is None:
-                self.full_at = seen.now
+                self.full_at = observed.now
         return changes
 
-    def _next(self, seen: Seen) -> tuple[Phase, str] | None:
+    def _next(self, observed: Observation) -> tuple[Phase, str] | None:
         match self.phase:
             case Phase.STARTING:
-                return (Phase.RESTORING, "serving") if seen.serving else None
+                return (Phase.RESTORING, "serving") if observed.serving else None
             case Phase.RESTORING:
-                return (Phase.LEARNING, "restored") if not seen.to_restore else None
-            case _ if seen.to_restore:
+                return (Phase.LEARNING, "restored") if not observed.to_restore else None
+            case _ if observed.to_restore:
                 return Phase.RESTORING, "adopted"
             case Phase.LEARNING:
-                if seen.listed and seen.joined:
+                if observed.listed and observed.joined:
                     return Phase.RAMPING, "known"
-                if seen.now - self.since >= self.learn_bound:
+                if observed.now - self.since >= self.learn_bound:
                     return Phase.RAMPING, "learn-bound"
-            case Phase.RAMPING if not seen.destinations:
-                return (Phase.FULL, "idle") if seen.now - self.since >= IDLE_S else None
+            case Phase.RAMPING if not observed.destinations:
+                return (Phase.FULL, "idle") if observed.now - self.since >= IDLE_S else None
             case Phase.RAMPING if not self.ramping:
                 return Phase.FULL, "shown"
             case Phase.FULL if self.ramping:
@@ -118,6 +119,7 @@
         return None
 
     def report(self, now: float) -> dict[str, object]:
+        """The phase and its figures, for the status page."""
         return {
             "phase": self.phase.value, "since_s": round(now - self.since, 2),
             "up_s": round(now - self.began, 2),
--- a/mountgauge/recovery/state_file.py
+++ b/mountgauge/recovery/state_file.py
@@ -1,9 +1,10 @@
-"""What lasts beside the journal: facts with a time, an origin and an expiry, judged at the start. No I/O.
+"""Facts that are persisted beside the journal, each with a time, an origin and an expiry. No I/O.
 
-A file is lines of `CRC-32 in hex, space, JSON`; a line that does not fit is damaged and costs itself alone.
-One fact says how the clocks stood when the file was written, by which its times are read.
-Nothing remembered counts as fresh: `judged` keeps only what makes the start more careful (a told wait, a
-pace below the listed part, an outage, the newest list version), and says why it dropped the rest.
+The file consists of lines `CRC-32 in hex, space, JSON`. A line that does not match its checksum is damaged;
+the other lines stay valid. One fact records the clocks at the time of writing, to interpret the other times.
+No persisted fact counts as current: `select_usable` keeps only facts that make the start more careful (a
+required wait, a reduced send rate limit, an outage, the newest list version), and counts why others were
+dropped.
 """
 
 from __future__ import annotations
@@ -19,34 +20,34 @@
 
 from mountgauge.core.durable_time import Stamp, rebase
 
-MOST_FACTS = 400  # some 50 KB
-MOST_BYTES = 1 << 16
-RESERVED_DISK_BYTES = 2 * MOST_BYTES + 4096  # of the state folder, with the spare copy and the identity
-_AHEAD_S = 2.0  # that the wall clock may have been set back between two lives, in a file without a clock
-_UNTIL = ("wait", "cold")  # kinds whose value is a time
+MAX_FACTS = 400  # about 50 KB
+MAX_FILE_BYTES = 1 << 16
+RESERVED_DISK_BYTES = 2 * MAX_FILE_BYTES + 4096  # the file, its temporary copy and the identity
+_CLOCK_TOLERANCE_S = 2.0  # by which the wall clock may have been set back, for a file without a clock fact
+_TIME_VALUED_KINDS = ("wait", "cold")
 
 
 class Fact(NamedTuple):
-    """Times are of the wall clock, s. Kinds: wait (value: until when), pace (calls/s of this member), cold
-    (since when), list (version), ended (how the last life ended), clock (subject: the boot; value: the
-    monotonic clock)."""
+    """A persisted observation. Times are of the wall clock, s. Kinds: wait (value: until when), pace (calls/s
+    of this member), cold (since when), list (version), ended (how the last run stopped), clock (subject: the
+    boot; value: the monotonic clock)."""
 
     kind: str
     subject: str
     value: float
     at: float
-    origin: str  # the life that saw it
+    origin: str  # the ID of the sender that observed it
     expires: float
 
 
 @dataclass(slots=True)
-class Judged:
-    """What of a file may be heeded, and how many facts were dropped for which reason."""
+class UsableFacts:
+    """The facts of a file that may be used, and the number of dropped facts by reason."""
 
     kept: list[Fact] = field(default_factory=list)
     dropped: Counter[str] = field(default_factory=Counter)
 
-    def of(self, kind: str) -> dict[str, Fact]:
+    def newest(self, kind: str) -> dict[str, Fact]:
         """The newest fact of a kind for each subject."""
         found: dict[str, Fact] = {}
         for fact in self.kept:
@@ -55,13 +56,13 @@
         return found
 
 
-def clock(now: Stamp, origin: str) -> Fact:
-    """How the clocks stand when a file is written as a whole."""
+def clock_fact(now: Stamp, origin: str) -> Fact:
+    """The clocks at the time when a file is written."""
     return Fact("clock", now.boot, now.monotonic, now.wall, origin, now.wall)
 
 
 def _rebased(facts: list[Fact], now: Stamp) -> list[Fact]:
-    """The facts with their times as the wall clock is now, however it was stepped since."""
+    """The facts with their times converted to the current wall clock, which may have been stepped since."""
     written = next((fact for fact in facts if fact.kind == "clock"), None)
     if written is None:
         return facts
@@ -69,7 +70,7 @@
     shift, _ = rebase(saved, saved.base, now)
     return [
         fact._replace(
-            value=fact.value + shift if fact.kind in _UNTIL else fact.value,
+            value=fact.value + shift if fact.kind in _TIME_VALUED_KINDS else fact.value,
             at=fact.at + shift,
             expires=fact.expires + shift,
         )
@@ -79,19 +80,19 @@
 
 
 def encode(facts: Iterable[Fact]) -> bytes:
-    """The facts as their file has them, `MOST_FACTS` at most."""
+    """The file content for the first `MAX_FACTS` facts."""
     lines = []
-    for fact in list(facts)[:MOST_FACTS]:
+    for fact in list(facts)[:MAX_FACTS]:
         text = orjson.dumps(list(fact))
         lines.append(b"%08x %b\n" % (zlib.crc32(text), text))
     return b"".join(lines)
 
 
 def decode(content: bytes) -> tuple[list[Fact], int]:
-    """The facts that can be read, and how many lines can't."""
+    """The readable facts and the number of damaged lines."""
     facts: list[Fact] = []
-    damaged = int(len(content) > MOST_BYTES)
-    for line in content[:MOST_BYTES].splitlines():
+    damaged = int(len(content) > MAX_FILE_BYTES)
+    for line in content[:MAX_FILE_BYTES].splitlines():
         check, _, text = line.partition(b" ")
         try:
             if int(check, 16) != zlib.crc32(text) or len(check) != 8:
@@ -108,19 +109,20 @@
     return facts, damaged
 
 
-def judged(content: bytes, now: Stamp, origin: str, known_version: float = -1) -> Judged:
-    """What of a file may be heeded by this start of the identity `origin`.
+def select_usable(content: bytes, now: Stamp, origin: str, known_version: float = -1) -> UsableFacts:
+    """The facts of a file that this run of the sender with the ID `origin` may use.
 
-    `known_version` is of the list that came with the start: an older one that is remembered says nothing.
+    `known_version` is the version of the list that the process was started with; a fact of the same or an
+    older version is dropped.
     """
     facts, damaged = decode(content)
-    found = Judged()
+    found = UsableFacts()
     if damaged:
         found.dropped["damaged"] = damaged
     for fact in _rebased(facts, now):
         if fact.origin != origin:
             found.dropped["of-another"] += 1
-        elif fact.at > now.base + _AHEAD_S:
+        elif fact.at > now.base + _CLOCK_TOLERANCE_S:
             found.dropped["from-the-future"] += 1
         elif fact.expires <= now.base:
             found.dropped["expired"] += 1
--- a/mountgauge/recovery/table.py
+++ b/mountgauge/recovery/table.py
@@ -1,4 +1,4 @@
-"""What `mountgauge comeback` shows: the phases of many instances, from what each one's status says."""
+"""The output of `mountgauge comeback`: the phases of many instances, from the status of each."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     "HELD UP",
     "FULL AFTER S",
 )
-_EVERY = 1.0  # s between two looks of a table that renews itself
+_REFRESH_INTERVAL_S = 1.0
 
 
 def row(address: str, found: Mapping[str, Any] | None, error: str) -> list[str]:
-    """One instance's line."""
+    """The table row of one instance."""
     if found is None:
         return [address, "-", "-", "-", error, "-", "-", "-", "-", "-"]
-    said = found.get("comeback")
-    if not said:
+    status = found.get("comeback")
+    if not status:
         return [
             str(found.get("name", address)),
             "off",
@@ -43,65 +43,67 @@
             "-",
             "-",
         ]
-    listed = [",".join(map(str, said[key])) or "-" for key in ("ramping", "held_up")]
-    after = "-" if said["full_after_s"] is None else str(said["full_after_s"])
+    listed = [",".join(map(str, status[key])) or "-" for key in ("ramping", "held_up")]
+    after = "-" if status["full_after_s"] is None else str(status["full_after_s"])
     return [
-        str(found["name"]), said["phase"], str(said["since_s"]), str(said["life"]), said["found"],
-        str(said["restored"]), str(said["held"]), *listed, after,
+        str(found["name"]), status["phase"], str(status["since_s"]), str(status["life"]), status["found"],
+        str(status["restored"]), str(status["held"]), *listed, after,
     ]  # fmt: skip
 
 
 def lines(rows: Sequence[Sequence[str]]) -> list[str]:
-    """The table as text, its columns aligned."""
+    """The table as text, with aligned columns."""
     return aligned(_COLUMNS, rows)
 
 
 def all_full(answers: Mapping[str, Mapping[str, Any] | None]) -> bool:
-    """Whether each instance answers and is at full service; one without `[comeback]` counts as soon as it
-    answers.
-    """
+    """Whether each instance answers and is at full service; one without `[comeback]` only has to answer."""
     return all(
         found is not None and (not found.get("comeback") or found["comeback"]["phase"] == "full")
         for found in answers.values()
     )
 
 
-async def _one(address: str) -> tuple[str, dict[str, Any] | None, str]:
+async def _query(address: str) -> tuple[str, dict[str, Any] | None, str]:
     try:
         return address, await ask(Address.parse(address, "address")), ""
     except (OSError, ValueError) as error:
         return address, None, str(error) or type(error).__name__
 
 
-async def look(addresses: Sequence[str]) -> tuple[dict[str, Mapping[str, Any] | None], list[list[str]]]:
-    """Ask all at once; what each says, and its line."""
-    found = await asyncio.gather(*map(_one, addresses))
-    return {address: said for address, said, _ in found}, [row(*one) for one in found]
+async def query_instances(
+    addresses: Sequence[str],
+) -> tuple[dict[str, Mapping[str, Any] | None], list[list[str]]]:
+    """Query all instances at once; the status of each, and its table row."""
+    found = await asyncio.gather(*map(_query, addresses))
+    return {address: status for address, status, _ in found}, [row(*one) for one in found]
 
 
 def show(
     addresses: Sequence[str], as_json: bool, wait_s: float | None, watch: bool,
     clock: Callable[[], float] = time.monotonic,
 ) -> int:  # fmt: skip
-    """Print what is so: once, again and again (`watch`), or until all are full (`wait_s`).
+    """Print the table or JSON: once, repeatedly (`watch`), or when all are full or `wait_s` has passed.
 
-    0 where all are at full service at the end, 1 where one is not or does not answer.
+    Returns 0 if all are at full service at the end, 1 if one is not or does not answer.
     """
     for address in addresses:
-        Address.parse(address, "address")  # ConfigError before anything is shown
+        Address.parse(address, "address")  # raises ConfigError before anything is printed
     ends = clock() + (wait_s or 0.0)
-    renews = watch and sys.stdout.isatty()
+    redraws = watch and sys.stdout.isatty()
     while True:
-        answers, rows = asyncio.run(look(addresses))
+        answers, rows = asyncio.run(query_instances(addresses))
         done = all_full(answers)
         last = done or clock() >= ends
         if as_json and (last or watch):
-            said = {at: None if one is None else one.get("comeback", {}) for at, one in answers.items()}
-            print(json.dumps({"full": done, "instances": said}), flush=True)
+            instances = {at: None if one is None else one.get("comeback", {}) for at, one in answers.items()}
+            print(json.dumps({"full": done, "instances": instances}), flush=True)
         elif not as_json and (last or watch or wait_s is not None):
-            print(("\x1b[H\x1b[2J" if renews else "") + "\n".join(lines(rows)), flush=True)
+            print(("\x1b[H\x1b[2J" if redraws else "") + "\n".join(lines(rows)), flush=True)
         if last and not watch:
             return 0 if done else 1
         if watch and wait_s is not None and last:
             return 0 if done else 1
-        time.sleep(min(_EVERY, max(0.05, ends - clock())) if wait_s is not None else _EVERY)
+        time.sleep(
+            min(_REFRESH_INTERVAL_S, max(0.05, ends - clock())) if wait_s is not None else _REFRESH_INTERVAL_S
+        )
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -1,4 +1,4 @@
-"""Coming back, the parts without I/O: phases, bounds, what is remembered, who this is, what is too old."""
+"""Recovery without I/O: phases, bounds, persisted facts, identity and detection of pauses."""
 
 from __future__ import annotations
 
@@ -14,44 +14,51 @@
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.recovery import bounds
 from mountgauge.recovery.files import Folder
-from mountgauge.recovery.identity import Found, Identity, decode, encode, judge, peers_say
-from mountgauge.recovery.phases import IDLE_S, DestinationState, Phase, Phases, Seen
-from mountgauge.recovery.stale import Pulse
-from mountgauge.recovery.state_file import Fact, judged
+from mountgauge.recovery.identity import (
+    FolderState,
+    Identity,
+    classify_folder,
+    correct_from_peers,
+    decode,
+    encode,
+)
+from mountgauge.recovery.phases import IDLE_S, DestinationState, Observation, Phase, Phases
+from mountgauge.recovery.stale import PauseDetector
+from mountgauge.recovery.state_file import Fact, select_usable
 from mountgauge.recovery.state_file import encode as encode_facts
 from mountgauge.recovery.table import all_full, lines, row
 
-LIFE = "a" * 16
+ORIGIN = "a" * 16
 NOW = Stamp("", 105.0, 5.0, 105.0)
 
 
-def walk(phases: Phases, *seen: Seen) -> list[tuple[str, str]]:
-    return [(change.after.value, change.why) for one in seen for change in phases.see(one)]
+def changes(phases: Phases, *observed: Observation) -> list[tuple[str, str]]:
+    return [(change.after.value, change.why) for one in observed for change in phases.update(one)]
 
 
-def test_each_phase_goes_on_by_its_named_condition_and_back_by_one() -> None:
+def test_each_phase_change_needs_its_condition() -> None:
     phases = Phases(0.0, learn_bound=5.0)
-    assert walk(phases, Seen(0.1, serving=False)) == []
-    assert walk(phases, Seen(0.2, to_restore=3, listed=False)) == [("restoring", "serving")]
-    assert walk(phases, Seen(0.3, listed=False)) == [("learning", "restored")]
-    assert walk(phases, Seen(2.0, listed=False)) == []
+    assert changes(phases, Observation(0.1, serving=False)) == []
+    assert changes(phases, Observation(0.2, to_restore=3, listed=False)) == [("restoring", "serving")]
+    assert changes(phases, Observation(0.3, listed=False)) == [("learning", "restored")]
+    assert changes(phases, Observation(2.0, listed=False)) == []
     ramping = {7: DestinationState.RAMPING, 8: DestinationState.SHOWN}
-    assert walk(phases, Seen(3.0, destinations=ramping, held=9)) == [("ramping", "known")]
+    assert changes(phases, Observation(3.0, destinations=ramping, held=9)) == [("ramping", "known")]
     held_up = {7: DestinationState.HELD_UP, 8: DestinationState.SHOWN}
-    assert walk(phases, Seen(4.0, destinations=held_up)) == [("full", "shown")]
+    assert changes(phases, Observation(4.0, destinations=held_up)) == [("full", "shown")]
     assert phases.full_at == 4.0 and phases.held_up == {7} and phases.held_most == 9
-    assert walk(phases, Seen(5.0, destinations=ramping)) == [("ramping", "ramping-anew")]
-    assert walk(phases, Seen(6.0, to_restore=1, destinations=ramping)) == [("restoring", "adopted")]
+    assert changes(phases, Observation(5.0, destinations=ramping)) == [("ramping", "ramping-anew")]
+    assert changes(phases, Observation(6.0, to_restore=1, destinations=ramping)) == [("restoring", "adopted")]
     assert phases.full_at == 4.0, "the first time counts"
 
 
 def test_learning_ends_by_its_bound_and_an_idle_sender_is_full() -> None:
     phases = Phases(0.0, learn_bound=5.0)
-    walk(phases, Seen(0.0, listed=False))
+    changes(phases, Observation(0.0, listed=False))
     assert phases.phase is Phase.LEARNING
-    assert walk(phases, Seen(4.9, listed=False)) == []
-    assert walk(phases, Seen(5.0, listed=False)) == [("ramping", "learn-bound")]
-    assert walk(phases, Seen(5.0 + IDLE_S)) == [("full", "idle")]
+    assert changes(phases, Observation(4.9, listed=False)) == []
+    assert changes(phases, Observation(5.0, listed=False)) == [("ramping", "learn-bound")]
+    assert changes(phases, Observation(5.0 + IDLE_S)) == [("full", "idle")]
 
 
 @settings(derandomize=True, deadline=None)
@@ -64,36 +71,43 @@
         max_size=40,
     )
 )  # fmt: skip
-def test_no_phase_holds_itself_up(
+def test_no_phase_prevents_its_own_end(
     history: list[tuple[bool, int, bool, bool, DestinationState, bool]],
 ) -> None:
-    """Whatever came before: once nothing is left to restore and nothing ramps, it is full within its
+    """After any history: once nothing is left to restore and nothing ramps, the sender is full within its
     bounds.
     """
     phases, now = Phases(0.0, 5.0), 0.0
     for serving, left, listed, joined, state, asked in history:
         now += 0.5
-        phases.see(Seen(now, serving, left, listed, joined, {7: state} if asked else {}))
+        phases.update(Observation(now, serving, left, listed, joined, {7: state} if asked else {}))
     for _ in range(32):
         now += 0.25
-        phases.see(Seen(now, listed=False, joined=False, destinations={7: DestinationState.HELD_UP}))
+        phases.update(
+            Observation(now, listed=False, joined=False, destinations={7: DestinationState.HELD_UP})
+        )
     assert phases.phase is Phase.FULL and phases.held_up == {7}
 
 
-def test_the_bounds_grow_as_they_say() -> None:
-    assert bounds.restoring(0) == 0 == bounds.restoring(256) < bounds.restoring(10_000) <= 10
-    assert bounds.learning(10, 1) < bounds.learning(10, 40) <= bounds.learning(10, 200) <= 12.5
-    assert 2.9 < bounds.ramping(0.17, 0.6, 14, 2.2) < 5
-    one = bounds.full_service(0, 10, 1, 0.17, 0.6, 14, 2.2)
-    assert one < bounds.full_service(5000, 10, 200, 0.17, 0.6, 14, 2.2) < 25
-    assert bounds.pause_threshold(0.25) >= 0.25 and bounds.trials(200) == 400
+def test_the_bounds_grow_with_messages_and_members() -> None:
+    assert bounds.restoring_time(0) == 0 == bounds.restoring_time(256) < bounds.restoring_time(10_000) <= 10
+    assert (
+        bounds.learning_timeout(10, 1)
+        < bounds.learning_timeout(10, 40)
+        <= bounds.learning_timeout(10, 200)
+        <= 12.5
+    )
+    assert 2.9 < bounds.ramping_time(0.17, 0.6, 14, 2.2) < 5
+    one = bounds.full_service_time(0, 10, 1, 0.17, 0.6, 14, 2.2)
+    assert one < bounds.full_service_time(5000, 10, 200, 0.17, 0.6, 14, 2.2) < 25
+    assert bounds.pause_threshold(0.25) >= 0.25 and bounds.trial_interval(200) == 400
 
 
-# What is remembered
+# Persisted facts
 
 
 def fact(
-    kind: str = "wait", at: float = 100.0, expires: float = 120.0, origin: str = LIFE, value: float = 110
+    kind: str = "wait", at: float = 100.0, expires: float = 120.0, origin: str = ORIGIN, value: float = 110
 ) -> Fact:
     return Fact(kind, "7", value, at, origin, expires)
 
@@ -106,55 +120,55 @@
         (fact("list", value=41), "older-than-known"),
     ],
 )  # fmt: skip
-def test_what_says_nothing_any_more_is_dropped_by_its_name(one: Fact, why: str) -> None:
-    found = judged(encode_facts([one, fact()]), NOW, LIFE, known_version=41)
+def test_an_unusable_fact_is_dropped_and_counted_by_its_reason(one: Fact, why: str) -> None:
+    found = select_usable(encode_facts([one, fact()]), NOW, ORIGIN, known_version=41)
     assert found.dropped == {why: 1} and found.kept == [fact()]
 
 
-def test_a_record_that_is_cut_or_flipped_at_any_place_costs_itself_alone() -> None:
+def test_damage_at_any_position_loses_only_the_damaged_record() -> None:
     content = encode_facts([fact(), fact("pace", value=0.5), fact("wait", value=111)])
-    for place in range(len(content)):
-        cut = judged(content[:place], NOW, LIFE)
-        assert len(cut.kept) == content[:place].count(b"\n") + (content[place : place + 1] == b"\n")
-        flipped = content[:place] + bytes([content[place] ^ 4]) + content[place + 1 :]
-        assert len(judged(flipped, NOW, LIFE).kept) >= 1
-    assert judged(content, NOW, LIFE).of("wait")["7"].value == 111
-    assert judged(b"\xff" * 100_000, NOW, LIFE).kept == []
-
-
-# Who this is
-
-
-def test_what_a_folder_was_is_told_apart() -> None:
-    first, found = judge(None, "m1", False, "1" * 16)
-    assert found is Found.FIRST and first.life == 1
-    kept, found = judge(encode(first), "m1", True, "2" * 16)
-    assert (kept.id, kept.life, found) == ("1" * 16, 2, Found.KEPT)
-    assert judge(None, "m1", True, "2" * 16)[1] is Found.NO_IDENTITY
-    assert judge(encode(first), "m2", True, "2" * 16)[1] is Found.FOREIGN
-    for place in range(len(encode(first)) - 2):
-        assert judge(encode(first)[:place], "m1", True, "2" * 16)[1] is Found.DAMAGED
+    for position in range(len(content)):
+        cut = select_usable(content[:position], NOW, ORIGIN)
+        assert len(cut.kept) == content[:position].count(b"\n") + (content[position : position + 1] == b"\n")
+        flipped = content[:position] + bytes([content[position] ^ 4]) + content[position + 1 :]
+        assert len(select_usable(flipped, NOW, ORIGIN).kept) >= 1
+    assert select_usable(content, NOW, ORIGIN).newest("wait")["7"].value == 111
+    assert select_usable(b"\xff" * 100_000, NOW, ORIGIN).kept == []
+
+
+# Identity
+
+
+def test_each_state_of_a_folder_is_recognised() -> None:
+    first, found = classify_folder(None, "m1", False, "1" * 16)
+    assert found is FolderState.FIRST and first.life == 1
+    kept, found = classify_folder(encode(first), "m1", True, "2" * 16)
+    assert (kept.id, kept.life, found) == ("1" * 16, 2, FolderState.KEPT)
+    assert classify_folder(None, "m1", True, "2" * 16)[1] is FolderState.NO_IDENTITY
+    assert classify_folder(encode(first), "m2", True, "2" * 16)[1] is FolderState.FOREIGN
+    for position in range(len(encode(first)) - 2):
+        assert classify_folder(encode(first)[:position], "m1", True, "2" * 16)[1] is FolderState.DAMAGED
     assert decode(encode(kept)) == kept
-    assert peers_say(first, Found.FIRST, 5) == (first._replace(life=6), Found.LOST)
-    assert peers_say(kept, Found.KEPT, 4) == (kept._replace(life=5), Found.OLD)
-    assert peers_say(kept, Found.KEPT, 1) == (kept, Found.KEPT)
+    assert correct_from_peers(first, FolderState.FIRST, 5) == (first._replace(life=6), FolderState.LOST)
+    assert correct_from_peers(kept, FolderState.KEPT, 4) == (kept._replace(life=5), FolderState.OLD)
+    assert correct_from_peers(kept, FolderState.KEPT, 1) == (kept, FolderState.KEPT)
 
 
-def test_a_folder_tells_its_lives_and_how_the_last_one_ended(tmp_path: Path) -> None:
+def test_a_folder_counts_process_runs_and_records_a_clean_stop(tmp_path: Path) -> None:
     folder = Folder(tmp_path)
     one, found, clean = folder.start_run("m1", False)
-    assert (one.life, found, clean) == (1, Found.FIRST, False) and folder.holds_identity(one)
+    assert (one.life, found, clean) == (1, FolderState.FIRST, False) and folder.holds_identity(one)
     two, found, clean = Folder(tmp_path).start_run("m1", True)
-    assert (two.id, two.life, found, clean) == (one.id, 2, Found.KEPT, False)
+    assert (two.id, two.life, found, clean) == (one.id, 2, FolderState.KEPT, False)
     assert folder.holds_identity(one) and folder.holds_identity(two), (
-        "two lives side by side do not write over each other"
+        "two runs side by side do not overwrite each other"
     )
-    folder.ended(one)
+    folder.mark_clean_stop(one)
     assert decode((tmp_path / "identity").read_bytes()) == two
-    folder.ended(two)
+    folder.mark_clean_stop(two)
     assert Folder(tmp_path).start_run("m1", True)[2]
-    assert folder.save_facts([fact()], NOW, LIFE) and not folder.save_facts([fact()], NOW, LIFE)
-    assert folder.load_facts(NOW, LIFE, -1).kept == [fact()]
+    assert folder.save_facts([fact()], NOW, ORIGIN) and not folder.save_facts([fact()], NOW, ORIGIN)
+    assert folder.load_facts(NOW, ORIGIN, -1).kept == [fact()]
     (tmp_path / "identity").unlink()
     assert not folder.holds_identity(two)
 
@@ -164,13 +178,13 @@
     journal = Journal(tmp_path, 1_000_000, files=files)
     journal.take(Stored("m1", "note", 1e12, 7, "k", "platform", b"hello"))
     assert journal.standing()
-    journal.path.unlink()  # alone: the lock is still this process's own, and not another's
+    journal.path.unlink()  # without the lock, which this process still has
     assert not journal.standing() and journal.write_anew() and journal.standing()
     for one in tmp_path.iterdir():
         one.unlink()
     assert not journal.standing()
     files.room = 0
-    for _ in range(3):  # each second, as long as it lasts: the lock must be free again each time
+    for _ in range(3):  # retried each second: a failed attempt must release the lock
         with pytest.raises(OSError):
             journal.write_anew()
     files.heal()
@@ -181,53 +195,57 @@
     assert set(again.live) == {"m1", "m2"}
     for one in tmp_path.iterdir():
         one.unlink()
-    other = Journal(tmp_path, 1_000_000)  # another process came meanwhile
+    other = Journal(tmp_path, 1_000_000)  # another process has started meanwhile
     assert not again.standing() and not again.write_anew() and other.standing()
     again.close()
     other.close()
 
 
-# What is too old
+# Stale state
 
 
 @settings(derandomize=True, deadline=None)
-@given(st.lists(st.tuples(st.sampled_from(["beat", "ask", "looked"]), st.floats(0, 2)), max_size=60))
-def test_no_call_goes_after_a_pause_before_it_was_looked(steps: list[tuple[str, float]]) -> None:
-    pulse, now, last = Pulse(0.5, 3.0, 0.0), 0.0, 0.0
-    owed: float | None = None  # since when a look is owed
+@given(
+    st.lists(st.tuples(st.sampled_from(["check", "allow_call", "refreshed"]), st.floats(0, 2)), max_size=60)
+)
+def test_no_call_is_allowed_after_a_pause_until_the_state_is_refreshed(
+    steps: list[tuple[str, float]],
+) -> None:
+    detector, now, last = PauseDetector(0.5, 3.0, 0.0), 0.0, 0.0
+    pending: float | None = None  # since when a refresh is pending
     for what, gap in steps:
         now += gap
-        if what != "looked" and now - last > 0.5:
-            owed = now
-        if what == "looked":
-            pulse.looked()
-            owed = None
-        elif what == "beat":
-            pulse.beat(now)
-            if owed is not None and now - owed >= 3.0:
-                owed = None  # given up: the bound
+        if what != "refreshed" and now - last > 0.5:
+            pending = now
+        if what == "refreshed":
+            detector.refreshed()
+            pending = None
+        elif what == "check":
+            detector.check(now)
+            if pending is not None and now - pending >= 3.0:
+                pending = None  # the refresh has timed out
             last = now
         else:
-            may, _ = pulse.ask(now)
-            assert may == (owed is None)
+            may, _ = detector.allow_call(now)
+            assert may == (pending is None)
             last = now if now - last > 0.5 else last
 
 
-def test_the_table_shows_who_is_back() -> None:
-    said = {
+def test_the_table_shows_the_phase_of_each_instance() -> None:
+    status = {
         "name": "m1", "held": 3,
         "comeback": {"phase": "ramping", "since_s": 1.5, "life": 2, "found": "kept", "restored": 5, "held": 3,
                      "ramping": [7], "held_up": [], "full_after_s": None},
     }  # fmt: skip
-    full = {**said, "comeback": {**said["comeback"], "phase": "full", "full_after_s": 3.2}}  # type: ignore[dict-item]
-    assert not all_full({"a": said, "b": full}) and all_full({"b": full}) and not all_full({"a": None})
-    shown = lines([row("a", said, ""), row("b", None, "refused")])
+    full = {**status, "comeback": {**status["comeback"], "phase": "full", "full_after_s": 3.2}}  # type: ignore[dict-item]
+    assert not all_full({"a": status, "b": full}) and all_full({"b": full}) and not all_full({"a": None})
+    shown = lines([row("a", status, ""), row("b", None, "refused")])
     assert shown[1].split() == ["m1", "ramping", "1.5", "2", "kept", "5", "3", "7", "-", "-"]
     assert "refused" in shown[2]
 
 
-def test_a_seeded_mass_of_lives_never_shares_an_identity() -> None:
+def test_many_first_starts_draw_different_identities() -> None:
     rng = random.Random(1)
-    drawn = {judge(None, f"m{n}", False, f"{rng.getrandbits(64):016x}")[0].id for n in range(500)}
+    drawn = {classify_folder(None, f"m{n}", False, f"{rng.getrandbits(64):016x}")[0].id for n in range(500)}
     assert len(drawn) == 500
     assert Identity("m", "0" * 16, 1, False).life == 1
