--- a/tests/recovery/test_processes.py
+++ b/tests/recovery/test_processes.py
@@ -1,4 +1,6 @@
-"""Real senders on the rig: killed, paused, with folders of every kind. Judged by counts and orders."""
+"""Real senders on the rig: killed, paused, with folders in every state. Checked by counts and the order of
+events.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def played() -> dict[str, Played]:
-    """The scenes, each on a rig in a process of its own, played while the pure tests ran."""
+    """The scenes; each has run on a rig in its own process, during the pure tests."""
     return Played.all("scenes")
 
 
@@ -25,7 +27,7 @@
         assert one.judged.delivered > 100
 
 
-def test_an_outage_that_the_fleet_would_hold_up_ends_by_itself(played: dict[str, Played]) -> None:
+def test_an_outage_that_the_fleet_could_sustain_ends_by_itself(played: dict[str, Played]) -> None:
     one = played["falls-over"]
     statuses = Counter(
         (event.fields["status"], event.at > 12)
@@ -37,10 +39,10 @@
     assert sum(event.kind == "fell" for event in one.events) <= 8
     full = {line["member"] for line in one.logs("full-service") if line["at"] > 0}
     killed = next(event.fields["who"] for event in one.events if event.kind == "fault")
-    assert full == set(killed), "each that came back says when it was at full service"
+    assert full == set(killed), "each restarted member logs that it reached full service"
 
 
-def test_a_paused_sender_acts_on_nothing_that_it_knew_before(played: dict[str, Played]) -> None:
+def test_a_paused_sender_does_not_act_on_stale_state(played: dict[str, Played]) -> None:
     one = played["paused"]
     assert {line["member"] for line in one.logs("paused")} == {"m01"}
     resumed = next(event.at for event in one.events if event.kind == "paused") + 4
@@ -49,18 +51,22 @@
     assert one.judged.taken == one.judged.delivered
 
 
-def test_folders_of_every_kind_are_told_apart_and_nothing_kept_is_lost(played: dict[str, Played]) -> None:
+def test_each_state_of_a_folder_is_recognised_and_no_kept_message_is_lost(played: dict[str, Played]) -> None:
     one = played["folders"]
     second = {line["member"]: line["found"] for line in one.logs("life") if line["at"] > 0}
     assert second["m01"] == "first" and second["m02"] == second["m06"] == "kept"
-    assert second["m03"] in ("damaged", "kept", "no-identity", "first"), "cut at a place of its own"
+    assert second["m03"] in ("damaged", "kept", "no-identity", "first"), "cut at an arbitrary position"
     assert second["m04"] == second["m05"] == "foreign"
     emptied = one.logs("folder-emptied")
     assert [line["member"] for line in emptied] == ["m06"]
-    assert one.judged.with_folder <= 80, "what was lost with a folder is counted, and no more than was held"
+    assert one.judged.with_folder <= 80, (
+        "messages lost with a folder are counted, and are at most those that were queued"
+    )
 
 
-def test_one_that_refuses_everything_gets_single_trials_and_harms_nobody(played: dict[str, Played]) -> None:
+def test_a_destination_that_refuses_everything_gets_single_trials_and_slows_no_other(
+    played: dict[str, Played],
+) -> None:
     one = played["never-warms"]
     at = [event.at for event in one.events if event.kind == "call" and event.fields["dest"] == 7]
     calls = Counter(int(when // 4) for when in at)
@@ -85,9 +91,9 @@
     sender = subprocess.Popen([*run, "run", str(file)], stderr=subprocess.DEVNULL)
     try:
         done = subprocess.run([*ask, "60"], capture_output=True, text=True, timeout=90)
-        said = json.loads(done.stdout.splitlines()[-1])
-        assert done.returncode == 0 and said["full"]
-        assert said["instances"]["127.201.7.1:9199"]["life"] == 1
+        output = json.loads(done.stdout.splitlines()[-1])
+        assert done.returncode == 0 and output["full"]
+        assert output["instances"]["127.201.7.1:9199"]["life"] == 1
         shown = subprocess.run(
             [*run, "comeback", "127.201.7.1:9199"], capture_output=True, text=True, timeout=60
         )
@@ -99,7 +105,7 @@
     finally:
         sender.terminate()
         assert sender.wait(30) == 0
-    again = json.loads((tmp_path / "state" / "identity").read_text())
-    assert again["clean"] and again["life"] == 1
+    identity = json.loads((tmp_path / "state" / "identity").read_text())
+    assert identity["clean"] and identity["life"] == 1
     bad = subprocess.run([*run, "comeback", "nowhere"], capture_output=True, text=True, timeout=60)
     assert bad.returncode == 2 and bad.stderr.count("\n") == 1
--- a/tests/recovery/test_restored.py
+++ b/tests/recovery/test_restored.py
@@ -1,6 +1,4 @@
-"""Ten thousand messages of an earlier life for one destination: another is served at once, and clients are
-heard.
-"""
+"""Ten thousand restored messages for one destination delay neither another destination nor clients."""
 
 from __future__ import annotations
 
@@ -16,7 +14,7 @@
 COUNT = 10_000
 
 
-def test_ten_thousand_restored_for_one_destination_leave_another_alone(tmp_path: Path) -> None:
+def test_ten_thousand_restored_messages_do_not_delay_another_destination(tmp_path: Path) -> None:
     file, state = tmp_path / "one.toml", tmp_path / "state"
     state.mkdir()
     journal = Journal(state, 64_000_000)
@@ -43,20 +41,20 @@
         client = RespClient(None)  # type: ignore[arg-type]
         listener = runtime.listeners[0][0]
         client.reader, client.writer = await asyncio.open_connection(HOST, getattr(listener, "port"))  # noqa: B009
-        turns: list[float] = []
+        answer_times: list[float] = []
         for number in range(100):
             began = loop.time()
             pairs = "c=note,d=8000,k=k1,dest=8"
             answer = await client.command(b"ENQUEUE", b"0", b"n%d" % number, pairs.encode(), b"hello")
-            turns.append(loop.time() - began)
+            answer_times.append(loop.time() - began)
             if not number:
-                assert runtime.sender.to_restore, "a client is heard before all of them are given back"
+                assert runtime.sender.to_restore, "a client is answered before all of them are restored"
             assert answer.startswith(b"+")
         await until(lambda: len(other.delivered) == 100, 60)
-        assert len(runtime.sender.held) > COUNT / 2, "long before the restored ones are through"
+        assert len(runtime.sender.held) > COUNT / 2, "most of the restored messages are still queued"
         await until(lambda: not runtime.sender.to_restore, 60)
-        turns.sort()
-        assert turns[50] < 0.4, "most are taken on in time, whatever waits"
+        answer_times.sort()
+        assert answer_times[50] < 0.4, "most are accepted in time, despite the backlog"
         for listener, _ in runtime.listeners:
             listener.stop_listening()
             listener.close()
