--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program itself on loopback: planned restarts and SIGKILL, with the folder that lasts."""
+"""The program on loopback: planned restarts and SIGKILL, with a persistent state folder."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.helper import HOST, HttpServer, no_news, run, until
 from tests.settings import grade, settings
 
-START_LIMIT_S = 25.0  # in which a process must serve, however slow the machine
+START_LIMIT_S = 25.0  # within which a process must serve, even on a slow machine
 
 
 class Platform:
-    """Discovery, notices and one endpoint, and the sender that is told of them."""
+    """Stand-in for the platform: discovery, notices and one endpoint, and the sender that it configures."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.may_answer = folder, asyncio.Event()
@@ -29,7 +29,7 @@
         self.notices: dict[str, str] = {}
         self.discovery, self.endpoint = HttpServer(self.answer), HttpServer(self.answer_call)
         self.port = 0
-        self.listed = "active"  # the endpoint, in what a sender knows at its start
+        self.listed = "active"  # the endpoint's state in the list that a sender starts with
 
     async def answer(self, message: Message) -> bytes:
         assert message.start is not None
@@ -47,7 +47,7 @@
         self.delivered.append(msg_id)
         return response(200, "OK", {}, b"")
 
-    async def start(self, _fds: int | None = None, **told: str) -> asyncio.subprocess.Process:
+    async def start(self, _fds: int | None = None, **extra_env: str) -> asyncio.subprocess.Process:
         if not self.discovery.port:
             await self.discovery.start()
             await self.endpoint.start()
@@ -62,21 +62,21 @@
             "settings": settings(shapes=["one", "two"], grades=grades, discovery="subscribe"),
         }  # fmt: skip
         (self.folder / "config.json").write_text(json.dumps(raw))
-        return await self.launch(_fds, **told)
+        return await self.launch(_fds, **extra_env)
 
-    async def launch(self, _fds: int | None = None, **told: str) -> asyncio.subprocess.Process:
-        """A process on the configuration that is there, once it serves."""
+    async def launch(self, _fds: int | None = None, **extra_env: str) -> asyncio.subprocess.Process:
+        """Start a process with the configuration in the folder, and wait until it serves."""
         (self.folder / "state").mkdir(exist_ok=True)
         env = {"GW_CONFIG": str(self.folder / "config.json"), "GW_STATE": str(self.folder / "state")}
 
-        def given() -> None:  # the platform's listening socket, as descriptor 5
+        def pass_socket() -> None:  # the platform's listening socket, as descriptor 5
             if _fds is not None:
                 os.dup2(_fds, 5)
 
-        with (self.folder / "sender.log").open("ab") as said:
+        with (self.folder / "sender.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "mountgauge", env={**os.environ, **env, **told},
-                stderr=said, pass_fds=() if _fds is None else (5,), preexec_fn=given,
+                sys.executable, "-m", "mountgauge", env={**os.environ, **env, **extra_env},
+                stderr=log, pass_fds=() if _fds is None else (5,), preexec_fn=pass_socket,
             )  # fmt: skip
         await until(lambda: process.returncode is not None or self.pings(), START_LIMIT_S)
         assert process.returncode is None, (self.folder / "sender.log").read_text()[-2000:]
@@ -116,19 +116,19 @@
         began = loop.time()
         process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.4)
-        assert await platform.send(("b", "keyed")) == [b"+OK\r\n"]  # new connections still come
+        assert await platform.send(("b", "keyed")) == [b"+OK\r\n"]  # new connections are still accepted
         reader, kept = await asyncio.open_connection(HOST, platform.port)
-        await asyncio.sleep(1.2)  # and those that stay open are served on: the others carry the rest
+        await asyncio.sleep(1.2)  # and open ones are still served, as others carry the remainder
         kept.write(b"*1\r\n$4\r\nPING\r\n")
         assert await reader.readline() == b"+PONG\r\n"
         kept.close()
         await asyncio.sleep(0.6)
-        platform.may_answer.set()  # what is out is finished
+        platform.may_answer.set()  # calls in flight finish
         assert await process.wait() == 0
         assert loop.time() - began < 3.7 and set(platform.delivered) == {"a", "b"}
         process = await platform.start()
         await asyncio.sleep(0.5)
-        assert len(platform.received_calls) == 2 and not platform.notices  # each had its one end before
+        assert len(platform.received_calls) == 2 and not platform.notices  # each had its only outcome before
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
         await platform.stop()
@@ -136,7 +136,7 @@
     run(main(), 30)
 
 
-def test_sigkill_loses_nothing_and_repeats_only_what_may_be(tmp_path: Path) -> None:
+def test_sigkill_loses_nothing_and_repeats_only_repeatable_messages(tmp_path: Path) -> None:
     async def main() -> None:
         platform = Platform(tmp_path)
         process = await platform.start()
@@ -149,7 +149,7 @@
         process.kill()
         await process.wait()
         platform.may_answer.set()
-        await asyncio.sleep(0.1)  # what was out ends at the endpoint, unseen by its sender
+        await asyncio.sleep(0.1)  # calls in flight finish at the endpoint, unobserved by the killed sender
         platform.received_calls.clear()
         process = await platform.start()
         await until(lambda: len(platform.received_calls) == 2 and platform.notices)
