--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -1,4 +1,4 @@
-"""The product round the sender: AMQP's faults, configuration, OTLP, the agent and the command line."""
+"""The parts around the sender: AMQP errors, configuration, OTLP, the agent and the command line."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 """
 
 
-# AMQP's faults
+# AMQP errors
 
 
 @pytest.mark.parametrize(("data", "code", "hard"), [
@@ -53,7 +53,7 @@
     (codec.frame(codec.METHOD, 1, bytes.fromhex("005a000a")), 540, True),  # tx.select
     (codec.frame(codec.METHOD, 1, bytes.fromhex("00630001")), 503, True),  # no such class
     (codec.method(9, "confirm.select"), 504, True),  # a channel that is not open
-    (codec.method(1, "channel.open"), 504, True),  # one that is open already
+    (codec.method(1, "channel.open"), 504, True),  # a channel that is open already
     (codec.method(0, "connection.open"), 503, True),
     (codec.frame(codec.BODY, 1, b"x"), 505, True),
     (codec.frame(7, 1, b"x"), 505, True),
@@ -63,7 +63,9 @@
     (codec.method(1, "basic.publish", immediate=True) + codec.content(1, {}, b"x", 4096), 540, True),
     (codec.method(1, "basic.publish") + codec.content(1, {}, b"x" * 70_000, 4096), 311, False),
 ])  # fmt: skip
-def test_faults_get_the_proper_close_code(tmp_path: Path, data: bytes, code: int, hard: bool) -> None:
+def test_protocol_errors_get_the_proper_close_code(
+    tmp_path: Path, data: bytes, code: int, hard: bool
+) -> None:
     async def main() -> None:
         async with World(tmp_path, "amqp") as world:
             client = world.client
@@ -78,7 +80,7 @@
                 f"{'connection' if hard else 'channel'}.close",
                 code,
             )
-            if not hard:  # the channel may be opened anew, and serves
+            if not hard:  # the channel can be opened again, and serves
                 client.say(1, "channel.close-ok")
                 client.say(1, "channel.open")
                 await client.expect("channel.open-ok")
@@ -89,13 +91,13 @@
                 assert await client.end("m") == "delivered"
             else:
                 client.say(0, "connection.close-ok")
-                rest = await client.reader.read()  # nothing more but heartbeats
+                rest = await client.reader.read()  # only heartbeats follow
                 assert not rest.replace(codec.frame(codec.HEARTBEAT, 0, b""), b"")
 
     run(main())
 
 
-def test_other_protocols_hear_which_is_spoken_and_silence_is_ended(tmp_path: Path) -> None:
+def test_another_protocol_gets_the_expected_header_and_a_silent_client_is_closed(tmp_path: Path) -> None:
     async def main() -> None:
         async with World(tmp_path, "amqp") as world:
             reader, writer = await asyncio.open_connection(HOST, world.port)
@@ -104,7 +106,7 @@
             writer.close()
             client = world.client
             assert isinstance(client, AmqpClient)
-            # Heartbeats of 1 s were agreed on: they come, and a client that sends none is let go.
+            # Heartbeats of 1 s were negotiated: they arrive, and a client that sends none is closed.
             started, beats = asyncio.get_running_loop().time(), 0
             client.task.cancel()
             await asyncio.sleep(0)
@@ -131,19 +133,21 @@
 
         hops = AmqpNextHops(Owner(), 0.5, 60.0, 1, {})
         now = asyncio.get_running_loop().time()
-        for place, broker in enumerate(brokers):
+        for index, broker in enumerate(brokers):
             await broker.start()
-            item = Item(place, 0, f"m{place}", "", "note", b"x", now + 9)
-            entry = Entry(2, 0, 0, 0, 7, 0, b"h%d" % place)
-            hops.start(Call(NextHop(f"h{place}", HOST, broker.port, entry), [item], now, now + 2))
-            await until(lambda place=place: len(done) > place)  # type: ignore[misc]
+            item = Item(index, 0, f"m{index}", "", "note", b"x", now + 9)
+            entry = Entry(2, 0, 0, 0, 7, 0, b"h%d" % index)
+            hops.start(Call(NextHop(f"h{index}", HOST, broker.port, entry), [item], now, now + 2))
+            await until(lambda index=index: len(done) > index)  # type: ignore[misc]
         assert done == [{0: Result(Outcome.OK)}, {1: Result(Outcome.OK)}]
-        assert list(hops._links) == ["h1"]  # the idle one made room
+        assert list(hops._links) == ["h1"]  # the idle connection was closed for the new one
         brokers[1].script = ["silent"]
         hops.start(Call(NextHop("h1", HOST, brokers[1].port, entry), [item], now, now + 2))
         hops.start(Call(NextHop("h0", HOST, brokers[0].port, entry), [item], now, now + 2))
         await until(lambda: len(done) == 3)
-        assert done[2] == {} and len(brokers[0].calls) == 1  # no room, and nothing idle: not sent
+        assert (
+            done[2] == {} and len(brokers[0].calls) == 1
+        )  # no slot is free and no connection idle: not sent
         hops.close()
         for broker in brokers:
             await broker.stop()
@@ -151,12 +155,17 @@
     run(main())
 
 
-def test_access() -> None:
+def test_access_checks_users_and_virtual_hosts() -> None:
     access = Access({"u": User("p", "rossi"), "v": User("q")}, "/vans")
     assert access.login("PLAIN", b"\0u\0p") == "rossi" and access.login("PLAIN", b"\0v\0q") == DEFAULT
     assert access.opens("/vans") and not access.opens("/") and Access().opens("any")
-    for mechanism, told in (("PLAIN", b"\0u\0q"), ("PLAIN", b"\0v\0p"), ("PLAIN", b""), ("ANONYMOUS", b"")):
-        assert access.login(mechanism, told) is None
+    for mechanism, credentials in (
+        ("PLAIN", b"\0u\0q"),
+        ("PLAIN", b"\0v\0p"),
+        ("PLAIN", b""),
+        ("ANONYMOUS", b""),
+    ):
+        assert access.login(mechanism, credentials) is None
 
 
 # Configuration
@@ -182,7 +191,7 @@
     assert len(lines) == 2 and text in lines[0] and str(file) in lines[0]
 
 
-def test_platform_configuration(tmp_path: Path) -> None:
+def test_the_platforms_configuration_is_read_and_errors_are_one_line(tmp_path: Path) -> None:
     raw: dict[str, Any] = {
         "name": "n3", "listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"memory_mb": 192, "sockets": 1024, "disk_mb": 3},
@@ -216,7 +225,7 @@
 # OTLP
 
 
-def test_otlp_export_and_a_collector_that_hangs() -> None:
+def test_otlp_export_and_a_failing_collector() -> None:
     async def main() -> None:
         bodies: list[Any] = []
 
@@ -251,7 +260,7 @@
 # The agent and the command line
 
 
-def test_agent_restarts_what_crashed_and_stops_in_order(tmp_path: Path) -> None:
+def test_an_agent_restarts_a_crashed_instance_and_stops_all_in_order(tmp_path: Path) -> None:
     for name in ("a", "b"):
         (tmp_path / f"{name}.toml").write_text(
             FILE.replace('"one"', f'"{name}"').replace('"state"', f'"s-{name}"')
@@ -270,7 +279,7 @@
         address = Address(HOST, agent.status.port)
         try:
             await until(lambda: all(one.state == "running" for one in agent.instances))
-            await asyncio.sleep(1.0)  # so that the signal meets a running program
+            await asyncio.sleep(1.0)  # so that the program is running when the signal arrives
             first = (await ask(address))["instances"][0]
             os.kill(first["pid"], 9)
             await until(lambda: agent.instances[0].state == "backing-off")
@@ -290,8 +299,8 @@
     run(main(), 40)
 
 
-def test_instance_reports_its_state(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """Counted by the ends' enum, the state could not be written as JSON, and no answer came."""
+def test_an_instance_reports_its_state(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    """Guards against counts with enum keys: the report could not be encoded as JSON, and nothing answered."""
 
     async def main() -> None:
         async with World(tmp_path, "http") as world:
@@ -311,13 +320,13 @@
     run(main())
 
 
-def test_status_without_an_agent(capsys: pytest.CaptureFixture[str]) -> None:
+def test_status_without_an_agent_exits_with_an_error(capsys: pytest.CaptureFixture[str]) -> None:
     assert cli.main(["status", "127.0.0.1:1"]) == 1
     assert cli.main(["status", "nowhere"]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 2
 
 
-def test_operator_defaults(tmp_path: Path) -> None:
+def test_an_operators_file_has_defaults(tmp_path: Path) -> None:
     file = tmp_path / "one.toml"
     file.write_text(FILE + '[otlp]\nendpoint = "http://127.0.0.1:4318"\n')
     operator = load(file)
