--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -47,16 +47,16 @@
     def joined(self) -> bool:
         return self.fleet.unjoined(self._loop.time()) != STARTING
 
-    def say(self, phase: int) -> None:
+    def announce_phase(self, phase: int) -> None:
         self.fleet.phase = phase
 
-    def back(self) -> int:
+    def members_recovering(self) -> int:
         return self.fleet.coming_back()
 
     def outdated(self) -> bool:
         return self.fleet.outdated
 
-    def earlier_lives(self) -> int:
+    def last_known_run(self) -> int:
         return int(self.fleet.earlier_life())
 
 
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -34,7 +34,7 @@
 from mountgauge.run.base import Runtime
 from mountgauge.run.handover import Handover
 from mountgauge.run.recovery import RecoverySubsystem
-from mountgauge.run.serve import made
+from mountgauge.run.serve import make_with_retries
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
 from tests.sharding.stands import SHARDS
@@ -320,27 +320,27 @@
     handover = Handover(new.sender, new.journal, tmp_path, True, files)
     files.fails = {"open", "read", "write", "replace", "unlink", "lock"}
     new.sender.waits[8] = new.time + 9.0
-    handover.tell()
-    handover.look()
+    handover.share_waits()
+    handover.check_others()
     assert not (tmp_path / "waits.1").exists()
     files.heal()
-    handover.look()
+    handover.check_others()
     assert (tmp_path / "waits.1").exists(), "told once it can be written"
     old.journal.close()
     for fails in ({"read"}, {"write"}, {"lock"}):
         files.fails = fails
         for _ in range(2):
-            handover.look()
+            handover.check_others()
         assert not new.sender.held
     files.fails = {"unlink"}
     for _ in range(4):
-        handover.look()
+        handover.check_others()
     new.pass_time(0.1)
     assert [item.id for call in new.calls for item in call.items] == ["a"], "once"
     assert not handover.successor()
     files.heal()
     for _ in range(4):
-        handover.look()
+        handover.check_others()
     assert not new.journal.others and not list(tmp_path.glob("waits*"))
 
 
@@ -556,11 +556,11 @@
         raise JournalUnavailableError(errno.EACCES, "not this one's")
 
     async def main() -> None:
-        assert await made(make, asyncio.Event()) is runtime and len(tries) == 3
-        assert await made(never, asked) is None
+        assert await make_with_retries(make, asyncio.Event()) is runtime and len(tries) == 3
+        assert await make_with_retries(never, asked) is None
         async with asyncio.timeout(20):
             with pytest.raises(JournalUnavailableError):
-                await made(wrong, asyncio.Event())
+                await make_with_retries(wrong, asyncio.Event())
 
     asked = asyncio.Event()
     asyncio.run(main())
@@ -574,48 +574,48 @@
 def test_a_file_that_cannot_be_replaced_stays_as_it_was(tmp_path: Path, error: int, call: str) -> None:
     files, now = FailingFiles(), Stamp("one", 1000.0, 50.0, 1000.0)
     folder, lists = Folder(tmp_path, files), KeptListFile(tmp_path, SHARDS, files)
-    one, _, _ = folder.arrive("m1", False)
+    one, _, _ = folder.start_run("m1", False)
     fact = Fact("pace", "7", 0.5, 1000.0, one.id, 1060.0)
-    folder.remember([fact], now, one.id)
+    folder.save_facts([fact], now, one.id)
     list_ = KeptList(read(SystemClocks()), kept().placement, kept().snapshots)
     lists.write(list_)
     files.error, files.fails = error, {call}
     if call == "write":
         files.fails, files.room = set(), 10
     for write in (
-        lambda: folder.say(one._replace(life=9)),
-        lambda: folder.remember([], now, one.id),
+        lambda: folder.write_identity(one._replace(life=9)),
+        lambda: folder.save_facts([], now, one.id),
         lambda: lists.write(KeptList(list_.confirmed.before(9.0), list_.placement, ())),
     ):
         with pytest.raises(OSError):
             write()
-    assert folder.stands(one) and not folder.stands(one._replace(life=9))
-    assert folder.remembered(now, one.id, -1).kept == [fact] and lists.read() == list_
+    assert folder.holds_identity(one) and not folder.holds_identity(one._replace(life=9))
+    assert folder.load_facts(now, one.id, -1).kept == [fact] and lists.read() == list_
     files.heal()
-    assert folder.remember([], now, one.id), "it is still to be written"
+    assert folder.save_facts([], now, one.id), "it is still to be written"
 
 
 def test_a_start_that_cannot_read_who_it_is_does_not_write_another_over_it(tmp_path: Path) -> None:
     files = FailingFiles()
-    first, _, _ = Folder(tmp_path).arrive("m1", False)
+    first, _, _ = Folder(tmp_path).start_run("m1", False)
     clock = SimpleNamespace(now=lambda: 5.0, wall=lambda: 105.0, boot=lambda: "")
     journal = SimpleNamespace(live={}, ends={}, standing=lambda: True, slot=0)
     sender = SimpleNamespace(clock=clock, list_lease=None, on_list=None)
     config = SimpleNamespace(name="m1", known=SimpleNamespace(version=-1))
     recovery = RecoverySubsystem.__new__(RecoverySubsystem)
     recovery.runtime = cast(Runtime, SimpleNamespace(journal=journal, sender=sender, config=config))
-    recovery.folder, recovery._arrived, recovery._failed = Folder(tmp_path, files), False, False
+    recovery.folder, recovery._identity_loaded, recovery._failed = Folder(tmp_path, files), False, False
     recovery._timer = None
 
     async def main() -> None:
         files.fails = {"read"}
         await recovery.start()
-        assert recovery._own_folder()
+        assert recovery._check_folder_ownership()
         files.heal()
         assert (tmp_path / "identity").read_bytes().count(first.id.encode()) == 1
-        assert recovery._own_folder()
+        assert recovery._check_folder_ownership()
         assert (recovery.identity.id, recovery.identity.life) == (first.id, 2)
-        assert recovery.folder.stands(recovery.identity)
+        assert recovery.folder.holds_identity(recovery.identity)
         assert recovery._timer is not None
         recovery._timer.cancel()
 
