--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -32,7 +32,7 @@
 from mountgauge.sharding.messages import Answer, PlacementNews, Reply
 from mountgauge.sharding.picker import Picker, RelayName
 from mountgauge.sharding.relay import HeldAsk, Relay
-from mountgauge.sharding.shards import NOTHING, EndpointRecord, ShardSnapshot
+from mountgauge.sharding.shards import NO_VERSION, EndpointRecord, ShardSnapshot
 from mountgauge.sharding.store import ShardStore
 from mountgauge.sharding.subscription import Subscription
 from mountgauge.sharding.timing import Timing
@@ -191,7 +191,7 @@
     def ready(self) -> bool:
         """Whether all shards that are placed here are held."""
         subscription = self.subscription
-        return subscription.placement.revision != NOTHING and all(
+        return subscription.placement.revision != NO_VERSION and all(
             shard in self.store for shard in subscription.shards()
         )
 
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -30,7 +30,7 @@
 from mountgauge.sharding.evidence import RelayEvidence, RelayFailure
 from mountgauge.sharding.messages import PlacementNews
 from mountgauge.sharding.picker import Picker
-from mountgauge.sharding.shards import NOTHING, EndpointRecord, EndpointState, shard_of
+from mountgauge.sharding.shards import NO_VERSION, EndpointRecord, EndpointState, shard_of
 from mountgauge.sharding.store import ShardStore
 from mountgauge.sharding.subscription import Subscription
 from mountgauge.sharding.upstream import Call, Lane, RelayCall, Update
@@ -119,7 +119,7 @@
             log.warning("kept-list-not-read", extra=kv(error=error))
             kept = None
         if kept is None:
-            return MapUpdate(NOTHING, True, ())
+            return MapUpdate(NO_VERSION, True, ())
         wanted = {one.shard for one in kept.placement.shards} | set(map(self.shard, destinations))
         snapshots = [one for one in kept.snapshots if one.shard in wanted]
         age_s = age(kept.confirmed, read(self._clocks))
@@ -159,7 +159,7 @@
 
     def _version(self) -> int:
         versions = [self.store.version(shard) for shard in self.store.shards()]
-        return max(versions, default=NOTHING)
+        return max(versions, default=NO_VERSION)
 
     def _map_update(self, full: bool, update: Update) -> MapUpdate:
         """Each entry is as of its shard's version: a shard that was let go may come back at an older one."""
@@ -202,7 +202,7 @@
 
     def _look_again(self) -> None:
         held_back = self._lease_log.ended is not None
-        if held_back and self.lease_ended(NOTHING) is None:
+        if held_back and self.lease_ended(NO_VERSION) is None:
             self.on_renewed()
 
     # From the subscription
@@ -219,7 +219,7 @@
             self.last_rejection = f"{update.rejections[-1].source}: {update.rejections[-1].reason}"
         if update.placement is not None:
             self._placed(update.placement)
-        elif self.subscription.placement.revision == NOTHING:
+        elif self.subscription.placement.revision == NO_VERSION:
             self._warn_of_no_placement(call)
         looked = self._looked(call)
         if update.put or update.gone or looked:
@@ -301,7 +301,7 @@
         """Write down what is held."""
         age_s = self.staleness_s
         placement = self.subscription.placement
-        if placement.revision == NOTHING or not math.isfinite(age_s):
+        if placement.revision == NO_VERSION or not math.isfinite(age_s):
             return
         snapshots = tuple(self.store.snapshot(shard) for shard in sorted(self.store.shards()))
         try:
--- a/mountgauge/relay/wire.py
+++ b/mountgauge/relay/wire.py
@@ -38,7 +38,7 @@
     Reply,
 )
 from mountgauge.sharding.shards import (
-    NOTHING,
+    NO_VERSION,
     EndpointRecord,
     EndpointState,
     ShardDelta,
@@ -69,7 +69,7 @@
     raw: dict[str, Any] = {"asker": ask.asker, "wait_s": ask.wait_s}
     if shard_count is not None:
         raw["shard_count"] = shard_count
-    if ask.placement != NOTHING:
+    if ask.placement != NO_VERSION:
         raw["placement"] = ask.placement
     if ask.everything is not None:
         raw["index"] = ask.everything
@@ -97,7 +97,7 @@
     wait_s = _seconds(raw.get("wait_s", 0.0), "wait_s")
     if wait_s > MAX_WAIT_S:
         raise UnreadableMessageError(f"wait_s: above {MAX_WAIT_S:g}")
-    placement = _version(raw.get("placement", NOTHING), "placement")
+    placement = _version(raw.get("placement", NO_VERSION), "placement")
     if "index" in raw:
         if "shards" in raw:
             raise UnreadableMessageError("index and shards: only one of them can be asked by")
@@ -113,7 +113,7 @@
     if type(raw) is list and len(raw) == 2:  # nearly all are: a relay reads tens of thousands a second
         shard, version = raw
         whole = type(shard) is int and type(version) is int
-        if whole and 0 <= shard < shard_count and NOTHING <= version <= MAX_VERSION:
+        if whole and 0 <= shard < shard_count and NO_VERSION <= version <= MAX_VERSION:
             return Position(shard, version)
     if not isinstance(raw, list) or len(raw) not in (2, 3):
         raise UnreadableMessageError("shards: a position is a shard, a version and maybe a digest")
@@ -294,7 +294,7 @@
 
 
 def _version(raw: object, name: str) -> int:
-    return _whole(raw, name, NOTHING, MAX_VERSION)
+    return _whole(raw, name, NO_VERSION, MAX_VERSION)
 
 
 def _shard(raw: object, shard_count: int) -> int:
--- a/mountgauge/sharding/list_watch.py
+++ b/mountgauge/sharding/list_watch.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from mountgauge.sharding.shards import (
-    NOTHING,
+    NO_VERSION,
     EndpointRecord,
     EndpointState,
     ShardSnapshot,
@@ -48,7 +48,7 @@
     @property
     def ready(self) -> bool:
         """Whether it has had a whole list."""
-        return self.store.as_of != NOTHING
+        return self.store.as_of != NO_VERSION
 
     def age(self, now: float) -> float:
         """Seconds since discovery confirmed, for sure, that what is held is the newest."""
--- a/mountgauge/sharding/messages.py
+++ b/mountgauge/sharding/messages.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from mountgauge.sharding.shards import NOTHING, ShardDelta, ShardSnapshot
+from mountgauge.sharding.shards import NO_VERSION, ShardDelta, ShardSnapshot
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,7 +19,7 @@
     """How an asker holds one shard."""
 
     shard: int
-    version: int = NOTHING
+    version: int = NO_VERSION
     digest: int | None = None  # of what it holds: said on the first ask at a relay, to be compared there
 
 
@@ -31,7 +31,7 @@
     positions: tuple[Position, ...] = ()
     everything: int | None = None
     wait_s: float = 0.0  # 0: answered at once
-    placement: int = NOTHING  # the newest revision of the placement that the asker knows
+    placement: int = NO_VERSION  # the newest revision of the placement that the asker knows
     verify: bool = False  # with `everything`: the answer is to have the digest of all
 
 
--- a/mountgauge/sharding/relay.py
+++ b/mountgauge/sharding/relay.py
@@ -29,7 +29,7 @@
     Reply,
 )
 from mountgauge.sharding.placement import Placement
-from mountgauge.sharding.shards import NOTHING, ShardDelta, ShardSnapshot
+from mountgauge.sharding.shards import NO_VERSION, ShardDelta, ShardSnapshot
 from mountgauge.sharding.store import ShardStore, Standing
 from mountgauge.sharding.subscription import Subscription
 from mountgauge.sharding.upstream import Call, ListCall, RelayCall, Update
@@ -218,7 +218,7 @@
         """By how many versions this relay is below the asker."""
         if ask.everything is not None:
             return max(0, ask.everything - self.store.as_of)
-        newest = max((one.version for one in ask.positions), default=NOTHING)
+        newest = max((one.version for one in ask.positions), default=NO_VERSION)
         return max(0, newest - self.store.as_of)
 
     def _answer(self, ask: Ask, now: float, over: bool) -> Answer | None:
@@ -243,7 +243,7 @@
         )  # fmt: skip
 
     def _everything(self, ask: Ask, age: float, over: bool) -> Answer | None:
-        base = ask.everything if ask.everything is not None else NOTHING
+        base = ask.everything if ask.everything is not None else NO_VERSION
         if base == self.store.as_of and not over and not ask.verify:
             return None
         apart = set(self.store.apart())
--- a/mountgauge/sharding/shards.py
+++ b/mountgauge/sharding/shards.py
@@ -16,7 +16,7 @@
 from sys import intern
 from typing import Any
 
-NOTHING = -1  # the version of a shard of which nothing is held
+NO_VERSION = -1  # the version of a shard of which nothing is held
 DEFAULT_SHARD_COUNT = 65_536
 _MASK = (1 << 64) - 1
 
--- a/mountgauge/sharding/store.py
+++ b/mountgauge/sharding/store.py
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from mountgauge.sharding.shards import (
-    NOTHING,
+    NO_VERSION,
     EndpointRecord,
     ShardDelta,
     ShardSnapshot,
@@ -59,7 +59,7 @@
     confirmed_at: float
 
 
-NO_KNOWLEDGE = Knowledge(NOTHING, -inf)
+NO_KNOWLEDGE = Knowledge(NO_VERSION, -inf)
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,13 +93,13 @@
 
     def __init__(self, shard_count: int, log_limit: int = DEFAULT_LOG_LIMIT) -> None:
         self.shard_count = shard_count
-        self.as_of = NOTHING  # of all shards that have no knowledge of their own
+        self.as_of = NO_VERSION  # of all shards that have no knowledge of their own
         self.confirmed_at = -inf
         self._log_limit = log_limit
         self._shards: dict[int, _Shard] = {}
         self._apart: dict[int, Knowledge] = {}
         self._recent: dict[int, int] = {}  # by shard, in the order of their last changes: a rising tag
-        self._last_tag = NOTHING
+        self._last_tag = NO_VERSION
         self._stops: dict[int, None] = {}  # the newest versions as of which all was held, oldest first
 
     # What is held
@@ -172,7 +172,7 @@
             raise DigestMismatchError(
                 f"shard {shard}: snapshot at version {snapshot.version} has another content"
             )
-        held = self._shards.get(shard) or _Shard(NOTHING, NOTHING)
+        held = self._shards.get(shard) or _Shard(NO_VERSION, NO_VERSION)
         records = {one.id: one for one in snapshot.records}
         put = tuple(one for one in snapshot.records if held.records.get(one.id) != one)
         gone = tuple(one for name, one in held.records.items() if name not in records)
@@ -186,7 +186,7 @@
     ) -> RecordChange:
         """From the only writer's own list: what was touched since what is held, as it is at `version`."""
         held, known = self._shards[shard], self.knowledge(shard)
-        change, digest = self._effect(held, ShardDelta(shard, NOTHING, version, put, gone, 0))
+        change, digest = self._effect(held, ShardDelta(shard, NO_VERSION, version, put, gone, 0))
         self._take(shard, held, _Change(version, put, gone), digest)
         self._apart[shard] = Knowledge(version, known.confirmed_at)
         return change
@@ -203,7 +203,7 @@
         confirmed_at: float,
         asked: Collection[int] | None = None,
         uncovered: Collection[int] = (),
-        base: int = NOTHING,
+        base: int = NO_VERSION,
     ) -> None:
         """All that is held, of `asked` (None: all shards) but for `uncovered`, is as of this version, where
         it was held as of `base` or later.
@@ -252,7 +252,7 @@
         held = self._shards.get(shard)
         if held is None:
             return Standing.UNKNOWN
-        if base == NOTHING:
+        if base == NO_VERSION:
             return self.snapshot(shard)
         if digest is not None and digest == self.digest(shard):
             return Standing.UNCHANGED
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -27,7 +27,7 @@
     Reply,
 )
 from mountgauge.sharding.picker import Picker
-from mountgauge.sharding.shards import NOTHING, EndpointRecord, ShardSnapshot
+from mountgauge.sharding.shards import NO_VERSION, EndpointRecord, ShardSnapshot
 from mountgauge.sharding.store import Knowledge, RecordChange, RefusedChangeError, ShardStore
 from mountgauge.sharding.timing import Timing
 from mountgauge.sharding.upstream import NO_UPDATE, Lane, Rejection, RelayCall, Update
@@ -64,7 +64,7 @@
     ) -> None:  # fmt: skip
         self.name, self.store, self.picker, self.timing = name, store, picker, timing
         self.everything = everything
-        self.placement = PlacementNews(NOTHING, 0, ())
+        self.placement = PlacementNews(NO_VERSION, 0, ())
         self.behind = 0  # by how many versions the relay that is asked is below what is held
         self._rng = rng
         self._placed: dict[int, PlacedShard] = {}
@@ -73,13 +73,13 @@
         self._fetch: dict[int, float] = {}  # shards to be fetched: not before
         self._fetch_from = -inf  # a relay has said when to come again
         self._whole: set[int] = set()  # of those: by snapshot alone
-        self._base = NOTHING  # of a relay: as of which everything is held that isn't to be fetched
+        self._base = NO_VERSION  # of a relay: as of which everything is held that isn't to be fetched
         self._out: dict[Lane, RelayCall] = {}
         self._number = 0
         self._verified: tuple[str, int] | None = None  # the relay, and its run, with which digests agreed
         self._refused_in_a_row = 0
         self._behind_since: float | None = None
-        self._newest = (NOTHING, -inf, "")  # the highest version that was told, when first, by whom
+        self._newest = (NO_VERSION, -inf, "")  # the highest version that was told, when first, by whom
         self._untried = set(range(store.shard_count)) if everything else set()  # shards of no page yet
         self._fetch.update(dict.fromkeys(self._untried, -inf))
         self._lowest: Knowledge | None = None  # of the pages so far
@@ -131,7 +131,7 @@
     @property
     def ready(self) -> bool:
         """Of a relay: it has had a whole picture."""
-        return self.store.as_of != NOTHING
+        return self.store.as_of != NO_VERSION
 
     def staleness(self, shard: int, now: float) -> float:
         """Seconds since discovery confirmed, for sure, that what is held of it is the newest."""
@@ -206,7 +206,7 @@
             if not_before > now:
                 continue
             position = self._position(shard, digest=True)
-            new += position.version == NOTHING
+            new += position.version == NO_VERSION
             page.append(position)
             if new == NEW_SHARDS or len(page) == HELD_SHARDS:
                 break
@@ -220,7 +220,7 @@
     def _may_watch(self) -> bool:
         """Whether there is something to watch; a sender that follows no shard yet waits for news of them."""
         if self.everything:
-            return self._base != NOTHING
+            return self._base != NO_VERSION
         return not self._fetch or any(shard not in self._fetch for shard in self.store.shards())
 
     def _watch(self) -> Ask:
@@ -285,7 +285,7 @@
         ask = call.ask
         asked = {one.shard: one.version for one in ask.positions}
         covered = asked.keys() - set(reply.uncovered)
-        held = max((asked[shard] for shard in covered), default=NOTHING)
+        held = max((asked[shard] for shard in covered), default=NO_VERSION)
         if ask.everything is not None:
             held = ask.everything
         if reply.as_of < held:
@@ -336,7 +336,7 @@
     def _compared(self, call: RelayCall, reply: Answer) -> bool:
         """Whether the digests of all that the relay told of have been compared, and agree."""
         if not self.everything:
-            return all(one.digest is not None or one.version == NOTHING for one in call.ask.positions)
+            return all(one.digest is not None or one.version == NO_VERSION for one in call.ask.positions)
         if reply.digest is None or self._fetch.keys() - set(reply.uncovered):
             return False
         if reply.digest == self.store.digest_of_all(reply.uncovered):
@@ -411,7 +411,7 @@
 
     def _paged(self, call: RelayCall, reply: Answer, confirmed_at: float) -> None:
         """A page has come; after the last one all is held as of the lowest of them."""
-        if self._base != NOTHING:
+        if self._base != NO_VERSION:
             return
         known = Knowledge(reply.as_of, confirmed_at)
         self._lowest = known if self._lowest is None else min(self._lowest, known)
--- a/tests/sharding/network.py
+++ b/tests/sharding/network.py
@@ -21,7 +21,7 @@
 from mountgauge.sharding.picker import Picker, RelayName
 from mountgauge.sharding.placement import Placement, PlacementSettings
 from mountgauge.sharding.relay import HeldAsk, Relay, RelaySettings
-from mountgauge.sharding.shards import NOTHING, EndpointRecord, ShardSnapshot, shard_of
+from mountgauge.sharding.shards import NO_VERSION, EndpointRecord, ShardSnapshot, shard_of
 from mountgauge.sharding.store import ShardStore
 from mountgauge.sharding.subscription import Subscription
 from mountgauge.sharding.timing import RELAY_TIMING, Timing
@@ -226,7 +226,7 @@
         store = self.subscription.store
         for shard in store.shards():
             version = store.version(shard)
-            assert version >= self.versions.get(shard, NOTHING), f"{self.name}: shard {shard} went back"
+            assert version >= self.versions.get(shard, NO_VERSION), f"{self.name}: shard {shard} went back"
             self.versions[shard] = version
         for shard in self.versions.keys() - set(store.shards()):
             del self.versions[shard]
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -17,7 +17,7 @@
 from mountgauge.relay.shard_map import ShardMap
 from mountgauge.sharding.messages import Answer, PlacedShard, PlacementNews
 from mountgauge.sharding.shards import (
-    NOTHING,
+    NO_VERSION,
     EndpointRecord,
     EndpointState,
     ShardSnapshot,
@@ -167,7 +167,7 @@
 
     async def _reply(self, message: Message) -> bytes:
         ask = wire.decode_ask(message.body, SHARDS)
-        if all(position.version != NOTHING for position in ask.positions):
+        if all(position.version != NO_VERSION for position in ask.positions):
             await asyncio.sleep(60)
         record = EndpointRecord("e7", f"{HOST}:1", "a", "http", 7, self.state)
         snapshot = ShardSnapshot(shard_of(7, SHARDS), self.as_of, (record,), digest_of((record,)))
--- a/tests/sharding/test_store.py
+++ b/tests/sharding/test_store.py
@@ -9,7 +9,7 @@
 
 from mountgauge.sharding.list_watch import ListWatch
 from mountgauge.sharding.shards import (
-    NOTHING,
+    NO_VERSION,
     EndpointRecord,
     EndpointState,
     ShardDelta,
@@ -83,7 +83,7 @@
     base = held.version(shard)
     if base > relay.as_of:
         return None  # the relay is behind, and says so
-    digest = held.digest(shard) if with_digest and base != NOTHING else None
+    digest = held.digest(shard) if with_digest and base != NO_VERSION else None
     return relay.since(shard, base, digest)
 
 
@@ -96,8 +96,8 @@
     ]
     held = ShardStore(SHARDS, log_limit=0)
     unknown = snapshots = deltas = 0
-    at = [NOTHING, NOTHING]  # the relay that each shard was last compared with
-    last = dict.fromkeys(range(SHARDS), NOTHING)
+    at = [NO_VERSION, NO_VERSION]  # the relay that each shard was last compared with
+    last = dict.fromkeys(range(SHARDS), NO_VERSION)
     compared = dict.fromkeys(range(SHARDS), -1)
     for step in range(120):
         for _ in range(rng.randint(0, 3)):
