--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -29,7 +29,7 @@
     encode_ask,
     encode_reply,
 )
-from mountgauge.sharding.messages import Answer, PlacementNews, Reply
+from mountgauge.sharding.messages import Answer, PlacementUpdate, Reply
 from mountgauge.sharding.picker import Picker, RelayName
 from mountgauge.sharding.relay import HeldAsk, Relay
 from mountgauge.sharding.shards import NO_VERSION, EndpointRecord, ShardSnapshot
@@ -101,7 +101,7 @@
     """What a sender has in its folder of the list."""
 
     snapshots: tuple[ShardSnapshot, ...]
-    placement: PlacementNews
+    placement: PlacementUpdate
     confirmed_at: float
 
 
--- a/mountgauge/relay/kept_list.py
+++ b/mountgauge/relay/kept_list.py
@@ -16,7 +16,7 @@
 from mountgauge.core.durable_time import Stamp
 from mountgauge.core.files import Files, SystemFiles, write_whole
 from mountgauge.relay import wire
-from mountgauge.sharding.messages import Answer, PlacementNews
+from mountgauge.sharding.messages import Answer, PlacementUpdate
 from mountgauge.sharding.shards import ShardSnapshot
 
 MAX_BYTES = 1 << 20
@@ -33,7 +33,7 @@
     """What a sender held."""
 
     confirmed: Stamp  # when it was discovery's newest for sure
-    placement: PlacementNews
+    placement: PlacementUpdate
     snapshots: tuple[ShardSnapshot, ...]
 
 
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -28,7 +28,7 @@
 from mountgauge.relay.kept_list import KeptList, KeptListError, KeptListFile
 from mountgauge.relay.settings import SenderSharding
 from mountgauge.sharding.evidence import RelayEvidence, RelayFailure
-from mountgauge.sharding.messages import PlacementNews
+from mountgauge.sharding.messages import PlacementUpdate
 from mountgauge.sharding.picker import Picker
 from mountgauge.sharding.shards import NO_VERSION, EndpointRecord, EndpointState, shard_of
 from mountgauge.sharding.store import ShardStore
@@ -237,7 +237,7 @@
             self._keep_later()
         self._tell(changed)
 
-    def _placed(self, news: PlacementNews) -> None:
+    def _placed(self, news: PlacementUpdate) -> None:
         shards = ",".join(str(one.shard) for one in news.shards[:32])
         log.info("placement", extra=kv(epoch=news.epoch, revision=news.revision, shards=shards))
         self._keep_later()
--- a/mountgauge/relay/wire.py
+++ b/mountgauge/relay/wire.py
@@ -31,7 +31,7 @@
     Answer,
     Ask,
     PlacedShard,
-    PlacementNews,
+    PlacementUpdate,
     Position,
     Refusal,
     RefusalReason,
@@ -168,7 +168,7 @@
             "digest": one.digest, "servers": servers}  # fmt: skip
 
 
-def _placement_form(news: PlacementNews | None) -> dict[str, Any] | None:
+def _placement_form(news: PlacementUpdate | None) -> dict[str, Any] | None:
     if news is None:
         return None
     shards = [(one.shard, one.replicas) for one in news.shards]
@@ -247,14 +247,14 @@
     return raw
 
 
-def _placement(raw: object, shard_count: int) -> PlacementNews | None:
+def _placement(raw: object, shard_count: int) -> PlacementUpdate | None:
     if raw is None:
         return None
     if not isinstance(raw, dict):
         raise UnreadableMessageError("placement: not an object")
     shards = tuple(_placed(one, shard_count) for one in _array(raw.get("shards"), "placement.shards"))
     revision = _version(raw.get("revision"), "revision")
-    return PlacementNews(revision, _version(raw.get("epoch"), "epoch"), shards)
+    return PlacementUpdate(revision, _version(raw.get("epoch"), "epoch"), shards)
 
 
 def _placed(raw: object, shard_count: int) -> PlacedShard:
--- a/mountgauge/sharding/messages.py
+++ b/mountgauge/sharding/messages.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacementNews:
+class PlacementUpdate:
     """All shards that are placed on the asker, at a revision. Only those who ask by positions get any."""
 
     revision: int
@@ -64,7 +64,7 @@
     uncovered: tuple[int, ...] = ()  # shards of which nothing is said
     behind: int = 0  # by how many versions the relay is below the asker; nothing else is said then
     retry_after_s: float = 0.0  # when the uncovered shards may be asked for again
-    placement: PlacementNews | None = None
+    placement: PlacementUpdate | None = None
     digest: int | None = None  # where asked to verify: of all shards that are covered, as of `as_of`
     run: int = 0  # of the relay: another one at each start
 
--- a/mountgauge/sharding/placement.py
+++ b/mountgauge/sharding/placement.py
@@ -24,7 +24,7 @@
 
 from mountgauge.sharding.fair_loads import group_loads, whole_parts
 from mountgauge.sharding.members import FOREVER, Member, MemberFile, MemberFileError
-from mountgauge.sharding.messages import PlacedShard, PlacementNews
+from mountgauge.sharding.messages import PlacedShard, PlacementUpdate
 from mountgauge.sharding.rebalance import Balance, Move, Placed, Table
 
 DEFAULT_REPLICAS = 3
@@ -283,12 +283,12 @@
     def shards(self, member: str) -> frozenset[int]:
         return frozenset(self._shards.get(member, ()))
 
-    def news(self, member: str, known: int) -> PlacementNews | None:
+    def news(self, member: str, known: int) -> PlacementUpdate | None:
         """What a member is told that knows its shards as of this revision; None: there is nothing new."""
         if self._changed.get(member, 0) <= known or self.revision <= known:
             return None
         placed = tuple(PlacedShard(shard, self.replicas(shard)) for shard in sorted(self.shards(member)))
-        return PlacementNews(self.revision, self.epoch, placed)
+        return PlacementUpdate(self.revision, self.epoch, placed)
 
 
 def _nature(member: Member) -> Member:
--- a/mountgauge/sharding/relay.py
+++ b/mountgauge/sharding/relay.py
@@ -22,7 +22,7 @@
 from mountgauge.sharding.messages import (
     Answer,
     Ask,
-    PlacementNews,
+    PlacementUpdate,
     Position,
     Refusal,
     RefusalReason,
@@ -285,7 +285,7 @@
         elif change is Standing.UNKNOWN:
             found.uncovered.append(shard)
 
-    def _news(self, ask: Ask) -> PlacementNews | None:
+    def _news(self, ask: Ask) -> PlacementUpdate | None:
         if self.placement is None:
             return None
         return self.placement.news(ask.asker, ask.placement)
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -20,7 +20,7 @@
     Answer,
     Ask,
     PlacedShard,
-    PlacementNews,
+    PlacementUpdate,
     Position,
     Refusal,
     RefusalReason,
@@ -46,7 +46,7 @@
         self.put: dict[str, EndpointRecord] = {}
         self.gone: list[EndpointRecord] = []
         self.rejections: list[Rejection] = []
-        self.placement: PlacementNews | None = None
+        self.placement: PlacementUpdate | None = None
 
     def update(self) -> Update:
         return Update(
@@ -64,7 +64,7 @@
     ) -> None:  # fmt: skip
         self.name, self.store, self.picker, self.timing = name, store, picker, timing
         self.everything = everything
-        self.placement = PlacementNews(NO_VERSION, 0, ())
+        self.placement = PlacementUpdate(NO_VERSION, 0, ())
         self.behind = 0  # by how many versions the relay that is asked is below what is held
         self._rng = rng
         self._placed: dict[int, PlacedShard] = {}
@@ -100,7 +100,9 @@
         self._release((shard,), found)
         return found.update()
 
-    def restore(self, snapshots: Iterable[ShardSnapshot], news: PlacementNews, confirmed_at: float) -> Update:
+    def restore(
+        self, snapshots: Iterable[ShardSnapshot], news: PlacementUpdate, confirmed_at: float
+    ) -> Update:
         """What an earlier process kept: its last list, and when that was discovery's newest for sure (own
         clock). It is asked for changes alone. Shards that aren't placed here, and of which no message is held
         when the first answer comes, are let go then.
@@ -427,7 +429,7 @@
         if shard not in self.store:
             self._fetch.setdefault(shard, now)
 
-    def _place(self, news: PlacementNews, found: _Collected) -> None:
+    def _place(self, news: PlacementUpdate, found: _Collected) -> None:
         if news.revision <= self.placement.revision:
             return
         before = self._placed.keys()
--- a/mountgauge/sharding/upstream.py
+++ b/mountgauge/sharding/upstream.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from mountgauge.sharding.messages import Ask, PlacementNews
+from mountgauge.sharding.messages import Ask, PlacementUpdate
 from mountgauge.sharding.shards import EndpointRecord
 
 
@@ -67,7 +67,7 @@
     put: tuple[EndpointRecord, ...] = ()
     gone: tuple[EndpointRecord, ...] = ()
     rejections: tuple[Rejection, ...] = ()
-    placement: PlacementNews | None = None
+    placement: PlacementUpdate | None = None
 
 
 NO_UPDATE = Update()
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -27,7 +27,7 @@
 from mountgauge.relay.kept_list import KeptList, KeptListFile
 from mountgauge.relay.shard_map import ShardMap
 from mountgauge.run.handover import Handover
-from mountgauge.sharding.messages import PlacementNews
+from mountgauge.sharding.messages import PlacementUpdate
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
 from tests.sharding.stands import SHARDS
@@ -399,7 +399,7 @@
 
 def test_a_kept_list_of_an_older_version_is_read_by_the_wall_clock(tmp_path: Path) -> None:
     file, clock = KeptListFile(tmp_path, SHARDS), SteppedClocks()
-    file.write(KeptList(read(clock).before(30.0), PlacementNews(3, 1, ()), ()))
+    file.write(KeptList(read(clock).before(30.0), PlacementUpdate(3, 1, ()), ()))
     content = (tmp_path / "shards").read_bytes()
     head, _, body = content.partition(b"\n")
     assert b"monotonic" in head and b"boot" in head
--- a/tests/sharding/network.py
+++ b/tests/sharding/network.py
@@ -17,7 +17,7 @@
 
 from mountgauge.sharding.list_watch import ListWatch
 from mountgauge.sharding.members import Member, MemberFile
-from mountgauge.sharding.messages import PlacementNews, Reply
+from mountgauge.sharding.messages import PlacementUpdate, Reply
 from mountgauge.sharding.picker import Picker, RelayName
 from mountgauge.sharding.placement import Placement, PlacementSettings
 from mountgauge.sharding.relay import HeldAsk, Relay, RelaySettings
@@ -232,7 +232,7 @@
             del self.versions[shard]
         self.world.reached(self)
 
-    def snapshots(self) -> tuple[list[ShardSnapshot], PlacementNews]:
+    def snapshots(self) -> tuple[list[ShardSnapshot], PlacementUpdate]:
         """What it would have on its disk."""
         store = self.subscription.store
         return [store.snapshot(shard) for shard in store.shards()], self.subscription.placement
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -15,7 +15,7 @@
 from mountgauge.relay.kept_list import MAX_BYTES, KeptList, KeptListError, KeptListFile
 from mountgauge.relay.settings import RelayPlace, Relays, SenderSharding, Shards
 from mountgauge.relay.shard_map import ShardMap
-from mountgauge.sharding.messages import Answer, PlacedShard, PlacementNews
+from mountgauge.sharding.messages import Answer, PlacedShard, PlacementUpdate
 from mountgauge.sharding.shards import (
     NO_VERSION,
     EndpointRecord,
@@ -114,7 +114,7 @@
     shard = shard_of(7, SHARDS)
     snapshot = ShardSnapshot(shard, 41, found, digest_of(found))
     confirmed = read(SystemClocks()).before(30)
-    return KeptList(confirmed, PlacementNews(3, 1, (PlacedShard(shard, ("s1",)),)), (snapshot,))
+    return KeptList(confirmed, PlacementUpdate(3, 1, (PlacedShard(shard, ("s1",)),)), (snapshot,))
 
 
 def test_a_kept_list_is_used_with_its_age_and_one_too_large_is_not_written(tmp_path: Path) -> None:
--- a/tests/sharding/test_subscription.py
+++ b/tests/sharding/test_subscription.py
@@ -12,7 +12,7 @@
 from mountgauge.sharding.messages import (
     Answer,
     PlacedShard,
-    PlacementNews,
+    PlacementUpdate,
     Refusal,
     RefusalReason,
 )
@@ -41,8 +41,8 @@
     return ShardSnapshot(shard, version, records, digest_of(records))
 
 
-def news(revision: int, *shards: int) -> PlacementNews:
-    return PlacementNews(revision, 1, tuple(PlacedShard(one, ("me", "b", "c")) for one in shards))
+def news(revision: int, *shards: int) -> PlacementUpdate:
+    return PlacementUpdate(revision, 1, tuple(PlacedShard(one, ("me", "b", "c")) for one in shards))
 
 
 def fresh(seed: int = 1) -> Subscription:
--- a/tests/sharding/test_wire.py
+++ b/tests/sharding/test_wire.py
@@ -14,7 +14,7 @@
     Answer,
     Ask,
     PlacedShard,
-    PlacementNews,
+    PlacementUpdate,
     Position,
     Refusal,
     RefusalReason,
@@ -45,7 +45,7 @@
 )
 snapshots = st.builds(ShardSnapshot, shards, versions, many_records, digests)
 placed = st.builds(PlacedShard, shards, st.lists(names, max_size=4).map(tuple))
-news = st.builds(PlacementNews, versions, versions, st.lists(placed, max_size=3).map(tuple))
+news = st.builds(PlacementUpdate, versions, versions, st.lists(placed, max_size=3).map(tuple))
 answers = st.builds(
     Answer, versions, seconds | st.just(math.inf), seconds, st.lists(deltas, max_size=3).map(tuple),
     st.lists(snapshots, max_size=3).map(tuple), st.lists(shards, max_size=4).map(tuple),
