--- a/mountgauge/relay/report.py
+++ b/mountgauge/relay/report.py
@@ -73,7 +73,7 @@
 
     def _row(self, shard: int) -> Mapping[str, Any]:
         relay = self._relay
-        version, confirmed_at = relay.store.knowledge(shard)
+        version, confirmed_at = relay.store.held_version(shard)
         replicas = relay.placement.replicas(shard) if relay.placement is not None else ()
         return {
             "shard": shard, "version": version, "staleness_s": _seconds(self._now() - confirmed_at),
--- a/mountgauge/sharding/store.py
+++ b/mountgauge/sharding/store.py
@@ -122,13 +122,13 @@
         """The shards that aren't held as of `as_of`."""
         return self._apart.keys()
 
-    def knowledge(self, shard: int) -> Knowledge:
+    def held_version(self, shard: int) -> Knowledge:
         if shard not in self._shards:
             return NO_KNOWLEDGE
         return self._apart.get(shard) or Knowledge(self.as_of, self.confirmed_at)
 
     def version(self, shard: int) -> int:
-        return self.knowledge(shard).version
+        return self.held_version(shard).version
 
     def records(self, shard: int) -> Mapping[str, EndpointRecord]:
         held = self._shards.get(shard)
@@ -144,7 +144,7 @@
 
     def apply_delta(self, delta: ShardDelta) -> RecordChange:
         """Take in a delta; the shard is held as of its version then. One that is no news changes nothing."""
-        known, held = self.knowledge(delta.shard), self._shards.get(delta.shard)
+        known, held = self.held_version(delta.shard), self._shards.get(delta.shard)
         version = known.version
         if held is None or delta.base > version:
             raise VersionGapError(f"shard {delta.shard}: delta from version {delta.base}, held is {version}")
@@ -163,7 +163,7 @@
 
     def apply_snapshot(self, snapshot: ShardSnapshot) -> RecordChange:
         """Take in a whole shard; its log starts anew."""
-        shard, known = snapshot.shard, self.knowledge(snapshot.shard)
+        shard, known = snapshot.shard, self.held_version(snapshot.shard)
         if snapshot.version < known.version:
             raise StaleVersionError(
                 f"shard {shard}: snapshot at version {snapshot.version}, held is {known.version}"
@@ -185,7 +185,7 @@
         self, shard: int, version: int, put: tuple[EndpointRecord, ...], gone: tuple[str, ...]
     ) -> RecordChange:
         """From the only writer's own list: what was touched since what is held, as it is at `version`."""
-        held, known = self._shards[shard], self.knowledge(shard)
+        held, known = self._shards[shard], self.held_version(shard)
         change, digest = self._effect(held, ShardDelta(shard, NO_VERSION, version, put, gone, 0))
         self._take(shard, held, _Change(version, put, gone), digest)
         self._apart[shard] = Knowledge(version, known.confirmed_at)
@@ -224,7 +224,7 @@
 
     def settle(self, shard: int, as_of: int, confirmed_at: float) -> None:
         """One shard is as of this version, as its content showed: what was between isn't known."""
-        held, known = self._shards[shard], self.knowledge(shard)
+        held, known = self._shards[shard], self.held_version(shard)
         if as_of > known.version and held.changed < as_of:
             held.floor = held.changed = as_of
             held.log.clear()
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -137,7 +137,7 @@
 
     def staleness(self, shard: int, now: float) -> float:
         """Seconds since discovery confirmed, for sure, that what is held of it is the newest."""
-        return now - self.store.knowledge(shard).confirmed_at
+        return now - self.store.held_version(shard).confirmed_at
 
     def age(self, now: float) -> float:
         """The staleness of the shard that is worst off."""
