--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -267,7 +267,7 @@
         """The core holds one message more for it."""
         shard, now = self.shard(destination), self._loop.time()
         self._messages[shard] = self._messages.get(shard, 0) + 1
-        self.subscription.hold(shard, now)
+        self.subscription.message_accepted(shard, now)
         self.follower.wake_by(now)
 
     def dropped(self, destination: int) -> None:
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -1,6 +1,7 @@
 """Following shards at relays: of a sender those placed on it and those of its messages, of a relay all.
 
-A sender's shards come with the placement (news of it travel with the answers) and with its messages: `hold`
+A sender's shards come with the placement (news of it travel with the answers) and with its messages:
+`message_accepted`
 when one is taken on, `ended` when it has ended. A shard is dropped when it isn't placed here and no message
 of it is left. `Update` says which endpoint records have changed, for the decision module.
 
@@ -86,7 +87,7 @@
 
     # What a sender follows
 
-    def hold(self, shard: int, now: float) -> None:
+    def message_accepted(self, shard: int, now: float) -> None:
         """A message of the shard was taken on."""
         self._messages[shard] += 1
         self._follow(shard, now)
--- a/tests/sharding/network.py
+++ b/tests/sharding/network.py
@@ -388,7 +388,7 @@
             if node.up:
                 node.take(node.subscription.ended(shard))
 
-        node.subscription.hold(shard, self.clock.now)
+        node.subscription.message_accepted(shard, self.clock.now)
         node.pump()
         self.clock.at(self.clock.now + for_s, end)
 
--- a/tests/sharding/test_relay_service.py
+++ b/tests/sharding/test_relay_service.py
@@ -202,7 +202,7 @@
 
         places = {"liar": Address(HOST, liar.port), "honest": Address(HOST, honest.server.port)}
         follower = Follower(subscription, places, None, SHARDS, hear)
-        subscription.hold(shard, 0.0)
+        subscription.message_accepted(shard, 0.0)
         follower.start()
         await until(lambda: shard in store and store.version(shard) == discovery.version)
         assert liar.asks >= 2 and [one.id for one in store.records(shard).values()] == ["e7"]
--- a/tests/sharding/test_subscription.py
+++ b/tests/sharding/test_subscription.py
@@ -94,8 +94,8 @@
 def test_a_message_keeps_its_shard_until_the_last_one_has_ended() -> None:
     """A moved shard's messages stay with the sender that took them on, to their one end."""
     subscription = started(3, 5)
-    subscription.hold(3, 0.0)
-    subscription.hold(3, 0.0)
+    subscription.message_accepted(3, 0.0)
+    subscription.message_accepted(3, 0.0)
     call = lane(subscription.poll(0.0), Lane.WATCH)
     update = subscription.answered(call, Answer(10, 0.0, placement=news(2, 5)), 0.1)
     assert update.gone == () and subscription.shards() == {3, 5} and subscription.replicas(3) == ()
@@ -120,7 +120,7 @@
 def test_a_message_of_another_shard_has_it_fetched_beside_the_watch() -> None:
     subscription = started(3)
     lane(subscription.poll(0.0), Lane.WATCH)
-    subscription.hold(9, 0.1)
+    subscription.message_accepted(9, 0.1)
     call = lane(subscription.poll(0.1), Lane.FETCH)
     assert [one.shard for one in call.ask.positions] == [9] and call.ask.wait_s == 0
     update = subscription.answered(call, Answer(12, 0.0, snapshots=(snapshot(9, 12, record("n", 9)),)), 0.2)
