--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -283,7 +283,7 @@
     def _tell_ends(self) -> None:
         ended, self._ended = self._ended, []
         for shard in ended:
-            update = self.subscription.ended(shard)
+            update = self.subscription.message_finished(shard)
             if update.put or update.gone:
                 self._changed(update)
 
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -2,7 +2,8 @@
 
 A sender's shards come with the placement (news of it travel with the answers) and with its messages:
 `message_accepted`
-when one is taken on, `ended` when it has ended. A shard is dropped when it isn't placed here and no message
+when one is taken on, `message_finished`
+when it has ended. A shard is dropped when it isn't placed here and no message
 of it is left. `Update` says which endpoint records have changed, for the decision module.
 
 Two lanes of calls: the watch, over all shards that are held, which waits for news; and the fetch, for shards
@@ -92,7 +93,7 @@
         self._messages[shard] += 1
         self._follow(shard, now)
 
-    def ended(self, shard: int) -> Update:
+    def message_finished(self, shard: int) -> Update:
         """A message of the shard has ended."""
         self._messages[shard] -= 1
         if self._messages[shard] <= 0:
--- a/tests/sharding/network.py
+++ b/tests/sharding/network.py
@@ -386,7 +386,7 @@
 
         def end() -> None:
             if node.up:
-                node.take(node.subscription.ended(shard))
+                node.take(node.subscription.message_finished(shard))
 
         node.subscription.message_accepted(shard, self.clock.now)
         node.pump()
--- a/tests/sharding/test_subscription.py
+++ b/tests/sharding/test_subscription.py
@@ -102,8 +102,8 @@
     call = lane(subscription.poll(0.2), Lane.WATCH)
     delta = ShardDelta(3, 10, 11, (), ("e3",), 0)
     assert subscription.answered(call, Answer(11, 0.0, deltas=(delta,)), 0.3).gone  # news of it go on
-    assert subscription.ended(3).shards == frozenset() and subscription.follows(3)
-    subscription.ended(3)
+    assert subscription.message_finished(3).shards == frozenset() and subscription.follows(3)
+    subscription.message_finished(3)
     assert not subscription.follows(3) and 3 not in subscription.store
 
 
@@ -125,7 +125,7 @@
     assert [one.shard for one in call.ask.positions] == [9] and call.ask.wait_s == 0
     update = subscription.answered(call, Answer(12, 0.0, snapshots=(snapshot(9, 12, record("n", 9)),)), 0.2)
     assert [one.id for one in update.put] == ["n"]
-    assert [one.id for one in subscription.ended(9).gone] == ["n"]
+    assert [one.id for one in subscription.message_finished(9).gone] == ["n"]
 
 
 def test_an_endpoint_that_changes_shards_is_gone_and_put_in_either_order() -> None:
