--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -266,7 +266,7 @@
     def placed(self, step: Callable[[], frozenset[str]]) -> None:
         """The placement takes a step."""
         with self.processor.counted():
-            self.relay.placed(step())
+            self.relay.placement_changed(step())
 
     def drop(self, number: int) -> None:
         """Nobody waits for a held ask any more."""
--- a/mountgauge/relay/service.py
+++ b/mountgauge/relay/service.py
@@ -194,7 +194,7 @@
         """Do the next moves of the placement, while there are any."""
         self._step_later()
         if changed := self.placement.step():
-            self.relay.placed(changed)
+            self.relay.placement_changed(changed)
             self.follower.turn()
 
     def reload(self) -> None:
--- a/mountgauge/sharding/relay.py
+++ b/mountgauge/sharding/relay.py
@@ -140,7 +140,7 @@
             heappop(self._ends)
         return min(self.upstream.wakes_at(now), self._ends[0][0] if self._ends else inf)
 
-    def placed(self, members: Collection[str]) -> None:
+    def placement_changed(self, members: Collection[str]) -> None:
         """The placement has changed for these members."""
         for name in members:
             self._woken |= self._by_asker.get(name, set())
--- a/tests/sharding/network.py
+++ b/tests/sharding/network.py
@@ -190,7 +190,7 @@
     def step(self) -> None:
         """The next moves of the placement, and so on."""
         if self.up and self.relay.placement is not None:
-            self.relay.placed(self.relay.placement.step())
+            self.relay.placement_changed(self.relay.placement.step())
             self.pump()
             self.world.clock.at(self.world.clock.now + STEP_S, self.step)
 
