--- a/mountgauge/relay/wire.py
+++ b/mountgauge/relay/wire.py
@@ -71,8 +71,8 @@
         raw["shard_count"] = shard_count
     if ask.placement != NO_VERSION:
         raw["placement"] = ask.placement
-    if ask.everything is not None:
-        raw["index"] = ask.everything
+    if ask.all_shards_as_of is not None:
+        raw["index"] = ask.all_shards_as_of
         if ask.verify:
             raw["verify"] = True
     else:
--- a/mountgauge/sharding/messages.py
+++ b/mountgauge/sharding/messages.py
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """`everything`: the asker, a relay, holds all shards as of this version; `positions` is then empty."""
+    """`all_shards_as_of`: the asker, a relay, holds all shards as of this version; `positions` is empty."""
 
     asker: str
     positions: tuple[Position, ...] = ()
-    everything: int | None = None
+    all_shards_as_of: int | None = None
     wait_s: float = 0.0  # 0: answered at once
     placement: int = NO_VERSION  # the newest revision of the placement that the asker knows
-    verify: bool = False  # with `everything`: the answer is to have the digest of all
+    verify: bool = False  # with `all_shards_as_of`: the answer is to have the digest of all
 
 
 @dataclass(frozen=True, slots=True)
--- a/mountgauge/sharding/relay.py
+++ b/mountgauge/sharding/relay.py
@@ -200,7 +200,7 @@
         for position in ask.positions:
             self._by_shard.setdefault(position.shard, set()).add(self._number)
         self._by_asker.setdefault(ask.asker, set()).add(self._number)
-        if ask.everything is not None or self._behind(ask) > 0:
+        if ask.all_shards_as_of is not None or self._behind(ask) > 0:
             self._unbound.add(self._number)
         return HeldAsk(self._number)
 
@@ -216,8 +216,8 @@
 
     def _behind(self, ask: Ask) -> int:
         """By how many versions this relay is below the asker."""
-        if ask.everything is not None:
-            return max(0, ask.everything - self.store.as_of)
+        if ask.all_shards_as_of is not None:
+            return max(0, ask.all_shards_as_of - self.store.as_of)
         newest = max((one.version for one in ask.positions), default=NO_VERSION)
         return max(0, newest - self.store.as_of)
 
@@ -231,7 +231,7 @@
                 if over
                 else None
             )
-        if ask.everything is not None:
+        if ask.all_shards_as_of is not None:
             return self._everything(ask, age, over)
         news = self._news(ask)
         found = self._positions(ask, now)
@@ -243,7 +243,7 @@
         )  # fmt: skip
 
     def _everything(self, ask: Ask, age: float, over: bool) -> Answer | None:
-        base = ask.everything if ask.everything is not None else NO_VERSION
+        base = ask.all_shards_as_of if ask.all_shards_as_of is not None else NO_VERSION
         if base == self.store.as_of and not over and not ask.verify:
             return None
         apart = set(self.store.apart())
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -290,14 +290,14 @@
         asked = {one.shard: one.version for one in ask.positions}
         covered = asked.keys() - set(reply.uncovered)
         held = max((asked[shard] for shard in covered), default=NO_VERSION)
-        if ask.everything is not None:
-            held = ask.everything
+        if ask.all_shards_as_of is not None:
+            held = ask.all_shards_as_of
         if reply.as_of < held:
             return f"version went back from {held} to {reply.as_of}"
         for one in reply.changes:
             if one.version > reply.as_of:
                 return f"shard {one.shard} at version {one.version} in an answer as of {reply.as_of}"
-            if ask.everything is None and one.shard not in asked:
+            if ask.all_shards_as_of is None and one.shard not in asked:
                 return f"shard {one.shard} was not asked for"
         return None
 
@@ -352,7 +352,7 @@
     def _apply(self, call: RelayCall, reply: Answer, now: float, found: _Collected) -> set[int]:
         """Take in deltas and snapshots; return the shards whose change couldn't be."""
         rejected = set()
-        base = call.ask.everything
+        base = call.ask.all_shards_as_of
         for change in reply.changes:
             shard = change.shard
             if not self.follows(shard):
@@ -379,8 +379,8 @@
         return rejected
 
     def _cover(self, call: RelayCall, reply: Answer, confirmed_at: float, uncovered: set[int]) -> None:
-        if call.ask.everything is not None:
-            self.store.cover(reply.as_of, confirmed_at, None, uncovered, call.ask.everything)
+        if call.ask.all_shards_as_of is not None:
+            self.store.cover(reply.as_of, confirmed_at, None, uncovered, call.ask.all_shards_as_of)
             self._base = reply.as_of
             return
         asked = {one.shard for one in call.ask.positions}
