--- a/mountgauge/lab/scale/world.py
+++ b/mountgauge/lab/scale/world.py
@@ -136,7 +136,7 @@
             role, name = Role.ZONE_RELAY, self._zonal[zone].name
             region = region_of_zone(zone, fleet.zones, fleet.regions)
             picker = Picker(self._upper, self.zones[zone], RELAY_TIMING, rng)
-            upstream = Subscription(name, store, picker, RELAY_TIMING, rng, everything=True)
+            upstream = Subscription(name, store, picker, RELAY_TIMING, rng, all_shards=True)
             relay = Relay(name, upstream, RelaySettings(), self.placement.for_relay())
         load = self.relays[name].load if name in self.relays else None
         node = RelayNode(self.around, Party(name, region), HollowRelay(relay, self.size.shards), load)
--- a/mountgauge/relay/service.py
+++ b/mountgauge/relay/service.py
@@ -82,7 +82,7 @@
             upstream = ListWatch(store, file.timing, self._rng)
         else:
             picker = Picker(file.relays.names, file.zone, file.timing, self._rng)
-            upstream = Subscription(file.name, store, picker, file.timing, self._rng, everything=True)
+            upstream = Subscription(file.name, store, picker, file.timing, self._rng, all_shards=True)
         run = self._rng.getrandbits(_RUN_BITS)
         return Relay(file.name, upstream, file.relay, self.placement.placement, run)
 
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -58,14 +58,14 @@
 
 
 class Subscription:
-    """`everything`: the subscriber is a relay and follows all shards; it isn't told of single records."""
+    """`all_shards`: the subscriber is a relay and follows all shards; it isn't told of single records."""
 
     def __init__(
         self, name: str, store: ShardStore, picker: Picker, timing: Timing, rng: Random,
-        everything: bool = False,
+        all_shards: bool = False,
     ) -> None:  # fmt: skip
         self.name, self.store, self.picker, self.timing = name, store, picker, timing
-        self.everything = everything
+        self.all_shards = all_shards
         self.placement = PlacementUpdate(NO_VERSION, 0, ())
         self.behind = 0  # by how many versions the relay that is asked is below what is held
         self._rng = rng
@@ -75,14 +75,14 @@
         self._fetch: dict[int, float] = {}  # shards to be fetched: not before
         self._fetch_from = -inf  # a relay has said when to come again
         self._whole: set[int] = set()  # of those: by snapshot alone
-        self._base = NO_VERSION  # of a relay: as of which everything is held that isn't to be fetched
+        self._base = NO_VERSION  # of a relay: as of which all_shards is held that isn't to be fetched
         self._out: dict[Lane, RelayCall] = {}
         self._number = 0
         self._verified: tuple[str, int] | None = None  # the relay, and its run, with which digests agreed
         self._refused_in_a_row = 0
         self._behind_since: float | None = None
         self._newest = (NO_VERSION, -inf, "")  # the highest version that was told, when first, by whom
-        self._untried = set(range(store.shard_count)) if everything else set()  # shards of no page yet
+        self._untried = set(range(store.shard_count)) if all_shards else set()  # shards of no page yet
         self._fetch.update(dict.fromkeys(self._untried, -inf))
         self._lowest: Knowledge | None = None  # of the pages so far
 
@@ -119,7 +119,7 @@
         return found.update()
 
     def follows(self, shard: int) -> bool:
-        return self.everything or shard in self._placed or shard in self._messages
+        return self.all_shards or shard in self._placed or shard in self._messages
 
     def replicas(self, shard: int) -> tuple[str, ...]:
         """The members that a shard which is placed here is placed on; empty where it isn't."""
@@ -143,7 +143,7 @@
 
     def age(self, now: float) -> float:
         """The staleness of the shard that is worst off."""
-        if self.everything:
+        if self.all_shards:
             return now - self.store.confirmed_at
         return max((self.staleness(shard, now) for shard in self.shards()), default=0.0)
 
@@ -223,14 +223,14 @@
 
     def _may_watch(self) -> bool:
         """Whether there is something to watch; a sender that follows no shard yet waits for news of them."""
-        if self.everything:
+        if self.all_shards:
             return self._base != NO_VERSION
         return not self._fetch or any(shard not in self._fetch for shard in self.store.shards())
 
     def _watch(self) -> Ask:
         verify = self._verified is None
         wait_s = self.timing.wait_s * (1 - WAIT_SPREAD * self._rng.random())
-        if self.everything:
+        if self.all_shards:
             return Ask(self.name, (), self._base, wait_s, verify=verify)
         held = (shard for shard in self.store.shards() if shard not in self._fetch)
         positions = tuple(self._position(shard, verify) for shard in held)
@@ -321,7 +321,7 @@
         if reply.placement is not None:
             self._place(reply.placement, found)
         self._judge(call, reply, bool(rejected), now)
-        if not self.everything:
+        if not self.all_shards:
             self._release((one.shard for one in call.ask.positions), found)
 
     def _judge(self, call: RelayCall, reply: Answer, rejected: bool, now: float) -> None:
@@ -339,7 +339,7 @@
 
     def _compared(self, call: RelayCall, reply: Answer) -> bool:
         """Whether the digests of all that the relay told of have been compared, and agree."""
-        if not self.everything:
+        if not self.all_shards:
             return all(one.digest is not None or one.version == NO_VERSION for one in call.ask.positions)
         if reply.digest is None or self._fetch.keys() - set(reply.uncovered):
             return False
@@ -397,7 +397,7 @@
                 uncovered.add(shard)  # the watch has gone past it meanwhile, and won't tell of it
             else:
                 self._fetch.pop(shard, None)
-        if self.everything:
+        if self.all_shards:
             self._paged(call, reply, confirmed_at)
 
     def _defer(self, uncovered: set[int], retry_after_s: float, now: float) -> None:
@@ -453,7 +453,7 @@
         if not change:
             return
         found.shards.add(shard)
-        if self.everything:
+        if self.all_shards:
             return
         for record in change.gone:
             if self._owner.get(record.id) == shard:
