--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -187,7 +187,7 @@
     settings = RelaySettings(
         snapshots_per_s=table.positive("snapshots_per_s", relay.snapshots_per_s),
         snapshot_burst=_whole(table, "snapshot_burst", relay.snapshot_burst, 1, 1 << 20),
-        most_held=_whole(table, "polls", relay.most_held, 1, 1 << 20),
+        max_held_asks=_whole(table, "polls", relay.max_held_asks, 1, 1 << 20),
     )
     table.done()
     return server_limits, settings
--- a/mountgauge/sharding/relay.py
+++ b/mountgauge/sharding/relay.py
@@ -45,7 +45,7 @@
 
     snapshots_per_s: float = 2_000.0
     snapshot_burst: int = 2_000
-    most_held: int = 8_192  # asks
+    max_held_asks: int = 8_192  # asks
     longest_wait_s: float = 60.0
 
 
@@ -151,7 +151,7 @@
         self.counts["asks"] += 1
         if not self.upstream.ready:
             return self._refuse(RefusalReason.NOT_READY, NOT_READY_S)
-        if len(self._held) >= self._settings.most_held:
+        if len(self._held) >= self._settings.max_held_asks:
             return self._refuse(RefusalReason.BUSY, NOT_READY_S)
         if (answer := self._answer(ask, now, over=ask.wait_s <= 0)) is not None:
             return self._count(answer)
