--- a/mountgauge/sharding/__init__.py
+++ b/mountgauge/sharding/__init__.py
@@ -1,6 +1,7 @@
-"""Destinations in shards, placed on senders, and the relays that carry their changes. Pure: no I/O, no clock.
+"""Sharding of destinations, placement of shards on senders, and the relays that send endpoint changes.
 
-`shards` and `messages` are the values that travel; `store` keeps them; `subscription` follows a relay, for a
-sender or for a relay below another; `list_watch` follows discovery's own list; `relay` answers those who
-follow; `members` and `placement` say which sender holds what; `timing` has the bounds of `docs/sharding.md`.
+The package is pure: it does no I/O and reads no clock. `shards` and `messages` define the data that is
+exchanged. `store` keeps shards. `subscription` follows a relay, for a sender or for a lower relay;
+`list_watch` follows discovery's list directly. `relay` answers subscribers. `members` and `placement`
+decide which sender holds which shard. `timing` computes the time bounds that `docs/sharding.md` states.
 """
--- a/mountgauge/sharding/fair_loads.py
+++ b/mountgauge/sharding/fair_loads.py
@@ -1,18 +1,18 @@
-"""How many replicas each group and member should hold: by weight, and one of each shard in a group."""
+"""Fair loads of groups and members: how many replicas each should hold, by weight."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Mapping
 
-LOAD_BOUND = 1.25  # of the fair load, that a member holds at most
+MAX_LOAD_RATIO = 1.25  # upper bound of a member's load, relative to its fair load
 
 
 def group_loads(weights: Mapping[str, int], shard_count: int, replicas: int) -> dict[str, float]:
-    """The fair load of each group: by weight, but no group has more than one replica of a shard.
+    """Returns each group's fair load: proportional to weight, but at most one replica of each shard.
 
-    What a heavy group can't take goes to the others by their weights. `replicas` is at most the number of
-    groups, so that the loads sum to `shard_count * replicas`.
+    Load above that limit is distributed over the other groups by their weights. `replicas` must be at most
+    the number of groups, so that the loads sum to `shard_count * replicas`.
     """
     found: dict[str, float] = {}
     open_, left = dict(weights), float(shard_count * replicas)
@@ -29,16 +29,16 @@
     return found
 
 
-def whole_parts(shares: Mapping[str, float], total: int) -> dict[str, int]:
-    """Shares that sum to `total`, as whole numbers that do: by largest remainder."""
+def round_shares(shares: Mapping[str, float], total: int) -> dict[str, int]:
+    """Rounds shares that sum to `total` to integers with the same sum, by the largest-remainder method."""
     found = {name: math.floor(share) for name, share in shares.items()}
-    rest = total - sum(found.values())
-    by_rest = sorted(shares, key=lambda name: (found[name] - shares[name], name))
-    for name in by_rest[:rest]:
+    remainder = total - sum(found.values())
+    by_remainder = sorted(shares, key=lambda name: (found[name] - shares[name], name))
+    for name in by_remainder[:remainder]:
         found[name] += 1
     return found
 
 
-def most_load(fair: float) -> int:
-    """The most that a member holds whose fair load this is: a whole number, so at least the next one."""
-    return max(math.ceil(fair), math.floor(LOAD_BOUND * fair))
+def max_load(fair: float) -> int:
+    """Returns the most replicas that a member with this fair load may hold; never below the fair load."""
+    return max(math.ceil(fair), math.floor(MAX_LOAD_RATIO * fair))
--- a/mountgauge/sharding/placement.py
+++ b/mountgauge/sharding/placement.py
@@ -3,7 +3,7 @@
 The first table is worked out afresh (`first_table`): each shard on as many groups as it has replicas, each
 group and member with its fair load. From then on a change of the members moves what it must: the replicas
 of those that are taken out, to whoever has the least for its weight; to a newcomer its fair load, from
-whoever has the most; and what is past `most_load`. All of it is worked out from the table and the file
+whoever has the most; and what is past `max_load`. All of it is worked out from the table and the file
 alone, so that each relay comes to the same moves in the same order. A `revision` is the number of moves that
 are done.
 
@@ -22,7 +22,7 @@
 from operator import itemgetter
 from random import Random
 
-from mountgauge.sharding.fair_loads import group_loads, whole_parts
+from mountgauge.sharding.fair_loads import group_loads, round_shares
 from mountgauge.sharding.members import FOREVER, Member, MemberFile, MemberFileError
 from mountgauge.sharding.messages import PlacedShard, PlacementUpdate
 from mountgauge.sharding.rebalance import Balance, Move, Placed, Table
@@ -97,7 +97,7 @@
         weights[one.group] = weights.get(one.group, 0) + one.weight
         by_group.setdefault(one.group, {})[name] = one.weight
     count, replicas = settings.shard_count, min(settings.replicas, len(weights))
-    left = whole_parts(group_loads(weights, count, replicas), count * replicas)
+    left = round_shares(group_loads(weights, count, replicas), count * replicas)
     turns = {group: _turns(by_group[group], left[group], rng) for group in sorted(left)}
     return [
         [turns[group].pop() for group in _draw_groups(left, count - shard, replicas, rng)]
@@ -108,7 +108,7 @@
 def _turns(weights: Mapping[str, int], load: int, rng: Random) -> list[str]:
     """The members of a group, each as often as it takes a replica, shuffled."""
     whole = sum(weights.values())
-    parts = whole_parts({name: load * weight / whole for name, weight in weights.items()}, load)
+    parts = round_shares({name: load * weight / whole for name, weight in weights.items()}, load)
     found = [name for name, part in parts.items() for _ in range(part)]
     for last in range(len(found) - 1, 0, -1):
         other = int(rng.random() * (last + 1))
--- a/mountgauge/sharding/rebalance.py
+++ b/mountgauge/sharding/rebalance.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from heapq import heapify, heappop, heappush
 
-from mountgauge.sharding.fair_loads import group_loads, most_load
+from mountgauge.sharding.fair_loads import group_loads, max_load
 from mountgauge.sharding.shards import mix
 
 Table = list[list[str]]  # by shard: the names of its replicas
@@ -234,7 +234,7 @@
 
     def _relieve_heavy(self) -> None:
         """Members past the most that one holds, down to their fair loads."""
-        for name in self._out_of_bounds(most_load, 1):
+        for name in self._out_of_bounds(max_load, 1):
             for shard in sorted(self.shards[name], key=mix):
                 if len(self.shards[name]) <= math.ceil(self.fair(name)):
                     break
--- a/tests/sharding/test_placement.py
+++ b/tests/sharding/test_placement.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mountgauge.sharding.fair_loads import group_loads, most_load, whole_parts
+from mountgauge.sharding.fair_loads import group_loads, max_load, round_shares
 from mountgauge.sharding.members import FOREVER, Member, MemberFile, MemberFileError
 from mountgauge.sharding.placement import Placement, PlacementSettings
 
@@ -65,7 +65,7 @@
     fair = group_loads(weights, settings.shard_count, min(settings.replicas, len(zones)))
     for name, load in loads(placement, settings.shard_count).items():
         one = now[name]
-        assert load <= most_load(fair[one.zone] * one.weight_units / weights[one.zone]), name
+        assert load <= max_load(fair[one.zone] * one.weight_units / weights[one.zone]), name
 
 
 @pytest.mark.parametrize("zones", [3, 4, 7, 23])
@@ -94,7 +94,7 @@
 def test_a_zone_too_heavy_for_one_replica_of_each_shard_leaves_the_rest_to_the_others() -> None:
     found = group_loads({"a": 10, "b": 1, "c": 1, "d": 2}, 100, 3)
     assert found == {"a": 100.0, "b": 50.0, "c": 50.0, "d": 100.0}
-    assert whole_parts({"a": 1.5, "b": 1.5, "c": 2.0}, 5) == {"a": 2, "b": 1, "c": 2}
+    assert round_shares({"a": 1.5, "b": 1.5, "c": 2.0}, 5) == {"a": 2, "b": 1, "c": 2}
 
 
 @pytest.mark.parametrize("count, zones", [(1, 1), (2, 1), (2, 2), (4, 1), (4, 2), (5, 2), (3, 3)])
@@ -224,16 +224,19 @@
     [
         ({}, "members: none are listed"),
         ({"members": [{"name": "a", "zone": "z"}] * 2}, "member 'a': listed twice for epoch 1"),
-        ({"members": [{"name": "a"}]}, "members[0].zone: not a text"),
+        ({"members": [{"name": "a"}]}, "members[0].zone: must be a non-empty string"),
         ({"members": ["a"]}, "members[0]: not a table"),
         ({"members": [{"name": "a", "zone": "z", "color": 1}]}, "members[0].color: unknown setting"),
         ({"members": [{"name": "a", "zone": "z", "weight": 0}]}, "member 'a': weight must be above 0"),
         ({"members": [{"name": "a", "zone": "z", "weight": "1"}]}, "members[0].weight: wrong type"),
-        ({"members": [{"name": "a", "zone": "z", "since": 2}]}, "member 'a': since or until past epoch 1"),
+        (
+            {"members": [{"name": "a", "zone": "z", "since": 2}]},
+            "member 'a': since or until is above epoch 1",
+        ),
         ({"members": [{"name": "a", "zone": "z", "until": 1}]}, "member 'a': until must be above since"),
         ({"epoch": 2, "members": [{"name": "a", "zone": "z", "until": 2}]}, "no member belongs to epoch 2"),
         ({"epoch": 0, "members": [{"name": "a", "zone": "z"}]}, "epoch: not a whole number above 0"),
-        ({"base_epoch": 2, "members": [{"name": "a", "zone": "z"}]}, "base_epoch: not from 1 to 1"),
+        ({"base_epoch": 2, "members": [{"name": "a", "zone": "z"}]}, "base_epoch: must be from 1 to 1"),
         ({"extra": 1, "members": [{"name": "a", "zone": "z"}]}, "extra: unknown setting"),
     ],
 )
