--- a/mountgauge/sharding/evidence.py
+++ b/mountgauge/sharding/evidence.py
@@ -1,10 +1,13 @@
-"""What the calls to relays show of the list that a sender has from them. Pure: no I/O, no clock.
+"""Decides from the outcomes of relay calls whether a sender may use its endpoint list. Pure.
 
-What a relay writes counts as notified, and what it has counts some seconds later (`core/list_lease`). So a
-whole answer of any relay renews the lease on the list, from when its call was made; a relay that is itself
-cut off tells what it has, and its age. That one relay refuses a call shows nothing, as another one may have
-news; once each of them has, one after another, nobody can tell any, nor once each breaks its calls for as
-long as shows an outage. A silent relay moves nothing.
+A sender counts as notified of a change that a relay has written to it; a change that only the relay has
+counts some seconds later (see `core/list_lease`). So a complete answer of any relay renews the lease on the
+list, from the time when its call was made. A relay that is itself cut off still answers with what it has,
+and its age.
+
+A refusal by one relay is no evidence, since another relay may have a change. Once every relay has refused
+one after another, or has broken its calls for long enough to show an outage, none can notify of a change. A
+time-out has no effect.
 """
 
 from __future__ import annotations
@@ -17,43 +20,44 @@
 
 
 class RelayFailure(Enum):
-    """How a call to a relay ended without a whole answer."""
+    """How a call to a relay ended without a complete answer."""
 
-    SILENT = "silent"  # it was given up
-    REFUSED = "refused"  # no connection, or a refusal in words
-    BROKEN = "broken"  # the connection ended: an answer may have been lost with it
-    UNREADABLE = "unreadable"  # an answer came that could not be taken in
+    SILENT = "silent"  # the call timed out
+    REFUSED = "refused"  # no connection, or a `Refusal`
+    BROKEN = "broken"  # the connection closed; an answer may have been lost with it
+    UNREADABLE = "unreadable"  # an answer was received that could not be decoded or applied
 
 
 class RelayEvidence:
-    """One sender's lease on the list that relays tell it."""
+    """A sender's lease on the endpoint list that it has from relays."""
 
     def __init__(self, terms: LeaseTerms, relays: Collection[str]) -> None:
         self.lease = ListLease(terms)
         self._relays = frozenset(relays)
-        self._refused: dict[str, float] = {}  # since the last answer: when the newest refused call was made
+        # By relay, since the last answer: when its newest refused or broken call was made.
+        self._refused: dict[str, float] = {}
 
     def answered(self, call: RelayCall) -> None:
-        """A whole answer was taken in: a watch covers all that is held, a fetch new shards alone."""
+        """Record that an answer was applied; a watch covers all held shards, a fetch only new ones."""
         self._refused.clear()
         if call.lane is Lane.WATCH:
             self.lease.confirm(call.made_at)
 
     def failed(self, call: RelayCall, failure: RelayFailure, now: float) -> None:
-        """A call has ended without one."""
+        """Record that a call ended without an answer that could be applied."""
         if failure in (RelayFailure.REFUSED, RelayFailure.BROKEN):
             self._refused[call.relay] = call.made_at
-        nobody_answers = self._refused.keys() >= self._relays
+        all_refuse = self._refused.keys() >= self._relays
         if failure is RelayFailure.UNREADABLE:
             self.lease.lose(Loss.CERTAIN, now)
-        elif failure is RelayFailure.REFUSED and nobody_answers:
+        elif failure is RelayFailure.REFUSED and all_refuse:
             self.lease.unreachable(min(self._refused.values()))
         elif failure is RelayFailure.BROKEN and call.lane is Lane.WATCH:
-            if nobody_answers:
+            if all_refuse:
                 self.lease.broke(call.made_at, now)
             else:
                 self.lease.lose(Loss.POSSIBLE, now)
 
     def ended(self, now: float) -> LeaseEnd | None:
-        """Why the list may not be gone by now; None: it may."""
+        """Return why the list must not be used now, or None if it may be used."""
         return self.lease.ended(now)
--- a/mountgauge/sharding/fair_loads.py
+++ b/mountgauge/sharding/fair_loads.py
@@ -9,7 +9,7 @@
 
 
 def group_loads(weights: Mapping[str, int], shard_count: int, replicas: int) -> dict[str, float]:
-    """Returns each group's fair load: proportional to weight, but at most one replica of each shard.
+    """Return each group's fair load: proportional to weight, but at most one replica of each shard.
 
     Load above that limit is distributed over the other groups by their weights. `replicas` must be at most
     the number of groups, so that the loads sum to `shard_count * replicas`.
@@ -30,7 +30,7 @@
 
 
 def round_shares(shares: Mapping[str, float], total: int) -> dict[str, int]:
-    """Rounds shares that sum to `total` to integers with the same sum, by the largest-remainder method."""
+    """Round shares that sum to `total` to integers with the same sum, by the largest-remainder method."""
     found = {name: math.floor(share) for name, share in shares.items()}
     remainder = total - sum(found.values())
     by_remainder = sorted(shares, key=lambda name: (found[name] - shares[name], name))
@@ -40,5 +40,5 @@
 
 
 def max_load(fair: float) -> int:
-    """Returns the most replicas that a member with this fair load may hold; never below the fair load."""
+    """Return the most replicas that a member with this fair load may hold; never below the fair load."""
     return max(math.ceil(fair), math.floor(MAX_LOAD_RATIO * fair))
--- a/mountgauge/sharding/members.py
+++ b/mountgauge/sharding/members.py
@@ -55,12 +55,12 @@
         _check(self)
 
     def at(self, epoch: int) -> tuple[Member, ...]:
-        """Returns the members in an epoch."""
+        """Return the members in an epoch."""
         return tuple(one for one in self.members if one.belongs(epoch))
 
     @classmethod
     def from_mapping(cls, raw: Mapping[str, Any]) -> MemberFile:
-        """Reads the parsed TOML file, which has `epoch`, `base_epoch` and the array of tables `members`."""
+        """Read the parsed TOML file, which has `epoch`, `base_epoch` and the array of tables `members`."""
         entries = raw.get("members")
         if not isinstance(entries, list) or not entries:
             raise MemberFileError("members: none are listed")
--- a/mountgauge/sharding/messages.py
+++ b/mountgauge/sharding/messages.py
@@ -1,9 +1,10 @@
-"""What goes between those who follow shards and the relay that they follow: asks and answers.
+"""The messages of the relay protocol: asks (poll requests) and the answers to them.
 
-The protocol is that of discovery's list (index and wait), by shard. An ask says as of which version the asker
-holds each shard; it is held until one of them has something newer or `wait_s` is over. The answer's `as_of`
-then holds for each shard that was asked for, but for those in `uncovered`, which stay as they were: those
-that have changed come with a delta or a snapshot, of the others there is nothing to tell.
+It is the protocol of discovery's list (index and wait), applied to each shard. An ask has the version at
+which the asker holds each shard. The relay holds the ask until one of these shards has a newer version, or
+until `wait_s` has passed. The answer covers each requested shard except those in `uncovered`: a shard with
+a delta or a snapshot has changed, any other covered shard is unchanged up to `as_of`. Uncovered shards stay
+as they are.
 """
 
 from __future__ import annotations
@@ -16,73 +17,78 @@
 
 @dataclass(frozen=True, slots=True)
 class Position:
-    """How an asker holds one shard."""
+    """The version at which an asker holds one shard."""
 
     shard: int
     version: int = NO_VERSION
-    digest: int | None = None  # of what it holds: said on the first ask at a relay, to be compared there
+    digest: int | None = None  # of its content: sent in the first ask to a relay, which compares it
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """`all_shards_as_of`: the asker, a relay, holds all shards as of this version; `positions` is empty."""
+    """A poll request for the changes of some shards or, with `all_shards_as_of`, of all shards.
+
+    `all_shards_as_of` is set by relays: the asker holds all shards as of this version, and `positions` is
+    empty.
+    """
 
     asker: str
     positions: tuple[Position, ...] = ()
     all_shards_as_of: int | None = None
-    wait_s: float = 0.0  # 0: answered at once
+    wait_s: float = 0.0  # 0: to be answered at once
     placement: int = NO_VERSION  # the newest revision of the placement that the asker knows
-    verify: bool = False  # with `all_shards_as_of`: the answer is to have the digest of all
+    verify: bool = False  # with `all_shards_as_of`: the answer is to have the digest of all shards
 
 
 @dataclass(frozen=True, slots=True)
 class PlacedShard:
-    """A shard that is placed on the asker, and with whom it shares it."""
+    """A shard that is placed on the asker, with all members that hold a replica."""
 
     shard: int
-    replicas: tuple[str, ...]  # names of members, the asker's among them
+    replicas: tuple[str, ...]  # names of members, including the asker
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementUpdate:
-    """All shards that are placed on the asker, at a revision. Only those who ask by positions get any."""
+    """All shards that are placed on the asker, at a revision. Only asks by positions get one."""
 
     revision: int
-    epoch: int  # of the members' file
+    epoch: int  # of the members file
     shards: tuple[PlacedShard, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a relay says. `as_of` never is below a version that the asker holds, unless `behind` says so."""
+    """A relay's answer. Unless `behind` is set, `as_of` is not below any version that the asker holds."""
 
     as_of: int
-    age_s: float  # since discovery confirmed that this is its newest, when the answer left
-    held_s: float = 0.0  # how long the ask was held: the rest of the round trip is the network's
+    age_s: float  # when sent: time since discovery confirmed that `as_of` was its newest version
+    held_s: float = 0.0  # how long the ask was held; the remainder of the round trip is network time
     deltas: tuple[ShardDelta, ...] = ()
     snapshots: tuple[ShardSnapshot, ...] = ()
-    uncovered: tuple[int, ...] = ()  # shards of which nothing is said
-    behind: int = 0  # by how many versions the relay is below the asker; nothing else is said then
+    uncovered: tuple[int, ...] = ()  # shards that this answer has no information on
+    behind: int = 0  # by how many versions the relay is behind the asker; no shard is covered then
     retry_after_s: float = 0.0  # when the uncovered shards may be asked for again
     placement: PlacementUpdate | None = None
-    digest: int | None = None  # where asked to verify: of all shards that are covered, as of `as_of`
-    run: int = 0  # of the relay: another one at each start
+    digest: int | None = None  # on `verify`: of all covered shards, as of `as_of`
+    run: int = 0  # of the relay process: changes at each start
 
     @property
     def changes(self) -> tuple[ShardDelta | ShardSnapshot, ...]:
+        """All deltas and snapshots."""
         return (*self.deltas, *self.snapshots)
 
 
 class RefusalReason(Enum):
-    """Why a relay does not answer for now."""
+    """Why a relay refuses an ask."""
 
-    NOT_READY = "not_ready"  # it has no whole picture yet
-    BUSY = "busy"  # come again after the told wait
+    NOT_READY = "not_ready"  # it does not have all shards yet
+    BUSY = "busy"  # it has too many asks; ask again after `retry_after_s`
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """The relay doesn't answer for now."""
+    """The relay can't answer at the moment."""
 
     reason: RefusalReason
     retry_after_s: float
--- a/mountgauge/sharding/picker.py
+++ b/mountgauge/sharding/picker.py
@@ -1,11 +1,12 @@
-"""Which relay is asked next, and when. Pure: time and randomness are handed in.
-
-A relay of the own zone comes first. The others follow in an order of each asker's own, so that the askers
-of a relay that is lost spread over all that are left. A call that falls silent may have been lost alone, and
-is made again at once; a second silence moves on to the next relay, at once too, as silences are as spread as
-the calls were. While one relay after another fails, each gets one call. Any other failure moves on after a
-pause drawn at random. Pauses grow while one after another fails. After `home_after_s` on a relay of another
-zone the own one is tried; where that fails, it goes on at once where it was.
+"""Selects the relay for the next call, and its earliest time. Pure: time and randomness are passed in.
+
+Relays of the own zone come first. The others follow in a random order of each asker, so that the askers of
+a failed relay spread over all the remaining ones. After a time-out the call is repeated at once, as a
+single message may have been lost. A second time-out moves on to the next relay, also at once: time-outs are
+spread over time as the calls were. While one relay after another fails, each gets only one call. Any other
+failure moves on after a random pause, which grows with consecutive failures. After about `home_after_s` on
+a relay of another zone a relay of the own zone is tried; if that fails, the asker returns to the previous
+relay at once.
 """
 
 from __future__ import annotations
@@ -16,23 +17,23 @@
 
 from mountgauge.sharding.timing import Timing
 
-SILENCES_BORNE = 1  # in a row, before another relay is asked
+MAX_CONSECUTIVE_TIMEOUTS = 1  # at one relay; the next one moves on to another relay
 
 
 @dataclass(frozen=True, slots=True)
 class RelayName:
-    """A relay and the zone that it serves in."""
+    """A relay and its zone."""
 
     name: str
     zone: str
 
 
 class NoRelaysError(ValueError):
-    """There is none to ask."""
+    """The list of relays is empty."""
 
 
 class Picker:
-    """Chooses the relay to ask: those of the own zone first, another one after a failure."""
+    """Chooses the relay to ask: the own zone first, another relay after a failure."""
 
     def __init__(self, relays: Sequence[RelayName], zone: str, timing: Timing, rng: Random) -> None:
         if not relays:
@@ -43,16 +44,17 @@
         rng.shuffle(others)
         self.order = (*own, *others)
         self._zone, self._timing, self._rng = zone, timing, rng
-        self._place = 0
-        self._silences = 0  # in a row
-        self._left_for_home: int | None = None  # the place that was left to try the own zone
-        self._failures = 0  # in a row
+        self._index = 0  # in `order`
+        self._timeouts = 0  # consecutive, at the current relay
+        self._previous_index: int | None = None  # set while a relay of the own zone is tried again
+        self._failures = 0  # consecutive
         self._not_before = 0.0
-        self._home_at: float | None = None
+        self._return_at: float | None = None
 
     @property
     def current(self) -> RelayName:
-        return self.order[self._place]
+        """The relay that is asked at present."""
+        return self.order[self._index]
 
     @property
     def failing(self) -> bool:
@@ -60,40 +62,41 @@
         return self._failures > 0
 
     def ready_at(self) -> float:
-        """When the next call may be made."""
+        """Return the earliest time of the next call."""
         return self._not_before
 
-    def go_home_when_due(self, now: float) -> None:
-        """Try a relay of the own zone again."""
-        if self._home_at is not None and now >= self._home_at:
-            self._left_for_home, self._place, self._home_at = self._place, 0, None
+    def return_to_own_zone_when_due(self, now: float) -> None:
+        """Select a relay of the own zone again if the time on another zone's relay is over."""
+        if self._return_at is not None and now >= self._return_at:
+            self._previous_index, self._index, self._return_at = self._index, 0, None
 
     def succeeded(self) -> None:
-        self._failures = self._silences = 0
-        self._left_for_home = None
-
-    def silent(self, now: float) -> bool:
-        """A call was given up; whether that was the end of this relay for now."""
-        self._silences += 1
-        if self._silences <= SILENCES_BORNE and not self.failing and self._left_for_home is None:
+        """Record an answer that could be applied."""
+        self._failures = self._timeouts = 0
+        self._previous_index = None
+
+    def timed_out(self, now: float) -> bool:
+        """Record that a call timed out; return whether another relay is selected because of it."""
+        self._timeouts += 1
+        if self._timeouts <= MAX_CONSECUTIVE_TIMEOUTS and not self.failing and self._previous_index is None:
             return False
         self.failed(now, pause=self._failures > 0)
         return True
 
     def failed(self, now: float, pause: bool = True) -> None:
-        """Move on to the next one."""
-        self._silences = 0
-        if self._left_for_home is not None:
-            self._place, self._left_for_home = self._left_for_home, None
+        """Record a failed call and select the next relay, for now or for after a pause."""
+        self._timeouts = 0
+        if self._previous_index is not None:
+            self._index, self._previous_index = self._previous_index, None
         else:
             self._failures += 1
-            self._place = (self._place + 1) % len(self.order)
+            self._index = (self._index + 1) % len(self.order)
             pause_s = self._timing.pause_s(self._failures, self._rng.random())
             self._not_before = now + (pause_s if pause else 0.0)
         away = self.current.zone != self._zone and self.order[0].zone == self._zone
         spread = 0.5 + self._rng.random()
-        self._home_at = now + self._timing.home_after_s * spread if away else None
+        self._return_at = now + self._timing.home_after_s * spread if away else None
 
     def wait(self, now: float, pause_s: float) -> None:
-        """Stay, and come again after a told wait."""
+        """Keep the current relay, with a required wait before the next call."""
         self._not_before = max(self._not_before, now + pause_s)
--- a/mountgauge/sharding/ramp.py
+++ b/mountgauge/sharding/ramp.py
@@ -1,9 +1,9 @@
-"""What a cold destination bears from all its owners together.
+"""The number of calls that all owners of a cold destination together may send to it.
 
-An owner is a sender on which the destination's shard is placed. The decision module of each divides what it
-knows of a limit among the replicas, and ramps as after a restart: they need not speak with each other. One
-that the shard was moved away from takes nothing new and ends what it holds; meanwhile there is one owner more
-than are counted. The bound says what is allowed then.
+An owner is a sender on which the destination's shard is placed. Each owner's decision module divides the
+limits that it knows by the number of replicas, and ramps up as after a restart, without coordination
+between owners. An owner that loses the shard accepts no more messages for it and finishes those that it
+has; until then, one more owner sends than the replicas count. The bound here includes that case.
 """
 
 from __future__ import annotations
@@ -11,11 +11,14 @@
 import math
 
 
-def cold_budget(borne: float, multiple: float) -> float:
-    """N: calls that may reach it in a span in which it can bear so many; `multiple` is of the settings."""
-    return multiple * borne
+def cold_budget(capacity: float, multiple: float) -> float:
+    """Return how many calls may reach a destination in a time in which its capacity is `capacity` calls.
 
+    `multiple` is a setting (`fallMultiple`).
+    """
+    return multiple * capacity
 
-def most_by_chance(budget: float) -> float:
-    """What may reach it from all owners: N, and what is put down to chance beyond it."""
+
+def budget_with_chance_margin(budget: float) -> float:
+    """Return the budget with a margin for random variation: two standard deviations and two calls."""
     return budget + 2 * math.sqrt(budget) + 2
--- a/mountgauge/sharding/shards.py
+++ b/mountgauge/sharding/shards.py
@@ -1,9 +1,9 @@
-"""A shard and what it holds: endpoint records, versions, deltas and snapshots.
+"""Shards and their data: endpoint records, versions, deltas and snapshots.
 
-A version is a version of discovery's list. Discovery is the only writer, so for each shard and each version
-there is one content. Whoever holds a shard holds it *as of* a version: it has each change up to that one and
-none after it. Content is compared by digests: 64 bits, the exclusive or over the digests of its records, so
-that a change costs what it changes.
+A version is a version of discovery's list. Discovery is the only writer, so a shard has exactly one content
+at each version. A process holds a shard *as of* a version: with every change up to that version and none
+after it. Contents are compared by 64-bit digests. The digest of a shard is the exclusive or of the digests
+of its records, so the cost of updating it is proportional to the change, not to the shard.
 """
 
 from __future__ import annotations
@@ -16,39 +16,39 @@
 from sys import intern
 from typing import Any
 
-NO_VERSION = -1  # the version of a shard of which nothing is held
+NO_VERSION = -1  # the version of a shard that is not held
 DEFAULT_SHARD_COUNT = 65_536
 _MASK = (1 << 64) - 1
 
 
 class UnreadableRecordError(ValueError):
-    """A line of the list is not one of an endpoint; the text is one line for the operator."""
+    """An entry of the list is not an endpoint; the message is one line for the operator."""
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint."""
+    """The state of an endpoint in discovery's list."""
 
     ACTIVE = "active"
-    LEAVING = "leaving"  # it finishes what it has
-    LEFT = "left"  # only among changes: the record is no more
+    LEAVING = "leaving"  # it finishes the calls that it has
+    LEFT = "left"  # only in changes: the record is removed
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """One line of discovery's list."""
+    """One entry of discovery's list."""
 
     id: str
     address: str  # host:port
     zone: str
     kind: str
-    destination: int  # `cell` of the list
+    destination: int  # `cell` in the list
     state: EndpointState
     weight: float = 1.0
     started_ms: int = 0  # Unix time; 0: long ago
 
     @classmethod
     def from_line(cls, line: object) -> EndpointRecord:
-        """A line as discovery sends it, checked."""
+        """Parse and check an entry in the form that discovery sends."""
         if not isinstance(line, Mapping):
             raise UnreadableRecordError(f"not an endpoint: {str(line)[:80]!r}")
         try:
@@ -57,7 +57,7 @@
                 address=_text(line, "addr"),
                 zone=intern(_text(line, "zone")),
                 kind=intern(_text(line, "kind")),
-                destination=_whole_number(line, "cell"),
+                destination=_non_negative_int(line, "cell"),
                 state=EndpointState(line["state"]),
                 weight=float(line.get("weight", 1.0)),
                 started_ms=int(line.get("started_ms", 0)),
@@ -70,7 +70,7 @@
         return record
 
     def line(self) -> dict[str, Any]:
-        """The form of discovery's list."""
+        """Return the entry in the form of discovery's list."""
         return {
             "id": self.id, "addr": self.address, "zone": self.zone, "kind": self.kind,
             "cell": self.destination, "state": self.state.value, "weight": self.weight,
@@ -78,7 +78,7 @@
         }  # fmt: skip
 
     def digest(self) -> int:
-        """64 bits of all its fields."""
+        """Return a 64-bit digest of all fields."""
         text = (
             f"{self.id}\0{self.address}\0{self.zone}\0{self.kind}\0{self.destination}\0{self.state.value}"
             f"\0{self.weight!r}\0{self.started_ms}"
@@ -89,11 +89,11 @@
 def _text(line: Mapping[str, Any], key: str) -> str:
     value = line[key]
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{key}: not a text")
+        raise ValueError(f"{key}: must be a non-empty string")
     return value
 
 
-def _whole_number(line: Mapping[str, Any], key: str) -> int:
+def _non_negative_int(line: Mapping[str, Any], key: str) -> int:
     value = line[key]
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
         raise ValueError(f"{key}: not a whole number")
@@ -101,7 +101,9 @@
 
 
 def mix(value: int) -> int:
-    """64 bits to 64 bits, each depending on all: the finalizer of SplitMix64 (Steele and others, 2014)."""
+    """Mix 64 bits so that each output bit depends on all of them: SplitMix64's finalizer (Steele et al.,
+    2014).
+    """
     value = (value + 0x9E3779B97F4A7C15) & _MASK
     value = ((value ^ value >> 30) * 0xBF58476D1CE4E5B9) & _MASK
     value = ((value ^ value >> 27) * 0x94D049BB133111EB) & _MASK
@@ -109,39 +111,40 @@
 
 
 def shard_of(destination: int, shard_count: int) -> int:
-    """The shard of a destination: the same on all machines and in all releases. The count is a setting that
-    is the same everywhere and never changes while the fleet runs.
+    """Return the shard of a destination, which is the same on all machines and in all releases.
+
+    `shard_count` must be the same in the whole fleet and must not change while the fleet runs.
     """
     return mix(destination) * shard_count >> 64
 
 
 def digest_of(records: Iterable[EndpointRecord]) -> int:
-    """Of a shard's content: 0 for none."""
-    found = 0
+    """Return the digest of a shard with these records; 0 for an empty one."""
+    digest = 0
     for record in records:
-        found ^= record.digest()
-    return found
+        digest ^= record.digest()
+    return digest
 
 
 @dataclass(frozen=True, slots=True)
 class ShardDelta:
-    """What brings a shard from `base`, or any version between, to `version`.
+    """The changes that bring a shard from `base`, or any version between the two, to `version`.
 
-    Each endpoint that was touched after `base` is in it as it is at `version`, also one that came back to
-    what it was: so it can be applied to each content from `base` up to `version`.
+    It has the state at `version` of every endpoint that changed after `base`, including those that have since
+    returned to their old state. So it can be applied to the content at any version from `base` to `version`.
     """
 
     shard: int
     base: int
     version: int
-    put: tuple[EndpointRecord, ...]  # by id, in the place of what was under it
-    gone: tuple[str, ...]  # ids
-    digest: int  # of the content that it leads to
+    put: tuple[EndpointRecord, ...]  # each replaces the record with the same id
+    gone: tuple[str, ...]  # ids of removed endpoints
+    digest: int  # of the content at `version`
 
 
 @dataclass(frozen=True, slots=True)
 class ShardSnapshot:
-    """A shard's whole content at a version."""
+    """The complete content of a shard at a version."""
 
     shard: int
     version: int
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -151,7 +151,7 @@
 
     def poll(self, now: float) -> list[RelayCall]:
         """The calls to be made now."""
-        self.picker.go_home_when_due(now)
+        self.picker.return_to_own_zone_when_due(now)
         if now < self.picker.ready_at():
             return []
         found = []
@@ -197,7 +197,7 @@
             return
         if not silent:
             self._leave_relay(call, now)
-        elif self.picker.silent(now):
+        elif self.picker.timed_out(now):
             self._forget_relay()
 
     # Within: asking
@@ -277,7 +277,7 @@
             return
         if self._behind_since is None:
             self._behind_since = now
-        elif now - self._behind_since > self.timing.behind_borne_s:
+        elif now - self._behind_since > self.timing.max_behind_s:
             self._leave_relay(call, now)
         if call.ask.wait_s == 0:  # it wasn't held: a rest
             for position in call.ask.positions:
--- a/mountgauge/sharding/upstream.py
+++ b/mountgauge/sharding/upstream.py
@@ -1,8 +1,8 @@
-"""What a relay, or a sender, follows: what both ways of following tell, and the calls that they ask for.
+"""Calls to an upstream (discovery or a relay), and the updates that result from their answers.
 
-Driven so: whoever does the I/O calls `poll(now)` when something came in and at `wakes_at(now)`, makes each
-call that it returns, and hands in what became of it: `answered` or `failed`. Each lane has one call out at
-most. What comes for a call that isn't out any more is ignored.
+The I/O layer calls `poll(now)` after each input and at the time that `wakes_at(now)` returns. It makes each
+call that `poll` returns, and reports its outcome with `answered` or `failed`. Each lane has at most one
+call in flight. Outcomes of calls that are no longer in flight are ignored.
 """
 
 from __future__ import annotations
@@ -15,29 +15,27 @@
 
 
 class Lane(Enum):
-    """Which of the two connections to a relay a call goes on."""
+    """Which of the two connections to a relay a call uses."""
 
-    WATCH = "watch"  # held until there is news
-    FETCH = (
-        "fetch"  # answered at once: shards that aren't held yet, or that a delta couldn't bring up to date
-    )
+    WATCH = "watch"  # held by the relay until there is a change
+    FETCH = "fetch"  # answered at once, for shards that are missing or that a delta couldn't bring up to date
 
 
 @dataclass(frozen=True, slots=True)
 class RelayCall:
-    """To be made at a relay."""
+    """A call to a relay."""
 
     number: int
     lane: Lane
     relay: str
     ask: Ask
-    limit_s: float  # after which it is given up
+    limit_s: float  # time-out
     made_at: float  # own clock
 
 
 @dataclass(frozen=True, slots=True)
 class ListCall:
-    """To be made at discovery. `index` None: the whole list."""
+    """A call to discovery. `index` None requests the full list."""
 
     number: int
     index: int | None
@@ -51,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Something that was not taken in: what was held before is kept."""
+    """Input that was rejected; the data held before it is kept."""
 
     source: str
     reason: str  # one line
@@ -59,8 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """What an answer has changed. `gone` is to be acted on before `put`: an endpoint that goes to another
-    destination is in both. Both are empty at relays, which go by `shards`.
+    """What an answer has changed.
+
+    Apply `gone` before `put`: an endpoint that moves to another destination is in both. Both are empty at
+    relays, which only use `shards`.
     """
 
     shards: frozenset[int] = frozenset()
--- a/tests/sharding/test_admission.py
+++ b/tests/sharding/test_admission.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from mountgauge.sharding.admission import SLOT_KEPT_S, SnapshotAdmission
+from mountgauge.sharding.admission import SLOT_RETENTION_S, SnapshotAdmission
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -46,6 +46,6 @@
     assert admission.admit("b", 5, 100.2).retry_after_s == pytest.approx(0.3)
     assert admission.admit("b", 7, 100.5).snapshots == 5  # what was promised; the others later
     admission.admit("c", 50, 100.5)
-    later = 100.5 + 10 + SLOT_KEPT_S
+    later = 100.5 + 10 + SLOT_RETENTION_S
     admission.admit("d", 200, later)
     assert admission.admit("c", 50, later).snapshots == 0  # as if it came for the first time
--- a/tests/sharding/test_owners.py
+++ b/tests/sharding/test_owners.py
@@ -10,7 +10,7 @@
 
 from benchmarks.comeback_model import Fleet, settings
 from mountgauge.lab.rig.capacity_model import CapacityModel
-from mountgauge.sharding.ramp import cold_budget, most_by_chance
+from mountgauge.sharding.ramp import budget_with_chance_margin, cold_budget
 from rillspindle import Policy
 from rillspindle import interface as io
 
@@ -62,7 +62,7 @@
         if at + span <= fleet.now:
             budget = cold_budget(fleet.capacity.could(at, at + span), multiple)
             arrived = bisect_left(calls, at + span) - bisect_left(calls, at)
-            worst = max(worst, arrived - most_by_chance(budget))
+            worst = max(worst, arrived - budget_with_chance_margin(budget))
     return worst
 
 
--- a/tests/sharding/test_subscription.py
+++ b/tests/sharding/test_subscription.py
@@ -185,13 +185,13 @@
     picker = Picker(RELAYS, "z2", TIMING, Random(1))
     picker.failed(0.0)
     away = picker.current
-    picker.go_home_when_due(0.4 * TIMING.home_after_s)
+    picker.return_to_own_zone_when_due(0.4 * TIMING.home_after_s)
     assert picker.current == away
-    picker.go_home_when_due(1.5 * TIMING.home_after_s)
+    picker.return_to_own_zone_when_due(1.5 * TIMING.home_after_s)
     assert picker.current.name == "r2"
     picker.failed(100.0)
     assert picker.current == away and picker.ready_at() < 100.0
-    picker.go_home_when_due(100.0 + 1.5 * TIMING.home_after_s)
+    picker.return_to_own_zone_when_due(100.0 + 1.5 * TIMING.home_after_s)
     picker.succeeded()
     assert picker.current.name == "r2"
 
@@ -237,7 +237,7 @@
         now += 1.0
         subscription.answered(call, Answer(4, now + 60, 1.0, behind=6), now)
         assert subscription.behind == 6 and now < 10
-    assert now > TIMING.behind_borne_s and subscription.staleness(3, now) == now
+    assert now > TIMING.max_behind_s and subscription.staleness(3, now) == now
 
 
 def test_nothing_of_it_is_imported_where_it_is_off() -> None:
