--- a/mountgauge/sharding/relay.py
+++ b/mountgauge/sharding/relay.py
@@ -30,7 +30,7 @@
 )
 from mountgauge.sharding.placement import Placement
 from mountgauge.sharding.shards import NO_VERSION, ShardDelta, ShardSnapshot
-from mountgauge.sharding.store import ShardStore, Standing
+from mountgauge.sharding.store import ChangeStatus, ShardStore
 from mountgauge.sharding.subscription import Subscription
 from mountgauge.sharding.upstream import Call, ListCall, RelayCall, Update
 
@@ -246,15 +246,15 @@
         base = ask.all_shards_as_of if ask.all_shards_as_of is not None else NO_VERSION
         if base == self.store.as_of and not over and not ask.verify:
             return None
-        apart = set(self.store.apart())
+        apart = set(self.store.separate())
         deltas, uncovered = [], list(apart)
-        for shard in self.store.changed_since(base):
+        for shard in self.store.shards_changed_since(base):
             if shard in apart:
                 continue
-            change = self.store.since(shard, base)
+            change = self.store.change_since(shard, base)
             if isinstance(change, ShardDelta):
                 deltas.append(change)
-            elif change is not Standing.UNCHANGED:
+            elif change is not ChangeStatus.UNCHANGED:
                 uncovered.append(shard)
         digest = self.store.digest_of_all(uncovered) if ask.verify else None
         return Answer(
@@ -277,12 +277,12 @@
         if self.store.version(shard) != self.store.as_of:
             found.uncovered.append(shard)
             return
-        change = self.store.since(shard, position.version, position.digest)
+        change = self.store.change_since(shard, position.version, position.digest)
         if isinstance(change, ShardDelta):
             found.deltas.append(change)
         elif isinstance(change, ShardSnapshot):
             found.snapshots.append(change)
-        elif change is Standing.UNKNOWN:
+        elif change is ChangeStatus.UNKNOWN:
             found.uncovered.append(shard)
 
     def _news(self, ask: Ask) -> PlacementUpdate | None:
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -30,7 +30,7 @@
 )
 from mountgauge.sharding.picker import Picker
 from mountgauge.sharding.shards import NO_VERSION, EndpointRecord, ShardSnapshot
-from mountgauge.sharding.store import Knowledge, RecordChange, RefusedChangeError, ShardStore
+from mountgauge.sharding.store import HeldVersion, RecordChange, RefusedChangeError, ShardStore
 from mountgauge.sharding.timing import Timing
 from mountgauge.sharding.upstream import NO_UPDATE, Lane, Rejection, RelayCall, Update
 
@@ -84,7 +84,7 @@
         self._newest = (NO_VERSION, -inf, "")  # the highest version that was told, when first, by whom
         self._untried = set(range(store.shard_count)) if all_shards else set()  # shards of no page yet
         self._fetch.update(dict.fromkeys(self._untried, -inf))
-        self._lowest: Knowledge | None = None  # of the pages so far
+        self._lowest: HeldVersion | None = None  # of the pages so far
 
     # What a sender follows
 
@@ -113,7 +113,7 @@
         self._place(news, found)
         for snapshot in snapshots:
             change = self.store.apply_snapshot(snapshot)
-            self.store.settle(snapshot.shard, snapshot.version, confirmed_at)
+            self.store.confirm(snapshot.shard, snapshot.version, confirmed_at)
             self._fetch.pop(snapshot.shard, None)
             self._note(snapshot.shard, change, found)
         return found.update()
@@ -391,7 +391,7 @@
             shard = position.shard
             if shard in uncovered or not self.follows(shard) or shard not in self.store:
                 continue
-            self.store.settle(shard, reply.as_of, confirmed_at)
+            self.store.confirm(shard, reply.as_of, confirmed_at)
             self._whole.discard(shard)
             if self.store.version(shard) < self._base:
                 uncovered.add(shard)  # the watch has gone past it meanwhile, and won't tell of it
@@ -417,7 +417,7 @@
         """A page has come; after the last one all is held as of the lowest of them."""
         if self._base != NO_VERSION:
             return
-        known = Knowledge(reply.as_of, confirmed_at)
+        known = HeldVersion(reply.as_of, confirmed_at)
         self._lowest = known if self._lowest is None else min(self._lowest, known)
         put_off = set(reply.uncovered) if reply.retry_after_s > 0 else set()
         self._untried.difference_update(one.shard for one in call.ask.positions if one.shard not in put_off)
--- a/tests/sharding/test_store.py
+++ b/tests/sharding/test_store.py
@@ -17,11 +17,11 @@
     shard_of,
 )
 from mountgauge.sharding.store import (
+    ChangeStatus,
     DigestMismatchError,
     RefusedChangeError,
     ShardStore,
     StaleVersionError,
-    Standing,
     VersionGapError,
 )
 from mountgauge.sharding.timing import Timing
@@ -84,7 +84,7 @@
     if base > relay.as_of:
         return None  # the relay is behind, and says so
     digest = held.digest(shard) if with_digest and base != NO_VERSION else None
-    return relay.since(shard, base, digest)
+    return relay.change_since(shard, base, digest)
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -111,7 +111,7 @@
         relay = relays[place].store
         for shard in rng.sample(range(SHARDS), 4):
             change = ask(relay, held, shard, compared[shard] != place)
-            if change is Standing.UNKNOWN:
+            if change is ChangeStatus.UNKNOWN:
                 unknown += 1
                 change = ask(relay, held, shard, True)  # again, with the digest
             if change is None:
@@ -123,7 +123,7 @@
                 snapshots += 1
                 held.apply_snapshot(change)
             compared[shard] = place
-            held.settle(shard, relay.as_of, 0.0)
+            held.confirm(shard, relay.as_of, 0.0)
             version = held.version(shard)
             assert version == relay.as_of >= last[shard]
             last[shard] = version
@@ -206,7 +206,7 @@
         ({"version": 2, "full": False, "servers": []}, "version went back from 3 to 2"),
         ({"version": 9, "full": False, "servers": [5]}, "not an endpoint: '5'"),
         ({"version": 9, "full": False, "servers": [{"id": "new"}]}, "endpoint 'new': missing 'addr'"),
-        ({"version": 9, "full": True, "servers": [{"id": "a", "cell": 1}]}, "no line can be read"),
+        ({"version": 9, "full": True, "servers": [{"id": "a", "cell": 1}]}, "no entry can be read"),
     ],
 )
 def test_a_list_that_cannot_be_read_is_one_clear_line_and_the_last_one_is_kept(
@@ -247,7 +247,7 @@
         (call,) = watch.poll(0.0)
         line = World.line("e7", 7, weight=float(version))
         watch.answered(call, {"version": version, "full": False, "servers": [line]}, 0.0)
-        assert watch.store.changed_since(version - 1) == [shard_of(7, 1_024)]
-        assert isinstance(watch.store.since(shard_of(7, 1_024), version - 1), ShardDelta)
+        assert watch.store.shards_changed_since(version - 1) == [shard_of(7, 1_024)]
+        assert isinstance(watch.store.change_since(shard_of(7, 1_024), version - 1), ShardDelta)
     in_shard = len(watch.store.records(shard_of(7, 1_024)))
     assert Counting.looked <= 2 * in_shard  # its digest, once
