--- a/mountgauge/sharding/list_watch.py
+++ b/mountgauge/sharding/list_watch.py
@@ -84,9 +84,7 @@
         return update
 
     def failed(self, call: ListCall, now: float, silent: bool = False) -> None:
-        """Record a call without an answer: it was refused or reset, or (`silent`) timed out after
-        `limit_s`.
-        """
+        """Record a call without an answer: refused, reset or (`silent`) timed out after `limit_s`."""
         if call is not self._in_flight:
             return
         self._in_flight = None
--- a/mountgauge/sharding/placement.py
+++ b/mountgauge/sharding/placement.py
@@ -283,7 +283,7 @@
     def shards(self, member: str) -> frozenset[int]:
         return frozenset(self._shards.get(member, ()))
 
-    def news(self, member: str, known: int) -> PlacementUpdate | None:
+    def update_for(self, member: str, known: int) -> PlacementUpdate | None:
         """What a member is told that knows its shards as of this revision; None: there is nothing new."""
         if self._changed.get(member, 0) <= known or self.revision <= known:
             return None
--- a/mountgauge/sharding/relay.py
+++ b/mountgauge/sharding/relay.py
@@ -1,11 +1,13 @@
-"""A relay: follows discovery or another relay, and answers those who follow it. Pure.
+"""A relay: follows discovery or another relay, and answers the asks of its followers. Pure.
 
-How it is driven: `poll`, `answered`, `failed` and `wakes_at` as in `upstream`, for what it follows. `ask` for
-each ask that comes in: a reply at once, or a `HeldAsk`. After each of these, and at `wakes_at`, `take_ready`
-gives the replies to held asks that are due; `drop` ends one whose connection is gone.
+Upstream it is driven by `poll`, `answered`, `failed` and `wakes_at`, as `upstream` describes. For each
+received ask, `ask` returns a reply, or a `HeldAsk` if there is no change yet. After any of these calls, and
+at the time that `wakes_at` returns, `take_ready` returns the replies to held asks that are due. `drop`
+discards a held ask whose connection has closed.
 
-It answers nobody before it has had a whole picture, and never with less than the asker holds: where it is
-behind it waits, and says at the end by how much. An ask costs what it names and what has changed of that.
+A relay answers no asks before it has all shards, and never with an older version than the asker holds: when
+it is behind, it holds the ask, and answers on expiry by how many versions it is behind. The cost of an
+ask is proportional to its positions and their changes.
 """
 
 from __future__ import annotations
@@ -35,29 +37,31 @@
 from mountgauge.sharding.upstream import Call, ListCall, RelayCall, Update
 
 _Key = TypeVar("_Key", int, str)
-COUNTED = ("asks", "answers", "deltas", "snapshots", "put_off", "refused", "behind")
-NOT_READY_S = 1.0  # told to those who come before the first whole picture
+COUNTER_NAMES = ("asks", "answers", "deltas", "snapshots", "put_off", "refused", "behind")
+REFUSED_RETRY_S = 1.0  # required wait in a refusal
 
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """The bounds of what a relay gives out and holds."""
+    """Limits on the snapshots that a relay sends and on the asks that it holds."""
 
     snapshots_per_s: float = 2_000.0
     snapshot_burst: int = 2_000
-    max_held_asks: int = 8_192  # asks
-    longest_wait_s: float = 60.0
+    max_held_asks: int = 8_192
+    max_wait_s: float = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class HeldAsk:
-    """There is nothing to tell yet."""
+    """There is no change for the asker yet; `take_ready` returns the reply by this number."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
+class _HeldEntry:
+    """A held ask, and when it was received and expires."""
+
     number: int
     ask: Ask
     since: float
@@ -65,8 +69,8 @@
 
 
 @dataclass(slots=True)
-class _Found:
-    """What there is to tell an asker."""
+class _Changes:
+    """The changes for an asker."""
 
     deltas: list[ShardDelta]
     snapshots: list[ShardSnapshot]
@@ -74,49 +78,49 @@
     retry_after_s: float = 0.0
 
     @property
-    def worth_it(self) -> bool:
-        """Whether it is told before the wait is over."""
+    def worth_sending(self) -> bool:
+        """Whether to answer before the wait is over."""
         return bool(self.deltas or self.snapshots or self.retry_after_s > 0)
 
 
 class Relay:
-    """Answers those who follow shards, from what it follows itself."""
+    """Answers the asks of followers from the shards that it follows itself."""
 
     def __init__(
         self, name: str, upstream: Subscription | ListWatch, settings: RelaySettings,
         placement: Placement | None = None, run: int = 0,
     ) -> None:  # fmt: skip
-        """`run`: another number at each start; those who follow compare their digests anew then."""
+        """`run` must differ at each start: it makes followers compare their digests again."""
         self.name, self.upstream, self.placement = name, upstream, placement
         self.store: ShardStore = upstream.store
-        self.counts = Counter(dict.fromkeys(COUNTED, 0))
+        self.counts = Counter(dict.fromkeys(COUNTER_NAMES, 0))
         self._settings, self._run = settings, run
         self._admission = SnapshotAdmission(settings.snapshots_per_s, settings.snapshot_burst)
-        self._held: dict[int, _Held] = {}
+        self._held: dict[int, _HeldEntry] = {}
         self._by_shard: dict[int, set[int]] = {}
         self._by_asker: dict[str, set[int]] = {}
-        self._unbound: set[int] = set()  # held asks that any new version may answer
-        self._ends: list[tuple[float, int]] = []  # heap: when a held ask is over
-        self._woken: set[int] = set()
-        self._number = 0
+        self._any_version: set[int] = set()  # held asks that any new version can answer
+        self._deadlines: list[tuple[float, int]] = []  # heap: when each held ask expires
+        self._to_check: set[int] = set()
+        self._last_number = 0
 
-    # What it follows
+    # Upstream
 
     def poll(self, now: float) -> list[Call]:
-        """The calls to be made now."""
+        """Return the calls to make now."""
         return [*self.upstream.poll(now)]
 
     def answered(self, call: Call, reply: object, now: float) -> Update:
-        """`reply`: a `Reply` to a `RelayCall`, the JSON to a `ListCall`."""
+        """Process a reply: a `Reply` to a `RelayCall`, or the parsed JSON to a `ListCall`."""
         as_of, ready = self.store.as_of, self.upstream.ready
-        update = self._hand_in(call, reply, now)
+        update = self._pass_to_upstream(call, reply, now)
         for shard in update.shards:
-            self._woken |= self._by_shard.get(shard, set())
+            self._to_check |= self._by_shard.get(shard, set())
         if self.store.as_of != as_of or self.upstream.ready != ready:
-            self._woken |= self._unbound
+            self._to_check |= self._any_version
         return update
 
-    def _hand_in(self, call: Call, reply: object, now: float) -> Update:
+    def _pass_to_upstream(self, call: Call, reply: object, now: float) -> Update:
         if isinstance(self.upstream, ListWatch):
             assert isinstance(call, ListCall)
             return self.upstream.answered(call, reply, now)
@@ -124,7 +128,7 @@
         return self.upstream.answered(call, reply, now)
 
     def failed(self, call: Call, now: float, silent: bool = False) -> None:
-        """A call got no answer: it was refused or reset, or (`silent`) given up after its `limit_s`."""
+        """Record a call without an answer: refused, reset or (`silent`) timed out after `limit_s`."""
         if isinstance(self.upstream, ListWatch):
             assert isinstance(call, ListCall)
             self.upstream.failed(call, now, silent)
@@ -133,52 +137,53 @@
             self.upstream.failed(call, now, silent)
 
     def wakes_at(self, now: float) -> float:
-        """When to poll and to look for ready replies next, if nothing comes in before."""
-        if self._woken:
+        """Return when to call `poll` and `take_ready` next if there is no input before."""
+        if self._to_check:
             return now
-        while self._ends and self._ends[0][1] not in self._held:
-            heappop(self._ends)
-        return min(self.upstream.wakes_at(now), self._ends[0][0] if self._ends else inf)
+        while self._deadlines and self._deadlines[0][1] not in self._held:
+            heappop(self._deadlines)
+        return min(self.upstream.wakes_at(now), self._deadlines[0][0] if self._deadlines else inf)
 
     def placement_changed(self, members: Collection[str]) -> None:
-        """The placement has changed for these members."""
+        """Mark the held asks of these members as due: their placement has changed."""
         for name in members:
-            self._woken |= self._by_asker.get(name, set())
+            self._to_check |= self._by_asker.get(name, set())
 
-    # Those who follow it
+    # Followers
 
     def ask(self, ask: Ask, now: float) -> Reply | HeldAsk:
+        """Reply to an ask, or hold it."""
         self.counts["asks"] += 1
         if not self.upstream.ready:
-            return self._refuse(RefusalReason.NOT_READY, NOT_READY_S)
+            return self._refuse(RefusalReason.NOT_READY, REFUSED_RETRY_S)
         if len(self._held) >= self._settings.max_held_asks:
-            return self._refuse(RefusalReason.BUSY, NOT_READY_S)
-        if (answer := self._answer(ask, now, over=ask.wait_s <= 0)) is not None:
+            return self._refuse(RefusalReason.BUSY, REFUSED_RETRY_S)
+        if (answer := self._answer(ask, now, expired=ask.wait_s <= 0)) is not None:
             return self._count(answer)
         return self._hold(ask, now)
 
     def drop(self, number: int) -> None:
-        """Nobody waits for this one any more."""
+        """Discard a held ask, whose asker has disconnected."""
         self._release(number)
 
     def take_ready(self, now: float) -> list[tuple[int, Reply]]:
-        """The replies to held asks that are due, by number."""
-        over = set()
-        while self._ends and self._ends[0][0] <= now:
-            over.add(heappop(self._ends)[1])
-        found: list[tuple[int, Reply]] = []
-        woken, self._woken = self._woken | over, set()
-        for number in sorted(woken):
+        """Return the replies to held asks that are due, by number."""
+        expired = set()
+        while self._deadlines and self._deadlines[0][0] <= now:
+            expired.add(heappop(self._deadlines)[1])
+        replies: list[tuple[int, Reply]] = []
+        to_check, self._to_check = self._to_check | expired, set()
+        for number in sorted(to_check):
             held = self._held.get(number)
             if held is None:
                 continue
-            answer = self._answer(held.ask, now, over=number in over)
+            answer = self._answer(held.ask, now, expired=number in expired)
             if answer is not None:
                 self._release(number)
-                found.append((number, self._count(replace(answer, held_s=now - held.since))))
-        return found
+                replies.append((number, self._count(replace(answer, held_s=now - held.since))))
+        return replies
 
-    # Within
+    # Internal
 
     def _refuse(self, reason: RefusalReason, retry_after_s: float) -> Refusal:
         self.counts["refused"] += 1
@@ -193,16 +198,16 @@
         return answer
 
     def _hold(self, ask: Ask, now: float) -> HeldAsk:
-        self._number += 1
-        until = now + min(ask.wait_s, self._settings.longest_wait_s)
-        self._held[self._number] = _Held(self._number, ask, now, until)
-        heappush(self._ends, (until, self._number))
+        self._last_number += 1
+        until = now + min(ask.wait_s, self._settings.max_wait_s)
+        self._held[self._last_number] = _HeldEntry(self._last_number, ask, now, until)
+        heappush(self._deadlines, (until, self._last_number))
         for position in ask.positions:
-            self._by_shard.setdefault(position.shard, set()).add(self._number)
-        self._by_asker.setdefault(ask.asker, set()).add(self._number)
+            self._by_shard.setdefault(position.shard, set()).add(self._last_number)
+        self._by_asker.setdefault(ask.asker, set()).add(self._last_number)
         if ask.all_shards_as_of is not None or self._behind(ask) > 0:
-            self._unbound.add(self._number)
-        return HeldAsk(self._number)
+            self._any_version.add(self._last_number)
+        return HeldAsk(self._last_number)
 
     def _release(self, number: int) -> None:
         held = self._held.pop(number, None)
@@ -211,45 +216,45 @@
         for position in held.ask.positions:
             _remove(self._by_shard, position.shard, number)
         _remove(self._by_asker, held.ask.asker, number)
-        self._unbound.discard(number)
-        self._woken.discard(number)
+        self._any_version.discard(number)
+        self._to_check.discard(number)
 
     def _behind(self, ask: Ask) -> int:
-        """By how many versions this relay is below the asker."""
+        """Return by how many versions this relay is behind the asker."""
         if ask.all_shards_as_of is not None:
             return max(0, ask.all_shards_as_of - self.store.as_of)
         newest = max((one.version for one in ask.positions), default=NO_VERSION)
         return max(0, newest - self.store.as_of)
 
-    def _answer(self, ask: Ask, now: float, over: bool) -> Answer | None:
-        """What there is to tell; None: nothing yet."""
+    def _answer(self, ask: Ask, now: float, expired: bool) -> Answer | None:
+        """Return the answer, or None to hold the ask; an expired ask is always answered."""
         age = now - self.store.confirmed_at
         if behind := self._behind(ask):
             shards = tuple(one.shard for one in ask.positions)
             return (
                 Answer(self.store.as_of, age, uncovered=shards, run=self._run, behind=behind)
-                if over
+                if expired
                 else None
             )
         if ask.all_shards_as_of is not None:
-            return self._everything(ask, age, over)
-        news = self._news(ask)
-        found = self._positions(ask, now)
-        if news is None and not found.worth_it and not over:
+            return self._answer_all_shards(ask, age, expired)
+        placement = self._placement_update(ask)
+        changes = self._changes_for(ask, now)
+        if placement is None and not changes.worth_sending and not expired:
             return None
         return Answer(
-            self.store.as_of, age, 0.0, tuple(found.deltas), tuple(found.snapshots), tuple(found.uncovered),
-            run=self._run, retry_after_s=found.retry_after_s, placement=news,
+            self.store.as_of, age, 0.0, tuple(changes.deltas), tuple(changes.snapshots),
+            tuple(changes.uncovered), run=self._run, retry_after_s=changes.retry_after_s, placement=placement,
         )  # fmt: skip
 
-    def _everything(self, ask: Ask, age: float, over: bool) -> Answer | None:
+    def _answer_all_shards(self, ask: Ask, age: float, expired: bool) -> Answer | None:
         base = ask.all_shards_as_of if ask.all_shards_as_of is not None else NO_VERSION
-        if base == self.store.as_of and not over and not ask.verify:
+        if base == self.store.as_of and not expired and not ask.verify:
             return None
-        apart = set(self.store.separate())
-        deltas, uncovered = [], list(apart)
+        separate = set(self.store.separate())
+        deltas, uncovered = [], list(separate)
         for shard in self.store.shards_changed_since(base):
-            if shard in apart:
+            if shard in separate:
                 continue
             change = self.store.change_since(shard, base)
             if isinstance(change, ShardDelta):
@@ -261,34 +266,34 @@
             self.store.as_of, age, 0.0, tuple(deltas), (), tuple(uncovered), digest=digest, run=self._run
         )
 
-    def _positions(self, ask: Ask, now: float) -> _Found:
-        found = _Found([], [], [])
+    def _changes_for(self, ask: Ask, now: float) -> _Changes:
+        changes = _Changes([], [], [])
         for position in ask.positions:
-            self._look_up(position, found)
-        if found.snapshots:
-            admitted = self._admission.admit(ask.asker, len(found.snapshots), now)
-            found.uncovered += [one.shard for one in found.snapshots[admitted.snapshots :]]
-            del found.snapshots[admitted.snapshots :]
-            found.retry_after_s = admitted.retry_after_s
-        return found
-
-    def _look_up(self, position: Position, found: _Found) -> None:
+            self._look_up(position, changes)
+        if changes.snapshots:
+            admitted = self._admission.admit(ask.asker, len(changes.snapshots), now)
+            changes.uncovered += [one.shard for one in changes.snapshots[admitted.snapshots :]]
+            del changes.snapshots[admitted.snapshots :]
+            changes.retry_after_s = admitted.retry_after_s
+        return changes
+
+    def _look_up(self, position: Position, changes: _Changes) -> None:
         shard = position.shard
         if self.store.version(shard) != self.store.as_of:
-            found.uncovered.append(shard)
+            changes.uncovered.append(shard)
             return
         change = self.store.change_since(shard, position.version, position.digest)
         if isinstance(change, ShardDelta):
-            found.deltas.append(change)
+            changes.deltas.append(change)
         elif isinstance(change, ShardSnapshot):
-            found.snapshots.append(change)
+            changes.snapshots.append(change)
         elif change is ChangeStatus.UNKNOWN:
-            found.uncovered.append(shard)
+            changes.uncovered.append(shard)
 
-    def _news(self, ask: Ask) -> PlacementUpdate | None:
+    def _placement_update(self, ask: Ask) -> PlacementUpdate | None:
         if self.placement is None:
             return None
-        return self.placement.news(ask.asker, ask.placement)
+        return self.placement.update_for(ask.asker, ask.placement)
 
 
 def _remove(sets: dict[_Key, set[int]], key: _Key, number: int) -> None:
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -1,14 +1,13 @@
-"""Following shards at relays: of a sender those placed on it and those of its messages, of a relay all.
+"""Follows shards at relays: a sender some shards, a relay all.
 
-A sender's shards come with the placement (news of it travel with the answers) and with its messages:
-`message_accepted`
-when one is taken on, `message_finished`
-when it has ended. A shard is dropped when it isn't placed here and no message
-of it is left. `Update` says which endpoint records have changed, for the decision module.
+A sender follows the shards that are placed on it, which it learns from the answers, and those of its
+messages, which are reported with `message_accepted` and `message_finished`. A shard is dropped when it
+isn't placed on this sender and has no unfinished message. `Update` lists the changed endpoint records, for
+the decision module.
 
-Two lanes of calls: the watch, over all shards that are held, which waits for news; and the fetch, for shards
-that aren't held yet, that a watch left uncovered or that a delta couldn't bring up to date. How it is driven:
-see `upstream`.
+Calls use two lanes. The watch covers all shards that are up to date and waits for changes. The fetch
+requests shards that are missing, that a watch left uncovered, or that a delta couldn't bring up to date.
+`upstream` describes how this class is driven.
 """
 
 from __future__ import annotations
@@ -34,14 +33,14 @@
 from mountgauge.sharding.timing import Timing
 from mountgauge.sharding.upstream import NO_UPDATE, Lane, Rejection, RelayCall, Update
 
-NEW_SHARDS = 512  # that one fetch asks for as a whole
-HELD_SHARDS = 4_096  # that one fetch has compared by their digests
-WAIT_SPREAD = 0.2  # part of the wait that is drawn: what was answered all at once isn't asked so again
-REFUSALS_BORNE = 2  # answers in a row with something that can't be taken in, before another relay is asked
+MAX_MISSING_PER_FETCH = 512  # shards of which one fetch requests a snapshot
+MAX_SHARDS_PER_FETCH = 4_096  # including held shards, which are compared by their digests
+WAIT_JITTER = 0.2  # random share of the wait: asks that were answered together don't return together
+REJECTED_ANSWERS_BEFORE_SWITCH = 2  # consecutive answers with a rejected change
 
 
-class _Collected:
-    """What one answer does."""
+class _Result:
+    """Collects the effects of one answer."""
 
     def __init__(self) -> None:
         self.shards: set[int] = set()
@@ -58,7 +57,11 @@
 
 
 class Subscription:
-    """`all_shards`: the subscriber is a relay and follows all shards; it isn't told of single records."""
+    """A sender's or a relay's view of the shards that it follows.
+
+    With `all_shards` the subscriber is a relay: it follows all shards, and its updates have no single
+    records.
+    """
 
     def __init__(
         self, name: str, store: ShardStore, picker: Picker, timing: Timing, rng: Random,
@@ -67,82 +70,86 @@
         self.name, self.store, self.picker, self.timing = name, store, picker, timing
         self.all_shards = all_shards
         self.placement = PlacementUpdate(NO_VERSION, 0, ())
-        self.behind = 0  # by how many versions the relay that is asked is below what is held
+        self.behind = 0  # by how many versions the current relay is behind the held shards
         self._rng = rng
         self._placed: dict[int, PlacedShard] = {}
-        self._messages: Counter[int] = Counter()  # by shard: messages that are held
-        self._owner: dict[str, int] = {}  # by endpoint id: its shard
-        self._fetch: dict[int, float] = {}  # shards to be fetched: not before
-        self._fetch_from = -inf  # a relay has said when to come again
-        self._whole: set[int] = set()  # of those: by snapshot alone
-        self._base = NO_VERSION  # of a relay: as of which all_shards is held that isn't to be fetched
-        self._out: dict[Lane, RelayCall] = {}
-        self._number = 0
-        self._verified: tuple[str, int] | None = None  # the relay, and its run, with which digests agreed
-        self._refused_in_a_row = 0
+        self._messages: Counter[int] = Counter()  # unfinished messages, by shard
+        self._shard_by_endpoint: dict[str, int] = {}  # by endpoint id
+        self._to_fetch: dict[int, float] = {}  # by shard to be fetched: the earliest time
+        self._fetch_not_before = -inf  # a relay's required wait
+        self._snapshot_only: set[int] = set()  # shards in `_to_fetch` that need a snapshot
+        self._watch_base = NO_VERSION  # relays only: version of all shards that are not in `_to_fetch`
+        self._in_flight: dict[Lane, RelayCall] = {}
+        self._call_number = 0
+        self._verified: tuple[str, int] | None = None  # the relay, and its run, whose digests agreed
+        self._consecutive_rejections = 0
         self._behind_since: float | None = None
-        self._newest = (NO_VERSION, -inf, "")  # the highest version that was told, when first, by whom
-        self._untried = set(range(store.shard_count)) if all_shards else set()  # shards of no page yet
-        self._fetch.update(dict.fromkeys(self._untried, -inf))
-        self._lowest: HeldVersion | None = None  # of the pages so far
+        # The highest version received, when it was first received, and from which relay.
+        self._newest = (NO_VERSION, -inf, "")
+        # Shards that no page has covered yet.
+        self._unpaged = set(range(store.shard_count)) if all_shards else set()
+        self._to_fetch.update(dict.fromkeys(self._unpaged, -inf))
+        self._lowest_page: HeldVersion | None = None  # the oldest version of the pages received so far
 
-    # What a sender follows
+    # Shards that a sender follows
 
     def message_accepted(self, shard: int, now: float) -> None:
-        """A message of the shard was taken on."""
+        """Record an accepted message of the shard, which is followed from now on."""
         self._messages[shard] += 1
-        self._follow(shard, now)
+        self._fetch_if_missing(shard, now)
 
     def message_finished(self, shard: int) -> Update:
-        """A message of the shard has ended."""
+        """Record a finished message of the shard, which is dropped if no longer followed."""
         self._messages[shard] -= 1
         if self._messages[shard] <= 0:
             del self._messages[shard]
-        found = _Collected()
-        self._release((shard,), found)
-        return found.update()
+        result = _Result()
+        self._drop_unfollowed((shard,), result)
+        return result.update()
 
     def restore(
-        self, snapshots: Iterable[ShardSnapshot], news: PlacementUpdate, confirmed_at: float
+        self, snapshots: Iterable[ShardSnapshot], update: PlacementUpdate, confirmed_at: float
     ) -> Update:
-        """What an earlier process kept: its last list, and when that was discovery's newest for sure (own
-        clock). It is asked for changes alone. Shards that aren't placed here, and of which no message is held
-        when the first answer comes, are let go then.
+        """Load the list that a previous process run saved, so that only changes are requested.
+
+        `confirmed_at` (own clock) is when the list was surely discovery's newest. Shards that are not
+        placed on this sender, and have no message when the first answer is received, are dropped then.
         """
-        found = _Collected()
-        self._place(news, found)
+        result = _Result()
+        self._apply_placement(update, result)
         for snapshot in snapshots:
             change = self.store.apply_snapshot(snapshot)
             self.store.confirm(snapshot.shard, snapshot.version, confirmed_at)
-            self._fetch.pop(snapshot.shard, None)
-            self._note(snapshot.shard, change, found)
-        return found.update()
+            self._to_fetch.pop(snapshot.shard, None)
+            self._record_change(snapshot.shard, change, result)
+        return result.update()
 
     def follows(self, shard: int) -> bool:
+        """Whether the shard is followed."""
         return self.all_shards or shard in self._placed or shard in self._messages
 
     def replicas(self, shard: int) -> tuple[str, ...]:
-        """The members that a shard which is placed here is placed on; empty where it isn't."""
+        """Return the members that hold a shard; empty unless it is placed on this sender."""
         placed = self._placed.get(shard)
         return placed.replicas if placed else ()
 
     def shards(self) -> set[int]:
-        """Those that are placed here, and those of messages."""
+        """Return the shards that are placed on this sender or have unfinished messages."""
         return self._placed.keys() | self._messages.keys()
 
-    # What is known
+    # State
 
     @property
     def ready(self) -> bool:
-        """Of a relay: it has had a whole picture."""
+        """Whether all shards have been received (relays only)."""
         return self.store.as_of != NO_VERSION
 
     def staleness(self, shard: int, now: float) -> float:
-        """Seconds since discovery confirmed, for sure, that what is held of it is the newest."""
+        """Return the seconds since discovery surely confirmed the shard's held version as the newest."""
         return now - self.store.held_version(shard).confirmed_at
 
     def age(self, now: float) -> float:
-        """The staleness of the shard that is worst off."""
+        """Return the staleness of the stalest shard."""
         if self.all_shards:
             return now - self.store.confirmed_at
         return max((self.staleness(shard, now) for shard in self.shards()), default=0.0)
@@ -150,142 +157,143 @@
     # Calls
 
     def poll(self, now: float) -> list[RelayCall]:
-        """The calls to be made now."""
+        """Return the calls to make now."""
         self.picker.return_to_own_zone_when_due(now)
         if now < self.picker.ready_at():
             return []
-        found = []
-        if Lane.FETCH not in self._out and (page := self._page(now)):
+        calls = []
+        if Lane.FETCH not in self._in_flight and (page := self._next_page(now)):
             ask = Ask(self.name, page, placement=self.placement.revision)
-            found.append(self._call(Lane.FETCH, ask, now))
-        if Lane.WATCH not in self._out and self._may_watch():
-            found.append(self._call(Lane.WATCH, self._watch(), now))
-        return found
+            calls.append(self._start_call(Lane.FETCH, ask, now))
+        if Lane.WATCH not in self._in_flight and self._can_watch():
+            calls.append(self._start_call(Lane.WATCH, self._watch_ask(), now))
+        return calls
 
     def wakes_at(self, now: float) -> float:
-        """When to poll next, if nothing comes in before."""
-        if len(self._out) == len(Lane):
+        """Return when to poll next if there is no input before."""
+        if len(self._in_flight) == len(Lane):
             return inf
         start = self.picker.ready_at()
-        if Lane.WATCH not in self._out and self._may_watch():
+        if Lane.WATCH not in self._in_flight and self._can_watch():
             return max(now, start)
         due = inf
-        if Lane.FETCH not in self._out and self._fetch:
-            due = max(self._fetch_from, min(self._fetch.values()))
+        if Lane.FETCH not in self._in_flight and self._to_fetch:
+            due = max(self._fetch_not_before, min(self._to_fetch.values()))
         return max(now, start, due)
 
     def answered(self, call: RelayCall, reply: Reply, now: float) -> Update:
-        """A relay has answered a call."""
-        if not self._take_out(call):
+        """Process a relay's reply to a call."""
+        if not self._remove_in_flight(call):
             return NO_UPDATE
         if isinstance(reply, Refusal):
-            self._refused(call, reply, now)
+            self._handle_refusal(call, reply, now)
             return NO_UPDATE
-        found = _Collected()
+        result = _Result()
         if reply.behind > 0:
-            self._relay_behind(call, reply, now, found)
-        elif (reason := self._lie(call, reply)) is not None:
-            found.rejections.append(Rejection(call.relay, reason))
-            self._leave_relay(call, now)
+            self._handle_relay_behind(call, reply, now, result)
+        elif (reason := self._contradiction(call, reply)) is not None:
+            result.rejections.append(Rejection(call.relay, reason))
+            self._switch_relay(call, now)
         else:
-            self._take_in(call, reply, now, found)
-        return found.update()
+            self._apply_answer(call, reply, now, result)
+        return result.update()
 
     def failed(self, call: RelayCall, now: float, silent: bool = False) -> None:
-        """A call got no answer: it was refused or reset, or (`silent`) given up after its `limit_s`."""
-        if not self._take_out(call) or call.relay != self.picker.current.name:
+        """Record a call without an answer: refused, reset or (`silent`) timed out after `limit_s`."""
+        if not self._remove_in_flight(call) or call.relay != self.picker.current.name:
             return
         if not silent:
-            self._leave_relay(call, now)
+            self._switch_relay(call, now)
         elif self.picker.timed_out(now):
-            self._forget_relay()
+            self._reset_relay_state()
 
-    # Within: asking
+    # Internal: asks
 
-    def _page(self, now: float) -> tuple[Position, ...]:
+    def _next_page(self, now: float) -> tuple[Position, ...]:
+        """Return the positions of the next fetch; empty if none is due."""
         page, new = [], 0
-        if now < self._fetch_from:
+        if now < self._fetch_not_before:
             return ()
-        for shard, not_before in self._fetch.items():
+        for shard, not_before in self._to_fetch.items():
             if not_before > now:
                 continue
             position = self._position(shard, digest=True)
             new += position.version == NO_VERSION
             page.append(position)
-            if new == NEW_SHARDS or len(page) == HELD_SHARDS:
+            if new == MAX_MISSING_PER_FETCH or len(page) == MAX_SHARDS_PER_FETCH:
                 break
         return tuple(page)
 
     def _position(self, shard: int, digest: bool) -> Position:
-        if shard in self._whole or shard not in self.store:
+        if shard in self._snapshot_only or shard not in self.store:
             return Position(shard)
         return Position(shard, self.store.version(shard), self.store.digest(shard) if digest else None)
 
-    def _may_watch(self) -> bool:
-        """Whether there is something to watch; a sender that follows no shard yet waits for news of them."""
+    def _can_watch(self) -> bool:
+        """Whether a watch can start. A sender that follows no shard yet watches for its placement."""
         if self.all_shards:
-            return self._base != NO_VERSION
-        return not self._fetch or any(shard not in self._fetch for shard in self.store.shards())
+            return self._watch_base != NO_VERSION
+        return not self._to_fetch or any(shard not in self._to_fetch for shard in self.store.shards())
 
-    def _watch(self) -> Ask:
+    def _watch_ask(self) -> Ask:
         verify = self._verified is None
-        wait_s = self.timing.wait_s * (1 - WAIT_SPREAD * self._rng.random())
+        wait_s = self.timing.wait_s * (1 - WAIT_JITTER * self._rng.random())
         if self.all_shards:
-            return Ask(self.name, (), self._base, wait_s, verify=verify)
-        held = (shard for shard in self.store.shards() if shard not in self._fetch)
+            return Ask(self.name, (), self._watch_base, wait_s, verify=verify)
+        held = (shard for shard in self.store.shards() if shard not in self._to_fetch)
         positions = tuple(self._position(shard, verify) for shard in held)
         return Ask(self.name, positions, wait_s=wait_s, placement=self.placement.revision)
 
-    def _call(self, lane: Lane, ask: Ask, now: float) -> RelayCall:
-        self._number += 1
-        call = RelayCall(self._number, lane, self.picker.current.name, ask, self.timing.limit_s, now)
-        self._out[lane] = call
+    def _start_call(self, lane: Lane, ask: Ask, now: float) -> RelayCall:
+        self._call_number += 1
+        call = RelayCall(self._call_number, lane, self.picker.current.name, ask, self.timing.limit_s, now)
+        self._in_flight[lane] = call
         return call
 
-    def _take_out(self, call: RelayCall) -> bool:
-        """Whether the call was still out."""
-        if self._out.get(call.lane) is not call:
+    def _remove_in_flight(self, call: RelayCall) -> bool:
+        """Remove a call from those in flight; return whether it was one of them."""
+        if self._in_flight.get(call.lane) is not call:
             return False
-        del self._out[call.lane]
+        del self._in_flight[call.lane]
         return True
 
-    # Within: answers
+    # Internal: answers
 
-    def _refused(self, call: RelayCall, refusal: Refusal, now: float) -> None:
+    def _handle_refusal(self, call: RelayCall, refusal: Refusal, now: float) -> None:
         if refusal.reason is RefusalReason.NOT_READY:
-            self._leave_relay(call, now)
+            self._switch_relay(call, now)
         else:
             self.picker.wait(now, refusal.retry_after_s)
 
-    def _leave_relay(self, call: RelayCall, now: float) -> None:
-        self._forget_relay()
+    def _switch_relay(self, call: RelayCall, now: float) -> None:
+        self._reset_relay_state()
         if call.relay == self.picker.current.name:
             self.picker.failed(now)
 
-    def _forget_relay(self) -> None:
-        self._verified, self._refused_in_a_row, self._behind_since = None, 0, None
-        self._fetch_from = -inf
+    def _reset_relay_state(self) -> None:
+        self._verified, self._consecutive_rejections, self._behind_since = None, 0, None
+        self._fetch_not_before = -inf
 
-    def _relay_behind(self, call: RelayCall, reply: Answer, now: float, found: _Collected) -> None:
-        """It knows less than is held: nothing of it is taken in; another one is asked if that lasts."""
+    def _handle_relay_behind(self, call: RelayCall, reply: Answer, now: float, result: _Result) -> None:
+        """The relay is behind the held shards: apply nothing, and ask another relay if that lasts."""
         self.behind = reply.behind
-        version, told_at, by = self._newest
-        if reply.as_of < version and now - reply.age_s - self._transit(call, reply, now) > told_at:
-            text = f"says that version {reply.as_of} was the newest when {by} had told {version}"
-            found.rejections.append(Rejection(call.relay, text))
-            self._leave_relay(call, now)
+        version, received_at, by = self._newest
+        if reply.as_of < version and now - reply.age_s - self._max_transit_s(call, reply, now) > received_at:
+            text = f"claims that version {reply.as_of} was the newest when {by} had sent {version}"
+            result.rejections.append(Rejection(call.relay, text))
+            self._switch_relay(call, now)
             return
         if self._behind_since is None:
             self._behind_since = now
         elif now - self._behind_since > self.timing.max_behind_s:
-            self._leave_relay(call, now)
-        if call.ask.wait_s == 0:  # it wasn't held: a rest
+            self._switch_relay(call, now)
+        if call.ask.wait_s == 0:  # answered at once: pause before the next fetch
             for position in call.ask.positions:
-                if position.shard in self._fetch:
-                    self._fetch[position.shard] = now + self.timing.wait_s
+                if position.shard in self._to_fetch:
+                    self._to_fetch[position.shard] = now + self.timing.wait_s
 
-    def _lie(self, call: RelayCall, reply: Answer) -> str | None:
-        """Why an answer contradicts itself or what is held; None where it doesn't."""
+    def _contradiction(self, call: RelayCall, reply: Answer) -> str | None:
+        """Return how an answer contradicts itself or the held shards; None if it doesn't."""
         ask = call.ask
         asked = {one.shard: one.version for one in ask.positions}
         covered = asked.keys() - set(reply.uncovered)
@@ -301,56 +309,56 @@
                 return f"shard {one.shard} was not asked for"
         return None
 
-    def _transit(self, call: RelayCall, reply: Answer, now: float) -> float:
-        """At most so long the answer was on its way."""
+    def _max_transit_s(self, call: RelayCall, reply: Answer, now: float) -> float:
+        """Return the longest time that the answer can have been in transit."""
         return max(0.0, now - call.made_at - reply.held_s)
 
-    def _take_in(self, call: RelayCall, reply: Answer, now: float, found: _Collected) -> None:
+    def _apply_answer(self, call: RelayCall, reply: Answer, now: float, result: _Result) -> None:
         self.picker.succeeded()
         self.behind, self._behind_since = 0, None
-        confirmed_at = now - reply.age_s - self._transit(call, reply, now)
-        rejected = self._apply(call, reply, now, found)
+        confirmed_at = now - reply.age_s - self._max_transit_s(call, reply, now)
+        rejected = self._apply_changes(call, reply, now, result)
         uncovered = rejected.union(reply.uncovered)
         if call.lane is Lane.WATCH:
-            self._cover(call, reply, confirmed_at, uncovered)
+            self._cover_watched(call, reply, confirmed_at, uncovered)
         else:
-            self._settle(call, reply, confirmed_at, uncovered)
-        self._defer(uncovered, reply.retry_after_s, now)
+            self._confirm_fetched(call, reply, confirmed_at, uncovered)
+        self._refetch_later(uncovered, reply.retry_after_s, now)
         if reply.as_of > self._newest[0]:
             self._newest = (reply.as_of, now, call.relay)
         if reply.placement is not None:
-            self._place(reply.placement, found)
-        self._judge(call, reply, bool(rejected), now)
+            self._apply_placement(reply.placement, result)
+        self._update_verification(call, reply, bool(rejected), now)
         if not self.all_shards:
-            self._release((one.shard for one in call.ask.positions), found)
+            self._drop_unfollowed((one.shard for one in call.ask.positions), result)
 
-    def _judge(self, call: RelayCall, reply: Answer, rejected: bool, now: float) -> None:
-        verified = self._compared(call, reply)
+    def _update_verification(self, call: RelayCall, reply: Answer, rejected: bool, now: float) -> None:
+        verified = self._digests_agree(call, reply)
         if self._verified not in (None, (call.relay, reply.run)):
-            self._verified = None  # it was started anew
+            self._verified = None  # the relay has restarted
         if not rejected:
-            self._refused_in_a_row = 0
+            self._consecutive_rejections = 0
             if call.lane is Lane.WATCH and verified:
                 self._verified = call.relay, reply.run
             return
-        self._refused_in_a_row += 1
-        if self._refused_in_a_row >= REFUSALS_BORNE:
-            self._leave_relay(call, now)
+        self._consecutive_rejections += 1
+        if self._consecutive_rejections >= REJECTED_ANSWERS_BEFORE_SWITCH:
+            self._switch_relay(call, now)
 
-    def _compared(self, call: RelayCall, reply: Answer) -> bool:
-        """Whether the digests of all that the relay told of have been compared, and agree."""
+    def _digests_agree(self, call: RelayCall, reply: Answer) -> bool:
+        """Whether the digests of all shards that the answer covers were compared and agree."""
         if not self.all_shards:
             return all(one.digest is not None or one.version == NO_VERSION for one in call.ask.positions)
-        if reply.digest is None or self._fetch.keys() - set(reply.uncovered):
+        if reply.digest is None or self._to_fetch.keys() - set(reply.uncovered):
             return False
         if reply.digest == self.store.digest_of_all(reply.uncovered):
             return True
-        for shard in range(self.store.shard_count):  # each by itself, to find those that differ
-            self._fetch.setdefault(shard, -inf)
+        for shard in range(self.store.shard_count):  # fetch all to find those that differ
+            self._to_fetch.setdefault(shard, -inf)
         return False
 
-    def _apply(self, call: RelayCall, reply: Answer, now: float, found: _Collected) -> set[int]:
-        """Take in deltas and snapshots; return the shards whose change couldn't be."""
+    def _apply_changes(self, call: RelayCall, reply: Answer, now: float, result: _Result) -> set[int]:
+        """Apply deltas and snapshots; return the shards whose change was rejected."""
         rejected = set()
         base = call.ask.all_shards_as_of
         for change in reply.changes:
@@ -359,11 +367,11 @@
                 continue
             version = self.store.version(shard)
             if base is not None and version < base:
-                continue  # it is to be fetched by itself
-            if shard not in self._whole and reply.as_of < version:
-                continue  # it was fetched by itself since the call was made
-            if shard in self._whole and change.version < self.store.version(shard):
-                rejected.add(shard)  # it was not told what is held, and may be behind
+                continue  # it is fetched separately
+            if shard not in self._snapshot_only and reply.as_of < version:
+                continue  # it was fetched since the call was made
+            if shard in self._snapshot_only and change.version < self.store.version(shard):
+                rejected.add(shard)  # the ask had no version of this shard, so the relay may be behind
                 continue
             try:
                 if isinstance(change, ShardSnapshot):
@@ -371,98 +379,110 @@
                 else:
                     done = self.store.apply_delta(change)
             except RefusedChangeError as error:
-                found.rejections.append(Rejection(call.relay, str(error)))
+                result.rejections.append(Rejection(call.relay, str(error)))
                 rejected.add(shard)
-                self._whole.add(shard)
+                self._snapshot_only.add(shard)
                 continue
-            self._note(shard, done, found)
+            self._record_change(shard, done, result)
         return rejected
 
-    def _cover(self, call: RelayCall, reply: Answer, confirmed_at: float, uncovered: set[int]) -> None:
+    def _cover_watched(
+        self, call: RelayCall, reply: Answer, confirmed_at: float, uncovered: set[int]
+    ) -> None:
         if call.ask.all_shards_as_of is not None:
             self.store.cover(reply.as_of, confirmed_at, None, uncovered, call.ask.all_shards_as_of)
-            self._base = reply.as_of
+            self._watch_base = reply.as_of
             return
         asked = {one.shard for one in call.ask.positions}
         self.store.cover(reply.as_of, confirmed_at, asked, uncovered)
 
-    def _settle(self, call: RelayCall, reply: Answer, confirmed_at: float, uncovered: set[int]) -> None:
+    def _confirm_fetched(
+        self, call: RelayCall, reply: Answer, confirmed_at: float, uncovered: set[int]
+    ) -> None:
         for position in call.ask.positions:
             shard = position.shard
             if shard in uncovered or not self.follows(shard) or shard not in self.store:
                 continue
             self.store.confirm(shard, reply.as_of, confirmed_at)
-            self._whole.discard(shard)
-            if self.store.version(shard) < self._base:
-                uncovered.add(shard)  # the watch has gone past it meanwhile, and won't tell of it
+            self._snapshot_only.discard(shard)
+            if self.store.version(shard) < self._watch_base:
+                uncovered.add(shard)  # the watch is past this version and won't report its changes
             else:
-                self._fetch.pop(shard, None)
+                self._to_fetch.pop(shard, None)
         if self.all_shards:
-            self._paged(call, reply, confirmed_at)
+            self._page_received(call, reply, confirmed_at)
+
+    def _refetch_later(self, uncovered: set[int], retry_after_s: float, now: float) -> None:
+        """Schedule a fetch of uncovered shards, after a random pause or the relay's required wait.
 
-    def _defer(self, uncovered: set[int], retry_after_s: float, now: float) -> None:
-        """Shards of which nothing was learned are asked for again, by themselves, after a pause; where one is
-        told, nothing else is fetched in it, so that what was put off comes again in few calls.
+        During a required wait nothing else is fetched, so that the postponed shards are requested in few
+        calls.
         """
         if retry_after_s > 0:
-            self._fetch_from = now + retry_after_s
+            self._fetch_not_before = now + retry_after_s
         for shard in uncovered:
             if self.follows(shard):
                 drawn = self._rng.random() * self.timing.first_pause_s
-                self._fetch[shard] = now + (retry_after_s or drawn)
+                self._to_fetch[shard] = now + (retry_after_s or drawn)
 
-    # Within: a relay's first picture
+    # Internal: a relay's initial load
 
-    def _paged(self, call: RelayCall, reply: Answer, confirmed_at: float) -> None:
-        """A page has come; after the last one all is held as of the lowest of them."""
-        if self._base != NO_VERSION:
+    def _page_received(self, call: RelayCall, reply: Answer, confirmed_at: float) -> None:
+        """Record a page; after the last one, all shards are at the lowest version of the pages."""
+        if self._watch_base != NO_VERSION:
             return
         known = HeldVersion(reply.as_of, confirmed_at)
-        self._lowest = known if self._lowest is None else min(self._lowest, known)
+        self._lowest_page = known if self._lowest_page is None else min(self._lowest_page, known)
         put_off = set(reply.uncovered) if reply.retry_after_s > 0 else set()
-        self._untried.difference_update(one.shard for one in call.ask.positions if one.shard not in put_off)
-        if not self._untried:
-            self._base = self._lowest.version
-            self.store.cover(self._base, self._lowest.confirmed_at, None, self._fetch.keys(), self._base)
-
-    # Within: what a sender follows
-
-    def _follow(self, shard: int, now: float) -> None:
+        self._unpaged.difference_update(one.shard for one in call.ask.positions if one.shard not in put_off)
+        if not self._unpaged:
+            self._watch_base = self._lowest_page.version
+            self.store.cover(
+                self._watch_base,
+                self._lowest_page.confirmed_at,
+                None,
+                self._to_fetch.keys(),
+                self._watch_base,
+            )
+
+    # Internal: shards that a sender follows
+
+    def _fetch_if_missing(self, shard: int, now: float) -> None:
         if shard not in self.store:
-            self._fetch.setdefault(shard, now)
+            self._to_fetch.setdefault(shard, now)
 
-    def _place(self, news: PlacementUpdate, found: _Collected) -> None:
-        if news.revision <= self.placement.revision:
+    def _apply_placement(self, update: PlacementUpdate, result: _Result) -> None:
+        if update.revision <= self.placement.revision:
             return
         before = self._placed.keys()
-        self.placement, found.placement = news, news
-        self._placed = {one.shard: one for one in news.shards}
+        self.placement, result.placement = update, update
+        self._placed = {one.shard: one for one in update.shards}
         for shard in self._placed:
-            self._follow(shard, -inf)
-        self._release(before - self._placed.keys(), found)
+            self._fetch_if_missing(shard, -inf)
+        self._drop_unfollowed(before - self._placed.keys(), result)
 
-    def _release(self, shards: Iterable[int], found: _Collected) -> None:
+    def _drop_unfollowed(self, shards: Iterable[int], result: _Result) -> None:
         for shard in shards:
             if not self.follows(shard):
-                self._fetch.pop(shard, None)
-                self._whole.discard(shard)
-                self._note(shard, self.store.drop(shard), found)
+                self._to_fetch.pop(shard, None)
+                self._snapshot_only.discard(shard)
+                self._record_change(shard, self.store.drop(shard), result)
 
-    def _note(self, shard: int, change: RecordChange, found: _Collected) -> None:
-        """Endpoint records have changed; an id belongs to the shard that named it last."""
+    def _record_change(self, shard: int, change: RecordChange, result: _Result) -> None:
+        """Add changed endpoint records to the result; an id belongs to the last shard that had it."""
         if not change:
             return
-        found.shards.add(shard)
+        result.shards.add(shard)
         if self.all_shards:
             return
         for record in change.gone:
-            if self._owner.get(record.id) == shard:
-                del self._owner[record.id]
-                found.put.pop(record.id, None)
-                found.gone.append(record)
+            if self._shard_by_endpoint.get(record.id) == shard:
+                del self._shard_by_endpoint[record.id]
+                result.put.pop(record.id, None)
+                result.gone.append(record)
         for record in change.put:
-            owner = self._owner.get(record.id)
+            owner = self._shard_by_endpoint.get(record.id)
             if owner is not None and owner != shard:
-                found.gone.append(record)
-            self._owner[record.id] = shard
-            found.put[record.id] = record
+                result.gone.append(record)
+            self._shard_by_endpoint[record.id] = shard
+            result.put[record.id] = record
--- a/tests/sharding/test_placement.py
+++ b/tests/sharding/test_placement.py
@@ -201,19 +201,19 @@
 def test_news_are_told_to_those_whom_they_concern() -> None:
     file = MemberFile(1, members(12, 3))
     placement = Placement(file, SETTINGS)
-    first = placement.news("s1", -1)
+    first = placement.update_for("s1", -1)
     assert first is not None and {one.shard for one in first.shards} == placement.shards("s1")
     assert all("s1" in one.replicas and len(one.replicas) == 3 for one in first.shards)
-    assert placement.news("s1", first.revision) is None
+    assert placement.update_for("s1", first.revision) is None
     placement.adopt(without(file, "s2"))
     affected = placement.step()
-    gone = placement.news("s2", first.revision)
+    gone = placement.update_for("s2", first.revision)
     assert gone is not None and len(gone.shards) == len(placement.shards("s2")) and "s2" in affected
     finish(placement)
-    last = placement.news("s2", gone.revision)
+    last = placement.update_for("s2", gone.revision)
     assert last is not None and last.shards == ()
-    assert placement.news("s2", last.revision) is None
-    assert placement.news("stranger", -1) is not None  # that nothing is placed on it
+    assert placement.update_for("s2", last.revision) is None
+    assert placement.update_for("stranger", -1) is not None  # that nothing is placed on it
 
 
 # Files that can't be used
--- a/tests/sharding/test_subscription.py
+++ b/tests/sharding/test_subscription.py
@@ -225,7 +225,7 @@
     call = lane(subscription.poll(4.0), Lane.WATCH)
     update = subscription.answered(call, Answer(20, 0.1, 1.0, behind=10), 5.0)
     (rejection,) = update.rejections
-    assert rejection.reason == "says that version 20 was the newest when r2 had told 30"
+    assert rejection.reason == "claims that version 20 was the newest when r2 had sent 30"
     assert subscription.store.version(3) == 30 and subscription.picker.current.name != "r2"
 
 
