--- a/tests/sharding/test_evidence.py
+++ b/tests/sharding/test_evidence.py
@@ -1,4 +1,4 @@
-"""What becomes of calls to relays, and whether the list from them may be gone by."""
+"""Outcomes of relay calls, and whether a sender may use the list from relays."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 TERMS = LeaseTerms(6.0, 0.25, resumes=True)
 RELAYS = ("one", "two")
-HELD = 20.0  # past any term
+HELD = 20.0  # longer than any term
 
 
 def call(made_at: float, relay: str = "one", lane: Lane = Lane.WATCH) -> RelayCall:
@@ -24,33 +24,33 @@
     return found
 
 
-def test_a_kept_list_is_not_gone_by_before_a_relay_has_answered_a_watch() -> None:
+def test_a_saved_list_is_not_used_before_a_relay_has_answered_a_watch() -> None:
     found = RelayEvidence(TERMS, RELAYS)
     assert found.ended(0.0) is LeaseEnd.UNHEARD
     found.answered(call(10.0, lane=Lane.FETCH))
-    assert found.ended(10.0) is LeaseEnd.UNHEARD, "it covers new shards alone"
+    assert found.ended(10.0) is LeaseEnd.UNHEARD, "a fetch covers only new shards"
     found.answered(call(10.0))
     assert found.ended(10.0 + TERMS.term_s - 0.01) is None
     assert found.ended(10.0 + TERMS.term_s) is LeaseEnd.EXPIRED
 
 
 @pytest.mark.parametrize("failure", [RelayFailure.SILENT, RelayFailure.REFUSED])
-def test_a_relay_that_is_silent_or_refuses_moves_nothing(failure: RelayFailure) -> None:
+def test_a_time_out_or_a_refusal_of_one_relay_has_no_effect(failure: RelayFailure) -> None:
     found = answered()
     for made_at in (12.0, 14.0, 16.0):
         found.failed(call(made_at), failure, made_at)
     assert found.ended(10.0 + TERMS.term_s) is LeaseEnd.EXPIRED
 
 
-def test_once_each_relay_has_refused_nobody_can_tell_anything() -> None:
+def test_the_lease_is_renewed_once_every_relay_has_refused() -> None:
     found = answered()
     found.failed(call(13.0), RelayFailure.REFUSED, 13.0)
     found.failed(call(15.0, "two"), RelayFailure.REFUSED, 15.0)
     assert found.ended(13.0 + TERMS.term_s - 0.01) is None
-    assert found.ended(13.0 + TERMS.term_s) is LeaseEnd.EXPIRED, "from the first of them on"
+    assert found.ended(13.0 + TERMS.term_s) is LeaseEnd.EXPIRED, "from the first refusal on"
     found.answered(call(20.0))
     found.failed(call(21.0), RelayFailure.REFUSED, 21.0)
-    assert found.ended(20.0 + TERMS.term_s) is LeaseEnd.EXPIRED, "the other one may have news again"
+    assert found.ended(20.0 + TERMS.term_s) is LeaseEnd.EXPIRED, "the other relay may have a change again"
 
 
 @pytest.mark.parametrize(
@@ -62,19 +62,19 @@
         (RelayFailure.UNREADABLE, Lane.FETCH, True),
     ],
 )
-def test_an_answer_that_was_lost_holds_calls_back_until_a_later_one(
+def test_a_lost_answer_withholds_calls_until_a_later_answer(
     failure: RelayFailure, lane: Lane, lost: bool
 ) -> None:
     found = answered()
     found.failed(call(11.0, lane=lane), failure, 11.5)
     assert (found.ended(11.5) is LeaseEnd.ANSWER_LOST) is lost
     found.answered(call(11.4))
-    assert (found.ended(11.6) is LeaseEnd.ANSWER_LOST) is lost, "made before the loss"
+    assert (found.ended(11.6) is LeaseEnd.ANSWER_LOST) is lost, "the call was made before the loss"
     found.answered(call(11.5))
     assert found.ended(11.6) is None
 
 
-def test_a_sender_that_starts_while_all_relays_refuse_works_with_its_kept_list() -> None:
+def test_a_sender_that_starts_while_all_relays_refuse_uses_its_saved_list() -> None:
     found = RelayEvidence(TERMS, RELAYS)
     found.failed(call(10.0), RelayFailure.REFUSED, 10.0)
     assert found.ended(10.0) is LeaseEnd.UNHEARD
@@ -83,7 +83,7 @@
     assert found.ended(20.5) is None
 
 
-def test_relays_that_all_go_on_breaking_their_calls_are_down() -> None:
+def test_relays_that_all_keep_breaking_their_calls_are_down() -> None:
     found = answered()
     found.failed(call(11.0), RelayFailure.BROKEN, 11.0)
     found.failed(call(11.5, "two"), RelayFailure.BROKEN, 11.5)
@@ -93,4 +93,4 @@
     alone = answered()
     for made_at in (11.0, 12.6, 15.0):
         alone.failed(call(made_at), RelayFailure.BROKEN, made_at)
-        assert alone.ended(made_at) is LeaseEnd.ANSWER_LOST, "the other one may have news"
+        assert alone.ended(made_at) is LeaseEnd.ANSWER_LOST, "the other relay may have a change"
--- a/tests/sharding/test_owners.py
+++ b/tests/sharding/test_owners.py
@@ -1,4 +1,4 @@
-"""What a cold destination sees from the decision modules of all its owners, in virtual time."""
+"""The load on a cold destination from the decision modules of all its owners, in virtual time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Owners(Fleet):
-    """Four modules that divide a limit among `divisor`; messages come to those of `placed`."""
+    """Four modules that divide limits by `divisor`; messages go to the modules in `placed`."""
 
     def __init__(self, divisor: int, rate: float, seed: int) -> None:
         self.divisor, self.placed = divisor, (0, 1, 2)
@@ -37,8 +37,8 @@
         super()._feed(place, event)
 
 
-def come_back_cold(divisor: int, rate: float, seed: int, moved: bool) -> tuple[Owners, float]:
-    """All owners start anew as the destination comes back; after 3 s one may give the shard to a fourth."""
+def restart_cold(divisor: int, rate: float, seed: int, moved: bool) -> tuple[Owners, float]:
+    """Restart the destination, cold, and all owners; after 3 s one may hand the shard to a fourth."""
     fleet = Owners(divisor, rate, seed)
     fleet.begin()
     fleet.play(15.0)
@@ -54,8 +54,8 @@
     return fleet, since
 
 
-def most_over(fleet: Owners, since: float, multiple: float) -> float:
-    """By how many calls the fullest span is over its budget and what is put down to chance."""
+def max_excess(fleet: Owners, since: float, multiple: float) -> float:
+    """Return by how many calls the busiest time span exceeds its budget with the margin for chance."""
     span, calls = RULES["fall"], sorted(at for at in (*fleet.served, *fleet.refused) if at >= since)
     worst = -math.inf
     for at in calls:
@@ -69,16 +69,16 @@
 @pytest.mark.parametrize("moved", [False, True])
 @pytest.mark.parametrize("rate", [20.0, 100.0])
 @pytest.mark.parametrize("seed", range(3))
-def test_three_owners_and_a_new_one_ramp_as_for_a_restart(rate: float, moved: bool, seed: int) -> None:
-    fleet, since = come_back_cold(REPLICAS, rate, seed, moved)
-    assert most_over(fleet, since, RULES["fallMultiple"]) <= 0
-    assert most_over(fleet, since, 0.75 * RULES["fallMultiple"]) <= 0  # with room to spare
+def test_three_owners_and_a_new_one_ramp_up_as_after_a_restart(rate: float, moved: bool, seed: int) -> None:
+    fleet, since = restart_cold(REPLICAS, rate, seed, moved)
+    assert max_excess(fleet, since, RULES["fallMultiple"]) <= 0
+    assert max_excess(fleet, since, 0.75 * RULES["fallMultiple"]) <= 0  # with a reserve
     if moved:
-        assert not fleet.lives[0].policy.msgs  # the one before has ended what it took on
-    assert sum(at >= since for at in fleet.served) >= 0.4 * rate * 20.0  # it is there to be used
+        assert not fleet.lives[0].policy.msgs  # the previous owner has finished its messages
+    assert sum(at >= since for at in fleet.served) >= 0.4 * rate * 20.0  # its capacity is used
 
 
-def test_owners_that_did_not_divide_would_come_all_at_once() -> None:
-    divided, since = come_back_cold(REPLICAS, 100.0, 1, True)
-    alone, alone_since = come_back_cold(1, 100.0, 1, True)
-    assert most_over(divided, since, 1.0) <= 5 < 15 < most_over(alone, alone_since, 1.0)
+def test_owners_that_did_not_divide_limits_would_exceed_the_budget() -> None:
+    divided, since = restart_cold(REPLICAS, 100.0, 1, True)
+    alone, alone_since = restart_cold(1, 100.0, 1, True)
+    assert max_excess(divided, since, 1.0) <= 5 < 15 < max_excess(alone, alone_since, 1.0)
--- a/tests/sharding/test_placement.py
+++ b/tests/sharding/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: zones, loads, what moves, and that all relays come to the same."""
+"""Placement: zones, loads, moves, and that all relays compute the same table."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from mountgauge.sharding.placement import Placement, PlacementSettings
 
 SETTINGS = PlacementSettings(2_048, step_moves=64)
-LOAD_BOUND = 1.25
+MAX_LOAD_RATIO = 1.25
 
 
 def members(count: int, zones: int, weight: float = 1.0) -> tuple[Member, ...]:
-    return tuple(Member(f"s{place}", f"z{place % zones}", weight) for place in range(count))
+    return tuple(Member(f"s{i}", f"z{i % zones}", weight) for i in range(count))
 
 
 def without(file: MemberFile, *names: str) -> MemberFile:
-    """The next epoch, in which these are taken out."""
+    """Return the next epoch, in which these members are removed."""
     epoch = file.epoch + 1
-    lines = (
+    entries = (
         replace(one, until=epoch) if one.name in names and one.until == FOREVER else one
         for one in file.members
     )
-    return replace(file, epoch=epoch, members=tuple(lines))
+    return replace(file, epoch=epoch, members=tuple(entries))
 
 
-def joined(file: MemberFile, *more: Member) -> MemberFile:
-    """The next epoch, to which these belong too."""
+def with_added(file: MemberFile, *added: Member) -> MemberFile:
+    """Return the next epoch, in which these members are added."""
     epoch = file.epoch + 1
-    lines = (*file.members, *(replace(one, since=epoch) for one in more))
-    return replace(file, epoch=epoch, members=lines)
+    entries = (*file.members, *(replace(one, since=epoch) for one in added))
+    return replace(file, epoch=epoch, members=entries)
 
 
 def finish(placement: Placement) -> int:
-    """Do all that is pending; the number of moves."""
+    """Do all pending moves; return their number."""
     moves = placement.pending
     while placement.pending:
         placement.step()
@@ -49,8 +49,8 @@
     return Counter(name for shard in range(shard_count) for name in placement.replicas(shard))
 
 
-def assert_sound(placement: Placement, file: MemberFile, settings: PlacementSettings = SETTINGS) -> None:
-    """Each shard on as many zones as it can be, each load at most 1.25 of the fair one, or the next whole."""
+def assert_valid(placement: Placement, file: MemberFile, settings: PlacementSettings = SETTINGS) -> None:
+    """Check that shards are spread over zones, and loads are at most 1.25 of the fair ones, or rounded up."""
     now = {one.name: one for one in file.at(file.epoch)}
     zones = {one.zone for one in now.values()}
     for shard in range(settings.shard_count):
@@ -58,7 +58,7 @@
         assert len(names) == len(set(names)) == min(settings.replicas, len(now))
         assert len({now[name].zone for name in names}) == min(settings.replicas, len(zones)), names
     if len(zones) < settings.replicas:
-        return  # zones are divided
+        return  # zones are divided into groups
     weights = Counter[str]()
     for one in now.values():
         weights[one.zone] += one.weight_units
@@ -72,48 +72,48 @@
 def test_each_shard_is_on_three_zones_and_loads_within_a_quarter_of_the_mean(zones: int) -> None:
     file = MemberFile(1, members(46 * 3, zones))
     placement = Placement(file, SETTINGS)
-    assert_sound(placement, file)
+    assert_valid(placement, file)
     if 46 * 3 % zones == 0:
         found = loads(placement, SETTINGS.shard_count)
         mean = SETTINGS.shard_count * 3 / len(file.members)
-        assert max(found.values()) <= LOAD_BOUND * mean and min(found.values()) >= mean / LOAD_BOUND
+        assert max(found.values()) <= MAX_LOAD_RATIO * mean and min(found.values()) >= mean / MAX_LOAD_RATIO
 
 
-def test_loads_go_by_weight_within_a_quarter_of_the_mean() -> None:
+def test_loads_are_proportional_to_weight_within_a_quarter_of_the_mean() -> None:
     rng = Random(1)
-    lines = tuple(Member(f"s{n}", f"z{n % 8}", rng.choice((0.5, 1.0, 2.0, 4.0))) for n in range(80))
-    file = MemberFile(1, lines)
+    fleet = tuple(Member(f"s{n}", f"z{n % 8}", rng.choice((0.5, 1.0, 2.0, 4.0))) for n in range(80))
+    file = MemberFile(1, fleet)
     placement = Placement(file, SETTINGS)
-    assert_sound(placement, file)
-    unit = SETTINGS.shard_count * 3 / sum(one.weight for one in lines)
+    assert_valid(placement, file)
+    unit = SETTINGS.shard_count * 3 / sum(one.weight for one in fleet)
     found = loads(placement, SETTINGS.shard_count)
-    for one in lines:
-        assert found[one.name] <= LOAD_BOUND * unit * one.weight
+    for one in fleet:
+        assert found[one.name] <= MAX_LOAD_RATIO * unit * one.weight
 
 
-def test_a_zone_too_heavy_for_one_replica_of_each_shard_leaves_the_rest_to_the_others() -> None:
+def test_load_above_one_replica_of_each_shard_goes_to_the_other_groups() -> None:
     found = group_loads({"a": 10, "b": 1, "c": 1, "d": 2}, 100, 3)
     assert found == {"a": 100.0, "b": 50.0, "c": 50.0, "d": 100.0}
     assert round_shares({"a": 1.5, "b": 1.5, "c": 2.0}, 5) == {"a": 2, "b": 1, "c": 2}
 
 
 @pytest.mark.parametrize("count, zones", [(1, 1), (2, 1), (2, 2), (4, 1), (4, 2), (5, 2), (3, 3)])
-def test_small_fleets_have_as_many_replicas_and_zones_as_there_are(count: int, zones: int) -> None:
+def test_small_fleets_use_as_many_members_and_zones_as_there_are(count: int, zones: int) -> None:
     file = MemberFile(1, members(count, zones))
-    assert_sound(Placement(file, SETTINGS), file)
+    assert_valid(Placement(file, SETTINGS), file)
 
 
 def test_a_restart_moves_nothing() -> None:
     file = MemberFile(1, members(60, 6))
     placement = Placement(file, SETTINGS)
     before = placement.checkpoint()
-    placement.adopt(file)  # whoever is restarted is in the file as before
+    placement.adopt(file)  # a restarted member is still in the file
     assert placement.pending == 0 and placement.step() == frozenset()
     assert placement.checkpoint() == before == Placement(file, SETTINGS).checkpoint()
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_member_taken_out_moves_its_own_part_alone(seed: int) -> None:
+def test_the_removal_of_a_member_moves_only_its_shards(seed: int) -> None:
     file = MemberFile(1, members(60, 6))
     placement = Placement(file, SETTINGS)
     gone = f"s{Random(seed).randrange(60)}"
@@ -124,21 +124,21 @@
     assert finish(placement) <= 1.3 * len(own)
     moved = {shard for shard, names in before.items() if set(names) != set(placement.replicas(shard))}
     assert moved == own
-    assert_sound(placement, file)
+    assert_valid(placement, file)
 
 
-def test_a_newcomer_takes_its_own_part_alone() -> None:
+def test_adding_a_member_moves_only_its_fair_load() -> None:
     file = MemberFile(1, members(60, 6))
     placement = Placement(file, SETTINGS)
-    file = joined(file, Member("new", "z1"))
+    file = with_added(file, Member("new", "z1"))
     placement.adopt(file)
     moves = finish(placement)
     assert moves == len(placement.shards("new")) <= 1.3 * SETTINGS.shard_count * 3 / 61
     assert len(placement.shards("new")) >= 0.8 * SETTINGS.shard_count * 3 / 61
-    assert_sound(placement, file)
+    assert_valid(placement, file)
 
 
-def test_the_move_of_a_whole_zone_is_paced() -> None:
+def test_the_removal_of_a_zone_moves_its_shards_in_steps() -> None:
     file = MemberFile(1, members(60, 6))
     placement = Placement(file, SETTINGS)
     own = sum(len(placement.shards(one.name)) for one in file.members if one.zone == "z2")
@@ -155,50 +155,50 @@
         assert {name for shard in changed for name in (*before[shard], *after[shard])} == affected
         steps, before = steps + 1, after
     assert steps == -(-own // SETTINGS.step_moves)
-    assert_sound(placement, file)
+    assert_valid(placement, file)
 
 
 def change_at_random(file: MemberFile, rng: Random, zones: int) -> MemberFile:
     now, draw = [one.name for one in file.at(file.epoch)], rng.random()
     if draw < 0.4 and len(now) > 8:
         return without(file, *rng.sample(now, rng.randint(1, 4)))
-    if draw < 0.5 and len(now) > 8:  # a whole zone
+    if draw < 0.5 and len(now) > 8:  # remove a zone
         zone = rng.choice([one.zone for one in file.at(file.epoch)])
         if any(one.zone != zone for one in file.at(file.epoch)):
             return without(file, *(one.name for one in file.at(file.epoch) if one.zone == zone))
-    if draw < 0.65:  # another weight, or zone
+    if draw < 0.65:  # change a weight, or a zone
         one = rng.choice(file.at(file.epoch))
-        again = replace(one, weight=rng.choice((0.5, 1.0, 3.0)), zone=rng.choice([one.zone, "z0"]))
-        ended = without(file, one.name)
-        return replace(ended, members=(*ended.members, replace(again, since=ended.epoch)))
+        changed = replace(one, weight=rng.choice((0.5, 1.0, 3.0)), zone=rng.choice([one.zone, "z0"]))
+        removed = without(file, one.name)
+        return replace(removed, members=(*removed.members, replace(changed, since=removed.epoch)))
     count = len(file.members)
-    more = [Member(f"n{count + n}", f"z{rng.randrange(zones)}", rng.choice((1.0, 2.0))) for n in range(3)]
-    return joined(file, *more)
+    added = [Member(f"n{count + n}", f"z{rng.randrange(zones)}", rng.choice((1.0, 2.0))) for n in range(3)]
+    return with_added(file, *added)
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_any_course_of_changes_stays_sound_and_is_the_same_on_all_relays(seed: int) -> None:
-    """One relay lives through all, one starts from a checkpoint each time, one from the last file."""
+def test_random_changes_keep_the_placement_valid_and_equal_on_all_relays(seed: int) -> None:
+    """One relay runs throughout, one restarts from a checkpoint each time, one starts from the last file."""
     rng = Random(seed)
     zones = rng.randint(2, 6)
     file = MemberFile(1, members(rng.randint(9, 30), zones))
     settings = PlacementSettings(256, step_moves=16)
-    lived, restored = Placement(file, settings), Placement(file, settings)
+    running, restored = Placement(file, settings), Placement(file, settings)
     for _ in range(12):
         file = change_at_random(file, rng, zones)
-        lived.adopt(file)
+        running.adopt(file)
         restored = Placement.restore(restored.checkpoint(), settings)
         restored.adopt(file)
         for _ in range(rng.randint(0, 4)):
-            assert lived.step() == restored.step()
-        assert lived.checkpoint() == restored.checkpoint()
-    finish(lived)
-    assert_sound(lived, file, settings)
+            assert running.step() == restored.step()
+        assert running.checkpoint() == restored.checkpoint()
+    finish(running)
+    assert_valid(running, file, settings)
     fresh = Placement(file, settings)
-    assert fresh.checkpoint().table == lived.checkpoint().table and fresh.revision == lived.revision
+    assert fresh.checkpoint().table == running.checkpoint().table and fresh.revision == running.revision
 
 
-def test_news_are_told_to_those_whom_they_concern() -> None:
+def test_only_affected_members_get_an_update() -> None:
     file = MemberFile(1, members(12, 3))
     placement = Placement(file, SETTINGS)
     first = placement.update_for("s1", -1)
@@ -213,10 +213,10 @@
     last = placement.update_for("s2", gone.revision)
     assert last is not None and last.shards == ()
     assert placement.update_for("s2", last.revision) is None
-    assert placement.update_for("stranger", -1) is not None  # that nothing is placed on it
+    assert placement.update_for("stranger", -1) is not None  # an update without shards
 
 
-# Files that can't be used
+# Invalid files
 
 
 @pytest.mark.parametrize(
@@ -240,13 +240,13 @@
         ({"extra": 1, "members": [{"name": "a", "zone": "z"}]}, "extra: unknown setting"),
     ],
 )
-def test_a_members_file_that_cannot_be_used_is_one_clear_line(raw: dict[str, object], text: str) -> None:
+def test_an_invalid_members_file_is_reported_in_one_line(raw: dict[str, object], text: str) -> None:
     with pytest.raises(MemberFileError) as caught:
         MemberFile.from_mapping(raw)
     assert str(caught.value) == text
 
 
-def test_a_file_that_contradicts_the_one_before_leaves_the_placement_as_it_was() -> None:
+def test_a_file_that_contradicts_the_previous_one_leaves_the_placement_unchanged() -> None:
     file = without(MemberFile(1, members(12, 3)), "s2")
     placement = Placement(file, SETTINGS)
     before = placement.checkpoint()
--- a/tests/sharding/test_shards.py
+++ b/tests/sharding/test_shards.py
@@ -1,4 +1,4 @@
-"""Shards, records and their digests."""
+"""Shards, endpoint records and their digests."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 }  # fmt: skip
 
 
-def test_shards_are_the_same_on_all_machines_and_even() -> None:
+def test_shards_are_the_same_on_all_machines_and_of_even_size() -> None:
     assert mix(0) == 0xE220A8397B1DCDAF  # the first number of SplitMix64 from seed 0
     assert [shard_of(one, 65_536) for one in range(4)] == [57888, 37130, 38744, 7435]
     counts = Counter(shard_of(one, 256) for one in range(100_000))
     assert len(counts) == 256 and max(counts.values()) < 1.25 * 100_000 / 256
 
 
-def test_a_line_of_the_list_is_read_and_written_as_it_was() -> None:
+def test_a_list_entry_is_read_and_written_unchanged() -> None:
     record = EndpointRecord.from_line(LINE)
     assert record.destination == 3 and record.state is EndpointState.ACTIVE
     assert record.line() == LINE
@@ -41,13 +41,13 @@
         {"weight": "heavy"}, {"weight": float("nan")}, {"weight": -1}, {"started_ms": "x"}, {"addr": 1},
     ],
 )  # fmt: skip
-def test_a_line_that_cannot_be_read_is_one_clear_line(change: dict[str, object]) -> None:
+def test_an_unreadable_entry_is_reported_in_one_line(change: dict[str, object]) -> None:
     with pytest.raises(UnreadableRecordError) as caught:
         EndpointRecord.from_line({**LINE, **change})
     assert "\n" not in str(caught.value) and str(caught.value).startswith("endpoint ")
 
 
-def test_each_field_counts_in_the_digest_and_the_order_does_not() -> None:
+def test_the_digest_depends_on_each_field_but_not_on_the_order() -> None:
     first = EndpointRecord.from_line(LINE)
     for key, value in {"id": "s-2", "addr": "b:1", "zone": "b", "kind": "k", "cell": 4, "state": "leaving",
                        "weight": 1.0, "started_ms": 8}.items():  # fmt: skip
--- a/tests/sharding/test_store.py
+++ b/tests/sharding/test_store.py
@@ -1,4 +1,4 @@
-"""The store against a plain reference: any order of deltas, gaps, snapshots and lists from any relay."""
+"""The store against a reference model: any order of deltas, gaps, snapshots and lists from any relay."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class History:
-    """Discovery's list, with what each shard was at each version."""
+    """Discovery's list, with the content of each shard at each version."""
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
@@ -50,7 +50,7 @@
         return len(self.at) - 1
 
     def change(self) -> None:
-        """One more version: an endpoint that comes, goes, moves to another destination, or weighs more."""
+        """Add a version: an endpoint is added, removed or moved, or has another weight."""
         name, cell = f"e{self.rng.randrange(20)}", self.rng.randrange(12)
         line = World.line(name, cell, weight=self.rng.choice((1.0, 2.0)))
         if self.rng.random() < 0.25:
@@ -73,22 +73,22 @@
         return {"version": self.version, "full": False, "servers": list(newest.values())}
 
 
-def follow(watch: ListWatch, history: History, now: float, whole: bool) -> None:
-    """One call of a relay at the top, answered by changes, or by the whole list though it asked for them."""
+def follow(watch: ListWatch, history: History, now: float, full: bool) -> None:
+    """Make one call of a top relay, answered with changes or, even if not requested, with the full list."""
     (call,) = watch.poll(now)
-    watch.answered(call, history.answer(None if whole else call.index), now)
+    watch.answered(call, history.answer(None if full else call.index), now)
 
 
 def ask(relay: ShardStore, held: ShardStore, shard: int, with_digest: bool) -> object:
     base = held.version(shard)
     if base > relay.as_of:
-        return None  # the relay is behind, and says so
+        return None  # the relay is behind its asker
     digest = held.digest(shard) if with_digest and base != NO_VERSION else None
     return relay.change_since(shard, base, digest)
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_what_is_held_is_what_discovery_had_at_its_version(seed: int) -> None:
+def test_the_held_content_is_discoverys_content_at_that_version(seed: int) -> None:
     rng = Random(seed)
     history = History(rng)
     relays = [
@@ -102,18 +102,18 @@
     for step in range(120):
         for _ in range(rng.randint(0, 3)):
             history.change()
-        place = rng.randrange(2)
-        if rng.random() < 0.05:  # starts anew
-            relays[place] = ListWatch(ShardStore(SHARDS), Timing(), rng)
+        relay_index = rng.randrange(2)
+        if rng.random() < 0.05:  # it restarts
+            relays[relay_index] = ListWatch(ShardStore(SHARDS), Timing(), rng)
             compared = dict.fromkeys(range(SHARDS), -1)
-        if rng.random() < 0.6 or not relays[place].ready:
-            follow(relays[place], history, 10.0 * step, whole=rng.random() < 0.3)
-        relay = relays[place].store
+        if rng.random() < 0.6 or not relays[relay_index].ready:
+            follow(relays[relay_index], history, 10.0 * step, full=rng.random() < 0.3)
+        relay = relays[relay_index].store
         for shard in rng.sample(range(SHARDS), 4):
-            change = ask(relay, held, shard, compared[shard] != place)
+            change = ask(relay, held, shard, compared[shard] != relay_index)
             if change is ChangeStatus.UNKNOWN:
                 unknown += 1
-                change = ask(relay, held, shard, True)  # again, with the digest
+                change = ask(relay, held, shard, True)  # ask again, with the digest
             if change is None:
                 continue
             if isinstance(change, ShardDelta):
@@ -122,7 +122,7 @@
             elif isinstance(change, ShardSnapshot):
                 snapshots += 1
                 held.apply_snapshot(change)
-            compared[shard] = place
+            compared[shard] = relay_index
             held.confirm(shard, relay.as_of, 0.0)
             version = held.version(shard)
             assert version == relay.as_of >= last[shard]
@@ -162,7 +162,7 @@
         (replace(delta(5, 6), shard=0), VersionGapError),
     ],
 )
-def test_a_change_that_is_refused_leaves_all_as_it_was(
+def test_a_refused_change_has_no_effect(
     change: ShardDelta | ShardSnapshot, error: type[RefusedChangeError]
 ) -> None:
     store = filled()
@@ -177,7 +177,7 @@
     assert 0 not in store and store.digest(shard) == record("a", 1).digest() ^ record("b", 1).digest()
 
 
-def test_a_delta_covers_each_version_from_its_base_on() -> None:
+def test_a_delta_applies_to_each_version_from_its_base_on() -> None:
     for held_at in (5, 6, 7):
         store = ShardStore(SHARDS)
         store.apply_snapshot(snapshot(held_at, record("a", 1), record("b", 1)))
@@ -186,7 +186,7 @@
         assert store.version(shard_of(1, SHARDS)) == 7
 
 
-def test_an_endpoint_that_goes_to_another_destination_leaves_its_old_shard() -> None:
+def test_an_endpoint_that_moves_to_another_destination_leaves_its_old_shard() -> None:
     watch = ListWatch(ShardStore(SHARDS), Timing(), Random(1))
     (call,) = watch.poll(0.0)
     cells = [next(cell for cell in range(99) if shard_of(cell, SHARDS) == shard) for shard in (2, 5)]
@@ -209,9 +209,7 @@
         ({"version": 9, "full": True, "servers": [{"id": "a", "cell": 1}]}, "no entry can be read"),
     ],
 )
-def test_a_list_that_cannot_be_read_is_one_clear_line_and_the_last_one_is_kept(
-    body: object, text: str
-) -> None:
+def test_an_unreadable_list_is_reported_in_one_line_and_the_last_one_is_kept(body: object, text: str) -> None:
     watch = ListWatch(ShardStore(SHARDS), Timing(), Random(1))
     (call,) = watch.poll(0.0)
     watch.answered(call, {"version": 3, "full": True, "servers": [World.line("e", 1)]}, 0.0)
@@ -220,26 +218,26 @@
     (rejection,) = update.rejections
     assert rejection.reason.startswith(text) and "\n" not in rejection.reason
     assert watch.store.as_of == 3 and watch.store.records(shard_of(1, SHARDS)).keys() == {"e"}
-    assert watch.poll(0.0) == [] and watch.poll(Timing().first_pause_s) != []  # it asks again, after a pause
+    assert watch.poll(0.0) == [] and watch.poll(Timing().first_pause_s) != []  # it asks again after a pause
 
 
-def test_a_change_costs_what_it_changes() -> None:
-    """Counted in records and shards that are looked at, not in time."""
+def test_the_cost_of_a_change_is_proportional_to_the_change() -> None:
+    """The cost is counted in visited records, not in time."""
 
     class Counting(dict[str, EndpointRecord]):
-        looked = 0
+        visited = 0
 
         def __iter__(self):  # type: ignore[no-untyped-def]
-            Counting.looked += len(self)
+            Counting.visited += len(self)
             return super().__iter__()
 
         def values(self):  # type: ignore[no-untyped-def]
-            Counting.looked += len(self)
+            Counting.visited += len(self)
             return super().values()
 
     watch = ListWatch(ShardStore(1_024), Timing(), Random(1))
     (call,) = watch.poll(0.0)
-    lines = [World.line(f"e{place}", place) for place in range(20_000)]
+    lines = [World.line(f"e{i}", i) for i in range(20_000)]
     watch.answered(call, {"version": 1, "full": True, "servers": lines}, 0.0)
     for held in watch.store._shards.values():
         held.records = Counting(held.records)
@@ -250,4 +248,4 @@
         assert watch.store.shards_changed_since(version - 1) == [shard_of(7, 1_024)]
         assert isinstance(watch.store.change_since(shard_of(7, 1_024), version - 1), ShardDelta)
     in_shard = len(watch.store.records(shard_of(7, 1_024)))
-    assert Counting.looked <= 2 * in_shard  # its digest, once
+    assert Counting.visited <= 2 * in_shard  # to compute its digest, once
