--- a/mountgauge/sharding/evidence.py
+++ b/mountgauge/sharding/evidence.py
@@ -6,8 +6,8 @@
 and its age.
 
 A refusal by one relay is no evidence, since another relay may have a change. Once every relay has refused
-one after another, or has broken its calls for long enough to show an outage, none can notify of a change. A
-time-out has no effect.
+one after another, or has broken its calls for long enough to show an outage, none can notify of a change, and
+the lease is renewed. A time-out has no effect.
 """
 
 from __future__ import annotations
--- a/mountgauge/sharding/members.py
+++ b/mountgauge/sharding/members.py
@@ -116,5 +116,5 @@
 def _number(raw: Mapping[str, Any], key: str, default: int, prefix: str) -> int:
     value = raw.get(key, default)
     if not isinstance(value, int) or isinstance(value, bool) or value < 1:
-        raise MemberFileError(f"{prefix}{key}: not a whole number above 0")
+        raise MemberFileError(f"{prefix}{key}: must be a positive integer")
     return value
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -422,8 +422,8 @@
             self._fetch_not_before = now + retry_after_s
         for shard in uncovered:
             if self.follows(shard):
-                drawn = self._rng.random() * self.timing.first_pause_s
-                self._to_fetch[shard] = now + (retry_after_s or drawn)
+                random_pause_s = self._rng.random() * self.timing.first_pause_s
+                self._to_fetch[shard] = now + (retry_after_s or random_pause_s)
 
     # Internal: a relay's initial load
 
--- a/mountgauge/sharding/timing.py
+++ b/mountgauge/sharding/timing.py
@@ -46,10 +46,8 @@
 def in_force_within(timings: Sequence[Timing], delay_s: float, losses: int = 0) -> float:
     """Return the longest time from a change at discovery until a sender applies it.
 
-    `losses` is the number of messages lost on the way.
-
-    At each hop an answer may have been sent just before; the next ask then arrives a round trip later and
-    is answered at once.
+    `losses` is the number of messages lost on the way. At each hop an answer may have been sent just before
+    the change; the next ask then arrives a round trip later and is answered at once.
     """
     slowest = max(one.limit_s for one in timings)
     return len(timings) * 3 * delay_s + losses * (slowest + 2 * delay_s)
--- a/tests/sharding/test_placement.py
+++ b/tests/sharding/test_placement.py
@@ -235,7 +235,7 @@
         ),
         ({"members": [{"name": "a", "zone": "z", "until": 1}]}, "member 'a': until must be above since"),
         ({"epoch": 2, "members": [{"name": "a", "zone": "z", "until": 2}]}, "no member belongs to epoch 2"),
-        ({"epoch": 0, "members": [{"name": "a", "zone": "z"}]}, "epoch: not a whole number above 0"),
+        ({"epoch": 0, "members": [{"name": "a", "zone": "z"}]}, "epoch: must be a positive integer"),
         ({"base_epoch": 2, "members": [{"name": "a", "zone": "z"}]}, "base_epoch: must be from 1 to 1"),
         ({"extra": 1, "members": [{"name": "a", "zone": "z"}]}, "extra: unknown setting"),
     ],
--- a/tests/sharding/test_subscription.py
+++ b/tests/sharding/test_subscription.py
@@ -178,8 +178,8 @@
     subscription.failed(call, 3.3)
     assert subscription.poll(3.3) == [] and 3.3 < subscription.wakes_at(3.3) <= 3.3 + 2 * TIMING.first_pause_s
     assert call_on(subscription.poll(subscription.wakes_at(3.3)), Lane.WATCH).relay not in ("r2", call.relay)
-    drawn = {new_subscription(seed).picker.order[1].name for seed in range(40)}
-    assert drawn == {"r0", "r1", "r3", "r4", "r5"}
+    second_choices = {new_subscription(seed).picker.order[1].name for seed in range(40)}
+    assert second_choices == {"r0", "r1", "r3", "r4", "r5"}
 
 
 def test_it_returns_to_its_own_zone_and_back_at_once_if_that_fails() -> None:
