--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -29,10 +29,10 @@
     encode_ask,
     encode_reply,
 )
-from mountgauge.sharding.messages import Answer, PlacementNews, Reply
+from mountgauge.sharding.messages import Answer, PlacementUpdate, Reply
 from mountgauge.sharding.picker import Picker, RelayName
 from mountgauge.sharding.relay import HeldAsk, Relay
-from mountgauge.sharding.shards import NOTHING, EndpointRecord, ShardSnapshot
+from mountgauge.sharding.shards import NO_VERSION, EndpointRecord, ShardSnapshot
 from mountgauge.sharding.store import ShardStore
 from mountgauge.sharding.subscription import Subscription
 from mountgauge.sharding.timing import Timing
@@ -101,7 +101,7 @@
     """What a sender has in its folder of the list."""
 
     snapshots: tuple[ShardSnapshot, ...]
-    placement: PlacementNews
+    placement: PlacementUpdate
     confirmed_at: float
 
 
@@ -191,7 +191,7 @@
     def ready(self) -> bool:
         """Whether all shards that are placed here are held."""
         subscription = self.subscription
-        return subscription.placement.revision != NOTHING and all(
+        return subscription.placement.revision != NO_VERSION and all(
             shard in self.store for shard in subscription.shards()
         )
 
@@ -266,7 +266,7 @@
     def placed(self, step: Callable[[], frozenset[str]]) -> None:
         """The placement takes a step."""
         with self.processor.counted():
-            self.relay.placed(step())
+            self.relay.placement_changed(step())
 
     def drop(self, number: int) -> None:
         """Nobody waits for a held ask any more."""
