--- a/benchmarks/slopes/core.py
+++ b/benchmarks/slopes/core.py
@@ -116,7 +116,8 @@
     Probe("sender-waiting", _waiting, "mountgauge.core.sender.Sender.waiting"),
     Probe("sender-restore", _restore, "mountgauge.core.sender.Sender.restore, turn; Policy._pump",
           axis=Axis.MESSAGES, sizes=_MESSAGES, repeats=3, limit_s=20.0),
-    Probe("sender-restore-memory", _restore_memory, "mountgauge.core.sender.Held; rillspindle.state.Message",
+    Probe("sender-restore-memory", _restore_memory,
+          "mountgauge.core.sender.PendingMessage; rillspindle.state.Message",
           axis=Axis.MESSAGES, sizes=_MESSAGES, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
           limit_s=30.0),
 )  # fmt: skip
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -10,9 +10,9 @@
 from mountgauge.core.attempts import Attempts
 from mountgauge.core.config import Names
 from mountgauge.core.ends import MessageEnds
-from mountgauge.core.held import Held, HeldMessages
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError, Stored
+from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import Answer, End, Gate, Status, Submission, Taken
 from mountgauge.log import kv
 from rillspindle import Policy, send_guard
@@ -31,7 +31,7 @@
         names: Names,
         journal: Journal,
         table: HopTable,
-        held: HeldMessages,
+        held: PendingMessages,
         attempts: Attempts,
         ends: MessageEnds,
         counts: Counter[tuple[str, str]],
@@ -100,7 +100,7 @@
         until, grade = self._journal.time.of(expires), self.names.grades[one.grade]
         return Stored(one.id, grade, until, one.dest, one.key, one.front, one.body)
 
-    def take_on(self, one: Submission, held: Held) -> bool:
+    def take_on(self, one: Submission, held: PendingMessage) -> bool:
         """Put it on record and say so; False: the journal did not take it, and nothing was said."""
         try:
             self._journal.take(held.stored)
@@ -114,7 +114,7 @@
         one.answer(Taken())
         return True
 
-    def refuse(self, one: Submission, held: Held, end: End) -> None:
+    def refuse(self, one: Submission, held: PendingMessage, end: End) -> None:
         """It is not taken on, and nothing is held of it."""
         held.over = True
         self._ends.drop(held)
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -14,9 +14,9 @@
 
 from mountgauge.core.batching import CallBatches
 from mountgauge.core.call_lease import CallLease
-from mountgauge.core.held import Held, HeldMessages
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError
+from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import Call, CallGate, Clock, End, Item, NextHops, Result, Status
 from mountgauge.core.send_state import SendState
 from mountgauge.core.waits import Waits
@@ -44,12 +44,12 @@
         clock: Clock,
         journal: Journal,
         table: HopTable,
-        held: HeldMessages,
+        held: PendingMessages,
         waits: Waits,
         counts: Counter[tuple[str, str]],
         monitor: SendMonitor,
         enqueue: Callable[[io.Event], None],
-        end: Callable[[Held, End], None],
+        end: Callable[[PendingMessage, End], None],
     ) -> None:
         """`enqueue` gives the module an event in its next turn; `end` is told of a message that has ended."""
         self.state = state
--- a/mountgauge/core/ends.py
+++ b/mountgauge/core/ends.py
@@ -6,8 +6,8 @@
 from collections import Counter
 from collections.abc import Callable, Mapping
 
-from mountgauge.core.held import Held, HeldMessages
 from mountgauge.core.journal import Journal
+from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import DestinationScope, End, SenderSide, Status
 from mountgauge.core.send_state import SendState
 from mountgauge.log import LineBudget, kv
@@ -23,7 +23,7 @@
     def __init__(
         self,
         journal: Journal,
-        held: HeldMessages,
+        held: PendingMessages,
         fronts: Mapping[str, SenderSide],
         counts: Counter[tuple[str, str]],
         state: SendState,
@@ -33,10 +33,10 @@
         self.scope: DestinationScope | None = None  # where the sender holds a part of the destinations
         self._journal, self._held, self._fronts, self._counts = journal, held, fronts, counts
         self._state, self._monitor, self._now = state, monitor, now
-        self._untold: dict[int, tuple[Held, End]] = {}  # by number: ends that are not on record yet
+        self._untold: dict[int, tuple[PendingMessage, End]] = {}  # by number: ends that are not on record yet
         self._lines = LineBudget(now)
 
-    def give_up(self, held: Held | None, end: End) -> None:
+    def give_up(self, held: PendingMessage | None, end: End) -> None:
         """The module's final answer goes out as soon as it is on record, so that no restart takes it back."""
         if held is None or held.over:
             return
@@ -44,7 +44,7 @@
         end = self._allowed(held, end)
         self._tell_if_allowed(held, end, self._journal.give_up(held.stored.id, end))
 
-    def _tell_if_allowed(self, held: Held, end: End, on_record: bool) -> None:
+    def _tell_if_allowed(self, held: PendingMessage, end: End, on_record: bool) -> None:
         now = self._now()
         if send_guard.may_tell_end(on_record, held.expires, now):
             self._monitor.end_told(held.stored.id, on_record, held.expires, now)
@@ -61,12 +61,12 @@
         for held, end in untold.values():
             self._tell_if_allowed(held, end, True)
 
-    def tell_late(self, held: Held) -> None:
+    def tell_late(self, held: PendingMessage) -> None:
         """The message's time is over: its end is told, on record or not."""
         if (untold := self._untold.pop(held.number, None)) is not None:
             self._tell_if_allowed(*untold, False)
 
-    def _allowed(self, held: Held, end: End) -> End:
+    def _allowed(self, held: PendingMessage, end: End) -> End:
         """What its client may be told: a message that may have run is handed back only where that is
         harmless.
         """
@@ -79,7 +79,7 @@
         self._counts["withheld", send_guard.Refusal.MAY_HAVE_RUN] += 1
         return End(Status.UNDELIVERABLE)
 
-    def finish(self, held: Held, end: End) -> None:
+    def finish(self, held: PendingMessage, end: End) -> None:
         """A next hop's answer has ended the message: nothing more is owed, whether this is heard or not."""
         held.over = True
         self._journal.end(held.stored.id, end)
@@ -87,7 +87,7 @@
         self._counts["end", end.status.value] += 1
         self._front(held).tell(held.stored.id, end, lambda: None)
 
-    def tell(self, held: Held, end: End) -> None:
+    def tell(self, held: PendingMessage, end: End) -> None:
         """Its end is owed until the front has it."""
 
         def told() -> None:
@@ -100,7 +100,7 @@
             self._monitor.handed_back(held.stored.id, self._state.grades.get(held.stored.grade))
         self._front(held).tell(held.stored.id, end, told)
 
-    def drop(self, held: Held) -> None:
+    def drop(self, held: PendingMessage) -> None:
         """The message is held no longer."""
         self._untold.pop(held.number, None)
         if held.number in self._held and self.scope is not None:
@@ -108,5 +108,5 @@
         self._held.drop(held)
         self._monitor.forget(held.stored.id)
 
-    def _front(self, held: Held) -> SenderSide:
+    def _front(self, held: PendingMessage) -> SenderSide:
         return self._fronts.get(held.stored.front) or next(iter(self._fronts.values()))
--- a/mountgauge/core/held.py
+++ b/mountgauge/core/pending_messages.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class PendingMessage:
     """A message between its take-on and the moment its end has been told."""
 
     number: int  # the module's id for it
@@ -22,7 +22,7 @@
     over: bool = False
 
 
-class HeldMessages(dict[int, Held]):
+class PendingMessages(dict[int, PendingMessage]):
     """By the module's numbers; `numbers` has these by the messages' own ids."""
 
     def __init__(self) -> None:
@@ -30,13 +30,13 @@
         self.numbers: dict[str, int] = {}
         self._last = 0
 
-    def hold(self, stored: Stored, expires: float) -> Held:
+    def hold(self, stored: Stored, expires: float) -> PendingMessage:
         self._last = self._last % _LAST_NUMBER + 1
-        held = Held(self._last, stored, expires)
+        held = PendingMessage(self._last, stored, expires)
         self[held.number] = held
         self.numbers[stored.id] = held.number
         return held
 
-    def drop(self, held: Held) -> None:
+    def drop(self, held: PendingMessage) -> None:
         self.pop(held.number, None)
         self.numbers.pop(held.stored.id, None)
--- a/mountgauge/core/restore.py
+++ b/mountgauge/core/restore.py
@@ -6,8 +6,8 @@
 
 from mountgauge.core.config import Names
 from mountgauge.core.durable_time import ProcessTime
-from mountgauge.core.held import Held
 from mountgauge.core.journal import Stored
+from mountgauge.core.pending_messages import PendingMessage
 from mountgauge.core.ports import End, Status
 from rillspindle.interface import Restored
 
@@ -32,7 +32,7 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, held: Held, grade: int, time: ProcessTime) -> None:
+    def add(self, held: PendingMessage, grade: int, time: ProcessTime) -> None:
         """`time`: what the journal's times are on the sender's clock."""
         stored = held.stored
         held.issued = stored.attempts
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -5,10 +5,10 @@
 import math
 from collections.abc import Mapping
 
-from mountgauge.core.held import HeldMessages
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal
 from mountgauge.core.list_lease import LeaseCheck, LeaseEnd
+from mountgauge.core.pending_messages import PendingMessages
 from mountgauge.core.ports import Call, Item, NextHop
 from mountgauge.core.waits import Waits
 from rillspindle import interface as io
@@ -21,7 +21,7 @@
     """Reads the core's tables for the guard; it changes none of them."""
 
     def __init__(
-        self, rules: io.Settings, table: HopTable, journal: Journal, held: HeldMessages, waits: Waits
+        self, rules: io.Settings, table: HopTable, journal: Journal, held: PendingMessages, waits: Waits
     ) -> None:
         self.rules = rules
         self.grades: Mapping[str, io.Grade] = {}  # by the classes' names
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -12,10 +12,10 @@
 from mountgauge.core.batching import CallBatches
 from mountgauge.core.config import MapUpdate, Names
 from mountgauge.core.ends import MessageEnds
-from mountgauge.core.held import Held, HeldMessages
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, Stored
 from mountgauge.core.list_lease import LeaseCheck
+from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import (
     Call,
     CallGate,
@@ -67,7 +67,7 @@
         self.map: MapSource
         self.table = HopTable(self.rules.balancers)
         self.version = -1  # none known: 0 is a version like any other
-        self.held = HeldMessages()
+        self.held = PendingMessages()
         self.numbers = self.held.numbers
         self.waits = Waits()  # told ones, by what shares the limit
         self.on_list: Callable[[], None] | None = None  # a list, or word that none has changed, has come
@@ -379,7 +379,7 @@
         if self._backlog:
             self._soon()
         actions: list[io.Action] = []
-        fresh: dict[int, tuple[Submission, Held]] = {}
+        fresh: dict[int, tuple[Submission, PendingMessage]] = {}
         for one in ready:
             if not isinstance(one, Submission):
                 actions += self._decide(one, now)
@@ -405,7 +405,7 @@
             log.exception("module-failed", extra=kv(on=event))
             return []
 
-    def _enter(self, one: Submission, now: float) -> Held | None:
+    def _enter(self, one: Submission, now: float) -> PendingMessage | None:
         """Whether the module is to hear of it: answered at once if it is known, or if there is no room."""
         if (answer := self.admission.immediate_answer(one, now)) is not None:
             one.answer(answer)
@@ -413,7 +413,7 @@
         expires = now + one.left
         return self._hold(self.admission.stored(one, expires), expires)
 
-    def _hold(self, stored: Stored, expires: float) -> Held:
+    def _hold(self, stored: Stored, expires: float) -> PendingMessage:
         held = self.held.hold(stored, expires)
         if self.scope is not None:
             self.scope.held(stored.dest)
@@ -432,7 +432,9 @@
         self.ends.give_up(held, End(Status.UNDELIVERABLE))
         return [io.Withdrawn(number)]
 
-    def _answer(self, fresh: Mapping[int, tuple[Submission, Held]], actions: list[io.Action]) -> None:
+    def _answer(
+        self, fresh: Mapping[int, tuple[Submission, PendingMessage]], actions: list[io.Action]
+    ) -> None:
         """Tell each client whether its message is taken on, which the journal must know first."""
         ends: dict[int, End] = {}
         for action in actions:
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -18,9 +18,9 @@
 from mountgauge.core.attempts import Attempts
 from mountgauge.core.config import MapUpdate
 from mountgauge.core.durable_time import ProcessTime
-from mountgauge.core.held import HeldMessages
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.pending_messages import PendingMessages
 from mountgauge.core.ports import Call, Item, NextHop
 from mountgauge.core.send_state import SendState
 from mountgauge.core.waits import Waits
@@ -293,7 +293,7 @@
         known = [next_hop(name, state) for name, (state, _) in discovery.hops.items()]
         self.version = 0
         self.table.learn(MapUpdate(0, True, tuple(known)), True, time.now())
-        held = HeldMessages()
+        held = PendingMessages()
         journal, waits = cast(Journal, _Journal(time)), Waits()
         state = SendState(rules, self.table, journal, held, waits)
         state.list_lease = lambda dest: self.watch.lease_ended(time.now())
