--- a/benchmarks/slopes/pages.py
+++ b/benchmarks/slopes/pages.py
@@ -14,7 +14,7 @@
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, timed
 from benchmarks.slopes.worlds import NAMES, hop
 from mountgauge.core.config import Address
-from mountgauge.core.ports import End, Status
+from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.http1 import Client
 from mountgauge.notices import Notices
 from mountgauge.operator_file import load_hops
@@ -93,7 +93,7 @@
         notices = Notices(Address("127.0.0.1", 1))
         notices._client = cast(Client, _Answering())
         for number in range(count):
-            notices.tell(f"message-{number:012d}", End(Status.UNDELIVERABLE), lambda: None)
+            notices.tell(f"message-{number:012d}", MessageOutcome(Status.UNDELIVERABLE), lambda: None)
         task = notices._task
         assert task is not None
         began = time.process_time()
--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/worlds.py
@@ -10,7 +10,7 @@
 
 from mountgauge.core.config import MapUpdate, Names
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import Call, End, NextHop, Result
+from mountgauge.core.ports import Call, MessageOutcome, NextHop, Result
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle import interface as io
@@ -107,7 +107,7 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         told()
 
     def run_due(self) -> None:
--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -15,7 +15,7 @@
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.scheduler import GOLDEN
 from mountgauge.connections.settings import default_settings
-from mountgauge.core.ports import Answer, End, Status, Submission, Taken
+from mountgauge.core.ports import Answer, MessageOutcome, Status, Submission, Taken
 from rillspindle.interface import Grade
 
 KEY_HEADER = "idempotency-key"
@@ -67,12 +67,12 @@
 
     def publish(self, waiter: Waiter) -> None:
         if waiter.connection.unsettled > _MOST_UNSETTLED:
-            waiter.connection.settle(waiter, self._spread(End(Status.DEFERRED)))
+            waiter.connection.settle(waiter, self._spread(MessageOutcome(Status.DEFERRED)))
             return
         try:
             submission = self._submission(waiter)
         except ValueError as error:
-            waiter.connection.settle(waiter, End(Status.UNDELIVERABLE), f"UNDELIVERABLE - {error}")
+            waiter.connection.settle(waiter, MessageOutcome(Status.UNDELIVERABLE), f"UNDELIVERABLE - {error}")
             return
         self._submit(submission)
 
@@ -83,11 +83,11 @@
         self.counts["clients", "crowded"] += 1
         return True
 
-    def _spread(self, end: End) -> End:
+    def _spread(self, end: MessageOutcome) -> MessageOutcome:
         """No room: nobody said when there will be."""
         if end.status is not Status.DEFERRED or end.again_ms > 0 or not self.registry.sheds:
             return end
-        return End(Status.DEFERRED, self.come_again())
+        return MessageOutcome(Status.DEFERRED, self.come_again())
 
     def _submission(self, waiter: Waiter) -> Submission:
         properties: dict[str, Any] = waiter.content.properties
@@ -131,7 +131,7 @@
             waiter.connection.tenant,
         )
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         for waiter in self._waiters.pop(msg_id, ()):
             waiter.connection.settle(waiter, end)
         told()
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -17,7 +17,7 @@
 from mountgauge.connections.admission import Activity
 from mountgauge.connections.front import Front
 from mountgauge.connections.scheduler import RESTED
-from mountgauge.core.ports import End, Status
+from mountgauge.core.ports import MessageOutcome, Status
 
 _CHANNELS = 16  # each may hold a body under way, so this bounds memory
 _QUANTUM = 24  # frames that one connection may have read in a row: eight messages
@@ -313,21 +313,23 @@
         if not self.unsettled:
             self.woken = front.registry.now() - self.since >= RESTED
         if front.registry.sheds and front.pressed(self):
-            self._tell(found, found.tag, content, End(Status.DEFERRED, front.come_again()))
+            self._tell(found, found.tag, content, MessageOutcome(Status.DEFERRED, front.come_again()))
             return
         if not self.unsettled:
             front.set_activity(self, Activity.BUSY)
         self.unsettled += 1
         self._front.publish(Waiter(self, found, found.tag, content))
 
-    def settle(self, waiter: Waiter, end: End, text: str = "") -> None:
+    def settle(self, waiter: Waiter, end: MessageOutcome, text: str = "") -> None:
         self.unsettled -= 1
         if not self.unsettled and self.state is State.READY:
             self._front.set_activity(self, Activity.RESTING)
             self.arm(self.deadline)
         self._tell(waiter.channel, waiter.tag, waiter.content, end, text)
 
-    def _tell(self, channel: Channel, tag: int, content: Content, end: End, text: str = "") -> None:
+    def _tell(
+        self, channel: Channel, tag: int, content: Content, end: MessageOutcome, text: str = ""
+    ) -> None:
         if not channel.open or self.state is not State.READY:
             return
         if end.status is Status.DELIVERED:
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -13,7 +13,7 @@
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError, Stored
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
-from mountgauge.core.ports import Answer, End, Gate, Status, Submission, Taken
+from mountgauge.core.ports import Answer, Gate, MessageOutcome, Status, Submission, Taken
 from mountgauge.log import kv
 from rillspindle import Policy, send_guard
 
@@ -53,47 +53,53 @@
             # It was sent twice and taken on the first time; or it is not that request.
             known = self._held[number].stored
             same = (known.dest, known.key, known.body) == (one.dest, one.key, one.body)
-            return Taken() if same else End(Status.UNDELIVERABLE)
+            return Taken() if same else MessageOutcome(Status.UNDELIVERABLE)
         return self._journal.ends.get(one.id)
 
     def turn_away(self, one: Submission) -> None:
         """Nothing new is taken on any more; what is known has its answer as ever."""
         known = self.known(one)
-        one.answer(End(Status.DEFERRED) if known is None else known)
+        one.answer(MessageOutcome(Status.DEFERRED) if known is None else known)
 
     def immediate_answer(self, one: Submission, now: float) -> Answer | None:
         """Its answer if it is known, or if there is no room for it; None: the module is to hear of it."""
         if not one.waiting():  # it has hung up and may hand the message in again under another id
-            return End(Status.DEFERRED)
+            return MessageOutcome(Status.DEFERRED)
         if (known := self.known(one)) is not None:
             return known
         if not send_guard.may_take_on(bool(self._journal.unread), now - self._began):
-            return End(Status.DEFERRED, _ASK_AGAIN_MS)
+            return MessageOutcome(Status.DEFERRED, _ASK_AGAIN_MS)
         if self.cut_off():
             self._counts["refused", "cut-off"] += 1
-            return End(Status.DEFERRED, _ASK_AGAIN_MS)
+            return MessageOutcome(Status.DEFERRED, _ASK_AGAIN_MS)
         scope = self._ends.scope
         if scope is not None and not scope.accepts(one.dest):
-            return End(Status.DEFERRED)  # another sender's, or not known yet: it may be handed in there
+            return MessageOutcome(
+                Status.DEFERRED
+            )  # another sender's, or not known yet: it may be handed in there
         if one.dest not in self._table.listed:
             # Until discovery has spoken, the destination may be newer than the last process's list.
-            return End(Status.UNDELIVERABLE) if self.list_told else End(Status.DEFERRED, _ASK_AGAIN_MS)
+            return (
+                MessageOutcome(Status.UNDELIVERABLE)
+                if self.list_told
+                else MessageOutcome(Status.DEFERRED, _ASK_AGAIN_MS)
+            )
         if len(self._policy.msgs) >= self.rules.max_open or not self._journal.room(len(one.body)):
-            return End(Status.DEFERRED)
+            return MessageOutcome(Status.DEFERRED)
         return self._refused_by_limits(one, now)
 
-    def _refused_by_limits(self, one: Submission, now: float) -> End | None:
+    def _refused_by_limits(self, one: Submission, now: float) -> MessageOutcome | None:
         """By its tenant's quota, or by a fleet-wide budget."""
         if self.gate is not None and (again := self.gate.admit(one.tenant, now)) is not None:
             self._counts["refused", "quota"] += 1
-            return End(Status.DEFERRED, math.ceil(again * 1000))
+            return MessageOutcome(Status.DEFERRED, math.ceil(again * 1000))
         call_gate = self._attempts.call_gate
         if call_gate is None or (wait := call_gate.admit(one.tenant)) <= 0:
             return None
         if self.gate is not None:
             self.gate.give_back(one.tenant)
         self._counts["refused", "budget"] += 1
-        return End(Status.DEFERRED, math.ceil(min(wait, self.rules.max_retry_after) * 1000))
+        return MessageOutcome(Status.DEFERRED, math.ceil(min(wait, self.rules.max_retry_after) * 1000))
 
     def stored(self, one: Submission, expires: float) -> Stored:
         """The message as the journal will have it; `expires` is of the sender's clock."""
@@ -114,7 +120,7 @@
         one.answer(Taken())
         return True
 
-    def refuse(self, one: Submission, held: PendingMessage, end: End) -> None:
+    def refuse(self, one: Submission, held: PendingMessage, end: MessageOutcome) -> None:
         """It is not taken on, and nothing is held of it."""
         held.over = True
         self._ends.drop(held)
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -17,7 +17,7 @@
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
-from mountgauge.core.ports import Call, CallGate, Clock, End, Item, NextHops, Result, Status
+from mountgauge.core.ports import Call, CallGate, Clock, Item, MessageOutcome, NextHops, Result, Status
 from mountgauge.core.send_state import SendState
 from mountgauge.core.waits import Waits
 from mountgauge.log import LineBudget, kv
@@ -49,7 +49,7 @@
         counts: Counter[tuple[str, str]],
         monitor: SendMonitor,
         enqueue: Callable[[io.Event], None],
-        end: Callable[[PendingMessage, End], None],
+        end: Callable[[PendingMessage, MessageOutcome], None],
     ) -> None:
         """`enqueue` gives the module an event in its next turn; `end` is told of a message that has ended."""
         self.state = state
@@ -219,9 +219,9 @@
                 if result.outcome in _NEVER_RAN and item in call.sent:
                     self._journal.never_ran(item.id)
                 if result.outcome == Outcome.OK and not held.over:
-                    self._end(held, End(Status.DELIVERED))
+                    self._end(held, MessageOutcome(Status.DELIVERED))
                 elif result.over and not held.over:  # withdrawn or out of time: nothing more is owed
-                    self._end(held, End(Status.OVER))
+                    self._end(held, MessageOutcome(Status.OVER))
             if not item.reported:
                 self._report(call, item, result)
 
--- a/mountgauge/core/ends.py
+++ b/mountgauge/core/ends.py
@@ -8,7 +8,7 @@
 
 from mountgauge.core.journal import Journal
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
-from mountgauge.core.ports import DestinationScope, End, SenderSide, Status
+from mountgauge.core.ports import DestinationScope, MessageOutcome, SenderSide, Status
 from mountgauge.core.send_state import SendState
 from mountgauge.log import LineBudget, kv
 from rillspindle import send_guard
@@ -33,10 +33,12 @@
         self.scope: DestinationScope | None = None  # where the sender holds a part of the destinations
         self._journal, self._held, self._fronts, self._counts = journal, held, fronts, counts
         self._state, self._monitor, self._now = state, monitor, now
-        self._untold: dict[int, tuple[PendingMessage, End]] = {}  # by number: ends that are not on record yet
+        self._untold: dict[
+            int, tuple[PendingMessage, MessageOutcome]
+        ] = {}  # by number: ends that are not on record yet
         self._lines = LineBudget(now)
 
-    def give_up(self, held: PendingMessage | None, end: End) -> None:
+    def give_up(self, held: PendingMessage | None, end: MessageOutcome) -> None:
         """The module's final answer goes out as soon as it is on record, so that no restart takes it back."""
         if held is None or held.over:
             return
@@ -44,7 +46,7 @@
         end = self._allowed(held, end)
         self._tell_if_allowed(held, end, self._journal.give_up(held.stored.id, end))
 
-    def _tell_if_allowed(self, held: PendingMessage, end: End, on_record: bool) -> None:
+    def _tell_if_allowed(self, held: PendingMessage, end: MessageOutcome, on_record: bool) -> None:
         now = self._now()
         if send_guard.may_tell_end(on_record, held.expires, now):
             self._monitor.end_told(held.stored.id, on_record, held.expires, now)
@@ -66,7 +68,7 @@
         if (untold := self._untold.pop(held.number, None)) is not None:
             self._tell_if_allowed(*untold, False)
 
-    def _allowed(self, held: PendingMessage, end: End) -> End:
+    def _allowed(self, held: PendingMessage, end: MessageOutcome) -> MessageOutcome:
         """What its client may be told: a message that may have run is handed back only where that is
         harmless.
         """
@@ -77,9 +79,9 @@
         if send_guard.may_hand_back(grade, out or bool(held.stored.ran)):
             return end
         self._counts["withheld", send_guard.Refusal.MAY_HAVE_RUN] += 1
-        return End(Status.UNDELIVERABLE)
+        return MessageOutcome(Status.UNDELIVERABLE)
 
-    def finish(self, held: PendingMessage, end: End) -> None:
+    def finish(self, held: PendingMessage, end: MessageOutcome) -> None:
         """A next hop's answer has ended the message: nothing more is owed, whether this is heard or not."""
         held.over = True
         self._journal.end(held.stored.id, end)
@@ -87,7 +89,7 @@
         self._counts["end", end.status.value] += 1
         self._front(held).tell(held.stored.id, end, lambda: None)
 
-    def tell(self, held: PendingMessage, end: End) -> None:
+    def tell(self, held: PendingMessage, end: MessageOutcome) -> None:
         """Its end is owed until the front has it."""
 
         def told() -> None:
--- a/mountgauge/core/journal.py
+++ b/mountgauge/core/journal.py
@@ -21,7 +21,7 @@
 from mountgauge.core.files import APPENDED, MADE_ANEW, Files, SystemFiles, write_all
 from mountgauge.core.journal_records import Contents, Stored, end_records, record
 from mountgauge.core.journal_slots import SLOTS, lock_path, lock_slot, same_file, slot_paths
-from mountgauge.core.ports import End
+from mountgauge.core.ports import MessageOutcome
 
 __all__ = ["Journal", "JournalFullError", "JournalUnavailableError", "Stored"]
 
@@ -285,7 +285,7 @@
         self.live[stored.id] = stored
         self._live_bytes += self._cost(stored)
 
-    def _forget(self, msg_id: str, end: End) -> None:
+    def _forget(self, msg_id: str, end: MessageOutcome) -> None:
         if (stored := self.live.get(msg_id)) is not None:
             self._live_bytes -= self._cost(stored)
         self._contents.forget(msg_id, end)
@@ -430,13 +430,13 @@
         self._contents.apply(b"O", [msg_id])
         return written
 
-    def give_up(self, msg_id: str, end: End) -> bool:
+    def give_up(self, msg_id: str, end: MessageOutcome) -> bool:
         """The message has this end, which is still to be told."""
         written = self._note(b"N", [msg_id, end.status, end.again_ms])
         self._contents.apply(b"N", [msg_id, end.status, end.again_ms])
         return written
 
-    def end(self, msg_id: str, end: End) -> bool:
+    def end(self, msg_id: str, end: MessageOutcome) -> bool:
         """The message has ended, and nothing more is owed."""
         written = self._note(b"E", [msg_id, end.status, end.again_ms])
         self._forget(msg_id, end)
--- a/mountgauge/core/journal_records.py
+++ b/mountgauge/core/journal_records.py
@@ -21,7 +21,7 @@
 import orjson
 
 from mountgauge.core.durable_time import AGREE_S, LONG_AGO, Basis, Stamp, rebase
-from mountgauge.core.ports import End, Status
+from mountgauge.core.ports import MessageOutcome, Status
 
 _HEAD = struct.Struct("<II")
 
@@ -39,7 +39,7 @@
     body: bytes
     attempts: int = 0
     ran: list[tuple[float, int]] = field(default_factory=list)  # when and in which zone it may have run
-    notice: End | None = None  # given up, but not yet told
+    notice: MessageOutcome | None = None  # given up, but not yet told
 
     def record(self) -> bytes:
         """Its take-on, with all that has become of it."""
@@ -75,7 +75,7 @@
     return _HEAD.pack(len(payload), zlib.crc32(payload)) + payload
 
 
-def end_records(ends: Iterable[tuple[str, End]]) -> list[bytes]:
+def end_records(ends: Iterable[tuple[str, MessageOutcome]]) -> list[bytes]:
     """A record for each end."""
     return [record(b"E", [msg_id, end.status, end.again_ms]) for msg_id, end in ends]
 
@@ -84,7 +84,7 @@
     """What records say, one after another: messages that are live, and the last ends."""
 
     def __init__(self, ends_most: int) -> None:
-        self.live, self.ends = dict[str, Stored](), OrderedDict[str, End]()
+        self.live, self.ends = dict[str, Stored](), OrderedDict[str, MessageOutcome]()
         self._ends_most = ends_most
         self._stamp: Stamp | None = None  # the last one
         self._newest = -math.inf  # time on record that has passed, in the base of the stamp
@@ -141,7 +141,7 @@
             return
         stored = self.live.get(head[0])
         if kind == b"E":
-            self.forget(head[0], End(Status(head[1]), head[2]))
+            self.forget(head[0], MessageOutcome(Status(head[1]), head[2]))
         elif stored is None:
             return
         elif kind == b"A":
@@ -150,13 +150,13 @@
         elif kind == b"O" and stored.ran:
             stored.ran.pop()
         elif kind == b"N":
-            stored.notice = End(Status(head[1]), head[2])
+            stored.notice = MessageOutcome(Status(head[1]), head[2])
 
     def _take(self, head: list[Any], body: bytes) -> None:
         msg_id, grade, expires, dest, key, front, attempts, ran, notice = head
         if msg_id in self.ends:  # an older copy, from a journal adopted twice
             return
-        told = End(Status(notice[0]), notice[1]) if notice else None
+        told = MessageOutcome(Status(notice[0]), notice[1]) if notice else None
         times = [(float(at), int(zone)) for at, zone in ran]
         stored = Stored(msg_id, grade, expires, dest, key, front, body, attempts, times, told)
         if msg_id in self.live:
@@ -164,7 +164,7 @@
         else:
             self.live[msg_id] = stored
 
-    def forget(self, msg_id: str, end: End) -> None:
+    def forget(self, msg_id: str, end: MessageOutcome) -> None:
         """A message has ended."""
         self.live.pop(msg_id, None)
         self.ends[msg_id] = end
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -22,7 +22,7 @@
     OVER = "over"  # a next hop knows that it was withdrawn or is out of time: nothing more is owed
 
 
-class End(NamedTuple):
+class MessageOutcome(NamedTuple):
     """How a message ended; `again_ms` says when to hand it in again, 0: not said."""
 
     status: Status
@@ -33,7 +33,7 @@
     """The sender owes this message its end from now on."""
 
 
-Answer = Taken | End
+Answer = Taken | MessageOutcome
 
 
 @dataclass(slots=True, eq=False)
@@ -129,7 +129,7 @@
 class SenderSide(Protocol):
     """Where the end of a taken message is told."""
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None: ...
+    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None: ...
 
 
 class Gate(Protocol):
--- a/mountgauge/core/restore.py
+++ b/mountgauge/core/restore.py
@@ -8,19 +8,19 @@
 from mountgauge.core.durable_time import ProcessTime
 from mountgauge.core.journal import Stored
 from mountgauge.core.pending_messages import PendingMessage
-from mountgauge.core.ports import End, Status
+from mountgauge.core.ports import MessageOutcome, Status
 from rillspindle.interface import Restored
 
 AT_ONCE = 256  # that one turn gives back: thousands would keep clients and next hops waiting
 
 
-def end_without_class(stored: Stored, names: Names) -> End | None:
+def end_without_class(stored: Stored, names: Names) -> MessageOutcome | None:
     """The end of a message whose class the settings no longer name, so that what it allowed is not known:
     one that has surely not run may come again. None where the class is known, or an end is on record.
     """
     if stored.grade in names.grades or stored.notice is not None:
         return None
-    return End(Status.UNDELIVERABLE if stored.ran else Status.DEFERRED)
+    return MessageOutcome(Status.UNDELIVERABLE if stored.ran else Status.DEFERRED)
 
 
 class Backlog:
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -21,9 +21,9 @@
     CallGate,
     Clock,
     DestinationScope,
-    End,
     Item,
     MapSource,
+    MessageOutcome,
     NextHop,
     NextHops,
     Result,
@@ -429,25 +429,25 @@
             self.ends.tell_late(held)
             return []
         log.warning("overdue", extra=kv(id=held.stored.id, attempts=held.issued, out=held.call is not None))
-        self.ends.give_up(held, End(Status.UNDELIVERABLE))
+        self.ends.give_up(held, MessageOutcome(Status.UNDELIVERABLE))
         return [io.Withdrawn(number)]
 
     def _answer(
         self, fresh: Mapping[int, tuple[Submission, PendingMessage]], actions: list[io.Action]
     ) -> None:
         """Tell each client whether its message is taken on, which the journal must know first."""
-        ends: dict[int, End] = {}
+        ends: dict[int, MessageOutcome] = {}
         for action in actions:
             if isinstance(action, io.PushBack):
                 ends[action.msg_id] = _deferred(action)
             elif isinstance(action, io.Abort):
-                ends[action.msg_id] = End(Status.UNDELIVERABLE)
+                ends[action.msg_id] = MessageOutcome(Status.UNDELIVERABLE)
         for number, (submission, held) in fresh.items():
             end = ends.get(number)
             if end is None:
                 if self.admission.take_on(submission, held):
                     continue
-                end = End(Status.DEFERRED)
+                end = MessageOutcome(Status.DEFERRED)
                 self._ready.append(io.Withdrawn(number))
                 self._soon()
             self.admission.refuse(submission, held, end)
@@ -463,7 +463,7 @@
                 case io.PushBack(number):
                     self.ends.give_up(self.held.get(number), _deferred(action))
                 case io.Abort(number):
-                    self.ends.give_up(self.held.get(number), End(Status.UNDELIVERABLE))
+                    self.ends.give_up(self.held.get(number), MessageOutcome(Status.UNDELIVERABLE))
                 case io.Watch(on):
                     self.map.watch(on)
                 case io.Snapshot():
@@ -486,5 +486,5 @@
     log.error("invariant-violated", extra=kv(rule=found.rule, id=found.message, why=found.why))
 
 
-def _deferred(action: io.PushBack) -> End:
-    return End(Status.DEFERRED, max(0, math.ceil(action.retry_after * 1000)))
+def _deferred(action: io.PushBack) -> MessageOutcome:
+    return MessageOutcome(Status.DEFERRED, max(0, math.ceil(action.retry_after * 1000)))
--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -17,7 +17,7 @@
 from mountgauge.cli import main
 from mountgauge.core import sender as core
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import Call, End, Status
+from mountgauge.core.ports import Call, MessageOutcome, Status
 from mountgauge.lab.faults.lease import believe_silence
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.platform import watch, watch_bounds
@@ -41,7 +41,7 @@
 def _never_tells() -> None:
     """Gives up without a notice."""
 
-    def tell(self: Any, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def tell(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         told()
 
     setattr(notices.Notices, "tell", tell)  # noqa: B010
@@ -51,10 +51,10 @@
     """Tells a deferred message as undeliverable as well."""
     tell = notices.Notices.tell
 
-    def both(self: Any, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def both(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         tell(self, msg_id, end, told)
         if end.status is Status.DEFERRED:
-            later = End(Status.UNDELIVERABLE)
+            later = MessageOutcome(Status.UNDELIVERABLE)
             asyncio.get_running_loop().call_later(0.2, tell, self, msg_id, later, lambda: None)
 
     setattr(notices.Notices, "tell", both)  # noqa: B010
@@ -113,7 +113,7 @@
     """Sits on the ends that it has to tell until long after the message's time."""
     tell = notices.Notices.tell
 
-    def late(self: Any, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def late(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         asyncio.get_running_loop().call_later(6.0, tell, self, msg_id, end, told)
 
     setattr(notices.Notices, "tell", late)  # noqa: B010
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -11,7 +11,7 @@
 
 from mountgauge.connecting import SHORTAGE_PAUSE, is_local_shortage
 from mountgauge.core.config import Address
-from mountgauge.core.ports import End, Status
+from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.http1 import Client, request
 from mountgauge.log import kv
 
@@ -31,14 +31,14 @@
     def __init__(self, address: Address) -> None:
         self._address = address
         self._client = Client(address.host, address.port)
-        self._owed: dict[str, tuple[End, Callable[[], None]]] = {}
+        self._owed: dict[str, tuple[MessageOutcome, Callable[[], None]]] = {}
         self._task: asyncio.Task[None] | None = None
 
     @property
     def owed(self) -> int:
         return len(self._owed)
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         if end.status in (Status.DELIVERED, Status.OVER):  # the platform knows that itself
             told()
             return
@@ -92,7 +92,7 @@
         self._task = None
 
 
-def _line(msg_id: str, end: End) -> bytes:
+def _line(msg_id: str, end: MessageOutcome) -> bytes:
     line: dict[str, object] = {"id": msg_id, "status": end.status.value}
     if end.status is Status.DEFERRED and end.again_ms > 0:
         line["again_ms"] = end.again_ms
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -16,7 +16,7 @@
 from mountgauge.core.config import Address, Config
 from mountgauge.core.durable_time import SystemClocks
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import End, MapSource, SenderSide
+from mountgauge.core.ports import MapSource, MessageOutcome, SenderSide
 from mountgauge.core.sender import Sender
 from mountgauge.log import kv
 from mountgauge.notices import Notices
@@ -85,7 +85,7 @@
 
     owed = 0
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.again_ms))
         told()
 
--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -35,7 +35,7 @@
 from mountgauge.connections.scheduler import QUANTUM
 from mountgauge.connections.settings import ClientSettings, Times, platform_settings
 from mountgauge.core.config import Address
-from mountgauge.core.ports import Answer, End, Status, Submission, Taken
+from mountgauge.core.ports import Answer, MessageOutcome, Status, Submission, Taken
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.otlp import encode
 from mountgauge.snapshot import Snapshot
@@ -165,12 +165,12 @@
 def test_what_the_core_defers_without_a_time_gets_one() -> None:
     async def main() -> None:
         async with holding(50) as held:
-            held.answer = End(Status.DEFERRED)
+            held.answer = MessageOutcome(Status.DEFERRED)
             for sock in held.socks:
                 sock.send(enqueue())
             times = {await held.hear(sock) for sock in held.socks}
             assert len(times) > 25 and all(text.startswith(b"-BUSY ") and len(text) > 8 for text in times)
-            held.answer = End(Status.DEFERRED, 777)  # the module's own word stays
+            held.answer = MessageOutcome(Status.DEFERRED, 777)  # the module's own word stays
             held.socks[0].send(enqueue())
             assert await held.hear(held.socks[0]) == b"-BUSY 777\r\n"
 
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -25,7 +25,7 @@
 from mountgauge.core.config import Address, MapUpdate, Names
 from mountgauge.core.journal import Journal
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Answer, Call, End, Item, Submission
+from mountgauge.core.ports import Answer, Call, Item, MessageOutcome, Submission
 from mountgauge.core.sender import Sender
 from mountgauge.http1 import Message, response
 from mountgauge.lab.ports import reserve_ports
@@ -121,7 +121,7 @@
         await asyncio.sleep(0)
         self.journal.close()
 
-    def tell(self, msg_id: str, end: End, told: Any) -> None:
+    def tell(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
         told()
 
     def line(self, state: str, hop: int = 0, **fields: Any) -> dict[str, Any]:
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -12,7 +12,7 @@
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core.config import MapUpdate, Names
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import Answer, Call, End, NextHop, Result, Submission, Taken
+from mountgauge.core.ports import Answer, Call, MessageOutcome, NextHop, Result, Submission, Taken
 from mountgauge.core.sender import Sender
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.next_hops import HttpNextHops
@@ -134,7 +134,7 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: End, told: Any) -> None:
+    def tell(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
         told()
 
     async def hand_in(self, name: str, left: float = 6.0, body: bytes = b"x") -> None:
--- a/tests/crossings/test_notices.py
+++ b/tests/crossings/test_notices.py
@@ -8,14 +8,14 @@
 import pytest
 
 from mountgauge.core.config import Address
-from mountgauge.core.ports import End, Status
+from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.http1 import Message, response
 from mountgauge.notices import Notices
 from tests.crossings.test_attempts import Peer, reset
 from tests.helper import HOST, run, until
 
 TOLD = response(204, "No Content", {}, b"")
-DEFERRED = End(Status.DEFERRED, 70)
+DEFERRED = MessageOutcome(Status.DEFERRED, 70)
 
 
 def test_an_end_as_the_204_comes_leaves_the_notice_owed() -> None:
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -14,7 +14,7 @@
 
 from mountgauge.core import journal
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import End, Result, Status, Taken
+from mountgauge.core.ports import MessageOutcome, Result, Status, Taken
 from mountgauge.http1 import Message, response
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.run.handover import Handover
@@ -23,7 +23,7 @@
 from tests.test_sender import Bench
 
 ONCE = 2  # the class of `Bench` that is never repeated
-AGAIN = End(Status.DEFERRED, 250)
+AGAIN = MessageOutcome(Status.DEFERRED, 250)
 
 
 @pytest.fixture
@@ -45,7 +45,7 @@
     files.late = {"replace"}
     for number in range(400):  # ends that a compaction drops
         bench.journal.take(Stored(f"s{number}", "safe", 1e9, 7, "k", "platform", b"x" * 2000))
-        bench.journal.end(f"s{number}", End(Status.DELIVERED))
+        bench.journal.end(f"s{number}", MessageOutcome(Status.DELIVERED))
     assert files.calls["replace"]
     files.late = set()
     assert bench.sender.admit(call, call.items)
@@ -92,7 +92,7 @@
     other.take(Stored("a", held.grade, held.expires, held.dest, held.key, held.front, held.body))
     other.attempt(["a"], bench.journal.time.of(bench.time), 0)
     if ended:
-        other.end("a", End(Status.DELIVERED))
+        other.end("a", MessageOutcome(Status.DELIVERED))
     other.close()
 
 
@@ -121,7 +121,7 @@
     assert bench.sender.admit(call, call.items) == []
     bench.sender.finished(call, {})
     bench.pass_time(20.0)
-    assert bench.ends == {"a": End(Status.UNDELIVERABLE)}, "handing it in again might do harm"
+    assert bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}, "handing it in again might do harm"
 
 
 @pytest.mark.parametrize("moment", ["before the stop", "after it"])
@@ -137,7 +137,7 @@
         bench.take("twice", grade=ONCE)
     assert bench.answers["twice"] == Taken()
     bench.take("new")
-    assert bench.answers["new"] == End(Status.DEFERRED)
+    assert bench.answers["new"] == MessageOutcome(Status.DEFERRED)
 
 
 def test_a_message_that_has_ended_is_not_handed_back_after_the_stop(bench: Bench) -> None:
@@ -148,7 +148,7 @@
     bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
     bench.sender.stop()
     bench.take("twice", grade=ONCE)
-    assert bench.answers["twice"] == End(Status.DELIVERED)
+    assert bench.answers["twice"] == MessageOutcome(Status.DELIVERED)
 
 
 @pytest.mark.parametrize("states", [("ok", "later"), ("later", "ok"), ("exhausted", "error")])
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -15,7 +15,7 @@
 from mountgauge.core.config import Names
 from mountgauge.core.files import Files
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import End, Result, Status
+from mountgauge.core.ports import MessageOutcome, Result, Status
 from mountgauge.http1 import Message
 from mountgauge.lab.faults.files import FailingFiles
 from rillspindle import interface as io
@@ -152,7 +152,10 @@
     again.sender.names = Names(("safe", "keyed"), ("near", "far"), ("one", "many"))
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.05)
-    assert again.ends == {"tried": End(Status.UNDELIVERABLE), "untried": End(Status.DEFERRED)}
+    assert again.ends == {
+        "tried": MessageOutcome(Status.UNDELIVERABLE),
+        "untried": MessageOutcome(Status.DEFERRED),
+    }
 
 
 # Hand-over of a folder
@@ -178,7 +181,7 @@
     """Half a record in front of all later ones would cut them off at the next start."""
     files = FailingFiles()
     old, new = beside(tmp_path, "a", "b", files=files)
-    old.end("a", End(Status.DELIVERED))
+    old.end("a", MessageOutcome(Status.DELIVERED))
     old.close()
     files.room = written
     assert new.adopt() == [] and new.others, "it is still to be adopted"
@@ -198,8 +201,8 @@
     for n in range(400):  # more than a folder of this size remembers
         name = f"m{n}"
         new.take(Stored(name, "note", 1000.5, 7, "key", "platform", b""))
-        new.end(name, End(Status.DELIVERED))
-    old.end("a", End(Status.DELIVERED))
+        new.end(name, MessageOutcome(Status.DELIVERED))
+    old.end("a", MessageOutcome(Status.DELIVERED))
     old.close()
     new.adopt()
     assert "a" in new.ends
@@ -214,7 +217,7 @@
     old, new = beside(tmp_path, "a", "b")
     assert new.adopt() == [] and new.others
     old.attempt(["a"], 5.0, 0)
-    old.end("b", End(Status.DELIVERED))
+    old.end("b", MessageOutcome(Status.DELIVERED))
     old.close()
     [one] = new.adopt()
     assert (one.id, one.attempts, one.ran) == ("a", 1, [(5.0, 0)])
@@ -229,14 +232,14 @@
     now = bench.wall()
     for name in ("given-up", "untried"):
         old.take(Stored(name, "safe", now + 9, 7, "k", "platform", b"x"))
-    old.give_up("given-up", End(Status.DEFERRED, 70))
+    old.give_up("given-up", MessageOutcome(Status.DEFERRED, 70))
     bench.sender.start(bench.hops(Readiness.READY))
     bench.pass_time(0.01)
     assert bench.journal.adopt() == [] and not bench.ends
     old.close()
     bench.sender.restore(bench.journal.adopt())
     bench.pass_time(0.02)
-    assert bench.ends == {"given-up": End(Status.DEFERRED, 70)}
+    assert bench.ends == {"given-up": MessageOutcome(Status.DEFERRED, 70)}
     assert [item.id for call in bench.calls for item in call.items] == ["untried"]
     bench.told["given-up"]()
     assert "given-up" in bench.journal.ends and "given-up" not in bench.journal.live
@@ -271,8 +274,8 @@
     first.mkdir()
     old, new = beside(first, "a", "b", "d")
     old.attempt(["a"], 5.0, 0)
-    old.end("b", End(Status.DELIVERED))
-    old.give_up("d", End(Status.DEFERRED, 70))
+    old.end("b", MessageOutcome(Status.DELIVERED))
+    old.give_up("d", MessageOutcome(Status.DEFERRED, 70))
     new.take(Stored("c", "note", 1000.5, 7, "key", "platform", b"body"))
     old.close()
     left, before = old.path.read_bytes(), new.path.read_bytes()
@@ -290,5 +293,5 @@
         for _ in range(2):  # and once more, by what the first one wrote
             found = reopened(folder)
             assert {one.id: len(one.ran) for one in found.live.values()} == {"a": 1, "c": 0, "d": 0}
-            assert found.live["d"].notice == End(Status.DEFERRED, 70) and set(found.ends) == {"b"}
+            assert found.live["d"].notice == MessageOutcome(Status.DEFERRED, 70) and set(found.ends) == {"b"}
             found.close()
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -25,7 +25,7 @@
 from mountgauge.console.service import Service
 from mountgauge.core.durable_time import Stamp, SystemClocks, read
 from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, Stored
-from mountgauge.core.ports import End, Result, Status, Taken
+from mountgauge.core.ports import MessageOutcome, Result, Status, Taken
 from mountgauge.core.sender import Sender
 from mountgauge.lab.faults.files import FailingFiles, Killed
 from mountgauge.recovery.files import Folder
@@ -42,8 +42,8 @@
 from tests.test_sender import Bench
 
 DISK = 300_000
-DELIVERED = End(Status.DELIVERED)
-DEFERRED = End(Status.DEFERRED, 70)
+DELIVERED = MessageOutcome(Status.DELIVERED)
+DEFERRED = MessageOutcome(Status.DEFERRED, 70)
 ONCE = 2  # a class of which nothing may run twice
 OUTAGE = 2.0  # s
 
@@ -373,7 +373,7 @@
     disk(bench).error, disk(bench).fails = error, {"write", "truncate"}
     bench.take("refused")
     bench.pass_time(0.02)
-    assert bench.answers == {"refused": End(Status.DEFERRED)}
+    assert bench.answers == {"refused": MessageOutcome(Status.DEFERRED)}
     bench.pass_time(OUTAGE)
     disk(bench).heal()
     bench.take("taken")
@@ -439,7 +439,7 @@
     elif outcome == Outcome.OK:
         assert not calls and not again.ends and again.journal.ends["a"] == DELIVERED
     else:  # given up, and told again as nobody has heard it
-        assert not calls and again.ends == bench.ends == {"a": End(Status.UNDELIVERABLE)}
+        assert not calls and again.ends == bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
 
 def test_a_kill_while_the_disk_fails_repeats_nothing(bench: Bench) -> None:
@@ -452,7 +452,9 @@
     bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
     bench.pass_time(0.1)
     again = on(bench)
-    assert not again.calls and again.ends == {"a": End(Status.UNDELIVERABLE)}  # harmless: it is over
+    assert not again.calls and again.ends == {
+        "a": MessageOutcome(Status.UNDELIVERABLE)
+    }  # harmless: it is over
 
 
 def given_up(bench: Bench, left: float = 10.0) -> None:
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -20,7 +20,7 @@
 from mountgauge.agent import Instance
 from mountgauge.core.durable_time import AGREE_S, Basis, Stamp, age, boot_id, read, rebase
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import End, Result, Status
+from mountgauge.core.ports import MessageOutcome, Result, Status
 from mountgauge.recovery.files import Folder
 from mountgauge.recovery.state_file import Fact
 from mountgauge.recovery.state_file import encode as encode_facts
@@ -96,7 +96,7 @@
     again.pass_time(LEFT - 2.0 - 1.0)
     assert "a" not in again.ends
     again.pass_time(1.2)
-    assert again.ends["a"] == End(Status.DEFERRED, again.ends["a"].again_ms) and not again.calls
+    assert again.ends["a"] == MessageOutcome(Status.DEFERRED, again.ends["a"].again_ms) and not again.calls
 
 
 @steps
--- a/tests/test_amqp_states.py
+++ b/tests/test_amqp_states.py
@@ -10,12 +10,16 @@
 from mountgauge.amqp import codec
 from mountgauge.amqp.clients import AmqpClients
 from mountgauge.amqp.connection import AmqpConnection
-from mountgauge.core.ports import End, Status, Submission, Taken
+from mountgauge.core.ports import MessageOutcome, Status, Submission, Taken
 from rillspindle.interface import Grade
 from tests.helper import Transport, receive
 
 GRADE = Grade(2.0, 8.0, "idempotent", "all", 8.0, False, 1.0, 0.3)
-ENDS = [End(Status.DELIVERED), End(Status.DEFERRED, 250), End(Status.UNDELIVERABLE)]
+ENDS = [
+    MessageOutcome(Status.DELIVERED),
+    MessageOutcome(Status.DEFERRED, 250),
+    MessageOutcome(Status.UNDELIVERABLE),
+]
 OPENING = [
     codec.PROTOCOL_HEADER,
     codec.method(0, "connection.start-ok", mechanism="PLAIN", response="\0u\0p"),
@@ -83,7 +87,7 @@
                 receive(connection, publish(channel, "cut")[:-5])
                 receive(connection, publish(channel, "cut")[-5:])
                 tags[channel] += 1
-                handed.pop().answer(End(Status.DEFERRED))  # refused at once
+                handed.pop().answer(MessageOutcome(Status.DEFERRED))  # refused at once
                 wanted = [(channel, "basic.return", 313), (channel, "basic.nack", tags[channel])]
             elif step == "close" and channel in tags:
                 del tags[channel]
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from mountgauge.clients import ClientConnection, Clients, RespError, RespParser
-from mountgauge.core.ports import Answer, End, Status, Submission, Taken
+from mountgauge.core.ports import Answer, MessageOutcome, Status, Submission, Taken
 from tests.helper import Transport, receive
 
 
@@ -79,8 +79,10 @@
 
 
 ANSWERS: list[tuple[Answer, bytes]] = [
-    (Taken(), b"+OK\r\n"), (End(Status.DELIVERED), b"+OK\r\n"), (End(Status.DEFERRED), b"-BUSY\r\n"),
-    (End(Status.DEFERRED, 250), b"-BUSY 250\r\n"), (End(Status.UNDELIVERABLE), b"-ERR undeliverable\r\n"),
+    (Taken(), b"+OK\r\n"), (MessageOutcome(Status.DELIVERED), b"+OK\r\n"),
+    (MessageOutcome(Status.DEFERRED), b"-BUSY\r\n"),
+    (MessageOutcome(Status.DEFERRED, 250), b"-BUSY 250\r\n"),
+    (MessageOutcome(Status.UNDELIVERABLE), b"-ERR undeliverable\r\n"),
 ]  # fmt: skip
 STEPS = st.tuples(
     st.sampled_from(["ask", "ask", "ping", "burst", "answer", "answer", "choke", "flow", "close"]),
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from mountgauge.core.journal import Journal, JournalFullError, Stored
-from mountgauge.core.ports import End, Status
+from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.lab.faults.files import FailingFiles, Killed
 
 DISK = 300_000
@@ -30,8 +30,10 @@
         self.folder = TemporaryDirectory()
         self.path = Path(self.folder.name)
         self.journal = Journal(self.path, DISK)
-        self.live: dict[str, tuple[bytes, int, int, End | None]] = {}  # body, attempts, may have run, notice
-        self.ended: dict[str, End] = {}
+        self.live: dict[
+            str, tuple[bytes, int, int, MessageOutcome | None]
+        ] = {}  # body, attempts, may have run, notice
+        self.ended: dict[str, MessageOutcome] = {}
         self.last = 0
 
     def pick(self, place: int) -> str:
@@ -63,7 +65,7 @@
     @rule(place=st.integers(0, 99), again=st.integers(0, 9000))
     def give_up(self, place: int, again: int) -> None:
         name = self.pick(place)
-        end = End(Status.DEFERRED, again)
+        end = MessageOutcome(Status.DEFERRED, again)
         self.journal.give_up(name, end)
         self.live[name] = (*self.live[name][:3], end)
 
@@ -71,9 +73,9 @@
     @rule(place=st.integers(0, 99), status=st.sampled_from(Status))
     def end(self, place: int, status: Status) -> None:
         name = self.pick(place)
-        self.journal.end(name, End(status))
+        self.journal.end(name, MessageOutcome(status))
         del self.live[name]
-        self.ended[name] = End(status)
+        self.ended[name] = MessageOutcome(status)
 
     @rule(torn=st.sampled_from([b"", b"\x07", b"\xff" * 40, b"\x05\0\0\0\x01\x02\x03\x04T[1]"]))
     def restart(self, torn: bytes) -> None:
@@ -124,7 +126,7 @@
     files.room = 30
     with pytest.raises(JournalFullError):
         journal.take(stored("b"))
-    assert not journal.end("a", End(Status.DELIVERED))
+    assert not journal.end("a", MessageOutcome(Status.DELIVERED))
     files.heal()
     journal.take(stored("c"))
     journal.close()
@@ -155,7 +157,7 @@
     old.take(stored("a"))
     old.take(stored("b"))
     old.attempt(["a"], 1000.0, 2)
-    old.end("b", End(Status.DELIVERED))
+    old.end("b", MessageOutcome(Status.DELIVERED))
     files = FailingFiles()
     new = Journal(tmp_path, DISK, files=files)
     assert new.slot == 1 and new.others == [tmp_path / "journal"] and not new.live
@@ -175,7 +177,7 @@
         assert sorted(s.id for s in adopted) == ["a", "c"] and not new.others
     assert sorted(new.live) == ["a", "c"] and new.live["a"].attempts == 1
     assert new.ends["b"].status == "delivered"
-    new.end("a", End(Status.DELIVERED))
+    new.end("a", MessageOutcome(Status.DELIVERED))
     new.close()
     again = Journal(tmp_path, DISK)  # whatever is left on disk, "a" stays ended and nothing is doubled
     assert sorted(again.live) == ["c"] and "a" in again.ends
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -12,7 +12,7 @@
 from mountgauge.amqp import clients as amqp_clients
 from mountgauge.amqp import codec
 from mountgauge.clients import Clients, connection
-from mountgauge.core.ports import End, Status, Submission, Taken
+from mountgauge.core.ports import MessageOutcome, Status, Submission, Taken
 from rillspindle.interface import Readiness
 from tests.helper import HOST, AmqpClient, World, read_frame, run
 from tests.test_clients import command, enqueue
@@ -247,21 +247,25 @@
         bench.pass_time(0.01)
         return bench.answers[msg_id]
 
-    assert hand_in("a", 99) == End(Status.DEFERRED, 250)  # discovery has not spoken yet
+    assert hand_in("a", 99) == MessageOutcome(Status.DEFERRED, 250)  # discovery has not spoken yet
     assert hand_in("b") == Taken()
     bench.sender.list_changed(bench.hops(Readiness.READY))
-    assert hand_in("c", 99) == End(Status.UNDELIVERABLE)
+    assert hand_in("c", 99) == MessageOutcome(Status.UNDELIVERABLE)
     bench.sender.list_changed(bench.hops())  # all its endpoints left for a moment
     assert hand_in("d") == Taken()
     bench.pass_time(601.0)
     bench.sender.list_changed(bench.hops())
-    assert hand_in("e") == End(Status.UNDELIVERABLE) and not bench.sender.listed
+    assert hand_in("e") == MessageOutcome(Status.UNDELIVERABLE) and not bench.sender.listed
 
 
 def test_another_message_under_an_id_in_use_is_not_the_same(tmp_path: Path) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY))
-    for body, answer in ((b"one", Taken()), (b"one", Taken()), (b"two", End(Status.UNDELIVERABLE))):
+    for body, answer in (
+        (b"one", Taken()),
+        (b"one", Taken()),
+        (b"two", MessageOutcome(Status.UNDELIVERABLE)),
+    ):
         bench.take("twice", body=body)
         bench.pass_time(0.01)
         assert bench.answers.pop("twice") == answer
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -12,7 +12,7 @@
 from mountgauge.core.files import Files
 from mountgauge.core.journal import Journal, JournalFullError
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Answer, Call, End, NextHop, Result, Status, Submission, Taken
+from mountgauge.core.ports import Answer, Call, MessageOutcome, NextHop, Result, Status, Submission, Taken
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle.interface import Entry, Issue, Outcome, Readiness, Remembered, Response
@@ -38,7 +38,7 @@
         super().__init__(time, ahead, boot)
         self.timers: list[tuple[float, Callable[[], None]]] = []
         self.calls: list[Call] = []
-        self.ends: dict[str, End] = {}
+        self.ends: dict[str, MessageOutcome] = {}
         self.told: dict[str, Callable[[], None]] = {}
         self.answers: dict[str, object] = {}
         self.watching = 0
@@ -63,7 +63,7 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         assert msg_id not in self.ends, "a second end"
         self.ends[msg_id], self.told[msg_id] = end, told
 
@@ -141,7 +141,11 @@
     assert bench.sender.admit(call, call.items) == call.items
     assert bench.journal.live["a"].attempts == 1
     bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
-    assert bench.ends == {"a": End(Status.DELIVERED)} and not bench.journal.live and not bench.sender.held
+    assert (
+        bench.ends == {"a": MessageOutcome(Status.DELIVERED)}
+        and not bench.journal.live
+        and not bench.sender.held
+    )
 
 
 def test_nothing_is_taken_on_that_could_be_neither_sent_nor_ended(bench: Bench) -> None:
@@ -150,7 +154,11 @@
     bench.sender.admission.cut_off = lambda: cut
     bench.take("a")
     bench.pass_time(0.01)
-    assert bench.answers["a"] == End(Status.DEFERRED, 250) and not bench.journal.live and not bench.calls
+    assert (
+        bench.answers["a"] == MessageOutcome(Status.DEFERRED, 250)
+        and not bench.journal.live
+        and not bench.calls
+    )
     cut = False
     bench.take("b")
     bench.pass_time(0.01)
@@ -215,7 +223,9 @@
     bench.sender.admit(call, call.items)
     bench.sender.finished(call, {call.items[0].number: Result(Outcome.MOOT, over=True)})
     bench.pass_time(20.0)
-    assert bench.ends == {"a": End(Status.OVER)} and not bench.journal.live and len(bench.calls) == 1
+    assert (
+        bench.ends == {"a": MessageOutcome(Status.OVER)} and not bench.journal.live and len(bench.calls) == 1
+    )
 
 
 def test_a_fault_in_the_module_does_not_lose_the_message(
@@ -234,7 +244,7 @@
     bench.pass_time(0.01)
     assert bench.answers == {"a": Taken(), "b": Taken()} and len(bench.calls) == 1
     bench.pass_time(2.2)
-    assert bench.ends == {"a": End(Status.UNDELIVERABLE)}
+    assert bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
 
 def test_given_up_is_told_at_once_and_journalled_first(bench: Bench) -> None:
@@ -244,17 +254,17 @@
     bench.sender.admit(call, call.items)
     bench.sender.finished(call, {call.items[0].number: Result(Outcome.RESET)})
     bench.pass_time(0.02)
-    assert bench.ends == {"a": End(Status.UNDELIVERABLE)}
-    assert bench.journal.live["a"].notice == End(Status.UNDELIVERABLE)  # until the platform has it
+    assert bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}
+    assert bench.journal.live["a"].notice == MessageOutcome(Status.UNDELIVERABLE)  # until the platform has it
     bench.told["a"]()
-    assert not bench.journal.live and bench.journal.ends["a"] == End(Status.UNDELIVERABLE)
+    assert not bench.journal.live and bench.journal.ends["a"] == MessageOutcome(Status.UNDELIVERABLE)
 
 
 def test_deferred_says_when_to_come_again(bench: Bench) -> None:
     for number in range(60):
         bench.take(f"m{number}")
     bench.pass_time(0.01)
-    ends = [answer for answer in bench.answers.values() if isinstance(answer, End)]
+    ends = [answer for answer in bench.answers.values() if isinstance(answer, MessageOutcome)]
     assert ends and all(end.status is Status.DEFERRED for end in ends)
     assert any(end.again_ms > 0 for end in ends)
     assert len(bench.journal.live) == len(bench.sender.held) <= 40
@@ -272,7 +282,7 @@
     bench.answers.clear()
     bench.take("twice")
     bench.pass_time(0.02)
-    assert bench.answers == {"twice": End(Status.DELIVERED)} and len(bench.calls) == 1
+    assert bench.answers == {"twice": MessageOutcome(Status.DELIVERED)} and len(bench.calls) == 1
 
 
 def test_second_of_an_id_whose_first_is_deferred_in_its_turn(bench: Bench) -> None:
@@ -291,7 +301,7 @@
     for number in range(10):
         bench.take(f"m{number}", body=b"x" * 30_000)
     bench.pass_time(0.01)
-    assert {type(answer) for answer in bench.answers.values()} == {Taken, End}
+    assert {type(answer) for answer in bench.answers.values()} == {Taken, MessageOutcome}
 
     def full(*_: object) -> None:
         raise JournalFullError("no space left")
@@ -300,7 +310,7 @@
     monkeypatch.setattr(bench.journal, "attempt", full)
     bench.take("z")
     bench.pass_time(0.02)
-    assert bench.answers["z"] == End(Status.DEFERRED)
+    assert bench.answers["z"] == MessageOutcome(Status.DEFERRED)
     assert bench.sender.admit(bench.calls[0], bench.calls[0].items) == []  # not on record: not sent
 
 
@@ -324,7 +334,7 @@
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.03)
     assert len(bench.calls) + len(again.calls) == calls
-    assert again.ends.get("a", End(Status.DELIVERED)).status is (end or Status.DELIVERED)
+    assert again.ends.get("a", MessageOutcome(Status.DELIVERED)).status is (end or Status.DELIVERED)
     if end is None:
         held = next(iter(again.sender.held.values()))
         assert held.expires == pytest.approx(again.time + 10 - 2, abs=0.1) and held.issued == 2
@@ -337,13 +347,15 @@
     bench.take("a", left=left)
     bench.pass_time(0.01)
     if left > 1:
-        bench.sender.ends.give_up(bench.sender.held[bench.sender.numbers["a"]], End(Status.DEFERRED, 70))
+        bench.sender.ends.give_up(
+            bench.sender.held[bench.sender.numbers["a"]], MessageOutcome(Status.DEFERRED, 70)
+        )
     bench.journal.close()
     again = Bench(tmp_path, time=101.0)
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.02)
     assert not again.calls and set(again.ends) == {"a"}
-    assert left < 1 or again.ends["a"] == End(Status.DEFERRED, 70)
+    assert left < 1 or again.ends["a"] == MessageOutcome(Status.DEFERRED, 70)
 
 
 def test_stop_leaves_the_rest_in_the_journal(bench: Bench) -> None:
@@ -353,7 +365,11 @@
     bench.sender.stop()
     bench.take("c")
     bench.pass_time(20.0)
-    assert bench.answers == {"a": Taken(), "b": End(Status.DEFERRED), "c": End(Status.DEFERRED)}
+    assert bench.answers == {
+        "a": Taken(),
+        "b": MessageOutcome(Status.DEFERRED),
+        "c": MessageOutcome(Status.DEFERRED),
+    }
     assert set(bench.journal.live) == {"a"} and not bench.ends
 
 
@@ -369,7 +385,9 @@
     bench.pass_time(0.6)
     assert set(bench.ends) == {"short"} and "long" in bench.journal.live
     bench.sender.finished(call, {item.number: Result(Outcome.OK) for item in call.items})
-    assert bench.ends["long"] == End(Status.DELIVERED) and bench.ends["short"] != End(Status.DELIVERED)
+    assert bench.ends["long"] == MessageOutcome(Status.DELIVERED) and bench.ends["short"] != MessageOutcome(
+        Status.DELIVERED
+    )
 
 
 def test_a_crowd_is_decided_on_in_parts_and_what_has_ended_wakes_nobody(bench: Bench) -> None:
