--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -15,7 +15,7 @@
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.scheduler import GOLDEN
 from mountgauge.connections.settings import default_settings
-from mountgauge.core.ports import Answer, MessageOutcome, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, Answer, MessageOutcome, Status, Submission
 from rillspindle.interface import Grade
 
 KEY_HEADER = "idempotency-key"
@@ -112,7 +112,7 @@
         key = "" if key is None else _token(key, KEY_HEADER)
 
         def answer(what: Answer) -> None:
-            if isinstance(what, Taken):
+            if isinstance(what, Accepted):
                 self._waiters.setdefault(msg_id, []).append(waiter)
                 self.registry.overload.served(self.registry.now())
             else:
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -11,7 +11,7 @@
 from mountgauge.connections.admission import Bounds
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.settings import platform_settings
-from mountgauge.core.ports import Answer, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, Answer, Status, Submission
 
 
 class Clients(ClientFront):
@@ -138,7 +138,7 @@
         )
 
     def _reply(self, answer: Answer) -> bytes:
-        if isinstance(answer, Taken) or answer.status is Status.DELIVERED:
+        if isinstance(answer, Accepted) or answer.status is Status.DELIVERED:
             if self.registry.sheds:
                 self.registry.overload.served(self.registry.now())
             return b"+OK\r\n"
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -13,7 +13,7 @@
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError, Stored
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
-from mountgauge.core.ports import Answer, Gate, MessageOutcome, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, Answer, Gate, MessageOutcome, Status, Submission
 from mountgauge.log import kv
 from rillspindle import Policy, send_guard
 
@@ -53,7 +53,7 @@
             # It was sent twice and taken on the first time; or it is not that request.
             known = self._held[number].stored
             same = (known.dest, known.key, known.body) == (one.dest, one.key, one.body)
-            return Taken() if same else MessageOutcome(Status.UNDELIVERABLE)
+            return Accepted() if same else MessageOutcome(Status.UNDELIVERABLE)
         return self._journal.ends.get(one.id)
 
     def turn_away(self, one: Submission) -> None:
@@ -117,7 +117,7 @@
         self._counts["taken", ""] += 1
         if self.gate is not None:
             self.gate.taken(one.tenant)
-        one.answer(Taken())
+        one.answer(Accepted())
         return True
 
     def refuse(self, one: Submission, held: PendingMessage, end: MessageOutcome) -> None:
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -29,11 +29,11 @@
     again_ms: int = 0
 
 
-class Taken(NamedTuple):
+class Accepted(NamedTuple):
     """The sender owes this message its end from now on."""
 
 
-Answer = Taken | MessageOutcome
+Answer = Accepted | MessageOutcome
 
 
 @dataclass(slots=True, eq=False)
--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -35,7 +35,7 @@
 from mountgauge.connections.scheduler import QUANTUM
 from mountgauge.connections.settings import ClientSettings, Times, platform_settings
 from mountgauge.core.config import Address
-from mountgauge.core.ports import Answer, MessageOutcome, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, Answer, MessageOutcome, Status, Submission
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.otlp import encode
 from mountgauge.snapshot import Snapshot
@@ -70,7 +70,7 @@
 
     def __init__(self, settings: ClientSettings = SETTINGS) -> None:
         self.order: list[str] = []
-        self.answer: Answer = Taken()
+        self.answer: Answer = Accepted()
         self.registry = Counting(settings)
         self.front = Clients(self._submit, ("note",), settings.most, registry=self.registry)
         self.socks: list[socket.socket] = []
--- a/tests/connections/test_states.py
+++ b/tests/connections/test_states.py
@@ -13,7 +13,7 @@
 from mountgauge.connections.registry import Registered, Registry
 from mountgauge.connections.settings import ClientSettings, Times, platform_settings
 from mountgauge.connections.timer_wheel import TimerWheel
-from mountgauge.core.ports import Submission, Taken
+from mountgauge.core.ports import Accepted, Submission
 from tests.helper import Transport, receive
 from tests.test_clients import enqueue
 
@@ -83,7 +83,7 @@
                 answered += 1
                 if answered == len(taken):
                     rested = registry.at
-                taken[answered - 1].answer(Taken())
+                taken[answered - 1].answer(Accepted())
             elif step == "choke" and not choked and not connection.closing:
                 choked = registry.at
                 connection.pause_writing()
--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -25,7 +25,7 @@
 from mountgauge.connections.front import LINGERING
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.settings import platform_settings
-from mountgauge.core.ports import Submission, Taken
+from mountgauge.core.ports import Accepted, Submission
 from tests.crossings.test_attempts import reset
 from tests.helper import HOST, AmqpClient, Transport, World, read_frame, receive, run, until
 from tests.system_call_faults import Faults, FaultyCalls
@@ -96,7 +96,7 @@
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
             await until(lambda: taken)
-            taken[0].answer(Taken())
+            taken[0].answer(Accepted())
             sock.send(CROSSING[crossing])  # in the turn of the close: it lies there unread
             ends(front)
             assert await hears(sock) == b"+OK\r\n"
@@ -141,7 +141,7 @@
             await until(lambda: taken)
             front.letting_go = True
             sock.send(enqueue(b"crossing"))
-            taken[0].answer(Taken())
+            taken[0].answer(Accepted())
             assert await hears(sock) == b"+OK\r\n"
         assert [one.id for one in taken] == ["first"]
         front.stop_listening()
@@ -166,7 +166,7 @@
             for _ in range(20):
                 await asyncio.sleep(0)
             assert not connection._parser  # nothing of it is kept
-            taken[0].answer(Taken())
+            taken[0].answer(Accepted())
             assert await hears(sock) == b"+OK\r\n"
             sending.cancel()
             await asyncio.gather(sending, return_exceptions=True)
@@ -186,7 +186,7 @@
             sock.send(enqueue(b"first") + b"junk\r\n")
             sock.shutdown(socket.SHUT_WR)
             await until(lambda: taken and sole(front).heard_end)
-            taken[0].answer(Taken())
+            taken[0].answer(Accepted())
             assert await hears(sock) == b"+OK\r\n-ERR Protocol error: expected '*'\r\n"
         front.stop_listening()
         front.registry.close()
@@ -251,7 +251,7 @@
     hearing, answered = asyncio.ensure_future(hears(sock)), 0
     while not hearing.done():
         for one in taken[answered:]:
-            one.answer(Taken())
+            one.answer(Accepted())
             answered += 1
         await asyncio.sleep(0)
     return hearing.result()
@@ -321,7 +321,7 @@
             await until(lambda: taken)
             sock.send(enqueue(b"second", body=b"x" * 60_000)[:30_000])
             await until(lambda: front.counts["clients", "buffers"])
-            taken[0].answer(Taken())
+            taken[0].answer(Accepted())
             assert (await hears(sock)).startswith(b"+OK\r\n-ERR Protocol error")
         front.stop_listening()
         front.registry.close()
@@ -343,7 +343,7 @@
             sock.send(b"".join(enqueue(b"m%d" % n) for n in range(3)))
             await until(lambda: len(taken) == 2)
             for one in taken:
-                one.answer(Taken())
+                one.answer(Accepted())
             said = await asyncio.get_running_loop().sock_recv(sock, 100)
             assert said == b"+OK\r\n-ERR not carried out\r\n+OK\r\n"
         front.stop_listening()
@@ -394,7 +394,7 @@
             await until(lambda: sole(front).closing)
             front.registry.settings = replace(front.registry.settings, most=-LINGERING)  # none to linger on
             sock.send(b"junk\r\n" * 5000)  # it lies there unread in the turn of the close
-            taken[0].answer(Taken())
+            taken[0].answer(Accepted())
             assert await hears(sock) == b"+OK\r\n-ERR Protocol error: expected '*'\r\n"
         assert faults.moved["read"] == len(enqueue(b"first") + b"junk\r\n" * 5001), "nothing is left to reset"
         front.stop_listening()
@@ -441,7 +441,7 @@
             await asyncio.sleep(0)
         front.close_idle()
         for one in taken:
-            one.answer(Taken())
+            one.answer(Accepted())
         for sock in good:
             assert await hears(sock) == b"+OK\r\n" * 10
         for sock in [*good, *bad]:
@@ -482,7 +482,7 @@
                 receive(connection, STREAM[fed : fed + amount])
                 fed += amount
             elif step == "answer" and answered < len(taken):
-                taken[answered].answer(Taken())
+                taken[answered].answer(Accepted())
                 answered += 1
             elif step == "turn":
                 turn()
@@ -497,7 +497,7 @@
         connection.resume_writing()
         turn()
         while answered < len(taken):
-            taken[answered].answer(Taken())
+            taken[answered].answer(Accepted())
             answered += 1
             turn()
         assert bytes(transport.written).count(b"\r\n") == asked
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -12,7 +12,7 @@
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core.config import MapUpdate, Names
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import Answer, Call, MessageOutcome, NextHop, Result, Submission, Taken
+from mountgauge.core.ports import Accepted, Answer, Call, MessageOutcome, NextHop, Result, Submission
 from mountgauge.core.sender import Sender
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.next_hops import HttpNextHops
@@ -143,7 +143,7 @@
             Submission(name, 0, left, 7, "k", body, "platform", self.answers.append, lambda: True)
         )
         await until(lambda: len(self.answers) > count)
-        assert self.answers[-1] == Taken()
+        assert self.answers[-1] == Accepted()
 
     async def blocked(self, name: str, **extra: Any) -> None:
         """A message whose call has been let through, and whose bytes the socket does not take."""
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -14,7 +14,7 @@
 
 from mountgauge.core import journal
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import MessageOutcome, Result, Status, Taken
+from mountgauge.core.ports import Accepted, MessageOutcome, Result, Status
 from mountgauge.http1 import Message, response
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.run.handover import Handover
@@ -135,7 +135,7 @@
     bench.sender.stop()
     if moment == "after it":
         bench.take("twice", grade=ONCE)
-    assert bench.answers["twice"] == Taken()
+    assert bench.answers["twice"] == Accepted()
     bench.take("new")
     assert bench.answers["new"] == MessageOutcome(Status.DEFERRED)
 
@@ -191,4 +191,4 @@
     adopt(bench)
     bench.take("a", grade=ONCE)
     bench.pass_time(0.01)
-    assert bench.answers["a"] == Taken() and not bench.calls, "known, and it may have run"
+    assert bench.answers["a"] == Accepted() and not bench.calls, "known, and it may have run"
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -25,7 +25,7 @@
 from mountgauge.console.service import Service
 from mountgauge.core.durable_time import Stamp, SystemClocks, read
 from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, Stored
-from mountgauge.core.ports import MessageOutcome, Result, Status, Taken
+from mountgauge.core.ports import Accepted, MessageOutcome, Result, Status
 from mountgauge.core.sender import Sender
 from mountgauge.lab.faults.files import FailingFiles, Killed
 from mountgauge.recovery.files import Folder
@@ -378,7 +378,7 @@
     disk(bench).heal()
     bench.take("taken")
     bench.pass_time(0.02)
-    assert bench.answers["taken"] == Taken() and set(bench.journal.live) == {"taken"}
+    assert bench.answers["taken"] == Accepted() and set(bench.journal.live) == {"taken"}
     assert [call.items[0].id for call in bench.calls] == ["taken"]
 
 
--- a/tests/test_amqp_states.py
+++ b/tests/test_amqp_states.py
@@ -10,7 +10,7 @@
 from mountgauge.amqp import codec
 from mountgauge.amqp.clients import AmqpClients
 from mountgauge.amqp.connection import AmqpConnection
-from mountgauge.core.ports import MessageOutcome, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, MessageOutcome, Status, Submission
 from rillspindle.interface import Grade
 from tests.helper import Transport, receive
 
@@ -82,7 +82,7 @@
                 owed.append((msg_id, channel, lives[channel], tags[channel]))
                 if msg_id not in taken:
                     taken.append(msg_id)
-                handed.pop().answer(Taken())
+                handed.pop().answer(Accepted())
             elif step == "cut" and channel in tags:  # a content that comes in two parts
                 receive(connection, publish(channel, "cut")[:-5])
                 receive(connection, publish(channel, "cut")[-5:])
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from mountgauge.clients import ClientConnection, Clients, RespError, RespParser
-from mountgauge.core.ports import Answer, MessageOutcome, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, Answer, MessageOutcome, Status, Submission
 from tests.helper import Transport, receive
 
 
@@ -79,7 +79,7 @@
 
 
 ANSWERS: list[tuple[Answer, bytes]] = [
-    (Taken(), b"+OK\r\n"), (MessageOutcome(Status.DELIVERED), b"+OK\r\n"),
+    (Accepted(), b"+OK\r\n"), (MessageOutcome(Status.DELIVERED), b"+OK\r\n"),
     (MessageOutcome(Status.DEFERRED), b"-BUSY\r\n"),
     (MessageOutcome(Status.DEFERRED, 250), b"-BUSY 250\r\n"),
     (MessageOutcome(Status.UNDELIVERABLE), b"-ERR undeliverable\r\n"),
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -12,7 +12,7 @@
 from mountgauge.amqp import clients as amqp_clients
 from mountgauge.amqp import codec
 from mountgauge.clients import Clients, connection
-from mountgauge.core.ports import MessageOutcome, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, MessageOutcome, Status, Submission
 from rillspindle.interface import Readiness
 from tests.helper import HOST, AmqpClient, World, read_frame, run
 from tests.test_clients import command, enqueue
@@ -29,7 +29,7 @@
     def submit(one: Submission) -> None:
         taken.append(one)
         if answers:
-            one.answer(Taken())
+            one.answer(Accepted())
 
     front = Clients(submit, ("note",), most, deadlines=[12.0])
     await front.listen(HOST, 0)
@@ -88,7 +88,7 @@
             peer = await asyncio.open_connection(HOST, front.port)
             peer[1].write(enqueue())
             await asyncio.sleep(front.times.handshake + 0.6)
-            taken[0].answer(Taken())
+            taken[0].answer(Accepted())
             assert await peer[0].readline() == b"+OK\r\n"
             peer[1].write(command(b"PING"))
             assert await peer[0].readline() == b"+PONG\r\n"
@@ -248,11 +248,11 @@
         return bench.answers[msg_id]
 
     assert hand_in("a", 99) == MessageOutcome(Status.DEFERRED, 250)  # discovery has not spoken yet
-    assert hand_in("b") == Taken()
+    assert hand_in("b") == Accepted()
     bench.sender.list_changed(bench.hops(Readiness.READY))
     assert hand_in("c", 99) == MessageOutcome(Status.UNDELIVERABLE)
     bench.sender.list_changed(bench.hops())  # all its endpoints left for a moment
-    assert hand_in("d") == Taken()
+    assert hand_in("d") == Accepted()
     bench.pass_time(601.0)
     bench.sender.list_changed(bench.hops())
     assert hand_in("e") == MessageOutcome(Status.UNDELIVERABLE) and not bench.sender.listed
@@ -262,8 +262,8 @@
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY))
     for body, answer in (
-        (b"one", Taken()),
-        (b"one", Taken()),
+        (b"one", Accepted()),
+        (b"one", Accepted()),
         (b"two", MessageOutcome(Status.UNDELIVERABLE)),
     ):
         bench.take("twice", body=body)
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -12,7 +12,7 @@
 from mountgauge.core.files import Files
 from mountgauge.core.journal import Journal, JournalFullError
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Answer, Call, MessageOutcome, NextHop, Result, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, Answer, Call, MessageOutcome, NextHop, Result, Status, Submission
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle.interface import Entry, Issue, Outcome, Readiness, Remembered, Response
@@ -136,7 +136,7 @@
     bench.take("a")
     assert not bench.answers
     bench.pass_time(0.01)
-    assert bench.answers == {"a": Taken()} and "a" in bench.journal.live
+    assert bench.answers == {"a": Accepted()} and "a" in bench.journal.live
     (call,) = bench.calls
     assert bench.sender.admit(call, call.items) == call.items
     assert bench.journal.live["a"].attempts == 1
@@ -162,7 +162,7 @@
     cut = False
     bench.take("b")
     bench.pass_time(0.01)
-    assert bench.answers["b"] == Taken() and len(bench.calls) == 1
+    assert bench.answers["b"] == Accepted() and len(bench.calls) == 1
 
 
 def test_what_arrives_in_one_tick_travels_as_one_call(tmp_path: Path) -> None:
@@ -242,7 +242,7 @@
         bench.pass_time(0.01)
     bench.take("b")
     bench.pass_time(0.01)
-    assert bench.answers == {"a": Taken(), "b": Taken()} and len(bench.calls) == 1
+    assert bench.answers == {"a": Accepted(), "b": Accepted()} and len(bench.calls) == 1
     bench.pass_time(2.2)
     assert bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
@@ -275,7 +275,7 @@
     bench.take("twice")
     bench.take("twice")
     bench.pass_time(0.02)
-    assert bench.answers["twice"] == Taken() and len(bench.calls) == 1
+    assert bench.answers["twice"] == Accepted() and len(bench.calls) == 1
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
     bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
@@ -291,7 +291,7 @@
         bench.take(f"twice{number}")
         bench.take(f"twice{number}")
     bench.pass_time(0.03)
-    taken = [name for name, answer in bench.answers.items() if isinstance(answer, Taken)]
+    taken = [name for name, answer in bench.answers.items() if isinstance(answer, Accepted)]
     assert len(bench.answers) == 60 and all(name in bench.sender.numbers for name in taken)
 
 
@@ -301,7 +301,7 @@
     for number in range(10):
         bench.take(f"m{number}", body=b"x" * 30_000)
     bench.pass_time(0.01)
-    assert {type(answer) for answer in bench.answers.values()} == {Taken, MessageOutcome}
+    assert {type(answer) for answer in bench.answers.values()} == {Accepted, MessageOutcome}
 
     def full(*_: object) -> None:
         raise JournalFullError("no space left")
@@ -366,7 +366,7 @@
     bench.take("c")
     bench.pass_time(20.0)
     assert bench.answers == {
-        "a": Taken(),
+        "a": Accepted(),
         "b": MessageOutcome(Status.DEFERRED),
         "c": MessageOutcome(Status.DEFERRED),
     }
@@ -396,7 +396,7 @@
     bench.pass_time(0.005)
     assert len(bench.answers) == 64  # what else waits for the loop goes first
     bench.pass_time(0.005)
-    assert len(bench.answers) == 100 and Taken() in bench.answers.values()
+    assert len(bench.answers) == 100 and Accepted() in bench.answers.values()
     done = 0
     while done < len(bench.calls):
         call, done = bench.calls[done], done + 1
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -25,7 +25,7 @@
 from mountgauge.console.calls import Reply
 from mountgauge.console.listener import Console
 from mountgauge.core.config import Address
-from mountgauge.core.ports import MessageOutcome, Result, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, MessageOutcome, Result, Status, Submission
 from mountgauge.http1 import Client, Message, request, response
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.notices import Notices
@@ -71,7 +71,7 @@
 
     def _submit(self, one: Submission) -> None:
         self.taken.append(one.id)
-        asyncio.get_running_loop().call_soon(one.answer, Taken())
+        asyncio.get_running_loop().call_soon(one.answer, Accepted())
 
     async def client(self) -> socket.socket:
         sock = socket.socket()
