--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -9,9 +9,9 @@
 
 from mountgauge.core.attempts import Attempts
 from mountgauge.core.config import Names
-from mountgauge.core.ends import MessageEnds
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError, Stored
+from mountgauge.core.message_outcomes import MessageOutcomes
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import Accepted, Answer, Gate, MessageOutcome, Status, Submission
 from mountgauge.log import kv
@@ -33,7 +33,7 @@
         table: HopTable,
         held: PendingMessages,
         attempts: Attempts,
-        ends: MessageEnds,
+        ends: MessageOutcomes,
         counts: Counter[tuple[str, str]],
         began: float,
     ) -> None:
--- a/mountgauge/core/ends.py
+++ b/mountgauge/core/message_outcomes.py
@@ -17,7 +17,7 @@
 log = logging.getLogger("mountgauge.sender")
 
 
-class MessageEnds:
+class MessageOutcomes:
     """Ends messages, and lets go of them once nothing more is owed."""
 
     def __init__(
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -11,10 +11,10 @@
 from mountgauge.core.attempts import Attempts
 from mountgauge.core.batching import CallBatches
 from mountgauge.core.config import MapUpdate, Names
-from mountgauge.core.ends import MessageEnds
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, Stored
 from mountgauge.core.list_lease import LeaseCheck
+from mountgauge.core.message_outcomes import MessageOutcomes
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import (
     Call,
@@ -75,7 +75,7 @@
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
         state = SendState(self.rules, self.table, journal, self.held, self.waits)
         state.grades = dict(zip(names.grades, self.rules.grades, strict=False))
-        self.ends = MessageEnds(journal, self.held, fronts, self.counts, state, self.monitor, clock.now)
+        self.ends = MessageOutcomes(journal, self.held, fronts, self.counts, state, self.monitor, clock.now)
         self.attempts = Attempts(
             state, clock, journal, self.table, self.held, self.waits, self.counts, self.monitor,
             self._enqueue, self.ends.finish,
