--- a/benchmarks/slopes/pages.py
+++ b/benchmarks/slopes/pages.py
@@ -93,7 +93,9 @@
         notices = Notices(Address("127.0.0.1", 1))
         notices._client = cast(Client, _Answering())
         for number in range(count):
-            notices.tell(f"message-{number:012d}", MessageOutcome(Status.UNDELIVERABLE), lambda: None)
+            notices.report_outcome(
+                f"message-{number:012d}", MessageOutcome(Status.UNDELIVERABLE), lambda: None
+            )
         task = notices._task
         assert task is not None
         began = time.process_time()
--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/worlds.py
@@ -107,7 +107,7 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         told()
 
     def run_due(self) -> None:
--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -131,7 +131,7 @@
             waiter.connection.tenant,
         )
 
-    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         for waiter in self._waiters.pop(msg_id, ()):
             waiter.connection.settle(waiter, end)
         told()
--- a/mountgauge/core/message_outcomes.py
+++ b/mountgauge/core/message_outcomes.py
@@ -8,7 +8,7 @@
 
 from mountgauge.core.journal import Journal
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
-from mountgauge.core.ports import DestinationScope, MessageOutcome, SenderSide, Status
+from mountgauge.core.ports import DestinationScope, MessageOutcome, OutcomeReporter, Status
 from mountgauge.core.send_state import SendState
 from mountgauge.log import LineBudget, kv
 from rillspindle import send_guard
@@ -24,7 +24,7 @@
         self,
         journal: Journal,
         held: PendingMessages,
-        fronts: Mapping[str, SenderSide],
+        fronts: Mapping[str, OutcomeReporter],
         counts: Counter[tuple[str, str]],
         state: SendState,
         monitor: SendMonitor,
@@ -87,7 +87,7 @@
         self._journal.end(held.stored.id, end)
         self.drop(held)
         self._counts["end", end.status.value] += 1
-        self._front(held).tell(held.stored.id, end, lambda: None)
+        self._front(held).report_outcome(held.stored.id, end, lambda: None)
 
     def tell(self, held: PendingMessage, end: MessageOutcome) -> None:
         """Its end is owed until the front has it."""
@@ -100,7 +100,7 @@
         self._counts["end", end.status.value] += 1
         if end.status is Status.DEFERRED:
             self._monitor.handed_back(held.stored.id, self._state.grades.get(held.stored.grade))
-        self._front(held).tell(held.stored.id, end, told)
+        self._front(held).report_outcome(held.stored.id, end, told)
 
     def drop(self, held: PendingMessage) -> None:
         """The message is held no longer."""
@@ -110,5 +110,5 @@
         self._held.drop(held)
         self._monitor.forget(held.stored.id)
 
-    def _front(self, held: PendingMessage) -> SenderSide:
+    def _front(self, held: PendingMessage) -> OutcomeReporter:
         return self._fronts.get(held.stored.front) or next(iter(self._fronts.values()))
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -126,10 +126,10 @@
     def close_idle(self, hop_id: str) -> None: ...
 
 
-class SenderSide(Protocol):
+class OutcomeReporter(Protocol):
     """Where the end of a taken message is told."""
 
-    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None: ...
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None: ...
 
 
 class Gate(Protocol):
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -26,8 +26,8 @@
     MessageOutcome,
     NextHop,
     NextHops,
+    OutcomeReporter,
     Result,
-    SenderSide,
     Status,
     Submission,
 )
@@ -60,7 +60,7 @@
         names: Names,
         journal: Journal,
         clock: Clock,
-        fronts: Mapping[str, SenderSide],
+        fronts: Mapping[str, OutcomeReporter],
     ) -> None:
         self.policy, self.rules, self.names = policy, policy.set, names
         self.journal, self.clock, self.fronts = journal, clock, fronts
--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -44,12 +44,12 @@
     def tell(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         told()
 
-    setattr(notices.Notices, "tell", tell)  # noqa: B010
+    setattr(notices.Notices, "report_outcome", tell)  # noqa: B010
 
 
 def _tells_two_ends() -> None:
     """Tells a deferred message as undeliverable as well."""
-    tell = notices.Notices.tell
+    tell = notices.Notices.report_outcome
 
     def both(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         tell(self, msg_id, end, told)
@@ -57,7 +57,7 @@
             later = MessageOutcome(Status.UNDELIVERABLE)
             asyncio.get_running_loop().call_later(0.2, tell, self, msg_id, later, lambda: None)
 
-    setattr(notices.Notices, "tell", both)  # noqa: B010
+    setattr(notices.Notices, "report_outcome", both)  # noqa: B010
 
 
 def _two_out() -> None:
@@ -111,12 +111,12 @@
 
 def _late() -> None:
     """Sits on the ends that it has to tell until long after the message's time."""
-    tell = notices.Notices.tell
+    tell = notices.Notices.report_outcome
 
     def late(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         asyncio.get_running_loop().call_later(6.0, tell, self, msg_id, end, told)
 
-    setattr(notices.Notices, "tell", late)  # noqa: B010
+    setattr(notices.Notices, "report_outcome", late)  # noqa: B010
 
 
 def _waits_on_silence() -> None:
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -38,7 +38,7 @@
     def owed(self) -> int:
         return len(self._owed)
 
-    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         if end.status in (Status.DELIVERED, Status.OVER):  # the platform knows that itself
             told()
             return
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -16,7 +16,7 @@
 from mountgauge.core.config import Address, Config
 from mountgauge.core.durable_time import SystemClocks
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import MapSource, MessageOutcome, SenderSide
+from mountgauge.core.ports import MapSource, MessageOutcome, OutcomeReporter
 from mountgauge.core.sender import Sender
 from mountgauge.log import kv
 from mountgauge.notices import Notices
@@ -85,7 +85,7 @@
 
     owed = 0
 
-    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.again_ms))
         told()
 
@@ -108,7 +108,7 @@
     def __init__(self, config: Config, notices_at: Address | None) -> None:
         self.config = config
         self.notices: Notices | LoggedEnds = Notices(notices_at) if notices_at is not None else LoggedEnds()
-        self.fronts: dict[str, SenderSide] = {"platform": self.notices}
+        self.fronts: dict[str, OutcomeReporter] = {"platform": self.notices}
         clock = LoopClock()
         self.journal = Journal(config.state, config.limits.disk_bytes, clock=clock)
         policy = Policy(config.settings, config.seed)
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -121,7 +121,7 @@
         await asyncio.sleep(0)
         self.journal.close()
 
-    def tell(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
         told()
 
     def line(self, state: str, hop: int = 0, **fields: Any) -> dict[str, Any]:
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -134,7 +134,7 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
         told()
 
     async def hand_in(self, name: str, left: float = 6.0, body: bytes = b"x") -> None:
--- a/tests/crossings/test_notices.py
+++ b/tests/crossings/test_notices.py
@@ -24,7 +24,7 @@
     async def main() -> None:
         peer, told = Peer(), list[str]()
         notices = Notices(Address(HOST, peer.port))
-        notices.tell("a", DEFERRED, lambda: told.append("a"))
+        notices.report_outcome("a", DEFERRED, lambda: told.append("a"))
         sock = await peer.accept()
         await peer.call(sock)
         sock.send(TOLD)  # it lies there unread
@@ -42,7 +42,7 @@
     async def main() -> None:
         old, new, told = Peer(), Peer(), list[str]()
         notices = Notices(Address(HOST, old.port))
-        notices.tell("a", DEFERRED, lambda: told.append("a"))
+        notices.report_outcome("a", DEFERRED, lambda: told.append("a"))
         sock = await old.accept()
         await old.call(sock)
         sock.send(TOLD)
@@ -64,14 +64,14 @@
     async def main() -> None:
         peer, told = Peer(), list[str]()
         notices = Notices(Address(HOST, peer.port))
-        notices.tell("a", DEFERRED, lambda: told.append("a"))
+        notices.report_outcome("a", DEFERRED, lambda: told.append("a"))
         sock = await peer.accept()
         await peer.call(sock)
         if when == "at rest":
             sock.send(TOLD)
             await until(lambda: told)
             reset(sock)  # in the turn in which the next one is told
-            notices.tell("b", DEFERRED, lambda: told.append("b"))
+            notices.report_outcome("b", DEFERRED, lambda: told.append("b"))
         else:
             if when == "in half an answer":
                 sock.send(TOLD[:11])
@@ -95,19 +95,21 @@
 
         def told_a() -> None:
             told.append("a")
-            notices.tell("c", DEFERRED, lambda: told.append("c"))  # an end that another one sets off
+            notices.report_outcome(
+                "c", DEFERRED, lambda: told.append("c")
+            )  # an end that another one sets off
 
-        notices.tell("a", DEFERRED, told_a)
+        notices.report_outcome("a", DEFERRED, told_a)
         sock = await peer.accept()
         assert b'"b"' not in await peer.call(sock)
-        notices.tell("b", DEFERRED, lambda: told.append("b"))
+        notices.report_outcome("b", DEFERRED, lambda: told.append("b"))
         sock.send(TOLD)
         body = await peer.call(sock)
         assert b'"a"' not in body and b'"b"' in body and b'"c"' in body
         sock.send(TOLD)
         await until(lambda: not notices.owed)
         assert told == ["a", "b", "c"]
-        notices.tell("d", DEFERRED, lambda: told.append("d"))  # and one after a rest
+        notices.report_outcome("d", DEFERRED, lambda: told.append("d"))  # and one after a rest
         await peer.call(sock)
         sock.send(TOLD)
         await until(lambda: not notices.owed)
@@ -144,13 +146,13 @@
         peer, told = Peer(), list[str]()
         notices = Notices(Address(HOST, peer.port))
         limits = limits_of(notices)
-        notices.tell("a", DEFERRED, lambda: told.append("a"))
+        notices.report_outcome("a", DEFERRED, lambda: told.append("a"))
         silent = await peer.accept()
         await peer.call(silent)
         silent.send(TOLD)
         await until(lambda: told)
         for name in "bcdef":
-            notices.tell(name, DEFERRED, lambda name=name: told.append(name))  # type: ignore[misc]
+            notices.report_outcome(name, DEFERRED, lambda name=name: told.append(name))  # type: ignore[misc]
         await peer.call(silent)  # it is written to the system, and never answered
         other = await peer.accept()
         assert b'"f"' in await peer.call(other), "all of them go anew"
@@ -170,7 +172,7 @@
         peer, told, socks = Peer(), list[str](), []
         notices = Notices(Address(HOST, peer.port))
         limits = limits_of(notices)
-        notices.tell("a", DEFERRED, lambda: told.append("a"))
+        notices.report_outcome("a", DEFERRED, lambda: told.append("a"))
         for _ in range(3):  # it lets three go
             socks.append(sock := await peer.accept())
             await peer.call(sock)
--- a/tests/test_amqp_states.py
+++ b/tests/test_amqp_states.py
@@ -101,7 +101,7 @@
                 wanted = [(channel, "channel.close", 404)]
             elif step == "end" and taken:
                 msg_id, end, told = taken.pop(0), ENDS[channel - 1], list[int]()
-                clients.tell(msg_id, end, lambda told=told: told.append(1))  # type: ignore[misc]
+                clients.report_outcome(msg_id, end, lambda told=told: told.append(1))  # type: ignore[misc]
                 assert told == [1]
                 for one in [one for one in owed if one[0] == msg_id]:
                     owed.remove(one)
@@ -116,7 +116,7 @@
             assert connection.unsettled == len(owed) and not transport.closing
         connection.connection_lost(None)
         for msg_id in taken:  # the way back is gone: nothing is written, nobody fails
-            clients.tell(msg_id, ENDS[0], lambda: None)
+            clients.report_outcome(msg_id, ENDS[0], lambda: None)
         assert not transport.take()
 
     asyncio.run(main())
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -122,9 +122,9 @@
         server = HttpServer(reply)
         await server.start()
         notices, told = Notices(Address(HOST, server.port)), []
-        notices.tell("a", MessageOutcome(Status.UNDELIVERABLE), lambda: told.append("a"))
-        notices.tell("b", MessageOutcome(Status.DEFERRED, 500), lambda: told.append("b"))
-        notices.tell("c", MessageOutcome(Status.DELIVERED), lambda: told.append("c"))
+        notices.report_outcome("a", MessageOutcome(Status.UNDELIVERABLE), lambda: told.append("a"))
+        notices.report_outcome("b", MessageOutcome(Status.DEFERRED, 500), lambda: told.append("b"))
+        notices.report_outcome("c", MessageOutcome(Status.DELIVERED), lambda: told.append("c"))
         assert told == ["c"] and notices.owed == 2
         await until(lambda: not notices.owed)
         assert told == ["c", "a", "b"] and len(lines) == 3
@@ -147,7 +147,7 @@
         await server.start()
         notices, told = Notices(Address(HOST, server.port)), list[str]()
         for name in ("bad", "a", "b"):
-            notices.tell(name, MessageOutcome(Status.DEFERRED), lambda name=name: told.append(name))  # type: ignore[misc]
+            notices.report_outcome(name, MessageOutcome(Status.DEFERRED), lambda name=name: told.append(name))  # type: ignore[misc]
         await until(lambda: len(told) == 2)
         assert sorted(told) == ["a", "b"] and notices.owed == 1
         notices.close()
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -122,10 +122,10 @@
         await server.start()
         notices, told = Notices(Address(HOST, silent.port)), list[str]()
         notices.move(Address(HOST, silent.port))  # nothing owed yet
-        notices.tell("a", MessageOutcome(Status.DEFERRED, 5), lambda: told.append("a"))
+        notices.report_outcome("a", MessageOutcome(Status.DEFERRED, 5), lambda: told.append("a"))
         await asyncio.sleep(0.1)
         notices.move(Address(HOST, server.port))
-        notices.tell("b", MessageOutcome(Status.UNDELIVERABLE), lambda: told.append("b"))
+        notices.report_outcome("b", MessageOutcome(Status.UNDELIVERABLE), lambda: told.append("b"))
         await until(lambda: len(told) == 2, 0.5)
         assert [json.loads(line)["id"] for line in lines] == ["a", "b"] and not notices.owed
         notices.close()
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -63,7 +63,7 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         assert msg_id not in self.ends, "a second end"
         self.ends[msg_id], self.told[msg_id] = end, told
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -520,7 +520,7 @@
         await server.start()
         notices = Notices(Address(HOST, server.port))
         faults.fail("socket", *[error] * 48)
-        notices.tell("a", MessageOutcome(Status.DEFERRED), lambda: told.append("a"))
+        notices.report_outcome("a", MessageOutcome(Status.DEFERRED), lambda: told.append("a"))
         await until(lambda: told)
         assert faults.count["socket"] == 48 and max(loop.delays) <= SHORTAGE_PAUSE
         notices.close()
@@ -540,7 +540,7 @@
         await server.start()
         notices = Notices(Address(HOST, server.port))
         faults.fail(call, error)
-        notices.tell("a", MessageOutcome(Status.DEFERRED), lambda: told.append("a"))
+        notices.report_outcome("a", MessageOutcome(Status.DEFERRED), lambda: told.append("a"))
         await until(lambda: told)
         assert faults.count[call] == 1 and told == ["a"]
         notices.close()
