--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -13,7 +13,7 @@
 from mountgauge.core.journal import Journal, JournalFullError, Stored
 from mountgauge.core.message_outcomes import MessageOutcomes
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
-from mountgauge.core.ports import Accepted, Answer, Gate, MessageOutcome, Status, Submission
+from mountgauge.core.ports import Accepted, Answer, MessageOutcome, Status, Submission, TenantGate
 from mountgauge.log import kv
 from rillspindle import Policy, send_guard
 
@@ -39,7 +39,7 @@
     ) -> None:
         """`began`: when the process did, on the sender's clock in seconds."""
         self.rules, self.names = policy.set, names
-        self.gate: Gate | None = None  # where tenants are counted
+        self.gate: TenantGate | None = None  # where tenants are counted
         # Discovery has told this process of the whole list, or that the known one holds.
         self.list_told = False
         # Whether a message that is taken on now could be neither sent nor ended.
@@ -116,7 +116,7 @@
             return False
         self._counts["taken", ""] += 1
         if self.gate is not None:
-            self.gate.taken(one.tenant)
+            self.gate.accepted(one.tenant)
         one.answer(Accepted())
         return True
 
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -132,7 +132,7 @@
     def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None: ...
 
 
-class Gate(Protocol):
+class TenantGate(Protocol):
     """Counts what is taken on for each tenant, and turns away what is past its quota. Times in s."""
 
     def admit(self, tenant: str, now: float) -> float | None:
@@ -141,7 +141,7 @@
     def give_back(self, tenant: str) -> None:
         """What was admitted was not taken on."""
 
-    def taken(self, tenant: str) -> None: ...
+    def accepted(self, tenant: str) -> None: ...
 
 
 class CallGate(Protocol):
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -107,7 +107,7 @@
     def give_back(self, tenant: str) -> None:
         self.admission.give_back(tenant)
 
-    def taken(self, tenant: str) -> None:
+    def accepted(self, tenant: str) -> None:
         self.admission.taken(tenant)
 
     def peers(self) -> Peers | None:
