--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -341,7 +341,7 @@
             code = NO_CONSUMERS if end.status is Status.DEFERRED else NO_ROUTE
             if not text:
                 text = end.status.value.upper()
-                text += f" again_ms={end.again_ms}" if end.again_ms > 0 else ""
+                text += f" again_ms={end.retry_after_ms}" if end.retry_after_ms > 0 else ""
             args = content.method.args
             out = codec.returned(channel.number, code, text, args["exchange"], args["routing_key"])
             out += codec.content_as_it_came(channel.number, content.head, bytes(content.body), self.frame_max)
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -143,7 +143,7 @@
                 self.registry.overload.served(self.registry.now())
             return b"+OK\r\n"
         if answer.status is Status.DEFERRED:
-            again = answer.again_ms
+            again = answer.retry_after_ms
             if again <= 0 and self.registry.sheds:  # no room: nobody said when there will be
                 again = self.come_again()
             return b"-BUSY %d\r\n" % again if again > 0 else b"-BUSY\r\n"
--- a/mountgauge/core/journal.py
+++ b/mountgauge/core/journal.py
@@ -432,12 +432,12 @@
 
     def give_up(self, msg_id: str, end: MessageOutcome) -> bool:
         """The message has this end, which is still to be told."""
-        written = self._note(b"N", [msg_id, end.status, end.again_ms])
-        self._contents.apply(b"N", [msg_id, end.status, end.again_ms])
+        written = self._note(b"N", [msg_id, end.status, end.retry_after_ms])
+        self._contents.apply(b"N", [msg_id, end.status, end.retry_after_ms])
         return written
 
     def end(self, msg_id: str, end: MessageOutcome) -> bool:
         """The message has ended, and nothing more is owed."""
-        written = self._note(b"E", [msg_id, end.status, end.again_ms])
+        written = self._note(b"E", [msg_id, end.status, end.retry_after_ms])
         self._forget(msg_id, end)
         return written
--- a/mountgauge/core/journal_records.py
+++ b/mountgauge/core/journal_records.py
@@ -43,7 +43,7 @@
 
     def record(self) -> bytes:
         """Its take-on, with all that has become of it."""
-        notice = [self.notice.status, self.notice.again_ms] if self.notice else None
+        notice = [self.notice.status, self.notice.retry_after_ms] if self.notice else None
         head = [
             self.id,
             self.grade,
@@ -77,7 +77,7 @@
 
 def end_records(ends: Iterable[tuple[str, MessageOutcome]]) -> list[bytes]:
     """A record for each end."""
-    return [record(b"E", [msg_id, end.status, end.again_ms]) for msg_id, end in ends]
+    return [record(b"E", [msg_id, end.status, end.retry_after_ms]) for msg_id, end in ends]
 
 
 class Contents:
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -23,10 +23,10 @@
 
 
 class MessageOutcome(NamedTuple):
-    """How a message ended; `again_ms` says when to hand it in again, 0: not said."""
+    """How a message ended; `retry_after_ms` says when to hand it in again, 0: not said."""
 
     status: Status
-    again_ms: int = 0
+    retry_after_ms: int = 0
 
 
 class Accepted(NamedTuple):
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -94,6 +94,6 @@
 
 def _line(msg_id: str, end: MessageOutcome) -> bytes:
     line: dict[str, object] = {"id": msg_id, "status": end.status.value}
-    if end.status is Status.DEFERRED and end.again_ms > 0:
-        line["again_ms"] = end.again_ms
+    if end.status is Status.DEFERRED and end.retry_after_ms > 0:
+        line["again_ms"] = end.retry_after_ms
     return orjson.dumps(line) + b"\n"
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -86,7 +86,7 @@
     owed = 0
 
     def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.again_ms))
+        log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.retry_after_ms))
         told()
 
     def close(self) -> None: ...
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -96,7 +96,9 @@
     again.pass_time(LEFT - 2.0 - 1.0)
     assert "a" not in again.ends
     again.pass_time(1.2)
-    assert again.ends["a"] == MessageOutcome(Status.DEFERRED, again.ends["a"].again_ms) and not again.calls
+    assert (
+        again.ends["a"] == MessageOutcome(Status.DEFERRED, again.ends["a"].retry_after_ms) and not again.calls
+    )
 
 
 @steps
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -266,7 +266,7 @@
     bench.pass_time(0.01)
     ends = [answer for answer in bench.answers.values() if isinstance(answer, MessageOutcome)]
     assert ends and all(end.status is Status.DEFERRED for end in ends)
-    assert any(end.again_ms > 0 for end in ends)
+    assert any(end.retry_after_ms > 0 for end in ends)
     assert len(bench.journal.live) == len(bench.sender.held) <= 40
 
 
