--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/worlds.py
@@ -10,7 +10,7 @@
 
 from mountgauge.core.config import MapUpdate, Names
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import Call, MessageOutcome, NextHop, Result
+from mountgauge.core.ports import AttemptResult, Call, MessageOutcome, NextHop
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle import interface as io
@@ -146,4 +146,4 @@
 
 def finish_all(core: Sender, calls: Sequence[Call], outcome: Outcome = Outcome.OK) -> None:
     for call in calls:
-        core.finished(call, {item.number: Result(outcome) for item in call.items})
+        core.finished(call, {item.number: AttemptResult(outcome) for item in call.items})
--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -25,7 +25,7 @@
 from mountgauge.amqp.codec import AmqpError, Content, Method
 from mountgauge.amqp.link import FRAME_MAX, Link, State
 from mountgauge.connecting import SHORTAGE_PAUSE, connect
-from mountgauge.core.ports import Call, CallOwner, Item, NextHop, Result
+from mountgauge.core.ports import AttemptResult, Call, CallOwner, Item, NextHop
 from mountgauge.leased_socket import LeaseSlot
 from rillspindle.interface import Outcome
 
@@ -64,7 +64,7 @@
     link: BrokerLink | None = None
     going: list[Item] = field(default_factory=list)
     tags: dict[int, Item] = field(default_factory=dict)
-    results: dict[int, Result] = field(default_factory=dict)
+    results: dict[int, AttemptResult] = field(default_factory=dict)
     last_byte: int = 0  # its place in all that its connection has written
     short: bool = False  # this machine had no descriptor or port for it, which says nothing of its broker
 
@@ -126,12 +126,12 @@
             # was still unwritten that is sure of the last bytes alone.
             lease = out.call.lease
             if lease is not None and lease.refusal is not None:  # its last byte never left
-                self._fill(out, Result(Outcome.MOOT))
+                self._fill(out, AttemptResult(Outcome.MOOT))
                 continue
             never = not out.going or (not self.flushed and out.last_byte == self.written)
-            self._fill(out, Result(Outcome.CONNECT_FAILED if never else Outcome.RESET))
+            self._fill(out, AttemptResult(Outcome.CONNECT_FAILED if never else Outcome.RESET))
 
-    def _fill(self, out: _Out, result: Result) -> None:
+    def _fill(self, out: _Out, result: AttemptResult) -> None:
         for item in out.going or out.call.items:
             out.results.setdefault(item.number, result)
         self._settle(out)
@@ -196,7 +196,7 @@
             self._drop(channel)
             if (out := channel.out) is not None:
                 channel.out = None
-                self._fill(out, Result(Outcome.ERROR))
+                self._fill(out, AttemptResult(Outcome.ERROR))
         elif name == "channel.close-ok":
             self._drop(channel)
         elif channel.state == "closing":
@@ -221,7 +221,7 @@
             return
         for item in found.out.tags.values():
             if item.id == content.properties.get("message_id"):
-                found.out.results[item.number] = Result(Outcome.ERROR)
+                found.out.results[item.number] = AttemptResult(Outcome.ERROR)
 
     def passes_over(self, channel: int) -> bool:
         return True
@@ -279,7 +279,7 @@
     def _publish(self, channel: _Channel, out: _Out) -> None:
         if self.blocked or not channel.flows:
             channel.out = None
-            self._fill(out, Result(Outcome.FULL))
+            self._fill(out, AttemptResult(Outcome.FULL))
             return
         if not self._takes_bytes:
             self._wait_to_publish(channel)
@@ -321,7 +321,7 @@
             return
         for known in [t for t in out.tags if t == tag or (multiple and (t <= tag or tag == 0))]:
             item = out.tags.pop(known)
-            out.results.setdefault(item.number, Result(Outcome.OK if acked else Outcome.ERROR))
+            out.results.setdefault(item.number, AttemptResult(Outcome.OK if acked else Outcome.ERROR))
         if not out.tags:
             channel.out, channel.state = None, "ready"
             self._settle(out)
@@ -452,7 +452,7 @@
             link.abort()
             self._opening.pop(target, None)
             for out in self._queued.pop(target, []):
-                failed = Result(Outcome.CONNECT_FAILED)
+                failed = AttemptResult(Outcome.CONNECT_FAILED)
                 out.results = {item.number: failed for item in out.call.items}
                 self._finish(out)
             return
@@ -491,7 +491,7 @@
             return
         moot = out.short or outcome == Outcome.CANCELLED
         never = Outcome.MOOT if moot else Outcome.CONNECT_FAILED
-        result = Result(outcome if out.going else never)
+        result = AttemptResult(outcome if out.going else never)
         for item in out.going or call.items:
             out.results.setdefault(item.number, result)
         if out.link is not None:
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -17,7 +17,7 @@
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
-from mountgauge.core.ports import Call, CallGate, Clock, Item, MessageOutcome, NextHops, Result, Status
+from mountgauge.core.ports import AttemptResult, Call, CallGate, Clock, Item, MessageOutcome, NextHops, Status
 from mountgauge.core.send_state import SendState
 from mountgauge.core.waits import Waits
 from mountgauge.log import LineBudget, kv
@@ -79,7 +79,7 @@
             or hop.entry.owner != held.stored.dest
         ):
             # Never two out, never to another's endpoint, whatever was decided on an older state.
-            self._respond(action.msg_id, send_no, action.endpoint, 0.0, Result(Outcome.MOOT))
+            self._respond(action.msg_id, send_no, action.endpoint, 0.0, AttemptResult(Outcome.MOOT))
             return
         stored = held.stored
         item = Item(held.number, send_no, stored.id, stored.key, stored.grade, stored.body, held.expires)
@@ -142,7 +142,7 @@
         if held is not None and held.call is call and not item.reported and not self.state.stopped:
             item.reported = True
             # Its first byte may still wait for a connection: then it has not run, and never will.
-            self._report(call, item, Result(Outcome.TIMEOUT if item in call.sent else Outcome.MOOT))
+            self._report(call, item, AttemptResult(Outcome.TIMEOUT if item in call.sent else Outcome.MOOT))
 
     def admit(self, call: Call, items: list[Item]) -> list[Item]:
         """Just before the first byte: which of these may go; their attempts are journalled, and `call.lease`
@@ -196,7 +196,7 @@
             ]
             self._monitor.last_byte(messages, call.lease.zone, self.state.limit(hop), now)
 
-    def finished(self, call: Call, results: dict[int, Result]) -> None:
+    def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
         """The call holds its slot no longer. A message without a result was not sent."""
         self.out -= 1
         now = self._clock.now()
@@ -204,7 +204,7 @@
             known = [results[item.number].outcome for item in call.sent if item.number in results]
             self.call_gate.finished(call, bool(known) and not set(known) & _MAY_STILL_RUN)
         for item in call.items:
-            result = results.get(item.number, Result(Outcome.MOOT))
+            result = results.get(item.number, AttemptResult(Outcome.MOOT))
             if item in call.sent:
                 self._monitor.outcome(item.id, result.outcome in _NEVER_RAN)
             if result.wait > 0:
@@ -225,7 +225,7 @@
             if not item.reported:
                 self._report(call, item, result)
 
-    def _report(self, call: Call, item: Item, result: Result) -> None:
+    def _report(self, call: Call, item: Item, result: AttemptResult) -> None:
         self._counts["attempt", result.outcome.name.lower()] += 1
         spent = self._clock.now() - call.started
         if result.outcome != Outcome.OK:
@@ -247,7 +247,9 @@
         )
         log.info("attempt-failed", extra=attempt)
 
-    def _respond(self, number: int, send_no: int, endpoint: bytes, spent: float, result: Result) -> None:
+    def _respond(
+        self, number: int, send_no: int, endpoint: bytes, spent: float, result: AttemptResult
+    ) -> None:
         over = result.over or result.outcome == Outcome.OK
         remark = result.note if result.outcome == Outcome.MOOT else math.ceil(result.wait * 1000)
         outcome, stale = result.outcome, result.stale
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -75,7 +75,7 @@
     reported: bool = False
 
 
-class Result(NamedTuple):
+class AttemptResult(NamedTuple):
     """How one delivery attempt went."""
 
     outcome: Outcome
@@ -112,7 +112,7 @@
     def admit(self, call: Call, items: list[Item]) -> list[Item]:
         """Just before the first byte: which of these messages may go; their attempts are journalled."""
 
-    def finished(self, call: Call, results: dict[int, Result]) -> None:
+    def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
         """The call holds its slot no longer. A message without a result was not sent."""
 
 
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -17,6 +17,7 @@
 from mountgauge.core.message_outcomes import MessageOutcomes
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import (
+    AttemptResult,
     Call,
     CallGate,
     Clock,
@@ -27,7 +28,6 @@
     NextHop,
     NextHops,
     OutcomeReporter,
-    Result,
     Status,
     Submission,
 )
@@ -187,7 +187,7 @@
     def admit(self, call: Call, items: list[Item]) -> list[Item]:
         return self.attempts.admit(call, items)
 
-    def finished(self, call: Call, results: dict[int, Result]) -> None:
+    def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
         self.attempts.finished(call, results)
 
     def release(self) -> None:
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -13,7 +13,7 @@
 import orjson
 
 from mountgauge.connecting import connect
-from mountgauge.core.ports import Call, CallOwner, Item, NextHop, Result
+from mountgauge.core.ports import AttemptResult, Call, CallOwner, Item, NextHop
 from mountgauge.http1 import Connection, Message, State, request, wait_s
 from rillspindle.interface import Outcome
 
@@ -24,11 +24,11 @@
 _ANSWER_REST_S = 0.5  # s in which an answer that has begun must be whole
 _MOST_ANSWER_BYTES = 128 * 1024  # bytes of body: past it nothing can be meant that is to be read
 _STATES = {
-    "ok": Result(Outcome.OK),
-    "error": Result(Outcome.ERROR),
-    "later": Result(Outcome.FULL),
-    "gone": Result(Outcome.MOOT, over=True),
-    "exhausted": Result(Outcome.MOOT),
+    "ok": AttemptResult(Outcome.OK),
+    "error": AttemptResult(Outcome.ERROR),
+    "later": AttemptResult(Outcome.FULL),
+    "gone": AttemptResult(Outcome.MOOT, over=True),
+    "exhausted": AttemptResult(Outcome.MOOT),
 }
 
 
@@ -202,7 +202,7 @@
                 lambda: connection, hop.host, hop.port, self._connect_timeout, on_shortage, connection.slot
             )
         except OSError:
-            self._finish(out, {item.number: Result(Outcome.CONNECT_FAILED) for item in out.call.items})
+            self._finish(out, {item.number: AttemptResult(Outcome.CONNECT_FAILED) for item in out.call.items})
             return
         except asyncio.CancelledError:  # given up, before a byte was written
             if connection.state is not State.CONNECTING:
@@ -216,7 +216,7 @@
         call, connection = out.call, out.connection
         assert connection is not None
         if connection.state is not State.IDLE:  # broke before the first byte
-            self._finish(out, {item.number: Result(Outcome.CONNECT_FAILED) for item in call.items})
+            self._finish(out, {item.number: AttemptResult(Outcome.CONNECT_FAILED) for item in call.items})
             return
         going = self._owner.admit(call, _fitting(call.items))
         if not going:
@@ -254,19 +254,19 @@
             out.connection.close()
 
     def _answered(self, out: _OpenCall, message: Message, flushed: bool) -> None:
-        results: dict[int, Result] = {}
+        results: dict[int, AttemptResult] = {}
         lost = message.start is None and out.stopped is None and not message.spoilt
         if out.idle is not None:
             self._reuse.fared(out.idle, lost)
         cut = not message.head_done and not message.spoilt and message.status != 200
         if cut or (message.status == 0 and not (message.spoilt and flushed)):
             # With its last byte not written, the call has not begun at the next hop.
-            result = Result((out.stopped or Outcome.RESET) if flushed else self._unsent(out))
+            result = AttemptResult((out.stopped or Outcome.RESET) if flushed else self._unsent(out))
             result = result._replace(stale=lost and out.idle is not None)
             results = {item.number: result for item in out.going}
         elif message.spoilt and (len(out.going) > 1 or message.status != 200):
             # The next hop is there and has read the call: an error, not an outage. A wait came with the head.
-            result = Result(Outcome.ERROR, wait=wait_s(message))
+            result = AttemptResult(Outcome.ERROR, wait=wait_s(message))
             results = {item.number: result for item in out.going}
         elif len(out.going) > 1 and message.status == 200:
             results = _batch_results(out, message)
@@ -292,7 +292,7 @@
             out.task.cancel()
             moot = out.short or outcome == Outcome.CANCELLED
             never = Outcome.MOOT if moot else Outcome.CONNECT_FAILED
-            self._finish(out, {item.number: Result(never) for item in call.items})
+            self._finish(out, {item.number: AttemptResult(never) for item in call.items})
         elif out.connection is not None:
             out.stopped = outcome
             out.connection.close()
@@ -300,7 +300,7 @@
     def cancel(self, call: Call) -> None:
         self._give_up(call, Outcome.CANCELLED)
 
-    def _finish(self, out: _OpenCall, results: dict[int, Result]) -> None:
+    def _finish(self, out: _OpenCall, results: dict[int, AttemptResult]) -> None:
         if self._out.pop(out.call, None) is not None:
             out.timer.cancel()
             self._owner.finished(out.call, results)
@@ -338,26 +338,26 @@
     return orjson.dumps(lines)
 
 
-def _result(message: Message) -> Result:
+def _result(message: Message) -> AttemptResult:
     """The protocol's table, from the first line on: headers may still be missing."""
     match message.status:
         case 200:
-            return Result(Outcome.OK, wait=wait_s(message))
+            return AttemptResult(Outcome.OK, wait=wait_s(message))
         case 429:
-            return Result(Outcome.FULL, wait=wait_s(message))
+            return AttemptResult(Outcome.FULL, wait=wait_s(message))
         case 503:
             if message.headers.get("x-over-slots") == "1":
-                return Result(Outcome.MOOT, note=1)
-            return Result(Outcome.FULL, wait=wait_s(message))
+                return AttemptResult(Outcome.MOOT, note=1)
+            return AttemptResult(Outcome.FULL, wait=wait_s(message))
         case 410:
-            return Result(Outcome.MOOT, over=True)
+            return AttemptResult(Outcome.MOOT, over=True)
         case 504 | 400 | 413:
-            return Result(Outcome.MOOT)
+            return AttemptResult(Outcome.MOOT)
         case _:
-            return Result(Outcome.ERROR, wait=wait_s(message))
+            return AttemptResult(Outcome.ERROR, wait=wait_s(message))
 
 
-def _batch_results(out: _OpenCall, message: Message) -> dict[int, Result]:
+def _batch_results(out: _OpenCall, message: Message) -> dict[int, AttemptResult]:
     """Per item; one that the answer does not name, or an answer cut short, may have run."""
     states: dict[str, str] = {}
     if message.whole:
@@ -368,7 +368,7 @@
                 states[msg_id] = state if states.get(msg_id, state) == state else ""
         except (ValueError, TypeError, KeyError):
             log.warning("bad-batch-answer")
-    missing = Result(Outcome.ERROR) if message.whole else Result(out.stopped or Outcome.RESET)
+    missing = AttemptResult(Outcome.ERROR) if message.whole else AttemptResult(out.stopped or Outcome.RESET)
     wait = wait_s(message)
     return {
         item.number: _STATES.get(states.get(item.id, ""), missing)._replace(wait=wait) for item in out.going
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from mountgauge.core.ports import Call, Item, MessageOutcome, Result, Status
+from mountgauge.core.ports import AttemptResult, Call, Item, MessageOutcome, Status
 from mountgauge.http1 import Message, response
 from mountgauge.next_hops import HttpNextHops
 from rillspindle.interface import Outcome, Readiness
@@ -98,7 +98,7 @@
             owner.then = lambda: reset(sock)
             hops.start(call(peer.port))
             await until(lambda: owner.done)
-            assert owner.done[0][1] == {0: Result(Outcome.CONNECT_FAILED, stale=True)}
+            assert owner.done[0][1] == {0: AttemptResult(Outcome.CONNECT_FAILED, stale=True)}
 
     run(main())
 
@@ -113,7 +113,7 @@
             owner.then = sock.close
             hops.start(call(peer.port))
             await until(lambda: owner.done)
-            assert owner.done[0][1] == {0: Result(Outcome.RESET, stale=True)}
+            assert owner.done[0][1] == {0: AttemptResult(Outcome.RESET, stale=True)}
 
     run(main())
 
@@ -138,7 +138,7 @@
             await peer.call(other)
             other.send(GOOD)
             await until(lambda: owner.done)
-            assert owner.done[0][1] == {0: Result(Outcome.OK)} and hops.opened == 2
+            assert owner.done[0][1] == {0: AttemptResult(Outcome.OK)} and hops.opened == 2
             if what != "a reset":
                 with contextlib.suppress(ConnectionError):
                     assert await asyncio.get_running_loop().sock_recv(sock, 100) == b"", "no call on it"
@@ -170,7 +170,7 @@
             await other.call(mine)
             mine.send(GOOD)
             await until(lambda: owner.done)
-            assert owner.done[0][1] == {0: Result(Outcome.OK)}
+            assert owner.done[0][1] == {0: AttemptResult(Outcome.OK)}
             sock.close()
             mine.close()
             if other is not peer:
@@ -198,7 +198,7 @@
                 reset(sock)
             await until(lambda: owner.done)
             expected = Outcome.CONNECT_FAILED if before else Outcome.RESET
-            assert owner.done[0][1] == {0: Result(expected)}
+            assert owner.done[0][1] == {0: AttemptResult(expected)}
 
     run(main())
 
@@ -266,7 +266,7 @@
             assert int(got.lower().split(b"x-expires-in-ms: ")[1].split(b"\r\n")[0]) < 8900
             sock.send(GOOD)
             await until(lambda: owner.done)
-            assert owner.done[0][1] == {0: Result(Outcome.OK)} and hops.opened == 1
+            assert owner.done[0][1] == {0: AttemptResult(Outcome.OK)} and hops.opened == 1
             for filler in [*fillers, sock]:
                 filler.close()
 
@@ -280,7 +280,7 @@
             fillers = full_backlog(peer)
             hops.start(call(peer.port, limit=9.0))
             await until(lambda: owner.done and not hops._open)
-            assert owner.done[0][1] == {0: Result(Outcome.CONNECT_FAILED)}
+            assert owner.done[0][1] == {0: AttemptResult(Outcome.CONNECT_FAILED)}
             for filler in fillers:
                 filler.close()
 
@@ -297,7 +297,7 @@
             hops.close_idle("h")
             sock.send(GOOD)
             await until(lambda: owner.done)
-            assert owner.done[0][1] == {0: Result(Outcome.OK)}, "its answer is still heard"
+            assert owner.done[0][1] == {0: AttemptResult(Outcome.OK)}, "its answer is still heard"
             assert hops._open == 0 and not hops._pools
             sock.close()
 
@@ -349,7 +349,7 @@
         hops.start(shared)
         await until(lambda: owner.done)
         await asyncio.wait_for(let_go.wait(), 5)
-        assert owner.done[0][1] == {n: Result(Outcome.TIMEOUT) for n in range(2)}
+        assert owner.done[0][1] == {n: AttemptResult(Outcome.TIMEOUT) for n in range(2)}
         assert told[0] <= 400 and loop.time() >= shared.items[0].expires
         hops.close()
         await server.stop()
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -12,7 +12,7 @@
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core.config import MapUpdate, Names
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import Accepted, Answer, Call, MessageOutcome, NextHop, Result, Submission
+from mountgauge.core.ports import Accepted, Answer, AttemptResult, Call, MessageOutcome, NextHop, Submission
 from mountgauge.core.sender import Sender
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.next_hops import HttpNextHops
@@ -48,7 +48,7 @@
         number = self.sender.numbers["a"]
         call = self.sender.held[number].call
         assert call is not None
-        self.sender.finished(call, {number: Result(Outcome.ERROR)})
+        self.sender.finished(call, {number: AttemptResult(Outcome.ERROR)})
 
     def repeat(self) -> Call:
         """The repeat, decided within the window."""
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -14,7 +14,7 @@
 
 from mountgauge.core import journal
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import Accepted, MessageOutcome, Result, Status
+from mountgauge.core.ports import Accepted, AttemptResult, MessageOutcome, Status
 from mountgauge.http1 import Message, response
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.run.handover import Handover
@@ -145,7 +145,7 @@
     bench.pass_time(0.01)
     (call,) = bench.calls
     bench.sender.admit(call, call.items)
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     bench.sender.stop()
     bench.take("twice", grade=ONCE)
     assert bench.answers["twice"] == MessageOutcome(Status.DELIVERED)
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -15,7 +15,7 @@
 from mountgauge.core.config import Names
 from mountgauge.core.files import Files
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import MessageOutcome, Result, Status
+from mountgauge.core.ports import AttemptResult, MessageOutcome, Status
 from mountgauge.http1 import Message
 from mountgauge.lab.faults.files import FailingFiles
 from rillspindle import interface as io
@@ -259,7 +259,7 @@
     bench.sender.stop()
     for name, outcome in (("never", Outcome.CONNECT_FAILED), ("done", Outcome.OK), ("maybe", Outcome.RESET)):
         call = calls[name]
-        bench.sender.finished(call, {call.items[0].number: Result(outcome)})
+        bench.sender.finished(call, {call.items[0].number: AttemptResult(outcome)})
     assert not bench.timers or bench.pass_time(1.0) is None
     bench.journal.close()
     last = Journal(tmp_path, 1_000_000)
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -25,7 +25,7 @@
 from mountgauge.console.service import Service
 from mountgauge.core.durable_time import Stamp, SystemClocks, read
 from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, Stored
-from mountgauge.core.ports import Accepted, MessageOutcome, Result, Status
+from mountgauge.core.ports import Accepted, AttemptResult, MessageOutcome, Status
 from mountgauge.core.sender import Sender
 from mountgauge.lab.faults.files import FailingFiles, Killed
 from mountgauge.recovery.files import Folder
@@ -428,7 +428,7 @@
     [call] = bench.calls
     assert bench.sender.admit(call, call.items)
     disk(bench).error, disk(bench).fails = error, {"write"}
-    bench.sender.finished(call, {call.items[0].number: Result(outcome)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(outcome)})
     bench.pass_time(OUTAGE / 4)
     disk(bench).heal()
     bench.pass_time(0.06)
@@ -449,7 +449,7 @@
     [call] = bench.calls
     assert bench.sender.admit(call, call.items)
     disk(bench).fails = {"write", "truncate"}
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     bench.pass_time(0.1)
     again = on(bench)
     assert not again.calls and again.ends == {
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -20,7 +20,7 @@
 from mountgauge.agent import Instance
 from mountgauge.core.durable_time import AGREE_S, Basis, Stamp, age, boot_id, read, rebase
 from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import MessageOutcome, Result, Status
+from mountgauge.core.ports import AttemptResult, MessageOutcome, Status
 from mountgauge.recovery.files import Folder
 from mountgauge.recovery.state_file import Fact
 from mountgauge.recovery.state_file import encode as encode_facts
@@ -161,7 +161,7 @@
     ours = Handover(new.sender, new.journal, tmp_path, True)
     theirs = Handover(old.sender, old.journal, tmp_path, True)
     theirs.adopt()  # sees the new process
-    old.sender.finished(old.calls[0], {old.calls[0].items[0].number: Result(Outcome.FULL, wait=3.0)})
+    old.sender.finished(old.calls[0], {old.calls[0].items[0].number: AttemptResult(Outcome.FULL, wait=3.0)})
     theirs.tell()
     new.pass_time(0.5)
     ours.hear()
--- a/tests/test_next_hops.py
+++ b/tests/test_next_hops.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from mountgauge.core.ports import Call, Item, NextHop, Result
+from mountgauge.core.ports import AttemptResult, Call, Item, NextHop
 from mountgauge.http1 import Message, response
 from mountgauge.next_hops import HttpNextHops
 from rillspindle.interface import Entry, Outcome
@@ -22,12 +22,12 @@
 
     def __init__(self, admits: bool = True) -> None:
         self.admits = admits
-        self.done: list[tuple[Call, dict[int, Result]]] = []
+        self.done: list[tuple[Call, dict[int, AttemptResult]]] = []
 
     def admit(self, call: Call, items: list[Item]) -> list[Item]:
         return items if self.admits else []
 
-    def finished(self, call: Call, results: dict[int, Result]) -> None:
+    def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
         self.done.append((call, results))
 
 
@@ -37,7 +37,7 @@
     return Call(NextHop("h", HOST, port, Entry(2, 0, 0, 0, 7, 0, b"h")), items, now, now + limit)
 
 
-async def outcome(reply: Reply, *bodies: bytes, limit: float = 1.0) -> dict[int, Result]:
+async def outcome(reply: Reply, *bodies: bytes, limit: float = 1.0) -> dict[int, AttemptResult]:
     server, owner = HttpServer(reply), Owner()
     await server.start()
     hops = HttpNextHops(owner, 0.5, 5.0, 8)
@@ -50,21 +50,22 @@
 
 
 @pytest.mark.parametrize(("data", "result"), [
-    (response(200, "OK", {}, b"any"), Result(Outcome.OK)),
-    (b"HTTP/1.1 200 OK\r\n", Result(Outcome.OK)),  # the first line delivers, though the rest never comes
-    (response(500, "E", {}, b""), Result(Outcome.ERROR)),
-    (response(429, "E", {"Retry-After": "0.35"}, b""), Result(Outcome.FULL, wait=0.35)),
-    (response(503, "E", {}, b""), Result(Outcome.FULL)),
-    (response(503, "E", {"Retry-After": "1.5"}, b""), Result(Outcome.FULL, wait=1.5)),
-    (response(503, "E", {"X-Over-Slots": "1"}, b""), Result(Outcome.MOOT, note=1)),
-    (response(504, "E", {}, b""), Result(Outcome.MOOT)),
-    (response(410, "E", {}, b""), Result(Outcome.MOOT, over=True)),
-    (b"HTTP/1.1 2", Result(Outcome.RESET)),
-    (b"junk\r\n", Result(Outcome.ERROR)),  # it has read the call, so it is there: no outage
-    (b"HTTP/1.1 503 E\r\nRetry-", Result(Outcome.RESET)),  # cut short: the rest might have said more
-    (None, Result(Outcome.RESET)),
+    (response(200, "OK", {}, b"any"), AttemptResult(Outcome.OK)),
+    # the first line delivers, though the rest never comes
+    (b"HTTP/1.1 200 OK\r\n", AttemptResult(Outcome.OK)),
+    (response(500, "E", {}, b""), AttemptResult(Outcome.ERROR)),
+    (response(429, "E", {"Retry-After": "0.35"}, b""), AttemptResult(Outcome.FULL, wait=0.35)),
+    (response(503, "E", {}, b""), AttemptResult(Outcome.FULL)),
+    (response(503, "E", {"Retry-After": "1.5"}, b""), AttemptResult(Outcome.FULL, wait=1.5)),
+    (response(503, "E", {"X-Over-Slots": "1"}, b""), AttemptResult(Outcome.MOOT, note=1)),
+    (response(504, "E", {}, b""), AttemptResult(Outcome.MOOT)),
+    (response(410, "E", {}, b""), AttemptResult(Outcome.MOOT, over=True)),
+    (b"HTTP/1.1 2", AttemptResult(Outcome.RESET)),
+    (b"junk\r\n", AttemptResult(Outcome.ERROR)),  # it has read the call, so it is there: no outage
+    (b"HTTP/1.1 503 E\r\nRetry-", AttemptResult(Outcome.RESET)),  # cut short: the rest might have said more
+    (None, AttemptResult(Outcome.RESET)),
 ])  # fmt: skip
-def test_table(data: bytes | None, result: Result) -> None:
+def test_table(data: bytes | None, result: AttemptResult) -> None:
     async def reply(message: Message) -> bytes | None:
         assert message.start is not None and message.start[:2] == ("POST", "/hook")
         assert message.headers["x-trace-id"] == "id0" and message.headers["idempotency-key"] == "key"
@@ -121,9 +122,9 @@
 
     async def main() -> None:
         began = asyncio.get_running_loop().time()
-        assert await outcome(reply, limit=5.0) == {0: Result(one)}
+        assert await outcome(reply, limit=5.0) == {0: AttemptResult(one)}
         results = await outcome(reply, b"a", b"b", limit=5.0)
-        assert results == {0: Result(two), 1: Result(two)}
+        assert results == {0: AttemptResult(two), 1: AttemptResult(two)}
         assert asyncio.get_running_loop().time() - began < 2.0
 
     run(main())
@@ -195,7 +196,10 @@
 
     async def main() -> None:
         results = await outcome(reply, *[b"x" * 20_000] * 4)
-        assert results == {0: Result(Outcome.OK), 1: Result(Outcome.OK)}  # the others were not sent
+        assert results == {
+            0: AttemptResult(Outcome.OK),
+            1: AttemptResult(Outcome.OK),
+        }  # the others were not sent
 
     run(main())
 
@@ -208,7 +212,7 @@
         hops = HttpNextHops(owner, 0.5, 5.0, 8)
         hops.start(call(server.port))
         await until(lambda: owner.done)
-        assert owner.done[0][1] == {0: Result(Outcome.CONNECT_FAILED)}
+        assert owner.done[0][1] == {0: AttemptResult(Outcome.CONNECT_FAILED)}
 
     run(main())
 
@@ -228,7 +232,7 @@
         hops = HttpNextHops(owner, 0.5, 5.0, 8)
         hops.start(call(server.port, limit=0.1))
         await until(lambda: owner.done)
-        assert owner.done[0][1] == {0: Result(Outcome.TIMEOUT)}
+        assert owner.done[0][1] == {0: AttemptResult(Outcome.TIMEOUT)}
         for _ in range(3):
             hops.start(call(server.port))
             await asyncio.sleep(0.15)
@@ -322,6 +326,6 @@
 
     async def main() -> None:
         found = await outcome(reply, *bodies)
-        assert found == dict.fromkeys(range(len(bodies)), Result(Outcome.ERROR, wait=0.35))
+        assert found == dict.fromkeys(range(len(bodies)), AttemptResult(Outcome.ERROR, wait=0.35))
 
     run(main())
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -18,7 +18,7 @@
 from mountgauge.amqp import codec
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core.config import Address, Config, ConfigError
-from mountgauge.core.ports import Call, Item, NextHop, Result
+from mountgauge.core.ports import AttemptResult, Call, Item, NextHop
 from mountgauge.http1 import Message, response
 from mountgauge.operator_file import load
 from mountgauge.otlp import Exporter
@@ -120,13 +120,13 @@
 
 def test_broker_connections_are_bounded() -> None:
     async def main() -> None:
-        brokers, done = [Broker(), Broker()], list[dict[int, Result]]()
+        brokers, done = [Broker(), Broker()], list[dict[int, AttemptResult]]()
 
         class Owner:
             def admit(self, call: Call, items: list[Item]) -> list[Item]:
                 return items
 
-            def finished(self, call: Call, results: dict[int, Result]) -> None:
+            def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
                 done.append(results)
 
         hops = AmqpNextHops(Owner(), 0.5, 60.0, 1, {})
@@ -137,7 +137,7 @@
             entry = Entry(2, 0, 0, 0, 7, 0, b"h%d" % place)
             hops.start(Call(NextHop(f"h{place}", HOST, broker.port, entry), [item], now, now + 2))
             await until(lambda place=place: len(done) > place)  # type: ignore[misc]
-        assert done == [{0: Result(Outcome.OK)}, {1: Result(Outcome.OK)}]
+        assert done == [{0: AttemptResult(Outcome.OK)}, {1: AttemptResult(Outcome.OK)}]
         assert list(hops._links) == ["h1"]  # the idle one made room
         brokers[1].script = ["silent"]
         hops.start(Call(NextHop("h1", HOST, brokers[1].port, entry), [item], now, now + 2))
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -12,7 +12,16 @@
 from mountgauge.core.files import Files
 from mountgauge.core.journal import Journal, JournalFullError
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Accepted, Answer, Call, MessageOutcome, NextHop, Result, Status, Submission
+from mountgauge.core.ports import (
+    Accepted,
+    Answer,
+    AttemptResult,
+    Call,
+    MessageOutcome,
+    NextHop,
+    Status,
+    Submission,
+)
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle.interface import Entry, Issue, Outcome, Readiness, Remembered, Response
@@ -140,7 +149,7 @@
     (call,) = bench.calls
     assert bench.sender.admit(call, call.items) == call.items
     assert bench.journal.live["a"].attempts == 1
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     assert (
         bench.ends == {"a": MessageOutcome(Status.DELIVERED)}
         and not bench.journal.live
@@ -194,7 +203,7 @@
         bench.pass_time(0.01)
         other = bench.calls[1]
         bench.sender.admit(other, other.items)
-        bench.sender.finished(other, {other.items[0].number: Result(Outcome.FULL, wait=5.0)})
+        bench.sender.finished(other, {other.items[0].number: AttemptResult(Outcome.FULL, wait=5.0)})
     elif late == "ended":
         bench.sender.held[call.items[0].number].over = True
     else:
@@ -221,7 +230,7 @@
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.MOOT, over=True)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.MOOT, over=True)})
     bench.pass_time(20.0)
     assert (
         bench.ends == {"a": MessageOutcome(Status.OVER)} and not bench.journal.live and len(bench.calls) == 1
@@ -252,7 +261,7 @@
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.RESET)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.RESET)})
     bench.pass_time(0.02)
     assert bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}
     assert bench.journal.live["a"].notice == MessageOutcome(Status.UNDELIVERABLE)  # until the platform has it
@@ -278,7 +287,7 @@
     assert bench.answers["twice"] == Accepted() and len(bench.calls) == 1
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     bench.answers.clear()
     bench.take("twice")
     bench.pass_time(0.02)
@@ -328,7 +337,7 @@
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
     if not ran:
-        bench.sender.finished(call, {call.items[0].number: Result(Outcome.CONNECT_FAILED)})
+        bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.CONNECT_FAILED)})
     bench.journal.close()
     again = Bench(tmp_path, time=50.0, ahead=1_000_052.0, boot="two")  # the wall's clock is what lasts
     again.sender.start(again.hops(Readiness.READY))
@@ -384,7 +393,7 @@
     bench.sender.admit(call, call.items)
     bench.pass_time(0.6)
     assert set(bench.ends) == {"short"} and "long" in bench.journal.live
-    bench.sender.finished(call, {item.number: Result(Outcome.OK) for item in call.items})
+    bench.sender.finished(call, {item.number: AttemptResult(Outcome.OK) for item in call.items})
     assert bench.ends["long"] == MessageOutcome(Status.DELIVERED) and bench.ends["short"] != MessageOutcome(
         Status.DELIVERED
     )
@@ -400,7 +409,7 @@
     done = 0
     while done < len(bench.calls):
         call, done = bench.calls[done], done + 1
-        bench.sender.finished(call, {item.number: Result(Outcome.OK) for item in call.items})
+        bench.sender.finished(call, {item.number: AttemptResult(Outcome.OK) for item in call.items})
         bench.pass_time(0.01)
     assert not bench.sender.held
     turns, turn = [0], bench.sender.turn
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -25,7 +25,7 @@
 from mountgauge.console.calls import Reply
 from mountgauge.console.listener import Console
 from mountgauge.core.config import Address
-from mountgauge.core.ports import Accepted, MessageOutcome, Result, Status, Submission
+from mountgauge.core.ports import Accepted, AttemptResult, MessageOutcome, Status, Submission
 from mountgauge.http1 import Client, Message, request, response
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.notices import Notices
@@ -193,7 +193,7 @@
     return HttpHop() if wire == "http" else Broker()
 
 
-async def ended(owner: Owner) -> dict[int, Result]:
+async def ended(owner: Owner) -> dict[int, AttemptResult]:
     await until(lambda: owner.done)
     return owner.done.pop()[1]
 
@@ -208,7 +208,7 @@
         hops = next_hops(wire, owner, 0.2)
         faults.fail(step, *[error] * 6)  # for longer than the limit of a connect
         hops.start(call(hop.port, limit=9.0))
-        assert (await ended(owner))[0] == Result(Outcome.OK)
+        assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
         assert faults.count[step] == 6 and hops.opened == 1 and len(hop.calls) == 1
         hops.close()
         await hop.stop()
@@ -233,14 +233,14 @@
             await until(lambda: faults.count["socket"] >= 2)
             hops.cancel(one)
         found = await ended(owner)
-        assert found.get(0, Result(Outcome.MOOT)) == Result(Outcome.MOOT)
+        assert found.get(0, AttemptResult(Outcome.MOOT)) == AttemptResult(Outcome.MOOT)
         assert 2 <= faults.count["socket"] <= (loop.time() - began) / SHORTAGE_PAUSE + 2
         tried = faults.count["socket"]
         await asyncio.sleep(3 * SHORTAGE_PAUSE)
         assert faults.count["socket"] <= tried + 1, "nobody wants it any more"
         faults.always("socket", None)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0] == Result(Outcome.OK)
+        assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
         hops.close()
         await hop.stop()
 
@@ -257,7 +257,7 @@
         hops = next_hops(wire, owner)
         faults.always(step, error)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0] == Result(Outcome.CONNECT_FAILED)
+        assert (await ended(owner))[0] == AttemptResult(Outcome.CONNECT_FAILED)
         assert faults.count[step] == 1 and not hop.calls
         hops.close()
         await hop.stop()
@@ -288,7 +288,7 @@
             sock = await second.accept()
             await second.call(sock)
             sock.send(response(200, "OK", {}, b""))
-            assert await ended(owner) == {0: Result(Outcome.OK)}
+            assert await ended(owner) == {0: AttemptResult(Outcome.OK)}
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             for fd in fill:
@@ -311,7 +311,7 @@
             if number:
                 faults.fail("socket", errno.EMFILE)
             hops.start(one)
-            assert (await ended(owner))[0] == Result(Outcome.OK)
+            assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
         assert list(hops._links) == ["b1"]
         hops.close()
         for broker in brokers:
@@ -331,7 +331,7 @@
         await hop.start()
         hops = next_hops(wire, owner)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0] == Result(Outcome.OK)
+        assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
         if wire == "http":
             hop.script = ["silent"]
         hops.start(call(hop.port, limit=5.0))
@@ -353,7 +353,7 @@
         await hop.start()
         hops = next_hops(wire, owner)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0] == Result(Outcome.OK)
+        assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
         faults.after["write"] = written
         faults.always("write", error)
         hops.start(call(hop.port, limit=5.0))
@@ -406,7 +406,7 @@
         faults.fail("write", *[errno.EINTR] * 5)
         for _ in range(2):
             hops.start(call(hop.port, limit=9.0))
-            assert (await ended(owner))[0] == Result(Outcome.OK)
+            assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
         assert hops.opened == 1 and [len(body) for *_, body in hop.calls] == [1, 1]
         hops.close()
         await hop.stop()
