--- a/benchmarks/slopes/hops.py
+++ b/benchmarks/slopes/hops.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from benchmarks.slopes.probe import Axis, Probe, Sample, timed
-from mountgauge.core.ports import Call, Item
+from mountgauge.core.ports import Call, CallItem
 from mountgauge.http1 import Connection
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.router import Router
@@ -12,7 +12,7 @@
 
 
 class _Owner:
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         return items
 
     def finished(self, call: Call, results: object) -> None: ...
--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -25,7 +25,7 @@
 from mountgauge.amqp.codec import AmqpError, Content, Method
 from mountgauge.amqp.link import FRAME_MAX, Link, State
 from mountgauge.connecting import SHORTAGE_PAUSE, connect
-from mountgauge.core.ports import AttemptResult, Call, CallOwner, Item, NextHop
+from mountgauge.core.ports import AttemptResult, Call, CallItem, CallOwner, NextHop
 from mountgauge.leased_socket import LeaseSlot
 from rillspindle.interface import Outcome
 
@@ -62,8 +62,8 @@
     timer: asyncio.TimerHandle
     target: _Target
     link: BrokerLink | None = None
-    going: list[Item] = field(default_factory=list)
-    tags: dict[int, Item] = field(default_factory=dict)
+    going: list[CallItem] = field(default_factory=list)
+    tags: dict[int, CallItem] = field(default_factory=dict)
     results: dict[int, AttemptResult] = field(default_factory=dict)
     last_byte: int = 0  # its place in all that its connection has written
     short: bool = False  # this machine had no descriptor or port for it, which says nothing of its broker
@@ -91,7 +91,7 @@
         on_ready: Callable[[], None],
         lost: Callable[[], None],
         settle: Callable[[_Out], None],
-        admit: Callable[[Call, list[Item]], list[Item]],
+        admit: Callable[[Call, list[CallItem]], list[CallItem]],
     ) -> None:
         """`order` rises from one connection to the next."""
         super().__init__(State.START)
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -17,7 +17,16 @@
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
-from mountgauge.core.ports import AttemptResult, Call, CallGate, Clock, Item, MessageOutcome, NextHops, Status
+from mountgauge.core.ports import (
+    AttemptResult,
+    Call,
+    CallGate,
+    CallItem,
+    Clock,
+    MessageOutcome,
+    NextHops,
+    Status,
+)
 from mountgauge.core.send_state import SendState
 from mountgauge.core.waits import Waits
 from mountgauge.log import LineBudget, kv
@@ -82,7 +91,7 @@
             self._respond(action.msg_id, send_no, action.endpoint, 0.0, AttemptResult(Outcome.MOOT))
             return
         stored = held.stored
-        item = Item(held.number, send_no, stored.id, stored.key, stored.grade, stored.body, held.expires)
+        item = CallItem(held.number, send_no, stored.id, stored.key, stored.grade, stored.body, held.expires)
         give_up_at = now + max(0.0, action.give_up_after)
         if (full := calls.full(hop)) is not None:
             self.start(full)
@@ -137,14 +146,14 @@
         else:
             self.next_hops.cancel(call)
 
-    def _item_late(self, call: Call, item: Item) -> None:
+    def _item_late(self, call: Call, item: CallItem) -> None:
         held = self._held.get(item.number)
         if held is not None and held.call is call and not item.reported and not self.state.stopped:
             item.reported = True
             # Its first byte may still wait for a connection: then it has not run, and never will.
             self._report(call, item, AttemptResult(Outcome.TIMEOUT if item in call.sent else Outcome.MOOT))
 
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         """Just before the first byte: which of these may go; their attempts are journalled, and `call.lease`
         says until when the last byte must have left.
         """
@@ -175,7 +184,7 @@
         call.lease = CallLease(call, permit, zone, self.state.endpoint, self._clock.now, self._left)
         return going
 
-    def _withheld(self, why: Refusal, call: Call, item: Item) -> None:
+    def _withheld(self, why: Refusal, call: Call, item: CallItem) -> None:
         self._counts["withheld", why] += 1
         if self._lines.take():
             attempt = kv(id=item.id, attempt=item.send_no, hop=call.hop.id, why=why)
@@ -225,14 +234,14 @@
             if not item.reported:
                 self._report(call, item, result)
 
-    def _report(self, call: Call, item: Item, result: AttemptResult) -> None:
+    def _report(self, call: Call, item: CallItem, result: AttemptResult) -> None:
         self._counts["attempt", result.outcome.name.lower()] += 1
         spent = self._clock.now() - call.started
         if result.outcome != Outcome.OK:
             self._log_failure(call, item, result.outcome, spent)
         self._respond(item.number, item.send_no, call.hop.entry.endpoint, spent, result)
 
-    def _log_failure(self, call: Call, item: Item, outcome: Outcome, spent: float) -> None:
+    def _log_failure(self, call: Call, item: CallItem, outcome: Outcome, spent: float) -> None:
         if not self._lines.take():
             return
         why = call.lease.refusal if call.lease is not None else None
--- a/mountgauge/core/batching.py
+++ b/mountgauge/core/batching.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator, Sequence
 
-from mountgauge.core.ports import Call, Item, NextHop
+from mountgauge.core.ports import Call, CallItem, NextHop
 
 
 class CallBatches:
@@ -23,7 +23,7 @@
         call = self._calls.get(hop.id)
         return call if call is not None and not self._has_room(call, hop) else None
 
-    def add(self, item: Item, hop: NextHop, give_up_at: float) -> Call:
+    def add(self, item: CallItem, hop: NextHop, give_up_at: float) -> Call:
         """The call that the message travels with; it is given up on when the last of them would be."""
         call = self._calls.get(hop.id)
         if call is not None and self._has_room(call, hop):
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Item:
+class CallItem:
     """One message of a call; `number` and `send_no` are the module's."""
 
     number: int
@@ -90,10 +90,10 @@
     """A delivery attempt for one message, or for several that travel together."""
 
     hop: NextHop
-    items: list[Item]
+    items: list[CallItem]
     started: float
     give_up_at: float
-    sent: list[Item] = field(default_factory=list)
+    sent: list[CallItem] = field(default_factory=list)
     lease: CallPermission | None = None  # once it was let through: until when its last byte must have left
     parked: bool = False  # it has waited before it looked for its connection
 
@@ -109,7 +109,7 @@
 class CallOwner(Protocol):
     """What a next-hop side asks of the core."""
 
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         """Just before the first byte: which of these messages may go; their attempts are journalled."""
 
     def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -9,7 +9,7 @@
 from mountgauge.core.journal import Journal
 from mountgauge.core.list_lease import LeaseCheck, LeaseEnd
 from mountgauge.core.pending_messages import PendingMessages
-from mountgauge.core.ports import Call, Item, NextHop
+from mountgauge.core.ports import Call, CallItem, NextHop
 from mountgauge.core.waits import Waits
 from rillspindle import interface as io
 from rillspindle import send_guard
@@ -48,7 +48,7 @@
         listed = hop.entry.readiness == Readiness.READY
         return EndpointState(listed, hop.entry.zone, wait_until, valid, self.stopped)
 
-    def message(self, item: Item) -> MessageState:
+    def message(self, item: CallItem) -> MessageState:
         """A message of a call; one that is not held any more has ended."""
         held = self._held.get(item.number)
         if held is None:
@@ -73,7 +73,7 @@
         found = [self._repeat_until(call, item) for item in call.items]
         return min(call.give_up_at, max(found))
 
-    def _repeat_until(self, call: Call, item: Item) -> float:
+    def _repeat_until(self, call: Call, item: CallItem) -> float:
         grade = self.grades.get(item.grade)
         until = send_guard.repeat_until(grade, self.ran(item.number), call.hop.entry.zone)
         return -math.inf if isinstance(until, Refusal) else until
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -20,9 +20,9 @@
     AttemptResult,
     Call,
     CallGate,
+    CallItem,
     Clock,
     DestinationScope,
-    Item,
     MapSource,
     MessageOutcome,
     NextHop,
@@ -184,7 +184,7 @@
                     found[dest.id, ""] = len(dest.held)
         return found
 
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         return self.attempts.admit(call, items)
 
     def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -13,7 +13,7 @@
 import orjson
 
 from mountgauge.connecting import connect
-from mountgauge.core.ports import AttemptResult, Call, CallOwner, Item, NextHop
+from mountgauge.core.ports import AttemptResult, Call, CallItem, CallOwner, NextHop
 from mountgauge.http1 import Connection, Message, State, request, wait_s
 from rillspindle.interface import Outcome
 
@@ -72,7 +72,7 @@
     timer: asyncio.TimerHandle
     connection: Connection | None = None
     task: asyncio.Task[None] | None = None
-    going: list[Item] = field(default_factory=list)
+    going: list[CallItem] = field(default_factory=list)
     stopped: Outcome | None = None
     idle: float | None = None  # s that its connection had been kept, None for a new one
     last: bool = False  # its endpoint has left meanwhile: the connection goes with the call
@@ -317,7 +317,7 @@
                 connection.close()
 
 
-def _fitting(items: list[Item]) -> list[Item]:
+def _fitting(items: list[CallItem]) -> list[CallItem]:
     """A batch of large bodies would pass the bound on a call's body: its tail goes with a later one."""
     size, count = 2, 0
     for item in items:
@@ -328,7 +328,7 @@
     return items[:count]
 
 
-def _batch(items: list[Item]) -> bytes:
+def _batch(items: list[CallItem]) -> bytes:
     lines = []
     for item in items:
         line = {"id": item.id, "body": base64.b64encode(item.body).decode()}
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from mountgauge.core.ports import AttemptResult, Call, Item, MessageOutcome, Status
+from mountgauge.core.ports import AttemptResult, Call, CallItem, MessageOutcome, Status
 from mountgauge.http1 import Message, response
 from mountgauge.next_hops import HttpNextHops
 from rillspindle.interface import Outcome, Readiness
@@ -83,7 +83,7 @@
         super().__init__()
         self.then: Callable[[], None] = lambda: None
 
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         self.then()
         return items
 
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -25,7 +25,7 @@
 from mountgauge.core.config import Address, MapUpdate, Names
 from mountgauge.core.journal import Journal
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Answer, Call, Item, MessageOutcome, Submission
+from mountgauge.core.ports import Answer, Call, CallItem, MessageOutcome, Submission
 from mountgauge.core.sender import Sender
 from mountgauge.http1 import Message, response
 from mountgauge.lab.ports import reserve_ports
@@ -609,7 +609,7 @@
         async with helper.World(tmp_path, "http", extra=extra) as world:
             admit, paused = world.runtime.sender.admit, list[str]()
 
-            def late(call: Call, items: list[Item]) -> list[Item]:
+            def late(call: Call, items: list[CallItem]) -> list[CallItem]:
                 if not paused:
                     paused.append(call.hop.id)
                     if where == "file":
--- a/tests/platform/mutants.py
+++ b/tests/platform/mutants.py
@@ -6,7 +6,7 @@
 from mountgauge.core.config import MapUpdate
 from mountgauge.core.hop_table import Change, HopTable
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Call, Item
+from mountgauge.core.ports import Call, CallItem
 from mountgauge.platform.list_call import DropReason, Failure, ListCall
 from mountgauge.platform.watch import DiscoveryWatch
 from mountgauge.platform.watch_bounds import WatchBounds
@@ -109,7 +109,7 @@
 class NoLastLook(Attempts):
     """What was chosen goes, whatever has become of the endpoint since."""
 
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         return items
 
 
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -21,7 +21,7 @@
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, Stored
 from mountgauge.core.pending_messages import PendingMessages
-from mountgauge.core.ports import Call, Item, NextHop
+from mountgauge.core.ports import Call, CallItem, NextHop
 from mountgauge.core.send_state import SendState
 from mountgauge.core.waits import Waits
 from mountgauge.platform.list_call import Failure, ListCall
@@ -392,7 +392,7 @@
         if self._waits(lambda: self._look(hop), READ_FIRST_S):
             return
         now = self._time.now()
-        item = Item(self._message.number, 0, "m", "k", "note", b"", 1e9)
+        item = CallItem(self._message.number, 0, "m", "k", "note", b"", 1e9)
         if self.attempts.admit(Call(hop, [item], now, 1e9), [item]):
             self.sent.at.setdefault(hop.id, []).append(now + self._schedule.hold_up_s)
         elif hop.id == STAYS:
--- a/tests/test_next_hops.py
+++ b/tests/test_next_hops.py
@@ -8,7 +8,7 @@
 import orjson
 import pytest
 
-from mountgauge.core.ports import AttemptResult, Call, Item, NextHop
+from mountgauge.core.ports import AttemptResult, Call, CallItem, NextHop
 from mountgauge.http1 import Message, response
 from mountgauge.next_hops import HttpNextHops
 from rillspindle.interface import Entry, Outcome
@@ -24,7 +24,7 @@
         self.admits = admits
         self.done: list[tuple[Call, dict[int, AttemptResult]]] = []
 
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         return items if self.admits else []
 
     def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
@@ -33,7 +33,9 @@
 
 def call(port: int, *bodies: bytes, limit: float = 1.0) -> Call:
     now = asyncio.get_running_loop().time()
-    items = [Item(n, 0, f"id{n}", "key", "note", body, now + 60) for n, body in enumerate(bodies or (b"x",))]
+    items = [
+        CallItem(n, 0, f"id{n}", "key", "note", body, now + 60) for n, body in enumerate(bodies or (b"x",))
+    ]
     return Call(NextHop("h", HOST, port, Entry(2, 0, 0, 0, 7, 0, b"h")), items, now, now + limit)
 
 
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -18,7 +18,7 @@
 from mountgauge.amqp import codec
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core.config import Address, Config, ConfigError
-from mountgauge.core.ports import AttemptResult, Call, Item, NextHop
+from mountgauge.core.ports import AttemptResult, Call, CallItem, NextHop
 from mountgauge.http1 import Message, response
 from mountgauge.operator_file import load
 from mountgauge.otlp import Exporter
@@ -123,7 +123,7 @@
         brokers, done = [Broker(), Broker()], list[dict[int, AttemptResult]]()
 
         class Owner:
-            def admit(self, call: Call, items: list[Item]) -> list[Item]:
+            def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
                 return items
 
             def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
@@ -133,7 +133,7 @@
         now = asyncio.get_running_loop().time()
         for place, broker in enumerate(brokers):
             await broker.start()
-            item = Item(place, 0, f"m{place}", "", "note", b"x", now + 9)
+            item = CallItem(place, 0, f"m{place}", "", "note", b"x", now + 9)
             entry = Entry(2, 0, 0, 0, 7, 0, b"h%d" % place)
             hops.start(Call(NextHop(f"h{place}", HOST, broker.port, entry), [item], now, now + 2))
             await until(lambda place=place: len(done) > place)  # type: ignore[misc]
