--- a/benchmarks/slopes/pages.py
+++ b/benchmarks/slopes/pages.py
@@ -108,7 +108,7 @@
 
 
 PROBES = (
-    Probe("discovery-parse", _parse_list, "mountgauge.core.config.Names.update", repeats=3),
+    Probe("discovery-parse", _parse_list, "mountgauge.core.config.SettingNames.update", repeats=3),
     Probe("discovery-list-bytes", _list_bytes, "mountgauge.platform.discovery.MOST_LIST_BYTES bounds it",
           unit=Unit.BYTES, method=Method.COUNTED, repeats=1, sizes=(300, 1_000, 3_000, 10_000, 30_000)),
     Probe("operator-file", _load_file, "mountgauge.operator_file.load_hops (tomllib)", sizes=_FILE,
--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/worlds.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from mountgauge.core.config import MapUpdate, Names
+from mountgauge.core.config import MapUpdate, SettingNames
 from mountgauge.core.journal import Journal, Stored
 from mountgauge.core.ports import AttemptResult, Call, MessageOutcome, NextHop
 from mountgauge.core.sender import Sender
@@ -19,7 +19,7 @@
 SEED = 1
 DEADLINE_S = 3600.0
 DISK_BYTES = 1 << 34
-NAMES = Names(("note",), (), ("next-hop",))
+NAMES = SettingNames(("note",), (), ("next-hop",))
 
 
 def settings(max_open: int = 10_000_000, workers: int = 1, senders: int = 1) -> dict[str, Any]:
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from mountgauge.core.attempts import Attempts
-from mountgauge.core.config import Names
+from mountgauge.core.config import SettingNames
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, JournalFullError, Stored
 from mountgauge.core.message_outcomes import MessageOutcomes
@@ -28,7 +28,7 @@
     def __init__(
         self,
         policy: Policy,
-        names: Names,
+        names: SettingNames,
         journal: Journal,
         table: HopTable,
         held: PendingMessages,
--- a/mountgauge/core/config.py
+++ b/mountgauge/core/config.py
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class SettingNames:
     """Names of the settings that stand as numbers in the module."""
 
     grades: tuple[str, ...]
@@ -166,7 +166,7 @@
     known: MapUpdate
     settings: Mapping[str, Any]
     rules: Settings
-    names: Names
+    names: SettingNames
     conn_idle: float
     listen_fd: int | None = None  # the clients' listening socket, kept by the platform across processes
     console: Address | None = None  # where operators call
@@ -193,7 +193,7 @@
             raise ConfigError(f"GW_STATE: not a folder: {state!r}")
         try:
             settings = raw["settings"]
-            names = Names(
+            names = SettingNames(
                 tuple(str(g["name"]) for g in settings["grades"]),
                 tuple(map(str, settings.get("localities", ()))),
                 tuple(map(str, settings["shapes"])),
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -10,7 +10,7 @@
 from mountgauge.core.admission import Admission
 from mountgauge.core.attempts import Attempts
 from mountgauge.core.batching import CallBatches
-from mountgauge.core.config import MapUpdate, Names
+from mountgauge.core.config import MapUpdate, SettingNames
 from mountgauge.core.hop_table import HopTable
 from mountgauge.core.journal import Journal, Stored
 from mountgauge.core.list_lease import LeaseCheck
@@ -57,7 +57,7 @@
     def __init__(
         self,
         policy: Policy,
-        names: Names,
+        names: SettingNames,
         journal: Journal,
         clock: Clock,
         fronts: Mapping[str, OutcomeReporter],
@@ -316,7 +316,7 @@
             self._soon()
         self._review_by(change.review_at)
 
-    def retune(self, rules: io.Settings, names: Names) -> None:
+    def retune(self, rules: io.Settings, names: SettingNames) -> None:
         """New settings from a reread file: messages under way keep the class that the module gave them."""
         self.policy.set = self.rules = self.attempts.state.rules = self.admission.rules = rules
         self.table.balancers = rules.balancers
--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -17,7 +17,7 @@
     ConfigError,
     Limits,
     MapUpdate,
-    Names,
+    SettingNames,
 )
 from mountgauge.core.ports import NextHop
 from mountgauge.recovery.state_file import ROOM_BYTES as RECOVERY_ROOM
@@ -151,7 +151,7 @@
         known=hops.update,
         settings=settings,
         rules=Settings.from_mapping(settings),
-        names=Names(tuple(grade["name"] for grade in settings["grades"]), (), (_KIND,)),
+        names=SettingNames(tuple(grade["name"] for grade in settings["grades"]), (), (_KIND,)),
         conn_idle=settings["ceilings"]["connIdle"],
         console=console_listen,
     )
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from mountgauge.core.config import Address, MapUpdate, Names
+from mountgauge.core.config import Address, MapUpdate, SettingNames
 from mountgauge.core.list_lease import LeaseEnd
 from mountgauge.http1 import Connection, Message, State
 from mountgauge.lease_log import LeaseLog
@@ -45,7 +45,7 @@
         self,
         owner: MapOwner,
         address: Address,
-        names: Names,
+        names: SettingNames,
         bounds: WatchBounds,
         rng: Random | None = None,
         evidence: ListEvidence | None = None,
@@ -89,7 +89,7 @@
         self._watch.move(self._now())
         self.watch(True)
 
-    def retune(self, names: Names, bounds: WatchBounds) -> None:
+    def retune(self, names: SettingNames, bounds: WatchBounds) -> None:
         """Heed new settings."""
         self._names = names
         self._watch.retune(bounds, self._now())
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -22,7 +22,7 @@
 from mountgauge.amqp import codec
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core import drain_memory
-from mountgauge.core.config import Address, MapUpdate, Names
+from mountgauge.core.config import Address, MapUpdate, SettingNames
 from mountgauge.core.journal import Journal
 from mountgauge.core.list_lease import LeaseEnd
 from mountgauge.core.ports import Answer, Call, CallItem, MessageOutcome, Submission
@@ -43,7 +43,7 @@
 from tests.test_peers import bounds
 from tests.test_process import Platform
 
-NAMES = Names(("safe",), ("near", "far"), ("one", "many"))
+NAMES = SettingNames(("safe",), ("near", "far"), ("one", "many"))
 GRACE = 0.25 + 0.05  # s after which nothing may leave; what is told here is told long before
 MOST_CALLS = 16  # at once to one destination: half of the slots
 NOTHING_KNOWN = MapUpdate(-1, True, ())
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -10,7 +10,7 @@
 import pytest
 
 from mountgauge.amqp.next_hops import AmqpNextHops
-from mountgauge.core.config import MapUpdate, Names
+from mountgauge.core.config import MapUpdate, SettingNames
 from mountgauge.core.journal import Journal
 from mountgauge.core.ports import Accepted, Answer, AttemptResult, Call, MessageOutcome, NextHop, Submission
 from mountgauge.core.sender import Sender
@@ -96,7 +96,7 @@
 class Senders:
     """A core with its journal and next hops on faulty sockets, whose list a test gives it."""
 
-    names = Names(("keyed",), ("near",), ("one",))
+    names = SettingNames(("keyed",), ("near",), ("one",))
 
     hops: HttpNextHops | AmqpNextHops
 
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from mountgauge.core.config import Names
+from mountgauge.core.config import SettingNames
 from mountgauge.core.files import Files
 from mountgauge.core.journal import Journal, Stored
 from mountgauge.core.ports import AttemptResult, MessageOutcome, Status
@@ -149,7 +149,7 @@
     bench.sender.admit(call, call.items)
     bench.journal.close()
     again = Bench(tmp_path)
-    again.sender.names = Names(("safe", "keyed"), ("near", "far"), ("one", "many"))
+    again.sender.names = SettingNames(("safe", "keyed"), ("near", "far"), ("one", "many"))
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.05)
     assert again.ends == {
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -9,7 +9,7 @@
 import orjson
 import pytest
 
-from mountgauge.core.config import Address, MapUpdate, Names
+from mountgauge.core.config import Address, MapUpdate, SettingNames
 from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.http1 import Message, response
 from mountgauge.notices import Notices
@@ -19,7 +19,7 @@
 from tests.helper import HOST, HttpServer, run, until
 from tests.settings import settings
 
-NAMES = Names(("note",), ("a", "b"), ("m1", "m2"))
+NAMES = SettingNames(("note",), ("a", "b"), ("m1", "m2"))
 
 
 class Owner:
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mountgauge.core.config import MapUpdate, Names
+from mountgauge.core.config import MapUpdate, SettingNames
 from mountgauge.core.files import Files
 from mountgauge.core.journal import Journal, JournalFullError
 from mountgauge.core.list_lease import LeaseEnd
@@ -28,7 +28,7 @@
 from tests.clocks import SteppedClocks
 from tests.settings import grade, settings
 
-NAMES = Names(("safe", "keyed", "once"), ("near", "far"), ("one", "many"))
+NAMES = SettingNames(("safe", "keyed", "once"), ("near", "far"), ("one", "many"))
 
 
 class Bench(SteppedClocks):
