--- a/benchmarks/slopes/journal.py
+++ b/benchmarks/slopes/journal.py
@@ -86,9 +86,11 @@
 PROBES = (
     Probe("journal-start", _start_time, _SOURCE, Axis.MESSAGES, Unit.SECONDS, Method.PROCESS_TIME,
           _MESSAGES, 1, 20.0),
-    Probe("journal-start-memory", _start_memory, "mountgauge.core.journal.Stored", Axis.MESSAGES, Unit.BYTES,
+    Probe("journal-start-memory", _start_memory,
+          "mountgauge.core.journal.StoredMessage", Axis.MESSAGES, Unit.BYTES,
           Method.FRESH_PROCESS, _MESSAGES, 1, 20.0),
-    Probe("journal-file", _file_bytes, "mountgauge.core.journal.Stored.record", Axis.MESSAGES, Unit.BYTES,
+    Probe("journal-file", _file_bytes,
+          "mountgauge.core.journal.StoredMessage.record", Axis.MESSAGES, Unit.BYTES,
           Method.COUNTED, _MESSAGES[:-1], 1),
     Probe("journal-compaction", _compaction, "mountgauge.core.journal.Journal._compact, _content, _rewrite",
           Axis.MESSAGES, Unit.SECONDS, Method.PROCESS_TIME, _MESSAGES, 3),
--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/worlds.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from mountgauge.core.config import MapUpdate, SettingNames
-from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.core.ports import AttemptResult, Call, MessageOutcome, NextHop
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
@@ -134,8 +134,8 @@
     return io.Response(number, 0.05, b"hop-%d" % dest, Outcome.OK, 0, True, 0, ())
 
 
-def stored(number: int, dest: int, body_bytes: int, expires: float) -> Stored:
-    return Stored(f"message-{number:012d}", "note", expires, dest, "", "platform", bytes(body_bytes))
+def stored(number: int, dest: int, body_bytes: int, expires: float) -> StoredMessage:
+    return StoredMessage(f"message-{number:012d}", "note", expires, dest, "", "platform", bytes(body_bytes))
 
 
 def numbers(start: int = 1) -> Callable[[], int]:
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -10,7 +10,7 @@
 from mountgauge.core.attempts import Attempts
 from mountgauge.core.config import SettingNames
 from mountgauge.core.hop_table import HopTable
-from mountgauge.core.journal import Journal, JournalFullError, Stored
+from mountgauge.core.journal import Journal, JournalFullError, StoredMessage
 from mountgauge.core.message_outcomes import MessageOutcomes
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import Accepted, Answer, MessageOutcome, Status, Submission, TenantGate
@@ -101,10 +101,10 @@
         self._counts["refused", "budget"] += 1
         return MessageOutcome(Status.DEFERRED, math.ceil(min(wait, self.rules.max_retry_after) * 1000))
 
-    def stored(self, one: Submission, expires: float) -> Stored:
+    def stored(self, one: Submission, expires: float) -> StoredMessage:
         """The message as the journal will have it; `expires` is of the sender's clock."""
         until, grade = self._journal.time.of(expires), self.names.grades[one.grade]
-        return Stored(one.id, grade, until, one.dest, one.key, one.front, one.body)
+        return StoredMessage(one.id, grade, until, one.dest, one.key, one.front, one.body)
 
     def take_on(self, one: Submission, held: PendingMessage) -> bool:
         """Put it on record and say so; False: the journal did not take it, and nothing was said."""
--- a/mountgauge/core/journal.py
+++ b/mountgauge/core/journal.py
@@ -19,11 +19,11 @@
 
 from mountgauge.core.durable_time import STAMP_EVERY_S, Clocks, ProcessTime, Stamp, SystemClocks
 from mountgauge.core.files import APPENDED, MADE_ANEW, Files, SystemFiles, write_all
-from mountgauge.core.journal_records import Contents, Stored, end_records, record
+from mountgauge.core.journal_records import Contents, StoredMessage, end_records, record
 from mountgauge.core.journal_slots import SLOTS, lock_path, lock_slot, same_file, slot_paths
 from mountgauge.core.ports import MessageOutcome
 
-__all__ = ["Journal", "JournalFullError", "JournalUnavailableError", "Stored"]
+__all__ = ["Journal", "JournalFullError", "JournalUnavailableError", "StoredMessage"]
 
 _MOST_RECORD = 1 << 20
 _BLOCK = 512  # each file counts in whole blocks
@@ -207,7 +207,7 @@
 
     # Other slots
 
-    def adopt(self) -> list[Stored]:
+    def adopt(self) -> list[StoredMessage]:
         """Take over the journal of each slot whose process has gone: what is live there is this one's now.
 
         Its records are appended here in one write before its file goes, so that a crash in between leaves
@@ -215,7 +215,7 @@
         it cannot be read or written, it is as if that slot had not been looked at: its turn comes later.
         """
         self.others, self.beside, self.unread = [], [], []
-        adopted: list[Stored] = []
+        adopted: list[StoredMessage] = []
         for slot in range(self._slots):
             if slot == self.slot:
                 continue
@@ -226,9 +226,9 @@
                 self.others.append(self.unread[-1])
         return adopted
 
-    def _adopt(self, slot: int) -> list[Stored]:
+    def _adopt(self, slot: int) -> list[StoredMessage]:
         path, spare = slot_paths(self.folder, slot)
-        fresh: list[Stored] = []
+        fresh: list[StoredMessage] = []
         if slot not in self._adopted:
             if not path.exists():
                 return []
@@ -259,7 +259,7 @@
         if self.failing:
             raise OSError(errno.EIO, "no records are taken")
 
-    def _take_over(self, content: bytes) -> list[Stored]:
+    def _take_over(self, content: bytes) -> list[StoredMessage]:
         """Write down what another journal holds, then hold it; the messages that are new here. OSError where
         it cannot be written, and nothing changed.
         """
@@ -281,7 +281,7 @@
 
     # What is live
 
-    def _add(self, stored: Stored) -> None:
+    def _add(self, stored: StoredMessage) -> None:
         self.live[stored.id] = stored
         self._live_bytes += self._cost(stored)
 
@@ -291,7 +291,7 @@
         self._contents.forget(msg_id, end)
 
     @staticmethod
-    def _cost(stored: Stored) -> int:
+    def _cost(stored: StoredMessage) -> int:
         return len(stored.body) + len(stored.id) + len(stored.key) + _PER_LIVE
 
     # Room
@@ -398,7 +398,7 @@
                 self._append(b"", 0)
         return not self._unwritten and not self.failing
 
-    def take(self, stored: Stored) -> None:
+    def take(self, stored: StoredMessage) -> None:
         """A message is taken on; JournalFullError where it is not."""
         content = stored.record()
         if len(content) > _MOST_RECORD:
--- a/mountgauge/core/journal_records.py
+++ b/mountgauge/core/journal_records.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Stored:
+class StoredMessage:
     """A message that was taken on and has not ended. Times are in the base of this process."""
 
     id: str
@@ -57,7 +57,7 @@
         ]
         return record(b"T", head, self.body)
 
-    def merge(self, copy: Stored) -> None:
+    def merge(self, copy: StoredMessage) -> None:
         """Take in another record of this message: an attempt that either knows of may have run."""
         ran: list[tuple[float, int]] = []
         for at, zone in sorted([*self.ran, *copy.ran]):
@@ -84,7 +84,7 @@
     """What records say, one after another: messages that are live, and the last ends."""
 
     def __init__(self, ends_most: int) -> None:
-        self.live, self.ends = dict[str, Stored](), OrderedDict[str, MessageOutcome]()
+        self.live, self.ends = dict[str, StoredMessage](), OrderedDict[str, MessageOutcome]()
         self._ends_most = ends_most
         self._stamp: Stamp | None = None  # the last one
         self._newest = -math.inf  # time on record that has passed, in the base of the stamp
@@ -158,7 +158,7 @@
             return
         told = MessageOutcome(Status(notice[0]), notice[1]) if notice else None
         times = [(float(at), int(zone)) for at, zone in ran]
-        stored = Stored(msg_id, grade, expires, dest, key, front, body, attempts, times, told)
+        stored = StoredMessage(msg_id, grade, expires, dest, key, front, body, attempts, times, told)
         if msg_id in self.live:
             self.live[msg_id].merge(stored)
         else:
--- a/mountgauge/core/pending_messages.py
+++ b/mountgauge/core/pending_messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from mountgauge.core.journal import Stored
+from mountgauge.core.journal import StoredMessage
 from mountgauge.core.ports import Call
 
 _LAST_NUMBER = 0xFFFFFFFE  # numbers are 32 bits wide and start over
@@ -15,7 +15,7 @@
     """A message between its take-on and the moment its end has been told."""
 
     number: int  # the module's id for it
-    stored: Stored
+    stored: StoredMessage
     expires: float  # of the sender's clock, s
     issued: int = 0  # attempts, as the module counts them
     call: Call | None = None
@@ -30,7 +30,7 @@
         self.numbers: dict[str, int] = {}
         self._last = 0
 
-    def hold(self, stored: Stored, expires: float) -> PendingMessage:
+    def hold(self, stored: StoredMessage, expires: float) -> PendingMessage:
         self._last = self._last % _LAST_NUMBER + 1
         held = PendingMessage(self._last, stored, expires)
         self[held.number] = held
--- a/mountgauge/core/restore.py
+++ b/mountgauge/core/restore.py
@@ -6,7 +6,7 @@
 
 from mountgauge.core.config import SettingNames
 from mountgauge.core.durable_time import ProcessTime
-from mountgauge.core.journal import Stored
+from mountgauge.core.journal import StoredMessage
 from mountgauge.core.pending_messages import PendingMessage
 from mountgauge.core.ports import MessageOutcome, Status
 from rillspindle.interface import Restored
@@ -14,7 +14,7 @@
 AT_ONCE = 256  # that one turn gives back: thousands would keep clients and next hops waiting
 
 
-def end_without_class(stored: Stored, names: SettingNames) -> MessageOutcome | None:
+def end_without_class(stored: StoredMessage, names: SettingNames) -> MessageOutcome | None:
     """The end of a message whose class the settings no longer name, so that what it allowed is not known:
     one that has surely not run may come again. None where the class is known, or an end is on record.
     """
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -12,7 +12,7 @@
 from mountgauge.core.batching import CallBatches
 from mountgauge.core.config import MapUpdate, SettingNames
 from mountgauge.core.hop_table import HopTable
-from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.core.list_lease import LeaseCheck
 from mountgauge.core.message_outcomes import MessageOutcomes
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
@@ -202,7 +202,7 @@
             self._write_later()
         self.restore(list(self.journal.live.values()))
 
-    def restore(self, stored_ones: list[Stored]) -> None:
+    def restore(self, stored_ones: list[StoredMessage]) -> None:
         """Messages of an earlier process, from its journal: at the start, or adopted at a hand-over."""
         for stored in stored_ones:
             if stored.id in self.numbers:
@@ -413,7 +413,7 @@
         expires = now + one.left
         return self._hold(self.admission.stored(one, expires), expires)
 
-    def _hold(self, stored: Stored, expires: float) -> PendingMessage:
+    def _hold(self, stored: StoredMessage, expires: float) -> PendingMessage:
         held = self.held.hold(stored, expires)
         if self.scope is not None:
             self.scope.held(stored.dest)
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -14,7 +14,7 @@
 
 from mountgauge.core.config import SettingNames
 from mountgauge.core.files import Files
-from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.core.ports import AttemptResult, MessageOutcome, Status
 from mountgauge.http1 import Message
 from mountgauge.lab.faults.files import FailingFiles
@@ -168,7 +168,7 @@
     old = Journal(folder, 300_000)
     new = Journal(folder, 300_000, files=files)
     for name in names:
-        old.take(Stored(name, "note", 1000.5, 7, "key", "platform", b"body"))
+        old.take(StoredMessage(name, "note", 1000.5, 7, "key", "platform", b"body"))
     return old, new
 
 
@@ -187,7 +187,7 @@
     assert new.adopt() == [] and new.others, "it is still to be adopted"
     assert "b" not in new.live and "a" not in new.ends
     files.heal()
-    new.take(Stored("c", "note", 1000.5, 7, "key", "platform", b"body"))
+    new.take(StoredMessage("c", "note", 1000.5, 7, "key", "platform", b"body"))
     assert [one.id for one in new.adopt()] == ["b"] and not new.others
     new.close()
     last = reopened(tmp_path)
@@ -200,7 +200,7 @@
     old, new = beside(tmp_path, "a")
     for n in range(400):  # more than a folder of this size remembers
         name = f"m{n}"
-        new.take(Stored(name, "note", 1000.5, 7, "key", "platform", b""))
+        new.take(StoredMessage(name, "note", 1000.5, 7, "key", "platform", b""))
         new.end(name, MessageOutcome(Status.DELIVERED))
     old.end("a", MessageOutcome(Status.DELIVERED))
     old.close()
@@ -231,7 +231,7 @@
     old = Journal(tmp_path, 300_000, clock=bench)
     now = bench.wall()
     for name in ("given-up", "untried"):
-        old.take(Stored(name, "safe", now + 9, 7, "k", "platform", b"x"))
+        old.take(StoredMessage(name, "safe", now + 9, 7, "k", "platform", b"x"))
     old.give_up("given-up", MessageOutcome(Status.DEFERRED, 70))
     bench.sender.start(bench.hops(Readiness.READY))
     bench.pass_time(0.01)
@@ -276,7 +276,7 @@
     old.attempt(["a"], 5.0, 0)
     old.end("b", MessageOutcome(Status.DELIVERED))
     old.give_up("d", MessageOutcome(Status.DEFERRED, 70))
-    new.take(Stored("c", "note", 1000.5, 7, "key", "platform", b"body"))
+    new.take(StoredMessage("c", "note", 1000.5, 7, "key", "platform", b"body"))
     old.close()
     left, before = old.path.read_bytes(), new.path.read_bytes()
     new.adopt()
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -24,7 +24,7 @@
 from mountgauge.console.duty import detached_text
 from mountgauge.console.service import Service
 from mountgauge.core.durable_time import Stamp, SystemClocks, read
-from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, Stored
+from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, StoredMessage
 from mountgauge.core.ports import Accepted, AttemptResult, MessageOutcome, Status
 from mountgauge.core.sender import Sender
 from mountgauge.lab.faults.files import FailingFiles, Killed
@@ -50,8 +50,8 @@
 errors = pytest.mark.parametrize("error", [errno.EIO, errno.ENOSPC])
 
 
-def stored(msg_id: str, body: bytes = b"body") -> Stored:
-    return Stored(msg_id, "note", 1000.5, 7, "key", "platform", body)
+def stored(msg_id: str, body: bytes = b"body") -> StoredMessage:
+    return StoredMessage(msg_id, "note", 1000.5, 7, "key", "platform", body)
 
 
 def holding(folder: Path, *names: str) -> tuple[Journal, FailingFiles]:
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -19,7 +19,7 @@
 
 from mountgauge.agent import Instance
 from mountgauge.core.durable_time import AGREE_S, Basis, Stamp, age, boot_id, read, rebase
-from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.core.ports import AttemptResult, MessageOutcome, Status
 from mountgauge.recovery.files import Folder
 from mountgauge.recovery.state_file import Fact
@@ -308,7 +308,7 @@
                     name = f"m{len(real)}"
                     real[name] = clock.time + LEFT, clock.time
                     until = journal.time.of(clock.time + LEFT)
-                    journal.take(Stored(name, "note", until, 7, "k", "platform", b""))
+                    journal.take(StoredMessage(name, "note", until, 7, "k", "platform", b""))
                     journal.attempt([name], journal.time.of(clock.time), 0)
                 case "compact":
                     journal._rewrite(journal._content())
--- a/tests/recovery/test_restored.py
+++ b/tests/recovery/test_restored.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.operator_file import load
 from mountgauge.run.operator import OperatorRuntime
 from tests.helper import HOST, HttpHop, RespClient, run, until
@@ -22,7 +22,7 @@
     journal = Journal(state, 64_000_000)
     for number in range(COUNT):
         expires = time.time() + 300
-        journal.take(Stored(f"r{number}", "note", expires, 7, "k", "platform", b"hello"))
+        journal.take(StoredMessage(f"r{number}", "note", expires, 7, "k", "platform", b"hello"))
     journal.close()
 
     async def main() -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -11,15 +11,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from mountgauge.core.journal import Journal, JournalFullError, Stored
+from mountgauge.core.journal import Journal, JournalFullError, StoredMessage
 from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.lab.faults.files import FailingFiles, Killed
 
 DISK = 300_000
 
 
-def stored(msg_id: str, body: bytes = b"body") -> Stored:
-    return Stored(msg_id, "note", 1000.5, 7, "key", "platform", body)
+def stored(msg_id: str, body: bytes = b"body") -> StoredMessage:
+    return StoredMessage(msg_id, "note", 1000.5, 7, "key", "platform", body)
 
 
 class Model(RuleBasedStateMachine):
