--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -299,7 +299,9 @@
                 "message_id": item.id,
                 "type": item.grade,
                 "delivery_mode": 2,
-                "expiration": str(max(1, math.floor((min(item.expires, out.call.give_up_at) - now) * 1000))),
+                "expiration": str(
+                    max(1, math.floor((min(item.expires, out.call.times_out_at) - now) * 1000))
+                ),
                 "headers": {KEY_HEADER: item.key} if item.key else None,
             }
             routing_key = self.target.account.routing_key or str(out.call.hop.entry.owner)
@@ -369,7 +371,7 @@
     def start(self, call: Call) -> None:
         loop = asyncio.get_running_loop()
         target = self._target(call.hop)
-        out = _Out(call, loop.call_at(call.give_up_at, self._give_up, call), target)
+        out = _Out(call, loop.call_at(call.times_out_at, self._give_up, call), target)
         self._out[call] = out
         link = self._current(target)
         if link is not None and link.state is State.READY:
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -92,15 +92,15 @@
             return
         stored = held.stored
         item = CallItem(held.number, send_no, stored.id, stored.key, stored.grade, stored.body, held.expires)
-        give_up_at = now + max(0.0, action.give_up_after)
+        times_out_at = now + max(0.0, action.give_up_after)
         if (full := calls.full(hop)) is not None:
             self.start(full)
-        held.call = calls.add(item, hop, give_up_at)
+        held.call = calls.add(item, hop, times_out_at)
 
     def start(self, call: Call) -> None:
         self.out += 1
         for item in call.items:
-            if item.expires < call.give_up_at:  # its time ends before that of the call that it shares
+            if item.expires < call.times_out_at:  # its time ends before that of the call that it shares
                 self._clock.call_at(item.expires, lambda item=item: self._item_late(call, item))  # type: ignore[misc]
         self._go(call)
         if call in self.parked:
@@ -134,7 +134,7 @@
         """
         parked, self.parked = self.parked, []
         for call in parked:
-            if call.give_up_at > self._clock.now():
+            if call.times_out_at > self._clock.now():
                 self._go(call)
             else:
                 self.finished(call, {})
@@ -158,9 +158,9 @@
         says until when the last byte must have left.
         """
         endpoint, now = self.state.endpoint(call), self._clock.now()
-        going, until = [], call.give_up_at
+        going, until = [], call.times_out_at
         for item in items:
-            found = send_guard.permit_send(self.state.message(item), endpoint, call.give_up_at, now)
+            found = send_guard.permit_send(self.state.message(item), endpoint, call.times_out_at, now)
             if isinstance(found, Refusal):
                 self._withheld(found, call, item)
             else:
--- a/mountgauge/core/batching.py
+++ b/mountgauge/core/batching.py
@@ -23,14 +23,14 @@
         call = self._calls.get(hop.id)
         return call if call is not None and not self._has_room(call, hop) else None
 
-    def add(self, item: CallItem, hop: NextHop, give_up_at: float) -> Call:
+    def add(self, item: CallItem, hop: NextHop, times_out_at: float) -> Call:
         """The call that the message travels with; it is given up on when the last of them would be."""
         call = self._calls.get(hop.id)
         if call is not None and self._has_room(call, hop):
             call.items.append(item)
-            call.give_up_at = max(call.give_up_at, give_up_at)
+            call.times_out_at = max(call.times_out_at, times_out_at)
         else:
-            call = self._calls[hop.id] = Call(hop, [item], self._now, give_up_at)
+            call = self._calls[hop.id] = Call(hop, [item], self._now, times_out_at)
         return call
 
     def _has_room(self, call: Call, hop: NextHop) -> bool:
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -92,7 +92,7 @@
     hop: NextHop
     items: list[CallItem]
     started: float
-    give_up_at: float
+    times_out_at: float
     sent: list[CallItem] = field(default_factory=list)
     lease: CallPermission | None = None  # once it was let through: until when its last byte must have left
     parked: bool = False  # it has waited before it looked for its connection
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -71,7 +71,7 @@
     def useful_until(self, call: Call) -> float:
         """Until when a call that waits may still be sent with any of its messages."""
         found = [self._repeat_until(call, item) for item in call.items]
-        return min(call.give_up_at, max(found))
+        return min(call.times_out_at, max(found))
 
     def _repeat_until(self, call: Call, item: CallItem) -> float:
         grade = self.grades.get(item.grade)
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -167,7 +167,7 @@
 
     def start(self, call: Call) -> None:
         loop = asyncio.get_running_loop()
-        out = _OpenCall(call, loop.call_at(call.give_up_at, self._give_up, call))
+        out = _OpenCall(call, loop.call_at(call.times_out_at, self._give_up, call))
         self._out[call] = out
         if (connection := self._pick(_place(call.hop))) is not None:
             out.connection = connection
@@ -227,11 +227,11 @@
         # One answer ends them all, so none is waited for past the time of another.
         loop = asyncio.get_running_loop()
         first = min(item.expires for item in going)
-        if first < call.give_up_at:
-            call.give_up_at = first
+        if first < call.times_out_at:
+            call.times_out_at = first
             out.timer.cancel()
             out.timer = loop.call_at(first, self._give_up, call)
-        left = max(1, math.floor((call.give_up_at - loop.time()) * 1000))
+        left = max(1, math.floor((call.times_out_at - loop.time()) * 1000))
         host = f"{call.hop.host}:{call.hop.port}"
         headers = {"X-Expires-In-Ms": str(left)}
         if len(going) == 1:
