--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -109,7 +109,7 @@
     def take_on(self, one: Submission, held: PendingMessage) -> bool:
         """Put it on record and say so; False: the journal did not take it, and nothing was said."""
         try:
-            self._journal.take(held.stored)
+            self._journal.accept(held.stored)
         except JournalFullError as error:
             # The disk may be full though the count said otherwise. Not on record means not taken on.
             log.warning("journal-full", extra=kv(reason=error))
--- a/mountgauge/core/journal.py
+++ b/mountgauge/core/journal.py
@@ -398,7 +398,7 @@
                 self._append(b"", 0)
         return not self._unwritten and not self.failing
 
-    def take(self, stored: StoredMessage) -> None:
+    def accept(self, stored: StoredMessage) -> None:
         """A message is taken on; JournalFullError where it is not."""
         content = stored.record()
         if len(content) > _MOST_RECORD:
@@ -430,13 +430,13 @@
         self._contents.apply(b"O", [msg_id])
         return written
 
-    def give_up(self, msg_id: str, end: MessageOutcome) -> bool:
+    def abandon(self, msg_id: str, end: MessageOutcome) -> bool:
         """The message has this end, which is still to be told."""
         written = self._note(b"N", [msg_id, end.status, end.retry_after_ms])
         self._contents.apply(b"N", [msg_id, end.status, end.retry_after_ms])
         return written
 
-    def end(self, msg_id: str, end: MessageOutcome) -> bool:
+    def finish(self, msg_id: str, end: MessageOutcome) -> bool:
         """The message has ended, and nothing more is owed."""
         written = self._note(b"E", [msg_id, end.status, end.retry_after_ms])
         self._forget(msg_id, end)
--- a/mountgauge/core/message_outcomes.py
+++ b/mountgauge/core/message_outcomes.py
@@ -38,13 +38,13 @@
         ] = {}  # by number: ends that are not on record yet
         self._lines = LineBudget(now)
 
-    def give_up(self, held: PendingMessage | None, end: MessageOutcome) -> None:
+    def abandon(self, held: PendingMessage | None, end: MessageOutcome) -> None:
         """The module's final answer goes out as soon as it is on record, so that no restart takes it back."""
         if held is None or held.over:
             return
         held.over = True
         end = self._allowed(held, end)
-        self._tell_if_allowed(held, end, self._journal.give_up(held.stored.id, end))
+        self._tell_if_allowed(held, end, self._journal.abandon(held.stored.id, end))
 
     def _tell_if_allowed(self, held: PendingMessage, end: MessageOutcome, on_record: bool) -> None:
         now = self._now()
@@ -84,7 +84,7 @@
     def finish(self, held: PendingMessage, end: MessageOutcome) -> None:
         """A next hop's answer has ended the message: nothing more is owed, whether this is heard or not."""
         held.over = True
-        self._journal.end(held.stored.id, end)
+        self._journal.finish(held.stored.id, end)
         self.drop(held)
         self._counts["end", end.status.value] += 1
         self._front(held).report_outcome(held.stored.id, end, lambda: None)
@@ -94,7 +94,7 @@
 
         def told() -> None:
             if held.number in self._held:
-                self._journal.end(held.stored.id, end)
+                self._journal.finish(held.stored.id, end)
                 self.drop(held)
 
         self._counts["end", end.status.value] += 1
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -213,7 +213,7 @@
                 held.over = True
                 self.ends.tell(held, stored.notice)
             elif (end := end_without_class(stored, self.names)) is not None:
-                self.ends.give_up(held, end)
+                self.ends.abandon(held, end)
             else:
                 self._backlog.add(held, self.names.grades.index(stored.grade), self.journal.time)
         if stored_ones:
@@ -429,7 +429,7 @@
             self.ends.tell_late(held)
             return []
         log.warning("overdue", extra=kv(id=held.stored.id, attempts=held.issued, out=held.call is not None))
-        self.ends.give_up(held, MessageOutcome(Status.UNDELIVERABLE))
+        self.ends.abandon(held, MessageOutcome(Status.UNDELIVERABLE))
         return [io.Withdrawn(number)]
 
     def _answer(
@@ -461,9 +461,9 @@
                 case io.Schedule(delay, token):
                     self._timers.ring(now + delay, token)
                 case io.PushBack(number):
-                    self.ends.give_up(self.held.get(number), _deferred(action))
+                    self.ends.abandon(self.held.get(number), _deferred(action))
                 case io.Abort(number):
-                    self.ends.give_up(self.held.get(number), MessageOutcome(Status.UNDELIVERABLE))
+                    self.ends.abandon(self.held.get(number), MessageOutcome(Status.UNDELIVERABLE))
                 case io.Watch(on):
                     self.map.watch(on)
                 case io.Snapshot():
--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -29,12 +29,12 @@
 
 def _forgets() -> None:
     """Says +OK without a record: what it holds is gone with its process."""
-    take = Journal.take
+    take = Journal.accept
 
     def forgetful(self: Journal, stored: Any) -> None:
         self.live[stored.id] = stored
 
-    setattr(Journal, "take", forgetful)  # noqa: B010
+    setattr(Journal, "accept", forgetful)  # noqa: B010
     assert take is not None
 
 
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -44,8 +44,8 @@
     (call,) = bench.calls
     files.late = {"replace"}
     for number in range(400):  # ends that a compaction drops
-        bench.journal.take(StoredMessage(f"s{number}", "safe", 1e9, 7, "k", "platform", b"x" * 2000))
-        bench.journal.end(f"s{number}", MessageOutcome(Status.DELIVERED))
+        bench.journal.accept(StoredMessage(f"s{number}", "safe", 1e9, 7, "k", "platform", b"x" * 2000))
+        bench.journal.finish(f"s{number}", MessageOutcome(Status.DELIVERED))
     assert files.calls["replace"]
     files.late = set()
     assert bench.sender.admit(call, call.items)
@@ -89,10 +89,10 @@
     """Another process on the folder has sent the message that this one holds, and has gone."""
     other = Journal(bench.journal.folder, 1_000_000, clock=bench)
     held = bench.journal.live["a"]
-    other.take(StoredMessage("a", held.grade, held.expires, held.dest, held.key, held.front, held.body))
+    other.accept(StoredMessage("a", held.grade, held.expires, held.dest, held.key, held.front, held.body))
     other.attempt(["a"], bench.journal.time.of(bench.time), 0)
     if ended:
-        other.end("a", MessageOutcome(Status.DELIVERED))
+        other.finish("a", MessageOutcome(Status.DELIVERED))
     other.close()
 
 
@@ -170,7 +170,7 @@
     """A request that comes again may be in there: taken on as new, it would be sent a second time."""
     first, second = Journal(tmp_path, 1_000_000), Journal(tmp_path, 1_000_000)
     first.close()
-    second.take(StoredMessage("a", "once", 1e10, 7, "k", "platform", b"x"))
+    second.accept(StoredMessage("a", "once", 1e10, 7, "k", "platform", b"x"))
     second.attempt(["a"], 100.0, 0)
     second.close()
 
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -168,7 +168,7 @@
     old = Journal(folder, 300_000)
     new = Journal(folder, 300_000, files=files)
     for name in names:
-        old.take(StoredMessage(name, "note", 1000.5, 7, "key", "platform", b"body"))
+        old.accept(StoredMessage(name, "note", 1000.5, 7, "key", "platform", b"body"))
     return old, new
 
 
@@ -181,13 +181,13 @@
     """Half a record in front of all later ones would cut them off at the next start."""
     files = FailingFiles()
     old, new = beside(tmp_path, "a", "b", files=files)
-    old.end("a", MessageOutcome(Status.DELIVERED))
+    old.finish("a", MessageOutcome(Status.DELIVERED))
     old.close()
     files.room = written
     assert new.adopt() == [] and new.others, "it is still to be adopted"
     assert "b" not in new.live and "a" not in new.ends
     files.heal()
-    new.take(StoredMessage("c", "note", 1000.5, 7, "key", "platform", b"body"))
+    new.accept(StoredMessage("c", "note", 1000.5, 7, "key", "platform", b"body"))
     assert [one.id for one in new.adopt()] == ["b"] and not new.others
     new.close()
     last = reopened(tmp_path)
@@ -200,9 +200,9 @@
     old, new = beside(tmp_path, "a")
     for n in range(400):  # more than a folder of this size remembers
         name = f"m{n}"
-        new.take(StoredMessage(name, "note", 1000.5, 7, "key", "platform", b""))
-        new.end(name, MessageOutcome(Status.DELIVERED))
-    old.end("a", MessageOutcome(Status.DELIVERED))
+        new.accept(StoredMessage(name, "note", 1000.5, 7, "key", "platform", b""))
+        new.finish(name, MessageOutcome(Status.DELIVERED))
+    old.finish("a", MessageOutcome(Status.DELIVERED))
     old.close()
     new.adopt()
     assert "a" in new.ends
@@ -217,7 +217,7 @@
     old, new = beside(tmp_path, "a", "b")
     assert new.adopt() == [] and new.others
     old.attempt(["a"], 5.0, 0)
-    old.end("b", MessageOutcome(Status.DELIVERED))
+    old.finish("b", MessageOutcome(Status.DELIVERED))
     old.close()
     [one] = new.adopt()
     assert (one.id, one.attempts, one.ran) == ("a", 1, [(5.0, 0)])
@@ -231,8 +231,8 @@
     old = Journal(tmp_path, 300_000, clock=bench)
     now = bench.wall()
     for name in ("given-up", "untried"):
-        old.take(StoredMessage(name, "safe", now + 9, 7, "k", "platform", b"x"))
-    old.give_up("given-up", MessageOutcome(Status.DEFERRED, 70))
+        old.accept(StoredMessage(name, "safe", now + 9, 7, "k", "platform", b"x"))
+    old.abandon("given-up", MessageOutcome(Status.DEFERRED, 70))
     bench.sender.start(bench.hops(Readiness.READY))
     bench.pass_time(0.01)
     assert bench.journal.adopt() == [] and not bench.ends
@@ -274,9 +274,9 @@
     first.mkdir()
     old, new = beside(first, "a", "b", "d")
     old.attempt(["a"], 5.0, 0)
-    old.end("b", MessageOutcome(Status.DELIVERED))
-    old.give_up("d", MessageOutcome(Status.DEFERRED, 70))
-    new.take(StoredMessage("c", "note", 1000.5, 7, "key", "platform", b"body"))
+    old.finish("b", MessageOutcome(Status.DELIVERED))
+    old.abandon("d", MessageOutcome(Status.DEFERRED, 70))
+    new.accept(StoredMessage("c", "note", 1000.5, 7, "key", "platform", b"body"))
     old.close()
     left, before = old.path.read_bytes(), new.path.read_bytes()
     new.adopt()
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -58,7 +58,7 @@
     files = FailingFiles()
     journal = Journal(folder, DISK, files=files)
     for name in names:
-        journal.take(stored(name))
+        journal.accept(stored(name))
     return journal, files
 
 
@@ -80,11 +80,11 @@
 
 
 RECORDS: dict[str, Callable[[Journal], object]] = {
-    "take": lambda journal: journal.take(stored("new")),
+    "take": lambda journal: journal.accept(stored("new")),
     "attempt": attempt,
     "never ran": lambda journal: journal.never_ran("tried"),
-    "give up": lambda journal: journal.give_up("a", DEFERRED),
-    "end": lambda journal: journal.end("a", DELIVERED),
+    "give up": lambda journal: journal.abandon("a", DEFERRED),
+    "end": lambda journal: journal.finish("a", DELIVERED),
 }
 
 
@@ -115,7 +115,7 @@
         assert said(journal) != before
     assert journal.failing and not journal.flush()
     files.heal()
-    journal.take(stored("later"))
+    journal.accept(stored("later"))
     assert not journal.failing
     now = said(journal)
     killed(journal, files)
@@ -160,9 +160,9 @@
             torn = Journal(folder, DISK, files=files)
             assert said(torn) == told and torn.cut == size - len(before)
             with pytest.raises(JournalFullError):
-                torn.take(stored("later")) if torn.cut else attempt_of_none(torn)
+                torn.accept(stored("later")) if torn.cut else attempt_of_none(torn)
             files.heal()
-            torn.take(stored("later"))
+            torn.accept(stored("later"))
             torn.close()
             again = reopened(folder)
             assert "later" in again.live and not again.cut
@@ -186,10 +186,10 @@
     clock = SteppedClocks()
     files = FailingFiles()
     journal = Journal(tmp_path, DISK, clock=clock, files=files)
-    journal.take(stored("a"))
+    journal.accept(stored("a"))
     for number in range(80):
-        journal.take(stored(f"m{number}", bytes(1000)))
-        journal.end(f"m{number}", DELIVERED)
+        journal.accept(stored(f"m{number}", bytes(1000)))
+        journal.finish(f"m{number}", DELIVERED)
     files.error, files.fails = error, fails
     size, before = journal.path.stat().st_size, said(journal)
     files.calls.clear()
@@ -203,7 +203,7 @@
     clock.time += 1.0
     journal._compact()
     assert journal.path.stat().st_size < size / 4
-    journal.take(stored("b"))
+    journal.accept(stored("b"))
     now = said(journal)
     killed(journal, files)
     again = reopened(tmp_path)
@@ -216,7 +216,7 @@
         folder = tmp_path / call
         folder.mkdir()
         journal, files = holding(folder, "a", "b")
-        journal.end("b", DELIVERED)
+        journal.finish("b", DELIVERED)
         now = said(journal)
         files.killed_at = call
         with pytest.raises(Killed):
@@ -237,11 +237,11 @@
     files = FailingFiles()
     new = Journal(folder, DISK, files=files)
     for name in ("a", "done", "given-up"):
-        old.take(stored(name))
+        old.accept(stored(name))
     old.attempt(["a"], 5.0, 0)
-    old.end("done", DELIVERED)
-    old.give_up("given-up", DEFERRED)
-    new.take(stored("own"))
+    old.finish("done", DELIVERED)
+    old.abandon("given-up", DEFERRED)
+    new.accept(stored("own"))
     old.close()
     return old, new, files
 
@@ -275,7 +275,7 @@
     assert sorted(one.id for one in new.adopt()) == ["a", "given-up"]
     assert old.path.exists() and new.others and not new.beside, "it is no process that runs"
     new.attempt(["a"], 6.0, 1)
-    new.end("given-up", DEFERRED)
+    new.finish("given-up", DEFERRED)
     assert new.adopt() == [], "not twice"
     third = Journal(tmp_path, DISK)
     assert third.slot not in (old.slot, new.slot) and not third.live
@@ -292,8 +292,8 @@
     files.fails = {"unlink"}
     new.adopt()
     new.attempt(["a"], 6.0, 1)
-    new.give_up("own", DEFERRED)
-    new.end("given-up", DEFERRED)
+    new.abandon("own", DEFERRED)
+    new.finish("given-up", DEFERRED)
     now = said(new)
     killed(new, files)
     if own_slot == 1:  # whichever is read first
@@ -387,7 +387,7 @@
     bench.take("a")
     bench.pass_time(0.01)
     disk(bench).fails = {"write"}
-    bench.journal.end("a", DELIVERED)
+    bench.journal.finish("a", DELIVERED)
     bench.sender.stop()
     bench.journal.close()
     disk(bench).heal()
@@ -464,7 +464,7 @@
     bench.take("a", grade=ONCE, left=left)
     bench.pass_time(0.01)
     disk(bench).fails = {"write"}
-    bench.sender.ends.give_up(bench.sender.held[bench.sender.numbers["a"]], DEFERRED)
+    bench.sender.ends.abandon(bench.sender.held[bench.sender.numbers["a"]], DEFERRED)
 
 
 def test_an_end_is_not_told_before_it_is_on_record(bench: Bench) -> None:
@@ -661,7 +661,7 @@
         self.last += 1
         if self.journal.room(size):
             try:
-                self.journal.take(stored(f"m{self.last}", bytes(size)))
+                self.journal.accept(stored(f"m{self.last}", bytes(size)))
             except JournalFullError:
                 return
             self.owed[f"m{self.last}"] = 0
@@ -683,7 +683,7 @@
     @rule(place=st.integers(0, 99))
     def end(self, place: int) -> None:
         name = self.pick(place)
-        self.journal.end(name, DELIVERED)
+        self.journal.finish(name, DELIVERED)
         del self.owed[name]
         self.ended[name] = False
 
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -308,7 +308,7 @@
                     name = f"m{len(real)}"
                     real[name] = clock.time + LEFT, clock.time
                     until = journal.time.of(clock.time + LEFT)
-                    journal.take(StoredMessage(name, "note", until, 7, "k", "platform", b""))
+                    journal.accept(StoredMessage(name, "note", until, 7, "k", "platform", b""))
                     journal.attempt([name], journal.time.of(clock.time), 0)
                 case "compact":
                     journal._rewrite(journal._content())
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -160,7 +160,7 @@
 def test_an_emptied_folder_is_written_anew_and_a_taken_one_is_not(tmp_path: Path) -> None:
     files = FailingFiles()
     journal = Journal(tmp_path, 1_000_000, files=files)
-    journal.take(StoredMessage("m1", "note", 1e12, 7, "k", "platform", b"hello"))
+    journal.accept(StoredMessage("m1", "note", 1e12, 7, "k", "platform", b"hello"))
     assert journal.standing()
     journal.path.unlink()  # alone: the lock is still this process's own, and not another's
     assert not journal.standing() and journal.write_anew() and journal.standing()
@@ -173,7 +173,7 @@
             journal.write_anew()
     files.heal()
     assert journal.write_anew() and journal.standing()
-    journal.take(StoredMessage("m2", "note", 1e12, 7, "k", "platform", b"hello"))
+    journal.accept(StoredMessage("m2", "note", 1e12, 7, "k", "platform", b"hello"))
     journal.close()
     again = Journal(tmp_path, 1_000_000)
     assert set(again.live) == {"m1", "m2"}
--- a/tests/recovery/test_restored.py
+++ b/tests/recovery/test_restored.py
@@ -22,7 +22,7 @@
     journal = Journal(state, 64_000_000)
     for number in range(COUNT):
         expires = time.time() + 300
-        journal.take(StoredMessage(f"r{number}", "note", expires, 7, "k", "platform", b"hello"))
+        journal.accept(StoredMessage(f"r{number}", "note", expires, 7, "k", "platform", b"hello"))
     journal.close()
 
     async def main() -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -45,7 +45,7 @@
         name, body = f"m{self.last}", os.urandom(size)
         room = self.journal.room(size)
         if room:
-            self.journal.take(stored(name, body))
+            self.journal.accept(stored(name, body))
             self.live[name] = (body, 0, 0, None)
         else:
             assert sum(len(body) for body, *_ in self.live.values()) + size > DISK / 4
@@ -66,14 +66,14 @@
     def give_up(self, place: int, again: int) -> None:
         name = self.pick(place)
         end = MessageOutcome(Status.DEFERRED, again)
-        self.journal.give_up(name, end)
+        self.journal.abandon(name, end)
         self.live[name] = (*self.live[name][:3], end)
 
     @precondition(lambda self: self.live)
     @rule(place=st.integers(0, 99), status=st.sampled_from(Status))
     def end(self, place: int, status: Status) -> None:
         name = self.pick(place)
-        self.journal.end(name, MessageOutcome(status))
+        self.journal.finish(name, MessageOutcome(status))
         del self.live[name]
         self.ended[name] = MessageOutcome(status)
 
@@ -122,13 +122,13 @@
     """ENOSPC after half a record: what follows must still be readable, as the half would hide all of it."""
     files = FailingFiles()
     journal = Journal(tmp_path, DISK, files=files)
-    journal.take(stored("a"))
+    journal.accept(stored("a"))
     files.room = 30
     with pytest.raises(JournalFullError):
-        journal.take(stored("b"))
-    assert not journal.end("a", MessageOutcome(Status.DELIVERED))
+        journal.accept(stored("b"))
+    assert not journal.finish("a", MessageOutcome(Status.DELIVERED))
     files.heal()
-    journal.take(stored("c"))
+    journal.accept(stored("c"))
     journal.close()
     again = Journal(tmp_path, DISK)
     assert set(again.live) == {"c"} and set(again.ends) == {"a"} and again.cut == 0
@@ -154,15 +154,15 @@
     """The new process hears of the old one's messages only once it has gone; a crash in the adoption
     (after the append, before the old file goes) leaves them twice, and read twice they are the same."""
     old = Journal(tmp_path, DISK)
-    old.take(stored("a"))
-    old.take(stored("b"))
+    old.accept(stored("a"))
+    old.accept(stored("b"))
     old.attempt(["a"], 1000.0, 2)
-    old.end("b", MessageOutcome(Status.DELIVERED))
+    old.finish("b", MessageOutcome(Status.DELIVERED))
     files = FailingFiles()
     new = Journal(tmp_path, DISK, files=files)
     assert new.slot == 1 and new.others == [tmp_path / "journal"] and not new.live
     assert new.adopt() == [] and not new.live  # still held: never two processes on one message
-    old.take(stored("c"))
+    old.accept(stored("c"))
     old.close()
     if crash:
         files.killed_at = "unlink"
@@ -177,7 +177,7 @@
         assert sorted(s.id for s in adopted) == ["a", "c"] and not new.others
     assert sorted(new.live) == ["a", "c"] and new.live["a"].attempts == 1
     assert new.ends["b"].status == "delivered"
-    new.end("a", MessageOutcome(Status.DELIVERED))
+    new.finish("a", MessageOutcome(Status.DELIVERED))
     new.close()
     again = Journal(tmp_path, DISK)  # whatever is left on disk, "a" stays ended and nothing is doubled
     assert sorted(again.live) == ["c"] and "a" in again.ends
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -315,7 +315,7 @@
     def full(*_: object) -> None:
         raise JournalFullError("no space left")
 
-    monkeypatch.setattr(bench.journal, "take", full)
+    monkeypatch.setattr(bench.journal, "accept", full)
     monkeypatch.setattr(bench.journal, "attempt", full)
     bench.take("z")
     bench.pass_time(0.02)
@@ -356,7 +356,7 @@
     bench.take("a", left=left)
     bench.pass_time(0.01)
     if left > 1:
-        bench.sender.ends.give_up(
+        bench.sender.ends.abandon(
             bench.sender.held[bench.sender.numbers["a"]], MessageOutcome(Status.DEFERRED, 70)
         )
     bench.journal.close()
