--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -54,7 +54,7 @@
             known = self._held[number].stored
             same = (known.dest, known.key, known.body) == (one.dest, one.key, one.body)
             return Accepted() if same else MessageOutcome(Status.UNDELIVERABLE)
-        return self._journal.ends.get(one.id)
+        return self._journal.outcomes.get(one.id)
 
     def turn_away(self, one: Submission) -> None:
         """Nothing new is taken on any more; what is known has its answer as ever."""
--- a/mountgauge/core/journal.py
+++ b/mountgauge/core/journal.py
@@ -109,7 +109,7 @@
             raise
         found, self.cut = self._read(content, self._opened)
         self._contents = found
-        self.live, self.ends = found.live, found.ends
+        self.live, self.outcomes = found.live, found.outcomes
         self._live_bytes = sum(map(self._cost, self.live.values()))
         # A process killed in a write leaves a torn tail. All before it was complete, so only it goes.
         self._size = len(content) - self.cut
@@ -203,7 +203,7 @@
     def _content(self) -> bytes:
         clocks = record(b"C", list(self.time.stamp()))
         live = [stored.record() for stored in self.live.values()]
-        return b"".join([clocks, *end_records(self.ends.items()), *live])
+        return b"".join([clocks, *end_records(self.outcomes.items()), *live])
 
     # Other slots
 
@@ -264,8 +264,8 @@
         it cannot be written, and nothing changed.
         """
         theirs, cut = self._read(content, self.time.stamp())
-        told = {i: end for i, end in theirs.ends.items() if i not in self.ends}
-        copies = [one for i, one in theirs.live.items() if i not in self.ends]
+        told = {i: end for i, end in theirs.outcomes.items() if i not in self.outcomes}
+        copies = [one for i, one in theirs.live.items() if i not in self.outcomes]
         self._write(b"".join([*end_records(told.items()), *(stored.record() for stored in copies)]))
         self.cut += cut
         for msg_id, end in told.items():
@@ -297,7 +297,7 @@
     # Room
 
     def _compact_bytes(self) -> int:
-        return self._live_bytes + 96 * len(self.ends)
+        return self._live_bytes + 96 * len(self.outcomes)
 
     def room(self, size: int) -> bool:
         """Whether a message with a body of this size may be taken on; compacts if that makes room."""
--- a/mountgauge/core/journal_records.py
+++ b/mountgauge/core/journal_records.py
@@ -84,7 +84,7 @@
     """What records say, one after another: messages that are live, and the last ends."""
 
     def __init__(self, ends_most: int) -> None:
-        self.live, self.ends = dict[str, StoredMessage](), OrderedDict[str, MessageOutcome]()
+        self.live, self.outcomes = dict[str, StoredMessage](), OrderedDict[str, MessageOutcome]()
         self._ends_most = ends_most
         self._stamp: Stamp | None = None  # the last one
         self._newest = -math.inf  # time on record that has passed, in the base of the stamp
@@ -154,7 +154,7 @@
 
     def _take(self, head: list[Any], body: bytes) -> None:
         msg_id, grade, expires, dest, key, front, attempts, ran, notice = head
-        if msg_id in self.ends:  # an older copy, from a journal adopted twice
+        if msg_id in self.outcomes:  # an older copy, from a journal adopted twice
             return
         told = MessageOutcome(Status(notice[0]), notice[1]) if notice else None
         times = [(float(at), int(zone)) for at, zone in ran]
@@ -167,6 +167,6 @@
     def forget(self, msg_id: str, end: MessageOutcome) -> None:
         """A message has ended."""
         self.live.pop(msg_id, None)
-        self.ends[msg_id] = end
-        while len(self.ends) > self._ends_most:
-            self.ends.popitem(last=False)
+        self.outcomes[msg_id] = end
+        while len(self.outcomes) > self._ends_most:
+            self.outcomes.popitem(last=False)
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -75,13 +75,23 @@
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
         state = SendState(self.rules, self.table, journal, self.held, self.waits)
         state.grades = dict(zip(names.grades, self.rules.grades, strict=False))
-        self.ends = MessageOutcomes(journal, self.held, fronts, self.counts, state, self.monitor, clock.now)
+        self.outcomes = MessageOutcomes(
+            journal, self.held, fronts, self.counts, state, self.monitor, clock.now
+        )
         self.attempts = Attempts(
             state, clock, journal, self.table, self.held, self.waits, self.counts, self.monitor,
-            self._enqueue, self.ends.finish,
+            self._enqueue, self.outcomes.finish,
         )  # fmt: skip
         self.admission = Admission(
-            policy, names, journal, self.table, self.held, self.attempts, self.ends, self.counts, clock.now()
+            policy,
+            names,
+            journal,
+            self.table,
+            self.held,
+            self.attempts,
+            self.outcomes,
+            self.counts,
+            clock.now(),
         )
         journal.on_failing = self._write_later
         self._writing_later = False
@@ -158,11 +168,11 @@
     @property
     def scope(self) -> DestinationScope | None:
         """Where it holds a part of the destinations."""
-        return self.ends.scope
+        return self.outcomes.scope
 
     @scope.setter
     def scope(self, scope: DestinationScope | None) -> None:
-        self.ends.scope = scope
+        self.outcomes.scope = scope
 
     @property
     def calls(self) -> int:
@@ -211,9 +221,9 @@
             self.monitor.restored(stored.id, self.attempts.state.ran(held.number))
             if stored.notice is not None:  # given up by the last process, whose notice may not have arrived
                 held.over = True
-                self.ends.tell(held, stored.notice)
+                self.outcomes.tell(held, stored.notice)
             elif (end := end_without_class(stored, self.names)) is not None:
-                self.ends.abandon(held, end)
+                self.outcomes.abandon(held, end)
             else:
                 self._backlog.add(held, self.names.grades.index(stored.grade), self.journal.time)
         if stored_ones:
@@ -223,10 +233,10 @@
     def forget_ended(self) -> None:
         """Messages that an adopted journal says have ended: nothing more is owed."""
         for msg_id, number in list(self.numbers.items()):
-            if msg_id in self.journal.ends and msg_id not in self.journal.live:
+            if msg_id in self.journal.outcomes and msg_id not in self.journal.live:
                 held = self.held[number]
                 held.over = True
-                self.ends.drop(held)
+                self.outcomes.drop(held)
                 self._enqueue(io.Withdrawn(number))
 
     @property
@@ -256,7 +266,7 @@
             return
         self._writing_later = False
         log.info("journal-written", extra=kv(held=len(self.held)))
-        self.ends.recorded()
+        self.outcomes.recorded()
         if not self._stopped:
             self.attempts.release()
 
@@ -426,10 +436,10 @@
         if held is None:
             return []
         if held.over:
-            self.ends.tell_late(held)
+            self.outcomes.tell_late(held)
             return []
         log.warning("overdue", extra=kv(id=held.stored.id, attempts=held.issued, out=held.call is not None))
-        self.ends.abandon(held, MessageOutcome(Status.UNDELIVERABLE))
+        self.outcomes.abandon(held, MessageOutcome(Status.UNDELIVERABLE))
         return [io.Withdrawn(number)]
 
     def _answer(
@@ -461,9 +471,9 @@
                 case io.Schedule(delay, token):
                     self._timers.ring(now + delay, token)
                 case io.PushBack(number):
-                    self.ends.abandon(self.held.get(number), _deferred(action))
+                    self.outcomes.abandon(self.held.get(number), _deferred(action))
                 case io.Abort(number):
-                    self.ends.abandon(self.held.get(number), MessageOutcome(Status.UNDELIVERABLE))
+                    self.outcomes.abandon(self.held.get(number), MessageOutcome(Status.UNDELIVERABLE))
                 case io.Watch(on):
                     self.map.watch(on)
                 case io.Snapshot():
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -77,7 +77,7 @@
     def _arrive(self) -> None:
         """Begin this life by what the folder says; OSError where it cannot be read or written."""
         runtime = self.runtime
-        had = bool(runtime.journal.live or runtime.journal.ends)
+        had = bool(runtime.journal.live or runtime.journal.outcomes)
         stamp = read(runtime.sender.clock)
         self.identity, self.found, clean = self.folder.arrive(runtime.config.name, had)
         self._arrived = True
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -313,9 +313,9 @@
     bench.take("long", grade=2, left=9.0)
     bench.pass_time(0.6)
     assert len(bench.calls) == 1 and len(bench.calls[0].items) == 2 and not bench.calls[0].sent
-    assert bench.ends["short"].status is Status.DEFERRED
+    assert bench.outcomes["short"].status is Status.DEFERRED
     assert bench.journal.live["short"].notice == MessageOutcome(
-        Status.DEFERRED, bench.ends["short"].retry_after_ms
+        Status.DEFERRED, bench.outcomes["short"].retry_after_ms
     )
     assert bench.sender.admit(bench.calls[0], bench.calls[0].items) == bench.calls[0].items[1:]
 
--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -523,7 +523,7 @@
                 frame = await read_frame(client.reader)
             assert await client.reader.read() == b""  # the end, and no reset
             client.writer.close()
-            assert "late" not in world.runtime.journal.live and "late" not in world.runtime.journal.ends
+            assert "late" not in world.runtime.journal.live and "late" not in world.runtime.journal.outcomes
             assert not world.calls
 
     run(main())
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -134,7 +134,7 @@
         again.sender.start(again.hops(Readiness.READY))
         again.pass_time(0.05)
         assert len(again.calls) == calls
-        assert ("a" in again.ends) is (not calls)
+        assert ("a" in again.outcomes) is (not calls)
 
 
 def test_an_untried_message_of_a_class_that_has_gone_may_come_again(tmp_path: Path) -> None:
@@ -152,7 +152,7 @@
     again.sender.names = SettingNames(("safe", "keyed"), ("near", "far"), ("one", "many"))
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.05)
-    assert again.ends == {
+    assert again.outcomes == {
         "tried": MessageOutcome(Status.UNDELIVERABLE),
         "untried": MessageOutcome(Status.DEFERRED),
     }
@@ -185,13 +185,13 @@
     old.close()
     files.room = written
     assert new.adopt() == [] and new.others, "it is still to be adopted"
-    assert "b" not in new.live and "a" not in new.ends
+    assert "b" not in new.live and "a" not in new.outcomes
     files.heal()
     new.accept(StoredMessage("c", "note", 1000.5, 7, "key", "platform", b"body"))
     assert [one.id for one in new.adopt()] == ["b"] and not new.others
     new.close()
     last = reopened(tmp_path)
-    assert set(last.live) == {"b", "c"} and set(last.ends) == {"a"} and not last.cut
+    assert set(last.live) == {"b", "c"} and set(last.outcomes) == {"a"} and not last.cut
     last.close()
 
 
@@ -205,10 +205,10 @@
     old.finish("a", MessageOutcome(Status.DELIVERED))
     old.close()
     new.adopt()
-    assert "a" in new.ends
+    assert "a" in new.outcomes
     new.close()
     last = reopened(tmp_path)
-    assert "a" in last.ends, "handed in again it would be delivered a second time"
+    assert "a" in last.outcomes, "handed in again it would be delivered a second time"
     last.close()
 
 
@@ -221,7 +221,7 @@
     old.close()
     [one] = new.adopt()
     assert (one.id, one.attempts, one.ran) == ("a", 1, [(5.0, 0)])
-    assert new.adopt() == [] and "b" in new.ends
+    assert new.adopt() == [] and "b" in new.outcomes
     new.close()
 
 
@@ -235,14 +235,14 @@
     old.abandon("given-up", MessageOutcome(Status.DEFERRED, 70))
     bench.sender.start(bench.hops(Readiness.READY))
     bench.pass_time(0.01)
-    assert bench.journal.adopt() == [] and not bench.ends
+    assert bench.journal.adopt() == [] and not bench.outcomes
     old.close()
     bench.sender.restore(bench.journal.adopt())
     bench.pass_time(0.02)
-    assert bench.ends == {"given-up": MessageOutcome(Status.DEFERRED, 70)}
+    assert bench.outcomes == {"given-up": MessageOutcome(Status.DEFERRED, 70)}
     assert [item.id for call in bench.calls for item in call.items] == ["untried"]
     bench.told["given-up"]()
-    assert "given-up" in bench.journal.ends and "given-up" not in bench.journal.live
+    assert "given-up" in bench.journal.outcomes and "given-up" not in bench.journal.live
 
 
 def test_an_attempt_that_ended_while_the_old_one_goes_is_in_its_last_record(tmp_path: Path) -> None:
@@ -264,7 +264,7 @@
     bench.journal.close()
     last = Journal(tmp_path, 1_000_000)
     assert {one.id: len(one.ran) for one in last.live.values()} == {"never": 0, "maybe": 1}
-    assert set(last.ends) == {"done"}
+    assert set(last.outcomes) == {"done"}
     last.close()
 
 
@@ -293,5 +293,7 @@
         for _ in range(2):  # and once more, by what the first one wrote
             found = reopened(folder)
             assert {one.id: len(one.ran) for one in found.live.values()} == {"a": 1, "c": 0, "d": 0}
-            assert found.live["d"].notice == MessageOutcome(Status.DEFERRED, 70) and set(found.ends) == {"b"}
+            assert found.live["d"].notice == MessageOutcome(Status.DEFERRED, 70) and set(found.outcomes) == {
+                "b"
+            }
             found.close()
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -90,7 +90,7 @@
 
 def said(journal: Journal) -> object:
     live = {i: (one.attempts, len(one.ran), one.notice) for i, one in journal.live.items()}
-    return live, dict(journal.ends)
+    return live, dict(journal.outcomes)
 
 
 @errors
@@ -408,7 +408,7 @@
         bench.sender.finished(call, {})
     begun = len(bench.calls)
     bench.pass_time(OUTAGE)
-    assert len(bench.calls) == begun and not bench.ends, "nothing is looked for a connection"
+    assert len(bench.calls) == begun and not bench.outcomes, "nothing is looked for a connection"
     disk(bench).heal()
     bench.pass_time(0.1)  # with no client's help
     later = bench.calls[begun:]
@@ -435,11 +435,11 @@
     again = on(bench)
     calls = [item.id for one in again.calls for item in one.items]
     if outcome == Outcome.CONNECT_FAILED:
-        assert calls == ["a"] and not again.ends
+        assert calls == ["a"] and not again.outcomes
     elif outcome == Outcome.OK:
-        assert not calls and not again.ends and again.journal.ends["a"] == DELIVERED
+        assert not calls and not again.outcomes and again.journal.outcomes["a"] == DELIVERED
     else:  # given up, and told again as nobody has heard it
-        assert not calls and again.ends == bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}
+        assert not calls and again.outcomes == bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
 
 def test_a_kill_while_the_disk_fails_repeats_nothing(bench: Bench) -> None:
@@ -452,7 +452,7 @@
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     bench.pass_time(0.1)
     again = on(bench)
-    assert not again.calls and again.ends == {
+    assert not again.calls and again.outcomes == {
         "a": MessageOutcome(Status.UNDELIVERABLE)
     }  # harmless: it is over
 
@@ -464,14 +464,14 @@
     bench.take("a", grade=ONCE, left=left)
     bench.pass_time(0.01)
     disk(bench).fails = {"write"}
-    bench.sender.ends.abandon(bench.sender.held[bench.sender.numbers["a"]], DEFERRED)
+    bench.sender.outcomes.abandon(bench.sender.held[bench.sender.numbers["a"]], DEFERRED)
 
 
 def test_an_end_is_not_told_before_it_is_on_record(bench: Bench) -> None:
     """The next process sent what its client had been told to hand in again."""
     given_up(bench)
     bench.pass_time(0.2)
-    assert not bench.ends
+    assert not bench.outcomes
     again = on(bench)
     assert [item.id for call in again.calls for item in call.items] == ["a"], "nobody was told of an end"
 
@@ -481,18 +481,18 @@
     bench.pass_time(0.2)
     disk(bench).heal()
     bench.pass_time(0.06)
-    assert bench.ends == {"a": DEFERRED}, "told as soon as it is on record"
+    assert bench.outcomes == {"a": DEFERRED}, "told as soon as it is on record"
     again = on(bench)
-    assert again.ends == {"a": DEFERRED} and not again.calls
+    assert again.outcomes == {"a": DEFERRED} and not again.calls
 
 
 def test_an_end_is_told_in_time_though_the_disk_never_takes_it(bench: Bench) -> None:
     """Past the message's time no process sends it any more, and its end is overdue 0.3 s later."""
     given_up(bench, left=1.0)
     bench.pass_time(0.9)
-    assert not bench.ends
+    assert not bench.outcomes
     bench.pass_time(0.25)
-    assert bench.ends == {"a": DEFERRED}
+    assert bench.outcomes == {"a": DEFERRED}
     again = on(bench)
     assert not again.calls
 
@@ -512,7 +512,7 @@
     new = Bench(tmp_path, time=old.time, files=files)
     new.sender.start(new.hops(Readiness.READY))
     new.pass_time(0.5)
-    assert set(new.journal.live) == {"a"} and not new.ends
+    assert set(new.journal.live) == {"a"} and not new.outcomes
     files.heal()
     new.pass_time(0.2)
     [call] = new.calls[-1:]
@@ -601,7 +601,7 @@
     files = FailingFiles()
     first, _, _ = Folder(tmp_path).arrive("m1", False)
     clock = SimpleNamespace(now=lambda: 5.0, wall=lambda: 105.0, boot=lambda: "")
-    journal = SimpleNamespace(live={}, ends={}, standing=lambda: True, slot=0)
+    journal = SimpleNamespace(live={}, outcomes={}, standing=lambda: True, slot=0)
     sender = SimpleNamespace(clock=clock, list_lease=None, on_list=None)
     config = SimpleNamespace(name="m1", known=SimpleNamespace(version=-1))
     recovery = RecoverySubsystem.__new__(RecoverySubsystem)
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -94,10 +94,11 @@
     again = stepped_life(lives(tmp_path, Readiness.DRAINING, 0), when, step, 2.0, Readiness.DRAINING)
     assert left_of(again) == pytest.approx(LEFT - 2.0, abs=0.05)
     again.pass_time(LEFT - 2.0 - 1.0)
-    assert "a" not in again.ends
+    assert "a" not in again.outcomes
     again.pass_time(1.2)
     assert (
-        again.ends["a"] == MessageOutcome(Status.DEFERRED, again.ends["a"].retry_after_ms) and not again.calls
+        again.outcomes["a"] == MessageOutcome(Status.DEFERRED, again.outcomes["a"].retry_after_ms)
+        and not again.calls
     )
 
 
@@ -111,7 +112,7 @@
     again = stepped_life(lives(tmp_path, Readiness.READY, KEYED), when, step, down, Readiness.READY)
     again.pass_time(0.05)
     assert [item.id for call in again.calls for item in call.items] == ["a"] * calls
-    assert ("a" in again.ends) is (not calls)
+    assert ("a" in again.outcomes) is (not calls)
 
 
 @steps
@@ -148,7 +149,7 @@
     new.sender.restore(new.journal.adopt())
     assert left_of(new) == pytest.approx(LEFT - out_for, abs=0.05)
     new.pass_time(0.05)
-    assert len(new.calls) == calls and ("a" in new.ends) is (not calls)
+    assert len(new.calls) == calls and ("a" in new.outcomes) is (not calls)
     if calls:  # and what it adopted is read back as it was written
         last = restarted(new, 0.0, -step, Readiness.READY)
         assert left_of(last) == pytest.approx(LEFT - out_for - 0.05, abs=0.05)
@@ -200,12 +201,12 @@
     bench.take("untried", left=LEFT)
     bench.pass_time(0.01)
     again = rebooted(bench, 2.0, step, boot, time)
-    assert set(again.ends) == {"a"} and again.ends["a"].status is not Status.DELIVERED
+    assert set(again.outcomes) == {"a"} and again.outcomes["a"].status is not Status.DELIVERED
     assert [item.id for call in again.calls for item in call.items] == ["untried"]
     assert LEFT - 1.2 < left_of(again, "untried") < LEFT
     last = restarted(again, 0.0)
     last.pass_time(0.02)
-    assert "a" in last.journal.live or "a" in last.journal.ends
+    assert "a" in last.journal.live or "a" in last.journal.outcomes
     assert not [item for call in last.calls for item in call.items if item.id == "a"]
 
 
@@ -271,7 +272,7 @@
     without_stamps(tmp_path)
     again = begun(bench, down, step, Readiness.READY)
     again.pass_time(0.05)
-    assert len(again.calls) == calls and ("a" in again.ends) is (not calls)
+    assert len(again.calls) == calls and ("a" in again.outcomes) is (not calls)
     if calls:  # and once more, behind records of this version
         again.sender.admit(again.calls[0], again.calls[0].items)
         again.journal.close()
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -358,8 +358,8 @@
             + codec.content(1, properties, body, 4096)
         )
         journal = self.world.runtime.journal  # taken is journalled: no frame says so
-        await until(lambda: msg_id in journal.live or msg_id in journal.ends or msg_id in self.ends)
-        return None if msg_id in journal.live or msg_id in journal.ends else self.ends.get(msg_id)
+        await until(lambda: msg_id in journal.live or msg_id in journal.outcomes or msg_id in self.ends)
+        return None if msg_id in journal.live or msg_id in journal.outcomes else self.ends.get(msg_id)
 
     async def end(self, msg_id: str) -> str:
         await until(lambda: msg_id in self.ends)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -105,7 +105,7 @@
             for name, one in self.journal.live.items()
         }
         assert found == self.live
-        assert all(self.ended[name] == end for name, end in self.journal.ends.items())
+        assert all(self.ended[name] == end for name, end in self.journal.outcomes.items())
         used = sum(-(-file.stat().st_size // 512) * 512 for file in self.path.iterdir())
         assert used <= DISK
 
@@ -131,7 +131,7 @@
     journal.accept(stored("c"))
     journal.close()
     again = Journal(tmp_path, DISK)
-    assert set(again.live) == {"c"} and set(again.ends) == {"a"} and again.cut == 0
+    assert set(again.live) == {"c"} and set(again.outcomes) == {"a"} and again.cut == 0
 
 
 def test_leftover_of_a_compaction_is_removed(tmp_path: Path) -> None:
@@ -176,9 +176,9 @@
         adopted = new.adopt()
         assert sorted(s.id for s in adopted) == ["a", "c"] and not new.others
     assert sorted(new.live) == ["a", "c"] and new.live["a"].attempts == 1
-    assert new.ends["b"].status == "delivered"
+    assert new.outcomes["b"].status == "delivered"
     new.finish("a", MessageOutcome(Status.DELIVERED))
     new.close()
     again = Journal(tmp_path, DISK)  # whatever is left on disk, "a" stays ended and nothing is doubled
-    assert sorted(again.live) == ["c"] and "a" in again.ends
+    assert sorted(again.live) == ["c"] and "a" in again.outcomes
     assert [p.name for p in tmp_path.glob("journal*")] == [again.path.name]
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -47,7 +47,7 @@
         super().__init__(time, ahead, boot)
         self.timers: list[tuple[float, Callable[[], None]]] = []
         self.calls: list[Call] = []
-        self.ends: dict[str, MessageOutcome] = {}
+        self.outcomes: dict[str, MessageOutcome] = {}
         self.told: dict[str, Callable[[], None]] = {}
         self.answers: dict[str, object] = {}
         self.watching = 0
@@ -73,8 +73,8 @@
     def snapshot(self) -> None: ...
 
     def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        assert msg_id not in self.ends, "a second end"
-        self.ends[msg_id], self.told[msg_id] = end, told
+        assert msg_id not in self.outcomes, "a second end"
+        self.outcomes[msg_id], self.told[msg_id] = end, told
 
     def pass_time(self, seconds: float) -> None:
         until = self.time + seconds
@@ -151,7 +151,7 @@
     assert bench.journal.live["a"].attempts == 1
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     assert (
-        bench.ends == {"a": MessageOutcome(Status.DELIVERED)}
+        bench.outcomes == {"a": MessageOutcome(Status.DELIVERED)}
         and not bench.journal.live
         and not bench.sender.held
     )
@@ -233,7 +233,9 @@
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.MOOT, over=True)})
     bench.pass_time(20.0)
     assert (
-        bench.ends == {"a": MessageOutcome(Status.OVER)} and not bench.journal.live and len(bench.calls) == 1
+        bench.outcomes == {"a": MessageOutcome(Status.OVER)}
+        and not bench.journal.live
+        and len(bench.calls) == 1
     )
 
 
@@ -253,7 +255,7 @@
     bench.pass_time(0.01)
     assert bench.answers == {"a": Accepted(), "b": Accepted()} and len(bench.calls) == 1
     bench.pass_time(2.2)
-    assert bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}
+    assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
 
 def test_given_up_is_told_at_once_and_journalled_first(bench: Bench) -> None:
@@ -263,10 +265,10 @@
     bench.sender.admit(call, call.items)
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.RESET)})
     bench.pass_time(0.02)
-    assert bench.ends == {"a": MessageOutcome(Status.UNDELIVERABLE)}
+    assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
     assert bench.journal.live["a"].notice == MessageOutcome(Status.UNDELIVERABLE)  # until the platform has it
     bench.told["a"]()
-    assert not bench.journal.live and bench.journal.ends["a"] == MessageOutcome(Status.UNDELIVERABLE)
+    assert not bench.journal.live and bench.journal.outcomes["a"] == MessageOutcome(Status.UNDELIVERABLE)
 
 
 def test_deferred_says_when_to_come_again(bench: Bench) -> None:
@@ -343,7 +345,7 @@
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.03)
     assert len(bench.calls) + len(again.calls) == calls
-    assert again.ends.get("a", MessageOutcome(Status.DELIVERED)).status is (end or Status.DELIVERED)
+    assert again.outcomes.get("a", MessageOutcome(Status.DELIVERED)).status is (end or Status.DELIVERED)
     if end is None:
         held = next(iter(again.sender.held.values()))
         assert held.expires == pytest.approx(again.time + 10 - 2, abs=0.1) and held.issued == 2
@@ -356,15 +358,15 @@
     bench.take("a", left=left)
     bench.pass_time(0.01)
     if left > 1:
-        bench.sender.ends.abandon(
+        bench.sender.outcomes.abandon(
             bench.sender.held[bench.sender.numbers["a"]], MessageOutcome(Status.DEFERRED, 70)
         )
     bench.journal.close()
     again = Bench(tmp_path, time=101.0)
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.02)
-    assert not again.calls and set(again.ends) == {"a"}
-    assert left < 1 or again.ends["a"] == MessageOutcome(Status.DEFERRED, 70)
+    assert not again.calls and set(again.outcomes) == {"a"}
+    assert left < 1 or again.outcomes["a"] == MessageOutcome(Status.DEFERRED, 70)
 
 
 def test_stop_leaves_the_rest_in_the_journal(bench: Bench) -> None:
@@ -379,7 +381,7 @@
         "b": MessageOutcome(Status.DEFERRED),
         "c": MessageOutcome(Status.DEFERRED),
     }
-    assert set(bench.journal.live) == {"a"} and not bench.ends
+    assert set(bench.journal.live) == {"a"} and not bench.outcomes
 
 
 def test_item_that_expires_before_its_call_is_ended_in_time(tmp_path: Path) -> None:
@@ -392,11 +394,11 @@
     (call,) = bench.calls
     bench.sender.admit(call, call.items)
     bench.pass_time(0.6)
-    assert set(bench.ends) == {"short"} and "long" in bench.journal.live
+    assert set(bench.outcomes) == {"short"} and "long" in bench.journal.live
     bench.sender.finished(call, {item.number: AttemptResult(Outcome.OK) for item in call.items})
-    assert bench.ends["long"] == MessageOutcome(Status.DELIVERED) and bench.ends["short"] != MessageOutcome(
-        Status.DELIVERED
-    )
+    assert bench.outcomes["long"] == MessageOutcome(Status.DELIVERED) and bench.outcomes[
+        "short"
+    ] != MessageOutcome(Status.DELIVERED)
 
 
 def test_a_crowd_is_decided_on_in_parts_and_what_has_ended_wakes_nobody(bench: Bench) -> None:
@@ -436,7 +438,7 @@
     with pytest.raises(RuntimeError):
         bench.pass_time(0.01)
     bench.pass_time(2.0)
-    assert set(bench.ends) == {"held"}
+    assert set(bench.outcomes) == {"held"}
 
 
 def test_what_waits_by_destination_and_endpoint(bench: Bench) -> None:
