--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -67,7 +67,7 @@
             return MessageOutcome(Status.DEFERRED)
         if (known := self.known(one)) is not None:
             return known
-        if not send_guard.may_take_on(bool(self._journal.unread), now - self._began):
+        if not send_guard.may_take_on(bool(self._journal.unreadable), now - self._began):
             return MessageOutcome(Status.DEFERRED, _ASK_AGAIN_MS)
         if self.cut_off():
             self._counts["refused", "cut-off"] += 1
@@ -84,7 +84,7 @@
                 if self.list_told
                 else MessageOutcome(Status.DEFERRED, _ASK_AGAIN_MS)
             )
-        if len(self._policy.msgs) >= self.rules.max_open or not self._journal.room(len(one.body)):
+        if len(self._policy.msgs) >= self.rules.max_open or not self._journal.has_capacity(len(one.body)):
             return MessageOutcome(Status.DEFERRED)
         return self._refused_by_limits(one, now)
 
--- a/mountgauge/core/journal.py
+++ b/mountgauge/core/journal.py
@@ -59,7 +59,7 @@
     ) -> None:
         """JournalUnavailableError where the system fails; OSError where other processes hold all slots."""
         self.folder, self._files = folder, files or SystemFiles()
-        self.cut = 0  # bytes at the ends of files that were no whole records
+        self.truncated_bytes = 0  # bytes at the ends of files that were no whole records
         self.time = ProcessTime(clock or SystemClocks())
         self._opened = self.time.stamp()  # by which what is found in the folder is read
         self._stamped: Stamp | None = None  # the last one in the file that is of this process
@@ -81,9 +81,9 @@
             raise JournalUnavailableError(error.errno, error.strerror, str(folder)) from error
         if found is None:  # every slot is held by a living process: a third one would overlap them
             raise OSError(f"{folder}: in use by another process")
-        self.others: list[Path] = []  # journals of other processes that are not adopted yet
-        self.unread: list[Path] = []  # those of them that could not be read: what they hold is not known
-        self.beside: list[Path] = []  # those of them whose processes run
+        self.unadopted: list[Path] = []  # journals of other processes that are not adopted yet
+        self.unreadable: list[Path] = []  # those of them that could not be read: what they hold is not known
+        self.in_use: list[Path] = []  # those of them whose processes run
         self._adopted: dict[int, int] = {}  # locks of slots that were, whose files are still to be removed
         self.adopt()
 
@@ -107,13 +107,13 @@
         except OSError:
             self._close(self._lock)
             raise
-        found, self.cut = self._read(content, self._opened)
+        found, self.truncated_bytes = self._read(content, self._opened)
         self._contents = found
         self.live, self.outcomes = found.live, found.outcomes
         self._live_bytes = sum(map(self._cost, self.live.values()))
         # A process killed in a write leaves a torn tail. All before it was complete, so only it goes.
-        self._size = len(content) - self.cut
-        self._torn = self.cut > 0
+        self._size = len(content) - self.truncated_bytes
+        self._torn = self.truncated_bytes > 0
         with contextlib.suppress(OSError):  # or before the first record that is appended
             self._cut_off()
 
@@ -141,11 +141,11 @@
         with contextlib.suppress(OSError):
             self._files.unlink(path)
 
-    def standing(self) -> bool:
+    def is_in_place(self) -> bool:
         """Whether the folder still holds this journal and its lock, and not others in their place."""
         return same_file(self.path, self._file) and same_file(lock_path(self.folder, self.slot), self._lock)
 
-    def write_anew(self) -> bool:
+    def recreate(self) -> bool:
         """The folder was emptied or replaced: all that is live goes into it again, under a new lock.
 
         False where another process holds the slot now: what the folder has is that one's.
@@ -214,7 +214,7 @@
         them twice, never nowhere; read twice, the copies are one message and an ended id stays ended. Where
         it cannot be read or written, it is as if that slot had not been looked at: its turn comes later.
         """
-        self.others, self.beside, self.unread = [], [], []
+        self.unadopted, self.in_use, self.unreadable = [], [], []
         adopted: list[StoredMessage] = []
         for slot in range(self._slots):
             if slot == self.slot:
@@ -222,8 +222,8 @@
             try:
                 adopted += self._adopt(slot)
             except OSError:
-                self.unread.append(slot_paths(self.folder, slot)[0])
-                self.others.append(self.unread[-1])
+                self.unreadable.append(slot_paths(self.folder, slot)[0])
+                self.unadopted.append(self.unreadable[-1])
         return adopted
 
     def _adopt(self, slot: int) -> list[StoredMessage]:
@@ -233,8 +233,8 @@
             if not path.exists():
                 return []
             if (lock := lock_slot(self._files, self.folder, slot)) is None:
-                self.others.append(path)
-                self.beside.append(path)
+                self.unadopted.append(path)
+                self.in_use.append(path)
                 return []
             try:
                 self._try_to_write()
@@ -247,7 +247,7 @@
             self._files.unlink(path)
             self._files.unlink(spare)
         except OSError:  # it is an older copy by now: nobody may take it for its own until it has gone
-            self.others.append(path)
+            self.unadopted.append(path)
         else:
             self._close(self._adopted.pop(slot))
         return fresh
@@ -267,7 +267,7 @@
         told = {i: end for i, end in theirs.outcomes.items() if i not in self.outcomes}
         copies = [one for i, one in theirs.live.items() if i not in self.outcomes]
         self._write(b"".join([*end_records(told.items()), *(stored.record() for stored in copies)]))
-        self.cut += cut
+        self.truncated_bytes += cut
         for msg_id, end in told.items():
             self._forget(msg_id, end)
         fresh = []
@@ -299,7 +299,7 @@
     def _compact_bytes(self) -> int:
         return self._live_bytes + 96 * len(self.outcomes)
 
-    def room(self, size: int) -> bool:
+    def has_capacity(self, size: int) -> bool:
         """Whether a message with a body of this size may be taken on; compacts if that makes room."""
         return self._fits(size + _PER_LIVE, _RESERVE)
 
@@ -316,7 +316,7 @@
     def _others_bytes(self) -> int:
         """What the journals of other processes on the same folder take of its room."""
         total = 0
-        for path in self.others:
+        for path in self.unadopted:
             with contextlib.suppress(OSError):  # adopted or gone meanwhile
                 total += _blocks(path.stat().st_size)
         return total
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -227,7 +227,7 @@
             else:
                 self._backlog.add(held, self.names.grades.index(stored.grade), self.journal.time)
         if stored_ones:
-            log.info("restored", extra=kv(messages=len(stored_ones), cut_bytes=self.journal.cut))
+            log.info("restored", extra=kv(messages=len(stored_ones), cut_bytes=self.journal.truncated_bytes))
         self._soon()
 
     def forget_ended(self) -> None:
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -201,7 +201,7 @@
     @property
     def polls(self) -> bool:
         """Only where another process may share the folder, or operators may call: else no wakeups at all."""
-        return self.handover.sharing or self.service is not None or bool(self.journal.others)
+        return self.handover.sharing or self.service is not None or bool(self.journal.unadopted)
 
     def look(self) -> None:
         """Now and then: what another process on this folder has left or told."""
--- a/mountgauge/run/handover.py
+++ b/mountgauge/run/handover.py
@@ -43,11 +43,11 @@
 
     async def begin(self) -> None:
         """An older process serves: what it was told to wait binds this one."""
-        if not self.journal.others:
+        if not self.journal.unadopted:
             return
         self.tell()
         for _ in range(_FIRST_LOOKS):
-            if all(map(self._heard_from, self.journal.others)):
+            if all(map(self._heard_from, self.journal.unadopted)):
                 break
             await asyncio.sleep(LOOK_EVERY)
         self.hear()
@@ -55,22 +55,22 @@
     def look(self) -> None:
         """Journals of gone processes; and, while another process serves beside this one, its waits."""
         self._looks += 1
-        if (self._looks % _ADOPT_LOOKS == 0 and self.sharing) or self.journal.others:
+        if (self._looks % _ADOPT_LOOKS == 0 and self.sharing) or self.journal.unadopted:
             self.adopt()
-        if self.journal.others:
+        if self.journal.unadopted:
             if not self._told:
                 self.tell()
             self.hear()
 
     def adopt(self) -> None:
         """Messages of a process that has gone from the same folder become this one's."""
-        had = bool(self.journal.others)
+        had = bool(self.journal.unadopted)
         adopted = self.journal.adopt()
-        if had and not self.journal.others:  # what the gone one was told ended with it
+        if had and not self.journal.unadopted:  # what the gone one was told ended with it
             for path in self._waits_paths():
                 with contextlib.suppress(OSError):  # it says until when it holds, and is replaced as a whole
                     self._files.unlink(path)
-        elif self.journal.others and not had:  # a newer process beside this one: it is to heed our waits
+        elif self.journal.unadopted and not had:  # a newer process beside this one: it is to heed our waits
             self.tell()
         self.sender.forget_ended()
         if adopted:
@@ -80,14 +80,14 @@
     def successor(self) -> bool:
         """Whether a newer process serves beside this one, on the same listening socket and folder."""
         self.adopt()
-        return self.sharing and bool(self.journal.beside)
+        return self.sharing and bool(self.journal.in_use)
 
     def _waits_path(self, slot: int) -> Path:
         return self.folder / ("waits" if slot == 0 else f"waits.{slot}")
 
     def tell(self) -> None:
         """A wait was told to this process: the one beside it is to heed it too."""
-        if not self.journal.others:
+        if not self.journal.unadopted:
             return
         content = shared_waits.encode(self.sender.waits, self.journal.time.stamp())
         try:
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -212,8 +212,8 @@
         """
         runtime = self.runtime
         try:
-            if not runtime.journal.standing():
-                if not runtime.journal.write_anew():
+            if not runtime.journal.is_in_place():
+                if not runtime.journal.recreate():
                     log.critical("folder-taken", extra=kv(why="another process holds it: this one ends"))
                     runtime.sender.stop()
                     os._exit(3)  # at once: what it held is the other's, and its answers must not contradict
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -58,7 +58,7 @@
     """What another process of this sender tells while this one ends: waits, and endpoints taken out. Journals
     are left to the others by now.
     """
-    if runtime.journal.others:
+    if runtime.journal.unadopted:
         runtime.handover.hear()
     if runtime.service is not None:
         runtime.service.look()
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -546,7 +546,7 @@
             take_out(tmp_path / "state", "h0")
             hop.script = ["ok"]
             await world.start()
-            assert world.runtime.journal.others
+            assert world.runtime.journal.unadopted
             await asyncio.sleep(GRACE)
             assert len(hop.calls) == 1
             beside.close()
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -184,14 +184,14 @@
     old.finish("a", MessageOutcome(Status.DELIVERED))
     old.close()
     files.room = written
-    assert new.adopt() == [] and new.others, "it is still to be adopted"
+    assert new.adopt() == [] and new.unadopted, "it is still to be adopted"
     assert "b" not in new.live and "a" not in new.outcomes
     files.heal()
     new.accept(StoredMessage("c", "note", 1000.5, 7, "key", "platform", b"body"))
-    assert [one.id for one in new.adopt()] == ["b"] and not new.others
+    assert [one.id for one in new.adopt()] == ["b"] and not new.unadopted
     new.close()
     last = reopened(tmp_path)
-    assert set(last.live) == {"b", "c"} and set(last.outcomes) == {"a"} and not last.cut
+    assert set(last.live) == {"b", "c"} and set(last.outcomes) == {"a"} and not last.truncated_bytes
     last.close()
 
 
@@ -215,7 +215,7 @@
 def test_the_old_ones_last_record_is_adopted_whenever_it_comes(tmp_path: Path) -> None:
     """An answer that comes between two looks of the new process, with the old one still there."""
     old, new = beside(tmp_path, "a", "b")
-    assert new.adopt() == [] and new.others
+    assert new.adopt() == [] and new.unadopted
     old.attempt(["a"], 5.0, 0)
     old.finish("b", MessageOutcome(Status.DELIVERED))
     old.close()
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -120,7 +120,7 @@
     now = said(journal)
     killed(journal, files)
     again = reopened(tmp_path)
-    assert said(again) == now and not again.cut
+    assert said(again) == now and not again.truncated_bytes
     again.close()
 
 
@@ -158,14 +158,14 @@
             files = FailingFiles()
             files.fails.add("truncate")  # nor can it be cut off before the next record
             torn = Journal(folder, DISK, files=files)
-            assert said(torn) == told and torn.cut == size - len(before)
+            assert said(torn) == told and torn.truncated_bytes == size - len(before)
             with pytest.raises(JournalFullError):
-                torn.accept(stored("later")) if torn.cut else attempt_of_none(torn)
+                torn.accept(stored("later")) if torn.truncated_bytes else attempt_of_none(torn)
             files.heal()
             torn.accept(stored("later"))
             torn.close()
             again = reopened(folder)
-            assert "later" in again.live and not again.cut
+            assert "later" in again.live and not again.truncated_bytes
             del again.live["later"]
             assert said(again) == told
             again.close()
@@ -207,7 +207,7 @@
     now = said(journal)
     killed(journal, files)
     again = reopened(tmp_path)
-    assert said(again) == now and set(again.live) == {"a", "b"} and not again.cut
+    assert said(again) == now and set(again.live) == {"a", "b"} and not again.truncated_bytes
     again.close()
 
 
@@ -257,13 +257,13 @@
     before = said(new)
     files.error, files.fails = error, fails
     for _ in range(3):
-        assert new.adopt() == [] and new.others and said(new) == before
+        assert new.adopt() == [] and new.unadopted and said(new) == before
     files.heal()
-    assert sorted(one.id for one in new.adopt()) == ["a", "given-up"] and not new.others
+    assert sorted(one.id for one in new.adopt()) == ["a", "given-up"] and not new.unadopted
     now = said(new)
     killed(new, files)
     again = reopened(tmp_path)
-    assert said(again) == now and not again.cut
+    assert said(again) == now and not again.truncated_bytes
     again.close()
 
 
@@ -273,7 +273,7 @@
     old, new, files = pair(tmp_path)
     files.error, files.fails = error, {"unlink"}
     assert sorted(one.id for one in new.adopt()) == ["a", "given-up"]
-    assert old.path.exists() and new.others and not new.beside, "it is no process that runs"
+    assert old.path.exists() and new.unadopted and not new.in_use, "it is no process that runs"
     new.attempt(["a"], 6.0, 1)
     new.finish("given-up", DEFERRED)
     assert new.adopt() == [], "not twice"
@@ -281,7 +281,7 @@
     assert third.slot not in (old.slot, new.slot) and not third.live
     third.close()
     files.heal()
-    assert new.adopt() == [] and not new.others and not old.path.exists()
+    assert new.adopt() == [] and not new.unadopted and not old.path.exists()
     killed(new, files)
 
 
@@ -300,7 +300,7 @@
         for name, to in (("journal", "spare"), ("journal.1", "journal"), ("spare", "journal.1")):
             (tmp_path / name).rename(tmp_path / to)
     again = reopened(tmp_path)
-    assert said(again) == now and not again.others
+    assert said(again) == now and not again.unadopted
     assert [zone for _, zone in again.live["a"].ran] == [0, 1]
     again.close()
     last = reopened(tmp_path)
@@ -341,7 +341,7 @@
     files.heal()
     for _ in range(4):
         handover.look()
-    assert not new.journal.others and not list(tmp_path.glob("waits*"))
+    assert not new.journal.unadopted and not list(tmp_path.glob("waits*"))
 
 
 # The sender
@@ -601,7 +601,7 @@
     files = FailingFiles()
     first, _, _ = Folder(tmp_path).arrive("m1", False)
     clock = SimpleNamespace(now=lambda: 5.0, wall=lambda: 105.0, boot=lambda: "")
-    journal = SimpleNamespace(live={}, outcomes={}, standing=lambda: True, slot=0)
+    journal = SimpleNamespace(live={}, outcomes={}, is_in_place=lambda: True, slot=0)
     sender = SimpleNamespace(clock=clock, list_lease=None, on_list=None)
     config = SimpleNamespace(name="m1", known=SimpleNamespace(version=-1))
     recovery = RecoverySubsystem.__new__(RecoverySubsystem)
@@ -659,7 +659,7 @@
     @rule(size=st.sampled_from([0, 10, 4000]))
     def take(self, size: int) -> None:
         self.last += 1
-        if self.journal.room(size):
+        if self.journal.has_capacity(size):
             try:
                 self.journal.accept(stored(f"m{self.last}", bytes(size)))
             except JournalFullError:
@@ -724,7 +724,7 @@
         self.files.heal()
         new.adopt()
         live = {name: len(one.ran) for name, one in new.live.items()}
-        assert not new.others and set(live) >= set(self.owed)
+        assert not new.unadopted and set(live) >= set(self.owed)
         assert all(live[name] >= n for name, n in self.owed.items())
         if flushed:
             assert live == self.owed
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -141,7 +141,7 @@
     if when == WHEN[0]:
         old.step(step)
     new = begun(old, 0.0, step if when == WHEN[1] else 0.0, Readiness.READY)
-    assert new.journal.others and not new.sender.held
+    assert new.journal.unadopted and not new.sender.held
     if when == WHEN[2]:
         new.step(step)
     new.pass_time(out_for)
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -161,18 +161,18 @@
     files = FailingFiles()
     journal = Journal(tmp_path, 1_000_000, files=files)
     journal.accept(StoredMessage("m1", "note", 1e12, 7, "k", "platform", b"hello"))
-    assert journal.standing()
+    assert journal.is_in_place()
     journal.path.unlink()  # alone: the lock is still this process's own, and not another's
-    assert not journal.standing() and journal.write_anew() and journal.standing()
+    assert not journal.is_in_place() and journal.recreate() and journal.is_in_place()
     for one in tmp_path.iterdir():
         one.unlink()
-    assert not journal.standing()
+    assert not journal.is_in_place()
     files.room = 0
     for _ in range(3):  # each second, as long as it lasts: the lock must be free again each time
         with pytest.raises(OSError):
-            journal.write_anew()
+            journal.recreate()
     files.heal()
-    assert journal.write_anew() and journal.standing()
+    assert journal.recreate() and journal.is_in_place()
     journal.accept(StoredMessage("m2", "note", 1e12, 7, "k", "platform", b"hello"))
     journal.close()
     again = Journal(tmp_path, 1_000_000)
@@ -180,7 +180,7 @@
     for one in tmp_path.iterdir():
         one.unlink()
     other = Journal(tmp_path, 1_000_000)  # another process came meanwhile
-    assert not again.standing() and not again.write_anew() and other.standing()
+    assert not again.is_in_place() and not again.recreate() and other.is_in_place()
     again.close()
     other.close()
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -43,7 +43,7 @@
     def take(self, size: int) -> None:
         self.last += 1
         name, body = f"m{self.last}", os.urandom(size)
-        room = self.journal.room(size)
+        room = self.journal.has_capacity(size)
         if room:
             self.journal.accept(stored(name, body))
             self.live[name] = (body, 0, 0, None)
@@ -83,19 +83,19 @@
         with self.journal.path.open("ab") as file:
             file.write(torn)
         self.journal = Journal(self.path, DISK)
-        assert self.journal.cut == len(torn)
+        assert self.journal.truncated_bytes == len(torn)
 
     @rule(torn=st.sampled_from([b"", b"\x07", b"\x05\0\0\0\x01\x02\x03\x04T[1]"]))
     def hand_over(self, torn: bytes) -> None:
         """A new process beside the old: it hears of nothing until the old one is killed, at whatever step,
         then adopts all that was live there, and the old file goes."""
         new = Journal(self.path, DISK)
-        assert new.slot != self.journal.slot and new.others and new.adopt() == []
+        assert new.slot != self.journal.slot and new.unadopted and new.adopt() == []
         self.journal.close()
         with self.journal.path.open("ab") as file:
             file.write(torn)
         adopted = new.adopt()
-        assert sorted(one.id for one in adopted) == sorted(self.live) and not new.others
+        assert sorted(one.id for one in adopted) == sorted(self.live) and not new.unadopted
         self.journal = new
 
     @invariant()
@@ -131,7 +131,7 @@
     journal.accept(stored("c"))
     journal.close()
     again = Journal(tmp_path, DISK)
-    assert set(again.live) == {"c"} and set(again.outcomes) == {"a"} and again.cut == 0
+    assert set(again.live) == {"c"} and set(again.outcomes) == {"a"} and again.truncated_bytes == 0
 
 
 def test_leftover_of_a_compaction_is_removed(tmp_path: Path) -> None:
@@ -160,7 +160,7 @@
     old.finish("b", MessageOutcome(Status.DELIVERED))
     files = FailingFiles()
     new = Journal(tmp_path, DISK, files=files)
-    assert new.slot == 1 and new.others == [tmp_path / "journal"] and not new.live
+    assert new.slot == 1 and new.unadopted == [tmp_path / "journal"] and not new.live
     assert new.adopt() == [] and not new.live  # still held: never two processes on one message
     old.accept(stored("c"))
     old.close()
@@ -174,7 +174,7 @@
         assert new.slot == 0
     else:
         adopted = new.adopt()
-        assert sorted(s.id for s in adopted) == ["a", "c"] and not new.others
+        assert sorted(s.id for s in adopted) == ["a", "c"] and not new.unadopted
     assert sorted(new.live) == ["a", "c"] and new.live["a"].attempts == 1
     assert new.outcomes["b"].status == "delivered"
     new.finish("a", MessageOutcome(Status.DELIVERED))
