--- a/benchmarks/slopes/core.py
+++ b/benchmarks/slopes/core.py
@@ -57,7 +57,7 @@
     core, turns = _listed(count), numbers()
 
     def change() -> None:
-        core.divide({count // 2: 1.0 + turns() % 2})
+        core.set_budget_shares({count // 2: 1.0 + turns() % 2})
         core._ready.clear()
 
     return lambda: timed(change)
@@ -108,11 +108,11 @@
 
 
 PROBES = (
-    Probe("sender-one-change", _learn_one, "mountgauge.core.hop_table.HopTable.learn"),
-    Probe("sender-whole-list", _learn_whole, "mountgauge.core.hop_table.HopTable.learn", repeats=3),
+    Probe("sender-one-change", _learn_one, "mountgauge.core.hop_table.HopTable.apply_update"),
+    Probe("sender-whole-list", _learn_whole, "mountgauge.core.hop_table.HopTable.apply_update", repeats=3),
     Probe("sender-memory", _memory, "mountgauge.core.hop_table.HopTable",
           unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1, limit_s=30.0),
-    Probe("sender-divide-one", _divide_one, "mountgauge.core.hop_table.HopTable.divide"),
+    Probe("sender-divide-one", _divide_one, "mountgauge.core.hop_table.HopTable.set_budget_shares"),
     Probe("sender-waiting", _waiting, "mountgauge.core.sender.Sender.waiting"),
     Probe("sender-restore", _restore, "mountgauge.core.sender.Sender.restore, turn; Policy._pump",
           axis=Axis.MESSAGES, sizes=_MESSAGES, repeats=3, limit_s=20.0),
--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -62,7 +62,7 @@
             return
         self._seen = seen
         try:
-            self.sender.maintain(detached_read(content))
+            self.sender.set_detached(detached_read(content))
         except ValueError as error:
             log.error("detached-not-read", extra=kv(error=error, kept=",".join(sorted(self.sender.detached))))
 
@@ -84,7 +84,7 @@
         os.replace(self._own, self.path)
         stat = self.path.stat()
         self._seen = (stat.st_size, stat.st_mtime_ns)
-        self.sender.maintain(detached)
+        self.sender.set_detached(detached)
 
     # The calls
 
@@ -92,7 +92,7 @@
         if call.kind == Kind.READY:
             return Reply(200, "taking clients") if self.ready() else Reply(503, "not taking clients")
         if call.kind in (Kind.DETACH, Kind.ATTACH):
-            if call.who not in self.sender.ever:
+            if call.who not in self.sender.ever_listed:
                 return Reply(404, f"endpoint {call.who[:80]} was never listed")
             self.look()
             detached = set(self.sender.detached)
--- a/mountgauge/core/hop_table.py
+++ b/mountgauge/core/hop_table.py
@@ -40,10 +40,12 @@
         self.hops: dict[str, NextHop] = {}  # by id, as the module was told of them
         self.listed_hops: dict[str, NextHop] = {}  # by id, as discovery lists them
         self.listed: dict[int, float] = {}  # destinations, and until when each counts as one that exists
-        self.ever: set[str] = set()  # ids ever listed
+        self.ever_listed: set[str] = set()  # ids ever listed
         self.detached: set[str] = set()  # ids that operators took out: draining, whatever is listed
         self.withheld: dict[str, float] = {}  # ids active in an older list alone: until when they drain
-        self.parts: dict[int, float] = {}  # by destination: calls/s of its budget that are this sender's
+        self.budget_shares: dict[
+            int, float
+        ] = {}  # by destination: calls/s of its budget that are this sender's
         self._drains = DrainMemory()
         self._places: dict[str, int] = {}  # by id: a number that rises in the list's order
         self._last_place = 0
@@ -51,7 +53,7 @@
         self._ids: dict[int, dict[str, None]] | None = None  # of them, once budgets have been divided
         self._leaving: OrderedDict[int, float] = OrderedDict()  # of `listed`, those without a hop: by expiry
 
-    def learn(self, update: MapUpdate, whole: bool, now: float) -> Change:
+    def apply_update(self, update: MapUpdate, whole: bool, now: float) -> Change:
         """Take in a whole list (what is absent from it has gone), or what changed."""
         dests: set[int] = set()  # those whose hops may have changed
         if whole:
@@ -64,7 +66,7 @@
         draining = {_told_of(hop) for hop in update.hops if hop.entry.readiness != Readiness.READY}
         review_at = math.inf
         for listed in update.hops:
-            self.ever.add(listed.id)
+            self.ever_listed.add(listed.id)
             until = self._withhold(listed, update.version_of(listed.id), draining, now)
             review_at = min(review_at, until)
             hop = self._maintained(listed)
@@ -172,7 +174,7 @@
                 break
             del self._leaving[dest], self.listed[dest]
 
-    def maintain(self, detached: set[str]) -> Change:
+    def set_detached(self, detached: set[str]) -> Change:
         """The endpoints that operators took out drain, whatever discovery lists meanwhile; one put back is
         as listed again.
         """
@@ -188,10 +190,12 @@
                 closing.append(hop_id)
         return Change(tuple(entries), closing)
 
-    def divide(self, parts: Mapping[int, float]) -> tuple[Entry, ...]:
+    def set_budget_shares(self, parts: Mapping[int, float]) -> tuple[Entry, ...]:
         """Calls/s of each destination's budget that are this sender's; what the module is to be told."""
-        changed = {dest for dest in {*parts, *self.parts} if parts.get(dest) != self.parts.get(dest)}
-        self.parts = dict(parts)
+        changed = {
+            dest for dest in {*parts, *self.budget_shares} if parts.get(dest) != self.budget_shares.get(dest)
+        }
+        self.budget_shares = dict(parts)
         if self._ids is None:
             self._ids = self._ids_by_destination()
         ids = [hop_id for dest in changed for hop_id in self._ids.get(dest, ())]
@@ -210,7 +214,7 @@
     def _maintained(self, hop: NextHop) -> NextHop:
         if (hop.id in self.detached or hop.id in self.withheld) and hop.entry.readiness == Readiness.READY:
             hop = hop._replace(entry=hop.entry._replace(readiness=Readiness.DRAINING))
-        if (part := self.parts.get(hop.entry.owner)) is not None:
+        if (part := self.budget_shares.get(hop.entry.owner)) is not None:
             hop = hop._replace(entry=hop.entry._replace(scale=part * self.balancers))
         return hop
 
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -117,16 +117,16 @@
         return self.table.listed
 
     @property
-    def ever(self) -> set[str]:
-        return self.table.ever
+    def ever_listed(self) -> set[str]:
+        return self.table.ever_listed
 
     @property
     def detached(self) -> set[str]:
         return self.table.detached
 
     @property
-    def parts(self) -> dict[int, float]:
-        return self.table.parts
+    def budget_shares(self) -> dict[int, float]:
+        return self.table.budget_shares
 
     # Delivery attempts
 
@@ -298,7 +298,7 @@
     def _learn(self, update: MapUpdate, how: ListKind) -> None:
         now = self.clock.now()
         whole = how != ListKind.DELTA
-        change = self.table.learn(update, whole, now)
+        change = self.table.apply_update(update, whole, now)
         states = ((Place(*hop[:3]), hop.entry.readiness == io.Readiness.READY) for hop in update.hops)
         self.monitor.listed(whole, states, now)
         for hop_id in change.closing:
@@ -334,10 +334,10 @@
         self.attempts.state.grades = dict(zip(names.grades, rules.grades, strict=False))
         self.monitor.drain_grace_s = rules.drain_grace
 
-    def maintain(self, detached: set[str]) -> None:
+    def set_detached(self, detached: set[str]) -> None:
         """The endpoints that operators took out drain for the module, whatever discovery lists meanwhile;
         one put back is given to it again as listed."""
-        change = self.table.maintain(detached)
+        change = self.table.set_detached(detached)
         for hop_id in change.closing:
             self.next_hops.close_idle(hop_id)
         if change.entries:
@@ -345,12 +345,12 @@
             self._ready.append(io.Targets(io.ListKind.DELTA, self.version, change.entries))
             self._soon()
 
-    def divide(self, parts: Mapping[int, float]) -> None:
+    def set_budget_shares(self, parts: Mapping[int, float]) -> None:
         """Calls/s of each destination's budget that are this sender's: the module is told them as it is told
         a listed limit; where one has shrunk, that its pace is no higher.
         """
-        shrunk = [dest for dest, part in parts.items() if part < _SHRUNK * self.parts.get(dest, 0.0)]
-        if entries := self.table.divide(parts):
+        shrunk = [dest for dest, part in parts.items() if part < _SHRUNK * self.budget_shares.get(dest, 0.0)]
+        if entries := self.table.set_budget_shares(parts):
             self._ready.append(io.Targets(io.ListKind.DELTA, self.version, entries))
         for dest in shrunk:
             self.remember(io.Remembered(dest, 0.0, max(_LEAST_PACE, parts[dest])))
--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -176,7 +176,7 @@
         self._revision += 1
         hops = [gone_hop(record) for record in gone_for_good(update)]
         hops += [next_hop(record, _RATE_PER_WEIGHT) for record in update.put]
-        change = self.hops.learn(MapUpdate(self._revision, False, tuple(hops)), False, now)
+        change = self.hops.apply_update(MapUpdate(self._revision, False, tuple(hops)), False, now)
         self.policy.handle(io.Targets(io.ListKind.DELTA, self._revision, change.entries), now)
 
     def shows(self, shard: int, destination: int, number: int) -> bool:
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -749,7 +749,7 @@
 
 def test_the_detached_endpoints_hold_while_their_file_cannot_be_read(tmp_path: Path) -> None:
     told: list[set[str]] = []
-    sender = cast(Sender, SimpleNamespace(maintain=told.append, detached=set()))
+    sender = cast(Sender, SimpleNamespace(set_detached=told.append, detached=set()))
     files = FailingFiles()
     service = Service(sender, None, cast(Registry, None), tmp_path, lambda: True, files)
     (tmp_path / "detached").write_bytes(detached_text({"e1"}))
--- a/tests/platform/mutants.py
+++ b/tests/platform/mutants.py
@@ -99,11 +99,11 @@
         super().__init__(balancers)
         self._answers = 0
 
-    def learn(self, update: MapUpdate, whole: bool, now: float) -> Change:
+    def apply_update(self, update: MapUpdate, whole: bool, now: float) -> Change:
         self._answers += bool(update.hops)
         if self._answers % 4 == 3:
             return Change((), [])
-        return super().learn(update, whole, now)
+        return super().apply_update(update, whole, now)
 
 
 class NoLastLook(Attempts):
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -292,7 +292,7 @@
         self.table = parts.table(rules.balancers)
         known = [next_hop(name, state) for name, (state, _) in discovery.hops.items()]
         self.version = 0
-        self.table.learn(MapUpdate(0, True, tuple(known)), True, time.now())
+        self.table.apply_update(MapUpdate(0, True, tuple(known)), True, time.now())
         held = PendingMessages()
         journal, waits = cast(Journal, _Journal(time)), Waits()
         state = SendState(rules, self.table, journal, held, waits)
@@ -351,7 +351,7 @@
             if self.watch.answered(
                 exchange.call, update.version, self._time.now(), unwritten_at=self._looked_at
             ):
-                self.table.learn(update, update.full, self._time.now())
+                self.table.apply_update(update, update.full, self._time.now())
                 self.version = update.version
             self.step()
 
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -186,7 +186,7 @@
         core, table = Core(), HopTable(1)
 
         def learn(update: MapUpdate) -> None:
-            table.learn(update, update.full, asyncio.get_running_loop().time())
+            table.apply_update(update, update.full, asyncio.get_running_loop().time())
 
         setattr(core, "list_changed", learn)  # noqa: B010
         shard_map = ShardMap(core, sharding(relay.port), "s1", tmp_path, seed=1)
--- a/tests/test_hop_table.py
+++ b/tests/test_hop_table.py
@@ -36,14 +36,14 @@
         self.listed: dict[int, float] = {}
         self.waits: dict[object, float] = {}
         self.detached: set[str] = set()
-        self.parts: dict[int, float] = {}
+        self.budget_shares: dict[int, float] = {}
         self.drains: list[tuple[tuple[object, ...], int, float]] = []  # place, version, when
         self.contradicted: dict[tuple[object, ...], float] = {}  # by place: since when
         self.withheld: dict[str, float] = {}
         self.told: list[Targets] = []
         self.closed: list[str] = []
 
-    def learn(self, update: MapUpdate, how: ListKind, now: float) -> None:
+    def apply_update(self, update: MapUpdate, how: ListKind, now: float) -> None:
         before, entries = self.hops, list[Entry]()
         self.hops = {} if how != ListKind.DELTA else dict(before)
         if how != ListKind.DELTA:
@@ -114,7 +114,7 @@
         if entries:
             self.told.append(Targets(ListKind.DELTA, version, tuple(entries)))
 
-    def maintain(self, detached: set[str], version: int) -> None:
+    def set_detached(self, detached: set[str], version: int) -> None:
         changed, self.detached = detached ^ self.detached, set(detached)
         entries = []
         for hop_id in sorted(changed):
@@ -126,9 +126,11 @@
         if entries:
             self.told.append(Targets(ListKind.DELTA, version, tuple(entries)))
 
-    def divide(self, parts: Mapping[int, float], version: int) -> None:
-        changed = {dest for dest in {*parts, *self.parts} if parts.get(dest) != self.parts.get(dest)}
-        self.parts = dict(parts)
+    def set_budget_shares(self, parts: Mapping[int, float], version: int) -> None:
+        changed = {
+            dest for dest in {*parts, *self.budget_shares} if parts.get(dest) != self.budget_shares.get(dest)
+        }
+        self.budget_shares = dict(parts)
         entries = []
         for hop_id, listed in self.listed_hops.items():
             if listed.entry.owner in changed:
@@ -141,7 +143,7 @@
         out = hop.id in self.detached or hop.id in self.withheld
         if out and hop.entry.readiness == Readiness.READY:
             hop = hop._replace(entry=hop.entry._replace(readiness=Readiness.DRAINING))
-        if (part := self.parts.get(hop.entry.owner)) is not None:
+        if (part := self.budget_shares.get(hop.entry.owner)) is not None:
             hop = hop._replace(entry=hop.entry._replace(scale=part * self.balancers))
         return hop
 
@@ -173,7 +175,7 @@
     plain = Reference(sender.rules.balancers)
     first = MapUpdate(0, True, drawn(rng, 20))
     sender.start(first)
-    plain.learn(first, ListKind.CACHED, bench.time)
+    plain.apply_update(first, ListKind.CACHED, bench.time)
     withheld = 0
     for newest in range(1, 120):
         bench.time += rng.choice([0.0, 0.5, 0.5, 5.0, 20.0, 400.0])
@@ -181,23 +183,23 @@
             sender._review(sender._review_at)
         plain.review(bench.time, sender.version)
         version = max(0, newest - rng.choice([0, 0, 0, 1, 10]))  # some lists are older than what is known
-        match rng.choice(["delta"] * 6 + ["whole", "maintain", "divide", "wait", "wait"]):
+        match rng.choice(["delta"] * 6 + ["whole", "set_detached", "set_budget_shares", "wait", "wait"]):
             case "delta":
                 update = MapUpdate(version, False, drawn(rng, 4))
                 sender.list_changed(update)
-                plain.learn(update, ListKind.DELTA, bench.time)
+                plain.apply_update(update, ListKind.DELTA, bench.time)
             case "whole":
                 update = MapUpdate(version, True, drawn(rng, 24))
                 sender.list_changed(update)
-                plain.learn(update, ListKind.FULL, bench.time)
-            case "maintain":
+                plain.apply_update(update, ListKind.FULL, bench.time)
+            case "set_detached":
                 detached = {f"h{rng.randrange(24)}" for _ in range(rng.randint(0, 4))}
-                sender.maintain(detached)
-                plain.maintain(detached, sender.version)
-            case "divide":
+                sender.set_detached(detached)
+                plain.set_detached(detached, sender.version)
+            case "set_budget_shares":
                 parts = {rng.randrange(9): rng.choice([1.0, 2.0, 5.0]) for _ in range(rng.randint(0, 4))}
-                sender.divide(parts)
-                plain.divide(parts, sender.version)
+                sender.set_budget_shares(parts)
+                plain.set_budget_shares(parts, sender.version)
             case "wait":
                 limit, until = rng.choice([f"h{rng.randrange(24)}", rng.randrange(9)]), rng.uniform(0, 30)
                 sender.waits[limit] = plain.waits[limit] = bench.time + until
@@ -206,7 +208,7 @@
         assert list(sender.hops.items()) == list(plain.hops.items())
         assert list(sender.listed_hops.items()) == list(plain.listed_hops.items())
         assert (sender.listed, sender.waits) == (plain.listed, plain.waits)
-        assert (sender.detached, sender.parts) == (plain.detached, plain.parts)
+        assert (sender.detached, sender.budget_shares) == (plain.detached, plain.budget_shares)
         assert sender.table.withheld == plain.withheld
         withheld += len(plain.withheld)
     assert len(plain.closed) > 20 and len(plain.told) > 40 and withheld >= 5
@@ -226,7 +228,7 @@
     sender.list_changed(MapUpdate(1, True, tuple(one_of(n, owner=n) for n in range(listed))))
     for n in range(listed):
         sender.waits[n] = bench.time + 60.0
-    sender.divide({9: 2.0})  # the first time it may walk over all
+    sender.set_budget_shares({9: 2.0})  # the first time it may walk over all
     watch(sender.table, visits)
     sender.waits = counting(sender.waits, visits)
     found = []
@@ -243,10 +245,10 @@
         found.append(len(visits))
     for parts in ({9: 3.0}, {9: 4.0}, {}):
         visits.clear()
-        sender.divide(parts)
+        sender.set_budget_shares(parts)
         found.append(len(visits))
     visits.clear()
-    sender.maintain({"h11"})
+    sender.set_detached({"h11"})
     return [*found, len(visits)]
 
 
@@ -258,9 +260,11 @@
 def test_the_count_sees_what_the_reference_visits() -> None:
     """Else the test above could not fail."""
     visits, plain = list[object](), Reference(1)
-    plain.learn(MapUpdate(0, True, tuple(one_of(n, owner=n) for n in range(1_000))), ListKind.CACHED, 1.0)
+    plain.apply_update(
+        MapUpdate(0, True, tuple(one_of(n, owner=n) for n in range(1_000))), ListKind.CACHED, 1.0
+    )
     watch(plain, visits)
-    plain.divide({9: 3.0}, 0)
+    plain.set_budget_shares({9: 3.0}, 0)
     assert len(visits) == 1_000
 
 
