--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -49,7 +49,7 @@
 
     def known(self, one: Submission) -> Answer | None:
         """The answer to a request that has come before; None: its id is new."""
-        if (number := self._held.numbers.get(one.id)) is not None:
+        if (number := self._held.numbers_by_id.get(one.id)) is not None:
             # It was sent twice and taken on the first time; or it is not that request.
             known = self._held[number].stored
             same = (known.dest, known.key, known.body) == (one.dest, one.key, one.body)
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -68,7 +68,7 @@
         self._lines = LineBudget(clock.now)
         self.call_gate: CallGate | None = None  # fleet-wide budgets
         self.on_wait: Callable[[], None] | None = None  # a wait was told: another process may need it
-        self.out = 0  # slots taken
+        self.slots_used = 0  # slots taken
         # Until what is known is fresh, the journal writes, and a budget has a place.
         self.parked: list[Call] = []
 
@@ -98,7 +98,7 @@
         held.call = calls.add(item, hop, times_out_at)
 
     def start(self, call: Call) -> None:
-        self.out += 1
+        self.slots_used += 1
         for item in call.items:
             if item.expires < call.times_out_at:  # its time ends before that of the call that it shares
                 self._clock.call_at(item.expires, lambda item=item: self._item_late(call, item))  # type: ignore[misc]
@@ -207,7 +207,7 @@
 
     def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
         """The call holds its slot no longer. A message without a result was not sent."""
-        self.out -= 1
+        self.slots_used -= 1
         now = self._clock.now()
         if self.call_gate is not None:
             known = [results[item.number].outcome for item in call.sent if item.number in results]
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -67,19 +67,19 @@
         self.map: MapSource
         self.table = HopTable(self.rules.balancers)
         self.version = -1  # none known: 0 is a version like any other
-        self.held = PendingMessages()
-        self.numbers = self.held.numbers
+        self.pending = PendingMessages()
+        self.numbers_by_id = self.pending.numbers_by_id
         self.waits = Waits()  # told ones, by what shares the limit
         self.on_list: Callable[[], None] | None = None  # a list, or word that none has changed, has come
         self.counts: Counter[tuple[str, str]] = Counter()  # for metrics: ends and outcomes
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
-        state = SendState(self.rules, self.table, journal, self.held, self.waits)
+        state = SendState(self.rules, self.table, journal, self.pending, self.waits)
         state.grades = dict(zip(names.grades, self.rules.grades, strict=False))
         self.outcomes = MessageOutcomes(
-            journal, self.held, fronts, self.counts, state, self.monitor, clock.now
+            journal, self.pending, fronts, self.counts, state, self.monitor, clock.now
         )
         self.attempts = Attempts(
-            state, clock, journal, self.table, self.held, self.waits, self.counts, self.monitor,
+            state, clock, journal, self.table, self.pending, self.waits, self.counts, self.monitor,
             self._enqueue, self.outcomes.finish,
         )  # fmt: skip
         self.admission = Admission(
@@ -87,7 +87,7 @@
             names,
             journal,
             self.table,
-            self.held,
+            self.pending,
             self.attempts,
             self.outcomes,
             self.counts,
@@ -175,9 +175,9 @@
         self.outcomes.scope = scope
 
     @property
-    def calls(self) -> int:
+    def slots_used(self) -> int:
         """Slots taken."""
-        return self.attempts.out
+        return self.attempts.slots_used
 
     @property
     def waiting(self) -> Counter[tuple[int, str]]:
@@ -215,7 +215,7 @@
     def restore(self, stored_ones: list[StoredMessage]) -> None:
         """Messages of an earlier process, from its journal: at the start, or adopted at a hand-over."""
         for stored in stored_ones:
-            if stored.id in self.numbers:
+            if stored.id in self.numbers_by_id:
                 continue
             held = self._hold(stored, self.journal.time.monotonic(stored.expires))
             self.monitor.restored(stored.id, self.attempts.state.ran(held.number))
@@ -232,9 +232,9 @@
 
     def forget_ended(self) -> None:
         """Messages that an adopted journal says have ended: nothing more is owed."""
-        for msg_id, number in list(self.numbers.items()):
+        for msg_id, number in list(self.numbers_by_id.items()):
             if msg_id in self.journal.outcomes and msg_id not in self.journal.live:
-                held = self.held[number]
+                held = self.pending[number]
                 held.over = True
                 self.outcomes.drop(held)
                 self._enqueue(io.Withdrawn(number))
@@ -257,7 +257,7 @@
         """The journal did not take a record: it is tried until it does, and calls wait meanwhile."""
         if not self._writing_later:
             self._writing_later = True
-            log.warning("journal-failing", extra=kv(held=len(self.held)))
+            log.warning("journal-failing", extra=kv(held=len(self.pending)))
             self.clock.call_at(self.clock.now() + _WRITE_AGAIN_S, self._write_again)
 
     def _write_again(self) -> None:
@@ -265,7 +265,7 @@
             self.clock.call_at(self.clock.now() + _WRITE_AGAIN_S, self._write_again)
             return
         self._writing_later = False
-        log.info("journal-written", extra=kv(held=len(self.held)))
+        log.info("journal-written", extra=kv(held=len(self.pending)))
         self.outcomes.recorded()
         if not self._stopped:
             self.attempts.release()
@@ -377,7 +377,7 @@
                 self._wake_for_timers()
 
     def _wake_for_timers(self) -> None:
-        if (at := self._timers.next_at(self.held)) is not None:
+        if (at := self._timers.next_at(self.pending)) is not None:
             self._turn_by(at)
 
     def turn(self) -> None:
@@ -396,7 +396,7 @@
             elif len(fresh) >= _AT_ONCE:  # a crowd: what else waits for the loop goes first
                 self._ready.append(one)
                 self._soon()
-            elif self.numbers.get(one.id) in fresh:
+            elif self.numbers_by_id.get(one.id) in fresh:
                 # The same id twice in one turn: whether the first is taken on shows at the turn's end.
                 self._ready.append(one)
                 self._soon()
@@ -424,7 +424,7 @@
         return self._hold(self.admission.stored(one, expires), expires)
 
     def _hold(self, stored: StoredMessage, expires: float) -> PendingMessage:
-        held = self.held.hold(stored, expires)
+        held = self.pending.hold(stored, expires)
         if self.scope is not None:
             self.scope.held(stored.dest)
         self._timers.watch(expires + _GRACE, held.number)
@@ -432,7 +432,7 @@
 
     def _overdue(self, number: int) -> list[io.Event]:
         """Guards against a message that outlives its time, whatever kept its end from coming."""
-        held = self.held.get(number)
+        held = self.pending.get(number)
         if held is None:
             return []
         if held.over:
@@ -471,9 +471,9 @@
                 case io.Schedule(delay, token):
                     self._timers.ring(now + delay, token)
                 case io.PushBack(number):
-                    self.outcomes.abandon(self.held.get(number), _deferred(action))
+                    self.outcomes.abandon(self.pending.get(number), _deferred(action))
                 case io.Abort(number):
-                    self.outcomes.abandon(self.held.get(number), MessageOutcome(Status.UNDELIVERABLE))
+                    self.outcomes.abandon(self.pending.get(number), MessageOutcome(Status.UNDELIVERABLE))
                 case io.Watch(on):
                     self.map.watch(on)
                 case io.Snapshot():
@@ -481,7 +481,7 @@
                 case io.Close(endpoint):
                     self.next_hops.close_idle(endpoint.decode())
                 case io.StopAttempt(number):
-                    held = self.held.get(number)
+                    held = self.pending.get(number)
                     if held is not None and held.call is not None and len(held.call.items) == 1:
                         self.attempts.cancel(held.call)
                 case io.WriteLog(line):
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -155,7 +155,7 @@
                 counts.update(listener.counts)
         counts.update(self.registry.counts)
         violations = {str(rule): count for rule, count in sender.monitor.violations.items()}
-        return Snapshot(counts, len(sender.held), sender.calls, sender.rules.workers, violations)
+        return Snapshot(counts, len(sender.pending), sender.slots_used, sender.rules.workers, violations)
 
     def report(self) -> Mapping[str, Any]:
         now = self.snapshot()
@@ -219,7 +219,7 @@
         began = time.monotonic()
         self.taking = False
         handing = self.handover.successor()
-        log.info("handing-over" if handing else "draining", extra=kv(held=len(self.sender.held)))
+        log.info("handing-over" if handing else "draining", extra=kv(held=len(self.sender.pending)))
 
         def left(until: float) -> float:
             return max(0.0, began + until - time.monotonic())
@@ -230,7 +230,7 @@
             listener.stop_listening()
             listener.close_idle()
         while left(_TO_SUCCESSOR if handing else _LAST_ATTEMPT) and (
-            (self.sender.held and not handing) or self.registry.open
+            (self.sender.pending and not handing) or self.registry.open
         ):
             await asyncio.sleep(0.02)
         self.sender.stop()
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -169,7 +169,7 @@
         sender, now = runtime.sender, runtime.sender.clock.now()
         seen = Seen(
             now, runtime.taking, sender.to_restore, sender.admission.list_told, self.peers.joined(),
-            destination_states(sender.policy, now), len(sender.held),
+            destination_states(sender.policy, now), len(sender.pending),
         )  # fmt: skip
         before = self.phases.held_up
         for change in self.phases.see(seen):
@@ -276,7 +276,7 @@
         return {
             **self.phases.report(now), "life": self.identity.life, "id": self.identity.id,
             "found": self.found.value, "restored": self.restored,
-            "to_restore": self.runtime.sender.to_restore, "held": len(self.runtime.sender.held),
+            "to_restore": self.runtime.sender.to_restore, "held": len(self.runtime.sender.pending),
             "pauses": self.pulse.pauses, "longest_pause_s": round(self.pulse.longest, 3),
             "folder_emptied": self._emptied, "peers_coming_back": self.peers.back(),
         }  # fmt: skip
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -117,7 +117,7 @@
     if looking is not None:
         looking.cancel()
         looking = loop.create_task(_looking(lambda: _heed(runtime)))
-    log.info("stopping", extra=kv(held=len(runtime.sender.held), out=runtime.next_hops.out))
+    log.info("stopping", extra=kv(held=len(runtime.sender.pending), out=runtime.next_hops.out))
     await runtime.stop()
     if looking is not None:
         looking.cancel()
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -346,7 +346,7 @@
         async with World(tmp_path, protocol=protocol) as world:
             await world.told(1, 40, True, world.line("active"))
             await world.sent()
-            await until(lambda: not world.sender.calls)
+            await until(lambda: not world.sender.slots_used)
             drained_at_the_start(world, before=True)
             await world.quiet()
 
@@ -395,7 +395,7 @@
             ended = None
             world.sender.release()
             await asyncio.sleep(GRACE)
-            assert not world.hops[0].calls and not world.sender.calls
+            assert not world.hops[0].calls and not world.sender.slots_used
 
     run(main())
 
@@ -412,7 +412,7 @@
             await world.told(2, 50, False, world.line("leaving"))
             broker.hold_at = ""
             broker.go_on.set()
-            await until(lambda: not world.sender.calls)
+            await until(lambda: not world.sender.slots_used)
             await world.quiet()
             assert not broker.calls
 
@@ -433,7 +433,7 @@
             await old.held.wait()
             await world.told(2, 50, False, {**world.line("active", 1), "id": "e0"})
             world.submit()
-            await until(lambda: world.sender.calls == 2 or new.calls)
+            await until(lambda: world.sender.slots_used == 2 or new.calls)
             old.go_on.set()
             await until(lambda: len(old.calls) + len(new.calls) >= 2)
             assert not old.calls and len(new.calls) == 2
@@ -457,17 +457,17 @@
             await world.told(1, 40, True, world.line("active"))
             for _ in range(MOST_CALLS):  # at once: so many channels stand from now on
                 world.submit()
-            await until(lambda: len(broker.calls) == MOST_CALLS and not world.sender.calls)
+            await until(lambda: len(broker.calls) == MOST_CALLS and not world.sender.slots_used)
             broker.hold_at = "basic.publish"
             sent = [world.submit(b"x" * 900_000) for _ in range(unread)]
-            await until(lambda: world.sender.calls == len(sent))
+            await until(lambda: world.sender.slots_used == len(sent))
             late = world.submit()
-            await until(lambda: world.sender.calls == len(sent) + 1)
+            await until(lambda: world.sender.slots_used == len(sent) + 1)
             await world.told(2, 50, False, world.line("leaving"))
             assert len(broker.calls) == MOST_CALLS
             broker.hold_at = ""
             broker.go_on.set()
-            await until(lambda: not world.sender.calls)
+            await until(lambda: not world.sender.slots_used)
             assert late not in [call[1] for call in broker.calls]
             assert sent[0] in [call[1] for call in broker.calls], "what had begun goes on"
 
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -45,8 +45,8 @@
 
     def fail_first(self) -> None:
         """The first attempt ends in an error, so it may have run."""
-        number = self.sender.numbers["a"]
-        call = self.sender.held[number].call
+        number = self.sender.numbers_by_id["a"]
+        call = self.sender.pending[number].call
         assert call is not None
         self.sender.finished(call, {number: AttemptResult(Outcome.ERROR)})
 
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -109,7 +109,7 @@
     assert bench.sender.admit(call, call.items) == []
     bench.sender.finished(call, {})
     bench.pass_time(20.0)
-    assert bench.outcomes == {} and not bench.sender.held, "it has had its end"
+    assert bench.outcomes == {} and not bench.sender.pending, "it has had its end"
 
 
 def test_a_message_that_another_process_may_have_sent_is_not_sent_again(bench: Bench) -> None:
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -331,7 +331,7 @@
         files.fails = fails
         for _ in range(2):
             handover.look()
-        assert not new.sender.held
+        assert not new.sender.pending
     files.fails = {"unlink"}
     for _ in range(4):
         handover.look()
@@ -464,7 +464,7 @@
     bench.take("a", grade=ONCE, left=left)
     bench.pass_time(0.01)
     disk(bench).fails = {"write"}
-    bench.sender.outcomes.abandon(bench.sender.held[bench.sender.numbers["a"]], DEFERRED)
+    bench.sender.outcomes.abandon(bench.sender.pending[bench.sender.numbers_by_id["a"]], DEFERRED)
 
 
 def test_an_end_is_not_told_before_it_is_on_record(bench: Bench) -> None:
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -84,7 +84,7 @@
 
 
 def left_of(bench: Bench, msg_id: str = "a") -> float:
-    return bench.sender.held[bench.sender.numbers[msg_id]].expires - bench.time
+    return bench.sender.pending[bench.sender.numbers_by_id[msg_id]].expires - bench.time
 
 
 @steps
@@ -141,7 +141,7 @@
     if when == WHEN[0]:
         old.step(step)
     new = begun(old, 0.0, step if when == WHEN[1] else 0.0, Readiness.READY)
-    assert new.journal.unadopted and not new.sender.held
+    assert new.journal.unadopted and not new.sender.pending
     if when == WHEN[2]:
         new.step(step)
     new.pass_time(out_for)
--- a/tests/recovery/test_restored.py
+++ b/tests/recovery/test_restored.py
@@ -39,7 +39,7 @@
         runtime = OperatorRuntime(load(file))
         await runtime.start()
         loop = asyncio.get_running_loop()
-        assert len(runtime.sender.held) == COUNT and runtime.sender.to_restore > COUNT - 1000
+        assert len(runtime.sender.pending) == COUNT and runtime.sender.to_restore > COUNT - 1000
         client = RespClient(None)  # type: ignore[arg-type]
         listener = runtime.listeners[0][0]
         client.reader, client.writer = await asyncio.open_connection(HOST, getattr(listener, "port"))  # noqa: B009
@@ -53,7 +53,7 @@
                 assert runtime.sender.to_restore, "a client is heard before all of them are given back"
             assert answer.startswith(b"+")
         await until(lambda: len(other.delivered) == 100, 60)
-        assert len(runtime.sender.held) > COUNT / 2, "long before the restored ones are through"
+        assert len(runtime.sender.pending) > COUNT / 2, "long before the restored ones are through"
         await until(lambda: not runtime.sender.to_restore, 60)
         turns.sort()
         assert turns[50] < 0.4, "most are taken on in time, whatever waits"
--- a/tests/test_both_protocols.py
+++ b/tests/test_both_protocols.py
@@ -74,7 +74,7 @@
             assert await world.client.end("m1") == end
             assert loop.time() - began < 1.8
             assert not world.hops[0].delivered
-            await until(lambda: not world.runtime.sender.held)  # the notice's 204 is on its way
+            await until(lambda: not world.runtime.sender.pending)  # the notice's 204 is on its way
 
     run(main())
 
@@ -127,7 +127,7 @@
             assert await world.client.take("m1") is None
             await world.client.close()
             await until(lambda: world.hops[0].delivered == ["m1"])
-            await until(lambda: not world.runtime.sender.held)
+            await until(lambda: not world.runtime.sender.pending)
             await world.client.connect()
             await world.client.take("m1")
             assert await world.client.end("m1") == "delivered"
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -297,7 +297,7 @@
         async with World(tmp_path, "http") as world:
             await world.client.take("m1")
             await world.client.end("m1")
-            await until(lambda: not world.runtime.sender.held)
+            await until(lambda: not world.runtime.sender.pending)
             server = StatusServer(world.runtime.report)
             await server.listen(Address(HOST, 0))
             found = await ask(Address(HOST, server.port))
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -153,7 +153,7 @@
     assert (
         bench.outcomes == {"a": MessageOutcome(Status.DELIVERED)}
         and not bench.journal.live
-        and not bench.sender.held
+        and not bench.sender.pending
     )
 
 
@@ -205,7 +205,7 @@
         bench.sender.admit(other, other.items)
         bench.sender.finished(other, {other.items[0].number: AttemptResult(Outcome.FULL, wait=5.0)})
     elif late == "ended":
-        bench.sender.held[call.items[0].number].over = True
+        bench.sender.pending[call.items[0].number].over = True
     else:
         bench.pass_time(2.0)
     assert bench.sender.admit(call, call.items) == []
@@ -217,7 +217,7 @@
     bench.pass_time(0.01)
     number = bench.calls[0].items[0].number
     bench.sender._carry_out([Issue(number, b"h0", 1.0), Issue(number, b"nosuch", 1.0)], bench.time)
-    bench.sender.held[number].call = None
+    bench.sender.pending[number].call = None
     bench.sender.list_changed(bench.hops(Readiness.READY, cell=8))
     bench.sender._carry_out([Issue(number, b"h0", 1.0)], bench.time)
     assert len(bench.calls) == 1
@@ -278,7 +278,7 @@
     ends = [answer for answer in bench.answers.values() if isinstance(answer, MessageOutcome)]
     assert ends and all(end.status is Status.DEFERRED for end in ends)
     assert any(end.retry_after_ms > 0 for end in ends)
-    assert len(bench.journal.live) == len(bench.sender.held) <= 40
+    assert len(bench.journal.live) == len(bench.sender.pending) <= 40
 
 
 def test_the_same_id_is_taken_on_once(bench: Bench) -> None:
@@ -303,7 +303,7 @@
         bench.take(f"twice{number}")
     bench.pass_time(0.03)
     taken = [name for name, answer in bench.answers.items() if isinstance(answer, Accepted)]
-    assert len(bench.answers) == 60 and all(name in bench.sender.numbers for name in taken)
+    assert len(bench.answers) == 60 and all(name in bench.sender.numbers_by_id for name in taken)
 
 
 def test_no_room_on_disk_defers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -347,7 +347,7 @@
     assert len(bench.calls) + len(again.calls) == calls
     assert again.outcomes.get("a", MessageOutcome(Status.DELIVERED)).status is (end or Status.DELIVERED)
     if end is None:
-        held = next(iter(again.sender.held.values()))
+        held = next(iter(again.sender.pending.values()))
         assert held.expires == pytest.approx(again.time + 10 - 2, abs=0.1) and held.issued == 2
 
 
@@ -359,7 +359,7 @@
     bench.pass_time(0.01)
     if left > 1:
         bench.sender.outcomes.abandon(
-            bench.sender.held[bench.sender.numbers["a"]], MessageOutcome(Status.DEFERRED, 70)
+            bench.sender.pending[bench.sender.numbers_by_id["a"]], MessageOutcome(Status.DEFERRED, 70)
         )
     bench.journal.close()
     again = Bench(tmp_path, time=101.0)
@@ -413,7 +413,7 @@
         call, done = bench.calls[done], done + 1
         bench.sender.finished(call, {item.number: AttemptResult(Outcome.OK) for item in call.items})
         bench.pass_time(0.01)
-    assert not bench.sender.held
+    assert not bench.sender.pending
     turns, turn = [0], bench.sender.turn
 
     def counted() -> None:
