--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -41,7 +41,7 @@
         self.rules, self.names = policy.set, names
         self.gate: TenantGate | None = None  # where tenants are counted
         # Discovery has told this process of the whole list, or that the known one holds.
-        self.list_told = False
+        self.list_received = False
         # Whether a message that is taken on now could be neither sent nor ended.
         self.cut_off: Callable[[], bool] = lambda: False
         self._policy, self._journal, self._table, self._held = policy, journal, table, held
@@ -81,7 +81,7 @@
             # Until discovery has spoken, the destination may be newer than the last process's list.
             return (
                 MessageOutcome(Status.UNDELIVERABLE)
-                if self.list_told
+                if self.list_received
                 else MessageOutcome(Status.DEFERRED, _ASK_AGAIN_MS)
             )
         if len(self._policy.msgs) >= self.rules.max_open or not self._journal.has_capacity(len(one.body)):
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -70,7 +70,9 @@
         self.pending = PendingMessages()
         self.numbers_by_id = self.pending.numbers_by_id
         self.waits = Waits()  # told ones, by what shares the limit
-        self.on_list: Callable[[], None] | None = None  # a list, or word that none has changed, has come
+        self.on_list_update: Callable[[], None] | None = (
+            None  # a list, or word that none has changed, has come
+        )
         self.counts: Counter[tuple[str, str]] = Counter()  # for metrics: ends and outcomes
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
         state = SendState(self.rules, self.table, journal, self.pending, self.waits)
@@ -230,7 +232,7 @@
             log.info("restored", extra=kv(messages=len(stored_ones), cut_bytes=self.journal.truncated_bytes))
         self._soon()
 
-    def forget_ended(self) -> None:
+    def forget_finished(self) -> None:
         """Messages that an adopted journal says have ended: nothing more is owed."""
         for msg_id, number in list(self.numbers_by_id.items()):
             if msg_id in self.journal.outcomes and msg_id not in self.journal.live:
@@ -281,11 +283,11 @@
 
     def list_changed(self, update: MapUpdate) -> None:
         """Discovery told of the whole list, or of what changed."""
-        self.admission.list_told = True
+        self.admission.list_received = True
         self._learn(update, io.ListKind.FULL if update.full else io.ListKind.DELTA)
         self._soon()
-        if self.on_list is not None:
-            self.on_list()
+        if self.on_list_update is not None:
+            self.on_list_update()
 
     def remember(self, fact: io.Remembered) -> None:
         """What an earlier life knew of a destination."""
@@ -326,7 +328,7 @@
             self._soon()
         self._review_by(change.review_at)
 
-    def retune(self, rules: io.Settings, names: SettingNames) -> None:
+    def apply_settings(self, rules: io.Settings, names: SettingNames) -> None:
         """New settings from a reread file: messages under way keep the class that the module gave them."""
         self.policy.set = self.rules = self.attempts.state.rules = self.admission.rules = rules
         self.table.balancers = rules.balancers
--- a/mountgauge/run/handover.py
+++ b/mountgauge/run/handover.py
@@ -72,7 +72,7 @@
                     self._files.unlink(path)
         elif self.journal.unadopted and not had:  # a newer process beside this one: it is to heed our waits
             self.tell()
-        self.sender.forget_ended()
+        self.sender.forget_finished()
         if adopted:
             log.info("adopted", extra=kv(messages=len(adopted)))
             self.sender.restore(adopted)
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -137,7 +137,7 @@
         self._pages: dict[str, Report] = {}  # of the status server
         rules = self.config.rules
         _, hops = socket_shares(self.config.limits.sockets, rules.workers)
-        self.sender.admission.list_told = True  # the file is the whole list
+        self.sender.admission.list_received = True  # the file is the whole list
         http = HttpNextHops(self.sender, rules.connect_timeout, self.config.conn_idle, hops - hops // 2)
         self._amqp_hops = AmqpNextHops(
             self.sender, rules.connect_timeout, _BROKER_IDLE, hops // 2, operator.hops.accounts
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -79,7 +79,7 @@
             self.notices.move(config.discovery)
             self.discovery.move(config.discovery)
         if config.settings != old.settings:
-            self.sender.retune(config.rules, config.names)
+            self.sender.apply_settings(config.rules, config.names)
             self.discovery.retune(config.names, WatchBounds.of(config.rules))
             self._evidence.retune(config.rules)
             self.front.retune(config.names.grades, [grade.deadline for grade in config.rules.grades])
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -71,7 +71,7 @@
             self._failed = True
         self._source_lease = runtime.sender.list_lease
         runtime.sender.list_lease = self.list_ended
-        runtime.sender.on_list = self._list_came
+        runtime.sender.on_list_update = self._list_came
         self._timer = asyncio.get_running_loop().call_later(bounds.PULSE_S, self._look)
 
     def _arrive(self) -> None:
@@ -168,7 +168,7 @@
         runtime = self.runtime
         sender, now = runtime.sender, runtime.sender.clock.now()
         seen = Seen(
-            now, runtime.taking, sender.to_restore, sender.admission.list_told, self.peers.joined(),
+            now, runtime.taking, sender.to_restore, sender.admission.list_received, self.peers.joined(),
             destination_states(sender.policy, now), len(sender.pending),
         )  # fmt: skip
         before = self.phases.held_up
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -602,7 +602,7 @@
     first, _, _ = Folder(tmp_path).arrive("m1", False)
     clock = SimpleNamespace(now=lambda: 5.0, wall=lambda: 105.0, boot=lambda: "")
     journal = SimpleNamespace(live={}, outcomes={}, is_in_place=lambda: True, slot=0)
-    sender = SimpleNamespace(clock=clock, list_lease=None, on_list=None)
+    sender = SimpleNamespace(clock=clock, list_lease=None, on_list_update=None)
     config = SimpleNamespace(name="m1", known=SimpleNamespace(version=-1))
     recovery = RecoverySubsystem.__new__(RecoverySubsystem)
     recovery.runtime = cast(Runtime, SimpleNamespace(journal=journal, sender=sender, config=config))
