--- a/mountgauge/core/message_outcomes.py
+++ b/mountgauge/core/message_outcomes.py
@@ -106,7 +106,7 @@
         """The message is held no longer."""
         self._untold.pop(held.number, None)
         if held.number in self._held and self.scope is not None:
-            self.scope.dropped(held.stored.dest)
+            self.scope.message_removed(held.stored.dest)
         self._held.drop(held)
         self._monitor.forget(held.stored.id)
 
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -172,10 +172,10 @@
     def accepts(self, destination: int) -> bool:
         """Whether a message for it may be taken on here."""
 
-    def held(self, destination: int) -> None:
+    def message_added(self, destination: int) -> None:
         """A message for it is held from now on."""
 
-    def dropped(self, destination: int) -> None:
+    def message_removed(self, destination: int) -> None:
         """A message for it is held no longer."""
 
 
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -428,7 +428,7 @@
     def _hold(self, stored: StoredMessage, expires: float) -> PendingMessage:
         held = self.pending.hold(stored, expires)
         if self.scope is not None:
-            self.scope.held(stored.dest)
+            self.scope.message_added(stored.dest)
         self._timers.watch(expires + _GRACE, held.number)
         return held
 
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -263,14 +263,14 @@
         shard = self.shard(destination)
         return shard in self.store and bool(self.subscription.replicas(shard))
 
-    def held(self, destination: int) -> None:
+    def message_added(self, destination: int) -> None:
         """The core holds one message more for it."""
         shard, now = self.shard(destination), self._loop.time()
         self._messages[shard] = self._messages.get(shard, 0) + 1
         self.subscription.hold(shard, now)
         self.follower.wake_by(now)
 
-    def dropped(self, destination: int) -> None:
+    def message_removed(self, destination: int) -> None:
         """The core holds one message less: the subscription hears of it once this turn is over."""
         shard = self.shard(destination)
         self._messages[shard] -= 1
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -199,12 +199,12 @@
             (100, EndpointState.ACTIVE),
         ):
             relay.as_of, relay.state = as_of, state
-            shard_map.held(7)
+            shard_map.message_added(7)
             await until(lambda: "e7" in table.hops)
             if as_of == 95:
                 shard_map.snapshot()  # the whole list, as SIGHUP asks for it
             states.append(table.hops["e7"].entry.readiness)
-            shard_map.dropped(7)
+            shard_map.message_removed(7)
             await until(lambda: "e7" not in table.hops)
         assert states == [Readiness.READY, Readiness.DRAINING, Readiness.DRAINING, Readiness.READY]
         shard_map.close()
