--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -216,10 +216,10 @@
             result = results.get(item.number, AttemptResult(Outcome.MOOT))
             if item in call.sent:
                 self._monitor.outcome(item.id, result.outcome in _NEVER_RAN)
-            if result.wait > 0:
+            if result.required_wait_s > 0:
                 limit = self.state.limit(call.hop)
-                self._waits[limit] = max(self._waits.get(limit, 0.0), now + result.wait)
-                self._monitor.wait_told(limit, now, now + result.wait)
+                self._waits[limit] = max(self._waits.get(limit, 0.0), now + result.required_wait_s)
+                self._monitor.wait_told(limit, now, now + result.required_wait_s)
                 if self.on_wait is not None:
                     self.on_wait()
             held = self._held.get(item.number)
@@ -229,8 +229,8 @@
                     self._journal.never_ran(item.id)
                 if result.outcome == Outcome.OK and not held.over:
                     self._end(held, MessageOutcome(Status.DELIVERED))
-                elif result.over and not held.over:  # withdrawn or out of time: nothing more is owed
-                    self._end(held, MessageOutcome(Status.OVER))
+                elif result.finished and not held.over:  # withdrawn or out of time: nothing more is owed
+                    self._end(held, MessageOutcome(Status.FINISHED))
             if not item.reported:
                 self._report(call, item, result)
 
@@ -259,7 +259,7 @@
     def _respond(
         self, number: int, send_no: int, endpoint: bytes, spent: float, result: AttemptResult
     ) -> None:
-        over = result.over or result.outcome == Outcome.OK
-        remark = result.note if result.outcome == Outcome.MOOT else math.ceil(result.wait * 1000)
+        over = result.finished or result.outcome == Outcome.OK
+        remark = result.note if result.outcome == Outcome.MOOT else math.ceil(result.required_wait_s * 1000)
         outcome, stale = result.outcome, result.stale
         self._enqueue(io.Response(number, spent, endpoint, outcome, send_no, over, remark, (), stale))
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -19,7 +19,7 @@
     DELIVERED = "delivered"
     DEFERRED = "deferred"
     UNDELIVERABLE = "undeliverable"
-    OVER = "over"  # a next hop knows that it was withdrawn or is out of time: nothing more is owed
+    FINISHED = "over"  # a next hop knows that it was withdrawn or is out of time: nothing more is owed
 
 
 class MessageOutcome(NamedTuple):
@@ -79,8 +79,8 @@
     """How one delivery attempt went."""
 
     outcome: Outcome
-    over: bool = False  # the message has ended, nothing more is owed
-    wait: float = 0.0  # s, told to wait
+    finished: bool = False  # the message has ended, nothing more is owed
+    required_wait_s: float = 0.0  # s, told to wait
     note: int = 0  # for MOOT: 1 where all slots were taken
     stale: bool = False  # for RESET: on a kept connection, with nothing answered
 
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -39,7 +39,7 @@
         return len(self._owed)
 
     def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        if end.status in (Status.DELIVERED, Status.OVER):  # the platform knows that itself
+        if end.status in (Status.DELIVERED, Status.FINISHED):  # the platform knows that itself
             told()
             return
         self._owed[msg_id] = (end, told)
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -162,7 +162,9 @@
     ours = Handover(new.sender, new.journal, tmp_path, True)
     theirs = Handover(old.sender, old.journal, tmp_path, True)
     theirs.adopt()  # sees the new process
-    old.sender.finished(old.calls[0], {old.calls[0].items[0].number: AttemptResult(Outcome.FULL, wait=3.0)})
+    old.sender.finished(
+        old.calls[0], {old.calls[0].items[0].number: AttemptResult(Outcome.FULL, required_wait_s=3.0)}
+    )
     theirs.tell()
     new.pass_time(0.5)
     ours.hear()
--- a/tests/test_next_hops.py
+++ b/tests/test_next_hops.py
@@ -56,12 +56,12 @@
     # the first line delivers, though the rest never comes
     (b"HTTP/1.1 200 OK\r\n", AttemptResult(Outcome.OK)),
     (response(500, "E", {}, b""), AttemptResult(Outcome.ERROR)),
-    (response(429, "E", {"Retry-After": "0.35"}, b""), AttemptResult(Outcome.FULL, wait=0.35)),
+    (response(429, "E", {"Retry-After": "0.35"}, b""), AttemptResult(Outcome.FULL, required_wait_s=0.35)),
     (response(503, "E", {}, b""), AttemptResult(Outcome.FULL)),
-    (response(503, "E", {"Retry-After": "1.5"}, b""), AttemptResult(Outcome.FULL, wait=1.5)),
+    (response(503, "E", {"Retry-After": "1.5"}, b""), AttemptResult(Outcome.FULL, required_wait_s=1.5)),
     (response(503, "E", {"X-Over-Slots": "1"}, b""), AttemptResult(Outcome.MOOT, note=1)),
     (response(504, "E", {}, b""), AttemptResult(Outcome.MOOT)),
-    (response(410, "E", {}, b""), AttemptResult(Outcome.MOOT, over=True)),
+    (response(410, "E", {}, b""), AttemptResult(Outcome.MOOT, finished=True)),
     (b"HTTP/1.1 2", AttemptResult(Outcome.RESET)),
     (b"junk\r\n", AttemptResult(Outcome.ERROR)),  # it has read the call, so it is there: no outage
     (b"HTTP/1.1 503 E\r\nRetry-", AttemptResult(Outcome.RESET)),  # cut short: the rest might have said more
@@ -184,8 +184,8 @@
             Outcome.MOOT,
             Outcome.ERROR,
         ]
-        assert [results[n].over for n in range(6)] == [False, False, False, True, False, False]
-        assert all(result.wait == 0.2 for result in results.values())
+        assert [results[n].finished for n in range(6)] == [False, False, False, True, False, False]
+        assert all(result.required_wait_s == 0.2 for result in results.values())
 
     run(main())
 
@@ -328,6 +328,6 @@
 
     async def main() -> None:
         found = await outcome(reply, *bodies)
-        assert found == dict.fromkeys(range(len(bodies)), AttemptResult(Outcome.ERROR, wait=0.35))
+        assert found == dict.fromkeys(range(len(bodies)), AttemptResult(Outcome.ERROR, required_wait_s=0.35))
 
     run(main())
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -203,7 +203,9 @@
         bench.pass_time(0.01)
         other = bench.calls[1]
         bench.sender.admit(other, other.items)
-        bench.sender.finished(other, {other.items[0].number: AttemptResult(Outcome.FULL, wait=5.0)})
+        bench.sender.finished(
+            other, {other.items[0].number: AttemptResult(Outcome.FULL, required_wait_s=5.0)}
+        )
     elif late == "ended":
         bench.sender.pending[call.items[0].number].over = True
     else:
@@ -230,10 +232,10 @@
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
-    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.MOOT, over=True)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.MOOT, finished=True)})
     bench.pass_time(20.0)
     assert (
-        bench.outcomes == {"a": MessageOutcome(Status.OVER)}
+        bench.outcomes == {"a": MessageOutcome(Status.FINISHED)}
         and not bench.journal.live
         and len(bench.calls) == 1
     )
