--- a/mountgauge/core/durable_time.py
+++ b/mountgauge/core/durable_time.py
@@ -117,7 +117,7 @@
     basis: Basis
 
 
-def read(clocks: Clocks) -> Stamp:
+def read_clocks(clocks: Clocks) -> Stamp:
     """The clocks now, for a file that is written or read as a whole: its base is the wall clock."""
     wall = clocks.wall()
     return Stamp(clocks.boot(), wall, clocks.now(), wall)
--- a/mountgauge/core/files.py
+++ b/mountgauge/core/files.py
@@ -73,7 +73,7 @@
         view = view[written:]
 
 
-def write_whole(files: Files, path: Path, content: bytes) -> None:
+def replace_file(files: Files, path: Path, content: bytes) -> None:
     """This content, or on OSError the one before, is what the path names; never a part."""
     spare = path.with_name(path.name + ".new")
     file = files.open(spare, MADE_ANEW)
--- a/mountgauge/recovery/files.py
+++ b/mountgauge/recovery/files.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from mountgauge.core.durable_time import Stamp
-from mountgauge.core.files import Files, SystemFiles, write_whole
+from mountgauge.core.files import Files, SystemFiles, replace_file
 from mountgauge.recovery import identity as who
 from mountgauge.recovery import state_file
 from mountgauge.recovery.identity import Found, Identity
@@ -68,4 +68,4 @@
 
     def _replace(self, path: Path, content: bytes) -> None:
         path.parent.mkdir(parents=True, exist_ok=True)
-        write_whole(self._files, path, content)
+        replace_file(self._files, path, content)
--- a/mountgauge/relay/kept_list.py
+++ b/mountgauge/relay/kept_list.py
@@ -14,7 +14,7 @@
 import orjson
 
 from mountgauge.core.durable_time import Stamp
-from mountgauge.core.files import Files, SystemFiles, write_whole
+from mountgauge.core.files import Files, SystemFiles, replace_file
 from mountgauge.relay import wire
 from mountgauge.sharding.messages import Answer, PlacementNews
 from mountgauge.sharding.shards import ShardSnapshot
@@ -89,4 +89,4 @@
         content = encode(kept, self._shard_count)
         if len(content) > MAX_BYTES:
             raise KeptListError(f"{len(content)} bytes, at most {MAX_BYTES} are kept")
-        write_whole(self._files, self._path, content)
+        replace_file(self._files, self._path, content)
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from mountgauge.core.config import Address, ConfigError, MapUpdate
-from mountgauge.core.durable_time import Clocks, SystemClocks, age, read
+from mountgauge.core.durable_time import Clocks, SystemClocks, age, read_clocks
 from mountgauge.core.list_lease import LeaseEnd, LeaseTerms
 from mountgauge.core.ports import NextHop
 from mountgauge.lease_log import LeaseLog
@@ -122,7 +122,7 @@
             return MapUpdate(NOTHING, True, ())
         wanted = {one.shard for one in kept.placement.shards} | set(map(self.shard, destinations))
         snapshots = [one for one in kept.snapshots if one.shard in wanted]
-        age_s = age(kept.confirmed, read(self._clocks))
+        age_s = age(kept.confirmed, read_clocks(self._clocks))
         update = self.subscription.restore(snapshots, kept.placement, self._loop.time() - age_s)
         log.info("kept-list", extra=kv(shards=len(snapshots), epoch=kept.placement.epoch,
                                        staleness_s=round(age_s, 3)))  # fmt: skip
@@ -305,7 +305,7 @@
             return
         snapshots = tuple(self.store.snapshot(shard) for shard in sorted(self.store.shards()))
         try:
-            self._file.write(KeptList(read(self._clocks).before(age_s), placement, snapshots))
+            self._file.write(KeptList(read_clocks(self._clocks).before(age_s), placement, snapshots))
         except (OSError, KeptListError) as error:
             log.warning("list-not-kept", extra=kv(error=error))
 
--- a/mountgauge/run/handover.py
+++ b/mountgauge/run/handover.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from mountgauge.core import shared_waits
-from mountgauge.core.files import Files, SystemFiles, write_whole
+from mountgauge.core.files import Files, SystemFiles, replace_file
 from mountgauge.core.journal import Journal
 from mountgauge.core.sender import Sender
 from mountgauge.log import kv
@@ -91,7 +91,7 @@
             return
         content = shared_waits.encode(self.sender.waits, self.journal.time.stamp())
         try:
-            write_whole(self._files, self._waits_path(self.journal.slot), content)
+            replace_file(self._files, self._waits_path(self.journal.slot), content)
         except OSError as error:
             if self._told:  # the first time: it is tried at each look
                 log.warning("waits-not-shared", extra=kv(error=error))
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from mountgauge.core.durable_time import Stamp, read
+from mountgauge.core.durable_time import Stamp, read_clocks
 from mountgauge.core.list_lease import LeaseCheck, LeaseEnd
 from mountgauge.log import kv
 from mountgauge.recovery import bounds
@@ -78,7 +78,7 @@
         """Begin this life by what the folder says; OSError where it cannot be read or written."""
         runtime = self.runtime
         had = bool(runtime.journal.live or runtime.journal.outcomes)
-        stamp = read(runtime.sender.clock)
+        stamp = read_clocks(runtime.sender.clock)
         self.identity, self.found, clean = self.folder.arrive(runtime.config.name, had)
         self._arrived = True
         try:
@@ -251,7 +251,7 @@
         if self.runtime.journal.slot or not self._arrived:
             return  # the older process beside this one writes it
         try:
-            stamp = read(self.runtime.sender.clock)
+            stamp = read_clocks(self.runtime.sender.clock)
             self.folder.remember(self.facts(stamp), stamp, self.identity.id)
         except OSError as error:
             log.warning("not-remembered", extra=kv(error=error))
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -23,7 +23,7 @@
 from mountgauge.connections.registry import Registry
 from mountgauge.console.duty import detached_text
 from mountgauge.console.service import Service
-from mountgauge.core.durable_time import Stamp, SystemClocks, read
+from mountgauge.core.durable_time import Stamp, SystemClocks, read_clocks
 from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, StoredMessage
 from mountgauge.core.ports import Accepted, AttemptResult, MessageOutcome, Status
 from mountgauge.core.sender import Sender
@@ -579,7 +579,7 @@
     one, _, _ = folder.arrive("m1", False)
     fact = Fact("pace", "7", 0.5, 1000.0, one.id, 1060.0)
     folder.remember([fact], now, one.id)
-    list_ = KeptList(read(SystemClocks()), kept().placement, kept().snapshots)
+    list_ = KeptList(read_clocks(SystemClocks()), kept().placement, kept().snapshots)
     lists.write(list_)
     files.error, files.fails = error, {call}
     if call == "write":
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from mountgauge.agent import Instance
-from mountgauge.core.durable_time import AGREE_S, Basis, Stamp, age, boot_id, read, rebase
+from mountgauge.core.durable_time import AGREE_S, Basis, Stamp, age, boot_id, read_clocks, rebase
 from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.core.ports import AttemptResult, MessageOutcome, Status
 from mountgauge.recovery.files import Folder
@@ -385,7 +385,7 @@
     clock = SteppedClocks()
     snapshots, placement = kept().snapshots, kept().placement
     file = KeptListFile(tmp_path, SHARDS)
-    file.write(KeptList(read(clock).before(30.0), placement, snapshots))
+    file.write(KeptList(read_clocks(clock).before(30.0), placement, snapshots))
 
     async def main() -> None:
         later = SteppedClocks(clock.time + 10.0, ahead=clock.ahead + step, boot=boot)
@@ -397,14 +397,14 @@
         assert expected <= shard_map.staleness_s < expected + 9
         shard_map.keep()
         assert (found := file.read()) is not None
-        assert age(found.confirmed, read(later)) == pytest.approx(expected, abs=9)
+        assert age(found.confirmed, read_clocks(later)) == pytest.approx(expected, abs=9)
 
     asyncio.run(main())
 
 
 def test_a_kept_list_of_an_older_version_is_read_by_the_wall_clock(tmp_path: Path) -> None:
     file, clock = KeptListFile(tmp_path, SHARDS), SteppedClocks()
-    file.write(KeptList(read(clock).before(30.0), PlacementNews(3, 1, ()), ()))
+    file.write(KeptList(read_clocks(clock).before(30.0), PlacementNews(3, 1, ()), ()))
     content = (tmp_path / "shards").read_bytes()
     head, _, body = content.partition(b"\n")
     assert b"monotonic" in head and b"boot" in head
@@ -412,7 +412,7 @@
         b'{"confirmed":%f,"shards":%d}\n' % (clock.wall() - 30.0, SHARDS) + body
     )
     assert (found := file.read()) is not None
-    assert age(found.confirmed, read(clock)) == pytest.approx(30.0)
+    assert age(found.confirmed, read_clocks(clock)) == pytest.approx(30.0)
 
 
 # The rule by itself
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mountgauge.core.config import Address, MapUpdate
-from mountgauge.core.durable_time import SystemClocks, read
+from mountgauge.core.durable_time import SystemClocks, read_clocks
 from mountgauge.core.hop_table import HopTable
 from mountgauge.http1 import Message, response
 from mountgauge.relay import wire
@@ -113,7 +113,7 @@
     )
     shard = shard_of(7, SHARDS)
     snapshot = ShardSnapshot(shard, 41, found, digest_of(found))
-    confirmed = read(SystemClocks()).before(30)
+    confirmed = read_clocks(SystemClocks()).before(30)
     return KeptList(confirmed, PlacementNews(3, 1, (PlacedShard(shard, ("s1",)),)), (snapshot,))
 
 
