--- a/mountgauge/core/list_lease.py
+++ b/mountgauge/core/list_lease.py
@@ -7,7 +7,7 @@
 shorter than the rule's by what a sender may be held up between its look and its write (`LeaseTerms`):
 
 - `confirm`: a whole answer to a call that was made then. All that the source had before is known.
-- `unreachable`: an end that says that the source told nobody at some moment after that: a refusal. What
+- `call_refused`: an end that says that the source told nobody at some moment after that: a refusal. What
   changes meanwhile counts anew from its return. It renews a lease that has not run out, as what had changed
   for longer counted before, or whose source has told nobody since it held; a new process has the rule's time
   from its beginning to be refused.
@@ -34,7 +34,7 @@
 from math import inf
 
 # Between the look at the lease and the write of the first byte a process may be held up for so long.
-HOLD_UP_S = 0.15
+MAX_STALL_S = 0.15
 # Calls that have broken for so long, with no answer in between, show a source that is down.
 DOWN_AFTER_S = 1.0
 # A source that is down breaks a call within this time; one that breaks later was out, and may be answered.
@@ -46,7 +46,7 @@
 class LeaseEnd(StrEnum):
     """Why the list may not be gone by."""
 
-    UNHEARD = "unheard"  # no evidence since the process began
+    NO_EVIDENCE = "unheard"  # no evidence since the process began
     EXPIRED = "expired"  # the newest evidence is too old
     ANSWER_LOST = "answer-lost"
     ANSWER_UNREAD = "answer-unread"  # something that the source has written waits to be read
@@ -79,7 +79,7 @@
     @property
     def spare_s(self) -> float:
         """What a holder may use of the grace."""
-        return max(0.0, self.grace_s - HOLD_UP_S)
+        return max(0.0, self.grace_s - MAX_STALL_S)
 
     @property
     def term_s(self) -> float:
@@ -129,7 +129,7 @@
         """By when further evidence has to come; -inf where there has been none."""
         return self._evidence_at + self.terms.term_s
 
-    def begin(self, now: float) -> None:
+    def process_started(self, now: float) -> None:
         """The process begins, with a list that has no time."""
         self._begun_at = max(self._begun_at, now)
 
@@ -141,7 +141,7 @@
         self._moved_at = self._breaking_since = None
         self._make_good(asked_at, Loss.CERTAIN)
 
-    def unreachable(self, asked_at: float, lasting: bool = False) -> None:
+    def call_refused(self, asked_at: float, lasting: bool = False) -> None:
         """A call that was made then has been refused. After a move a refusal counts only once the time of
         the move is over: until then the source may come back, and owe the whole list by the end of it.
         `lasting`: the source went down while the lease held, and nobody could be told anything since.
@@ -160,16 +160,16 @@
         started with counts as of then, and no longer, however often that comes.
         """
         if self._evidence_at == -inf:
-            self.unreachable(self._begun_at)
+            self.call_refused(self._begun_at)
 
     # What ends it early
 
-    def lose(self, kind: Loss, now: float) -> None:
+    def answer_lost(self, kind: Loss, now: float) -> None:
         """An answer has not been taken in."""
         before = self._lost or _LostAnswer(kind, now)
         self._lost = _LostAnswer(max(kind, before.kind), max(now, before.at))
 
-    def broke(self, asked_at: float, now: float, alone: bool = True) -> bool:
+    def call_broke(self, asked_at: float, now: float, alone: bool = True) -> bool:
         """A call that was made then has broken with nothing read; `alone`: no other one is out, which a
         source that is down would have broken too. Whether an answer is lost now: else this shows that the
         source is down.
@@ -179,31 +179,31 @@
         elif self._breaking_since is None:
             self._breaking_since = now
         if self._shows_an_outage(asked_at):
-            self.unreachable(asked_at)
+            self.call_refused(asked_at)
         else:
-            self.lose(Loss.POSSIBLE, now)
+            self.answer_lost(Loss.POSSIBLE, now)
         return self.lacks_answer
 
-    def hung(self) -> None:
+    def call_hung(self) -> None:
         """A call, or its connection, has not come to an end in time, or failed on this machine: a source that
         is down would have broken it, so breaks before and after it are no row.
         """
         self._breaking_since = None
 
-    def moved(self, now: float) -> None:
+    def source_moved(self, now: float) -> None:
         """The source has another address. Of two moves without an answer the first one counts."""
         if self._moved_at is None:
             self._moved_at = now
 
-    def asked(self, made_at: float, now: float) -> None:
+    def call_made(self, made_at: float, now: float) -> None:
         """A call that was made then is out. Where none has been for too long, what the source got meanwhile
         has counted already, and only an answer tells of it.
         """
         since, self._no_call_since = self._no_call_since, None
         if since is not None and now - since >= self.terms.not_asked_s:
-            self.lose(Loss.POSSIBLE, made_at)
+            self.answer_lost(Loss.POSSIBLE, made_at)
 
-    def not_asked(self, since: float) -> None:
+    def no_call_open(self, since: float) -> None:
         """No call is out any more, perhaps since that moment: of two the earlier one counts."""
         self._no_call_since = since if self._no_call_since is None else min(since, self._no_call_since)
 
@@ -226,7 +226,7 @@
         if now < self.until:
             return None
         if self._evidence_at == -inf:
-            return LeaseEnd.UNHEARD
+            return LeaseEnd.NO_EVIDENCE
         if self._lost is not None:
             return LeaseEnd.ANSWER_LOST
         if self._moved_at is not None and now >= self._moved_at + self.terms.moved_s:
--- a/mountgauge/lab/faults/lease.py
+++ b/mountgauge/lab/faults/lease.py
@@ -11,7 +11,7 @@
 
     def believing(lease: ListLease, now: float) -> LeaseEnd | None:
         found = ended(lease, now)
-        silent = (LeaseEnd.UNHEARD, LeaseEnd.EXPIRED, LeaseEnd.MOVED)
+        silent = (LeaseEnd.NO_EVIDENCE, LeaseEnd.EXPIRED, LeaseEnd.MOVED)
         return None if found in silent else found
 
     setattr(ListLease, "ended", believing)  # noqa: B010
--- a/mountgauge/lease_log.py
+++ b/mountgauge/lease_log.py
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[str, str]] = Counter()
-        self.ended: LeaseEnd | None = LeaseEnd.UNHEARD  # as of the newest look
+        self.ended: LeaseEnd | None = LeaseEnd.NO_EVIDENCE  # as of the newest look
 
     def note(self, ended: LeaseEnd | None, age_s: float) -> None:
         """The state now, and how old the newest evidence is."""
--- a/mountgauge/platform/watch.py
+++ b/mountgauge/platform/watch.py
@@ -119,7 +119,7 @@
             self._on = True
             self._next_at = now
         if self._number == 0:
-            self._lease.begin(now)
+            self._lease.process_started(now)
 
     def stop(self, now: float) -> None:
         """End all calls and make no more."""
@@ -138,7 +138,7 @@
         """Discovery has another address: ask there for the whole list, and keep asking until it has come."""
         self._address += 1
         self._moved_at = now
-        self._lease.moved(now)
+        self._lease.source_moved(now)
         self.ask_whole(now)
 
     def ask_whole(self, now: float) -> None:
@@ -173,7 +173,7 @@
             self._forget(call, now)
             return False
         self._connected_at[call] = now
-        self._lease.asked(call.made_at, now)
+        self._lease.call_made(call.made_at, now)
         if not call.short:
             self._next_at = now + call.wait_s + ANSWER_MARGIN_S
         else:
@@ -186,13 +186,13 @@
 
     def unsent(self, now: float) -> None:
         """The call that has just been asked lies unsent."""
-        self._lease.not_asked(now)
+        self._lease.no_call_open(now)
 
     def sent(self, call: ListCall, now: float) -> None:
         """It has left in full, late."""
         if call not in self._connected_at:
             return
-        self._lease.asked(call.made_at, now)
+        self._lease.call_made(call.made_at, now)
         if self._lease.lacks_answer and not call.short:  # it would wait for a change before it is answered
             self._since_answer.lost = True
             self._next_at = now
@@ -229,7 +229,7 @@
             self._since_answer.repeats = before.repeats
         if incomplete:
             self._whole = self._since_answer.lost = True
-            self._lease.lose(Loss.CERTAIN, now)
+            self._lease.answer_lost(Loss.CERTAIN, now)
         if self._lease.lacks_answer:  # the call that answers it is not to wait for a change
             self._since_answer.lost = True
         self._drop([one for one in self._open if one not in self._connected_at], DropReason.NEEDLESS, now)
@@ -254,10 +254,10 @@
         uncovered_since = min(now, written_after)
         newer = [other for other in self._connected_at if other.number > call.number]
         if not newer:
-            self._lease.not_asked(uncovered_since)
+            self._lease.no_call_open(uncovered_since)
         covered_from = min((self._connected_at[other] for other in newer), default=now)
         if covered_from - uncovered_since >= self._lease.terms.not_asked_s:
-            self._lease.lose(Loss.POSSIBLE, min((other.made_at for other in newer), default=now))
+            self._lease.answer_lost(Loss.POSSIBLE, min((other.made_at for other in newer), default=now))
 
     def failed(self, call: ListCall, failure: Failure, now: float) -> None:
         """The call has ended without a list."""
@@ -292,16 +292,16 @@
     def _note_end(self, call: ListCall, failure: Failure, now: float) -> bool:
         """What the failure says of the list; whether an answer may have been lost with it."""
         if failure is Failure.SPOILT:
-            self._lease.lose(Loss.CERTAIN, now)
+            self._lease.answer_lost(Loss.CERTAIN, now)
             return True
         if self._was_out(call, now):
             self._since_answer.down = True
         if failure is Failure.BROKEN:
             alone = not self._connected_at.keys() - {call}
-            return self._lease.broke(call.made_at, now, alone and self._since_answer.down)
+            return self._lease.call_broke(call.made_at, now, alone and self._since_answer.down)
         if call.address == self._address and self._shows_an_outage(failure):
             counts_from = self._refusal_counts_from(call, failure, now)
-            self._lease.unreachable(counts_from, lasting=self._since_answer.down)
+            self._lease.call_refused(counts_from, lasting=self._since_answer.down)
         elif failure is Failure.BUSY and not self.bounds.pushed:
             self._lease.refused_at_start()
         return False
@@ -344,7 +344,7 @@
         nothing, so the next is begun as soon.
         """
         self._forget(call, now)
-        self._lease.hung()
+        self._lease.call_hung()
         self._since_answer.down = False
         if self._is_replaced(call):
             return
@@ -359,7 +359,7 @@
     def distrust(self, now: float) -> None:
         """What has been answered could not be taken in, or not all of it: ask for the whole list."""
         self._whole = True
-        self._lease.lose(Loss.CERTAIN, now)
+        self._lease.answer_lost(Loss.CERTAIN, now)
         state = self._since_answer
         state.lost = True
         state.failures += 1
@@ -388,7 +388,7 @@
         """The newest call has not been answered, or its connection has not come up, in time."""
         if not self._open:
             return
-        self._lease.hung()
+        self._lease.call_hung()
         state, newest = self._since_answer, self._open[-1]
         state.lost, state.down = True, False
         if newest in self._connected_at:
@@ -416,7 +416,7 @@
     def _forget(self, call: ListCall, now: float) -> None:
         self._open.remove(call)
         if self._connected_at.pop(call, None) is not None and not self._connected_at:
-            self._lease.not_asked(now)
+            self._lease.no_call_open(now)
 
     def _drop(self, calls: list[ListCall], reason: DropReason, now: float) -> None:
         self._dropped += [DroppedCall(call, reason) for call in calls]
--- a/mountgauge/sharding/evidence.py
+++ b/mountgauge/sharding/evidence.py
@@ -45,14 +45,14 @@
             self._refused[call.relay] = call.made_at
         nobody_answers = self._refused.keys() >= self._relays
         if failure is RelayFailure.UNREADABLE:
-            self.lease.lose(Loss.CERTAIN, now)
+            self.lease.answer_lost(Loss.CERTAIN, now)
         elif failure is RelayFailure.REFUSED and nobody_answers:
-            self.lease.unreachable(min(self._refused.values()))
+            self.lease.call_refused(min(self._refused.values()))
         elif failure is RelayFailure.BROKEN and call.lane is Lane.WATCH:
             if nobody_answers:
-                self.lease.broke(call.made_at, now)
+                self.lease.call_broke(call.made_at, now)
             else:
-                self.lease.lose(Loss.POSSIBLE, now)
+                self.lease.answer_lost(Loss.POSSIBLE, now)
 
     def ended(self, now: float) -> LeaseEnd | None:
         """Why the list may not be gone by now; None: it may."""
--- a/tests/platform/mutants.py
+++ b/tests/platform/mutants.py
@@ -51,7 +51,7 @@
 
     def lease_ended(self, now: float) -> LeaseEnd | None:
         ended = super().lease_ended(now)
-        return None if ended in (LeaseEnd.EXPIRED, LeaseEnd.UNHEARD, LeaseEnd.MOVED) else ended
+        return None if ended in (LeaseEnd.EXPIRED, LeaseEnd.NO_EVIDENCE, LeaseEnd.MOVED) else ended
 
 
 class RefusalInWordsRenews(DiscoveryWatch):
--- a/tests/platform/test_list_lease.py
+++ b/tests/platform/test_list_lease.py
@@ -7,7 +7,15 @@
 
 import pytest
 
-from mountgauge.core.list_lease import BURST_S, DOWN_AFTER_S, HOLD_UP_S, LeaseEnd, LeaseTerms, ListLease, Loss
+from mountgauge.core.list_lease import (
+    BURST_S,
+    DOWN_AFTER_S,
+    MAX_STALL_S,
+    LeaseEnd,
+    LeaseTerms,
+    ListLease,
+    Loss,
+)
 from mountgauge.platform.list_call import Failure, ListCall
 from mountgauge.platform.watch import DiscoveryWatch
 from mountgauge.platform.watch_bounds import ANSWER_MARGIN_S, REFUSAL_TRANSIT_S, WatchBounds
@@ -43,17 +51,17 @@
 def test_without_evidence_the_list_is_never_gone_by() -> None:
     """The list that a process is started with has no time."""
     lease = ListLease(TERMS)
-    assert lease.ended(0.0) is lease.ended(1e9) is LeaseEnd.UNHEARD
+    assert lease.ended(0.0) is lease.ended(1e9) is LeaseEnd.NO_EVIDENCE
 
 
 def test_a_lease_ends_by_itself_and_before_the_rule_does() -> None:
     lease = confirmed(10.0)
     assert lease.until == pytest.approx(10.0 + TERM_S)
     assert lease.ended(lease.until - FAIR) is None and lease.ended(lease.until) is LeaseEnd.EXPIRED
-    assert lease.until + HOLD_UP_S <= 10.0 + NOTIFIED_S + GRACE_S + FAIR
+    assert lease.until + MAX_STALL_S <= 10.0 + NOTIFIED_S + GRACE_S + FAIR
 
 
-@pytest.mark.parametrize("evidence", [ListLease.confirm, ListLease.unreachable])
+@pytest.mark.parametrize("evidence", [ListLease.confirm, ListLease.call_refused])
 def test_evidence_moves_the_end_on_and_older_evidence_does_not_move_it_back(evidence) -> None:  # type: ignore[no-untyped-def]
     lease = confirmed(10.0)
     evidence(lease, 12.0)
@@ -67,27 +75,27 @@
     What had changed 8 s before counted already.
     """
     lease = confirmed(10.0)
-    lease.unreachable(10.0 + NOTIFIED_S + FAIR)
+    lease.call_refused(10.0 + NOTIFIED_S + FAIR)
     assert lease.ended(17.0) is LeaseEnd.EXPIRED
     lease.confirm(17.0)
     for at in (23.0, 29.0, 35.0):  # an outage that lasts
-        lease.unreachable(at)
+        lease.call_refused(at)
         assert lease.ended(at) is None
 
 
 def test_a_new_process_is_refused_within_the_rules_time_or_waits_for_an_answer() -> None:
-    for refused_at, ended in ((16.0, None), (16.1, LeaseEnd.UNHEARD)):
+    for refused_at, ended in ((16.0, None), (16.1, LeaseEnd.NO_EVIDENCE)):
         lease = ListLease(TERMS)
-        lease.begin(10.0)
-        assert lease.ended(10.0) is LeaseEnd.UNHEARD
-        lease.unreachable(refused_at)
+        lease.process_started(10.0)
+        assert lease.ended(10.0) is LeaseEnd.NO_EVIDENCE
+        lease.call_refused(refused_at)
         assert lease.ended(refused_at) is ended
 
 
 @pytest.mark.parametrize("loss", Loss)
 def test_a_lost_answer_ends_the_lease_until_a_call_made_after_it_is_answered(loss: Loss) -> None:
     lease = confirmed(9.0)
-    lease.lose(loss, 10.0)
+    lease.answer_lost(loss, 10.0)
     lease.confirm(9.9)  # made before the loss: what it tells may be older
     assert lease.ended(10.1) is LeaseEnd.ANSWER_LOST and lease.lacks_answer
     assert lease.ended(1e9) is LeaseEnd.ANSWER_LOST, "it does not come back by itself"
@@ -98,18 +106,18 @@
 @pytest.mark.parametrize(("loss", "ends"), [(Loss.POSSIBLE, True), (Loss.CERTAIN, False)])
 def test_a_refusal_makes_good_what_may_never_have_been_written_alone(loss: Loss, ends: bool) -> None:
     lease = confirmed(9.0)
-    lease.lose(loss, 10.0)
-    lease.unreachable(9.9)
+    lease.answer_lost(loss, 10.0)
+    lease.call_refused(9.9)
     assert lease.ended(10.1) is LeaseEnd.ANSWER_LOST, "refused before the loss"
-    lease.unreachable(10.0)
+    lease.call_refused(10.0)
     assert (lease.ended(10.1) is None) is ends
 
 
 def test_of_two_losses_the_newer_time_and_the_graver_kind_count() -> None:
     lease = confirmed(9.0)
-    lease.lose(Loss.CERTAIN, 10.0)
-    lease.lose(Loss.POSSIBLE, 11.0)
-    lease.unreachable(11.0)
+    lease.answer_lost(Loss.CERTAIN, 10.0)
+    lease.answer_lost(Loss.POSSIBLE, 11.0)
+    lease.call_refused(11.0)
     lease.confirm(10.5)
     assert lease.ended(11.1) is LeaseEnd.ANSWER_LOST
     lease.confirm(11.0)
@@ -120,9 +128,9 @@
     lease = confirmed(9.0)
     down_at = 10.0 + DOWN_AFTER_S
     for at in (10.0, 10.0, 10.2, down_at - 0.1):
-        assert lease.broke(at, at), "a fault that strikes each connection may last so long"
+        assert lease.call_broke(at, at), "a fault that strikes each connection may last so long"
         assert lease.ended(at) is LeaseEnd.ANSWER_LOST
-    assert not lease.broke(down_at, down_at + 0.01)
+    assert not lease.call_broke(down_at, down_at + 0.01)
     assert lease.ended(down_at + 0.01) is None and lease.until == pytest.approx(down_at + TERM_S)
 
 
@@ -131,13 +139,13 @@
     for asked_s, alone in ((0.4, True), (0.0, False)):
         lease = confirmed(9.0)
         for at in (10.0, 11.5, 13.0, 20.0):
-            assert lease.broke(at - asked_s, at, alone)
+            assert lease.call_broke(at - asked_s, at, alone)
             assert lease.ended(at) is LeaseEnd.ANSWER_LOST
     lease = confirmed(9.0)
-    lease.broke(10.0, 10.0)
-    lease.broke(10.5, 11.0)
-    assert lease.broke(11.5, 11.5), "the row begins anew behind one that was out for long"
-    assert not lease.broke(12.5, 12.5)
+    lease.call_broke(10.0, 10.0)
+    lease.call_broke(10.5, 11.0)
+    assert lease.call_broke(11.5, 11.5), "the row begins anew behind one that was out for long"
+    assert not lease.call_broke(12.5, 12.5)
 
 
 @pytest.mark.parametrize("between", ["a dial hangs", "a call hangs", "a dial fails here"])
@@ -160,13 +168,17 @@
 def test_in_an_outage_a_call_that_breaks_is_believed_to_tell_nothing_once_the_next_one_breaks_too() -> None:
     """Its answer may have been lost as the source came back."""
     lease, at = confirmed(9.0), 10.0 + DOWN_AFTER_S
-    lease.broke(10.0, 10.0)
-    lease.broke(at, at)
+    lease.call_broke(10.0, 10.0)
+    lease.call_broke(at, at)
     assert lease.ended(at) is None
-    assert lease.broke(12.0, 12.0) and lease.broke(12.0, 12.0) and lease.ended(12.0) is LeaseEnd.ANSWER_LOST
-    assert not lease.broke(12.0 + BURST_S, 12.2) and lease.ended(12.2) is None
+    assert (
+        lease.call_broke(12.0, 12.0)
+        and lease.call_broke(12.0, 12.0)
+        and lease.ended(12.0) is LeaseEnd.ANSWER_LOST
+    )
+    assert not lease.call_broke(12.0 + BURST_S, 12.2) and lease.ended(12.2) is None
     lease.confirm(13.0)
-    assert lease.broke(14.0, 14.0) and lease.broke(14.0 + BURST_S, 14.2), "that was another outage"
+    assert lease.call_broke(14.0, 14.0) and lease.call_broke(14.0 + BURST_S, 14.2), "that was another outage"
 
 
 def test_calls_that_break_without_a_watch_that_was_out_show_no_outage() -> None:
@@ -183,17 +195,17 @@
     """It is silent while discovery is down; it does not say so by resets."""
     lease = confirmed(9.0, PUSHED)
     for at in (10.0, 10.5, 20.0):
-        assert lease.broke(at, at)
+        assert lease.call_broke(at, at)
         assert lease.ended(at) is LeaseEnd.ANSWER_LOST
 
 
 def test_after_a_move_the_new_address_has_its_time_and_only_its_answer_ends_that() -> None:
     lease = confirmed(10.0)
-    lease.moved(11.0)
-    lease.unreachable(14.9)  # it may be back, and owes the list by 15.0 all the same
-    end = 11.0 + MOVED_S + GRACE_S - HOLD_UP_S
+    lease.source_moved(11.0)
+    lease.call_refused(14.9)  # it may be back, and owes the list by 15.0 all the same
+    end = 11.0 + MOVED_S + GRACE_S - MAX_STALL_S
     assert lease.ended(end - FAIR) is None and lease.ended(end + FAIR) is LeaseEnd.MOVED
-    lease.moved(14.0)  # again, before it was heard: the first one counts
+    lease.source_moved(14.0)  # again, before it was heard: the first one counts
     assert lease.ended(end + FAIR) is LeaseEnd.MOVED
     lease.confirm(15.2)
     assert lease.until == pytest.approx(15.2 + TERM_S)
@@ -201,30 +213,30 @@
 
 def test_an_address_that_refuses_past_the_time_of_the_move_is_down() -> None:
     lease = confirmed(10.0)
-    lease.moved(11.0)
-    lease.unreachable(11.0 + MOVED_S)
+    lease.source_moved(11.0)
+    lease.call_refused(11.0 + MOVED_S)
     assert lease.ended(16.0) is None
 
 
 def test_where_lists_are_pushed_a_call_has_to_be_out() -> None:
     lease = confirmed(10.0, PUSHED)
-    lease.not_asked(10.0)
-    spare_s = GRACE_S - HOLD_UP_S
+    lease.no_call_open(10.0)
+    spare_s = GRACE_S - MAX_STALL_S
     assert lease.ended(10.0 + spare_s - FAIR) is None and lease.ended(10.0 + spare_s) is LeaseEnd.NOT_ASKED
-    lease.not_asked(10.05)
+    lease.no_call_open(10.05)
     assert lease.ended(10.0 + spare_s) is LeaseEnd.NOT_ASKED, "since the first moment"
-    lease.asked(10.05, 10.0 + spare_s - FAIR)
+    lease.call_made(10.05, 10.0 + spare_s - FAIR)
     assert lease.ended(10.0 + spare_s) is None
     asked_of_discovery = confirmed(10.0)
-    asked_of_discovery.not_asked(10.0)
+    asked_of_discovery.no_call_open(10.0)
     assert asked_of_discovery.ended(12.0) is None
 
 
 def test_what_an_agent_got_while_no_call_was_out_is_known_by_an_answer_alone() -> None:
     """The soak's seed 7002: a watch lay unsent for 0.47 s, in which a change was made; then it hung."""
     lease = confirmed(10.0, PUSHED)
-    lease.not_asked(10.0)
-    lease.asked(10.0, 10.5)
+    lease.no_call_open(10.0)
+    lease.call_made(10.0, 10.5)
     assert lease.ended(10.5) is LeaseEnd.ANSWER_LOST
     lease.confirm(10.0)
     assert lease.ended(10.6) is None, "it was written behind the gap"
@@ -293,7 +305,7 @@
 @pytest.mark.parametrize("grace_s", [0.0, 0.1, 0.25, 1.0])
 def test_a_grace_that_is_shorter_than_a_hold_up_is_not_used(grace_s: float) -> None:
     terms = LeaseTerms(NOTIFIED_S, grace_s, MOVED_S)
-    assert terms.term_s == pytest.approx(NOTIFIED_S + max(0.0, grace_s - HOLD_UP_S))
+    assert terms.term_s == pytest.approx(NOTIFIED_S + max(0.0, grace_s - MAX_STALL_S))
 
 
 # As the watch drives it
@@ -472,7 +484,7 @@
     """What changes in it counts anew from discovery's return, whenever the next call has been refused."""
     lease = confirmed(10.0)
     refused_at = 10.0 + TERM_S + 1.0
-    lease.unreachable(refused_at, lasting)
+    lease.call_refused(refused_at, lasting)
     assert (lease.ended(refused_at) is None) is lasting
 
 
--- a/tests/sharding/test_evidence.py
+++ b/tests/sharding/test_evidence.py
@@ -26,9 +26,9 @@
 
 def test_a_kept_list_is_not_gone_by_before_a_relay_has_answered_a_watch() -> None:
     found = RelayEvidence(TERMS, RELAYS)
-    assert found.ended(0.0) is LeaseEnd.UNHEARD
+    assert found.ended(0.0) is LeaseEnd.NO_EVIDENCE
     found.answered(call(10.0, lane=Lane.FETCH))
-    assert found.ended(10.0) is LeaseEnd.UNHEARD, "it covers new shards alone"
+    assert found.ended(10.0) is LeaseEnd.NO_EVIDENCE, "it covers new shards alone"
     found.answered(call(10.0))
     assert found.ended(10.0 + TERMS.term_s - 0.01) is None
     assert found.ended(10.0 + TERMS.term_s) is LeaseEnd.EXPIRED
@@ -77,7 +77,7 @@
 def test_a_sender_that_starts_while_all_relays_refuse_works_with_its_kept_list() -> None:
     found = RelayEvidence(TERMS, RELAYS)
     found.failed(call(10.0), RelayFailure.REFUSED, 10.0)
-    assert found.ended(10.0) is LeaseEnd.UNHEARD
+    assert found.ended(10.0) is LeaseEnd.NO_EVIDENCE
     found.failed(call(20.0, "two"), RelayFailure.REFUSED, 20.0)
     found.failed(call(20.5), RelayFailure.REFUSED, 20.5)
     assert found.ended(20.5) is None
