--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -63,7 +63,7 @@
 
     def immediate_answer(self, one: Submission, now: float) -> Answer | None:
         """Its answer if it is known, or if there is no room for it; None: the module is to hear of it."""
-        if not one.waiting():  # it has hung up and may hand the message in again under another id
+        if not one.client_waiting():  # it has hung up and may hand the message in again under another id
             return MessageOutcome(Status.DEFERRED)
         if (known := self.known(one)) is not None:
             return known
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -42,13 +42,13 @@
 
     id: str
     grade: int
-    left: float  # s that it may still be delivered
+    remaining_s: float  # s that it may still be delivered
     dest: int
     key: str
     body: bytes
     front: str
     answer: Callable[[Answer], None]
-    waiting: Callable[[], bool]  # whether the client still waits for the answer
+    client_waiting: Callable[[], bool]  # whether the client still waits for the answer
     tenant: str = ""  # to whom it is counted
 
 
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -422,7 +422,7 @@
         if (answer := self.admission.immediate_answer(one, now)) is not None:
             one.answer(answer)
             return None
-        expires = now + one.left
+        expires = now + one.remaining_s
         return self._hold(self.admission.stored(one, expires), expires)
 
     def _hold(self, stored: StoredMessage, expires: float) -> PendingMessage:
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -229,7 +229,7 @@
             assert await peer[0].readline() == b"+OK\r\n"
             peer[1].close()
 
-        assert [one.left for one in await with_clients(test)] == [12.0]
+        assert [one.remaining_s for one in await with_clients(test)] == [12.0]
 
     run(main())
 
