--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -309,8 +309,8 @@
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY, kind=1))
     bench.pass_time(0.01)
-    bench.take("short", grade=2, left=0.4)
-    bench.take("long", grade=2, left=9.0)
+    bench.submit("short", grade=2, left=0.4)
+    bench.submit("long", grade=2, left=9.0)
     bench.pass_time(0.6)
     assert len(bench.calls) == 1 and len(bench.calls[0].items) == 2 and not bench.calls[0].sent
     assert bench.outcomes["short"].status is Status.DEFERRED
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -37,7 +37,7 @@
         super().__init__(folder, grades=grades, **extra)
         self.sender.start(self.hops(Readiness.READY, kind=kind))
         self.pass_time(0.01)
-        self.take("a", grade=KEYED)
+        self.submit("a", grade=KEYED)
         self.pass_time(0.01)
         call = self.calls.pop()
         self.sender.admit(call, call.items)
@@ -73,7 +73,7 @@
     files = FailingFiles()
     bench = Repeats(tmp_path, files=files)
     files.fails = {"write"}
-    bench.take("probe")  # its record shows that the disk fails
+    bench.submit("probe")  # its record shows that the disk fails
     bench.pass_time(0.02)
     bench.fail_first()
     bench.pass_window()
@@ -210,7 +210,7 @@
 def test_a_message_past_its_window_stays_behind_where_others_of_its_call_go(tmp_path: Path) -> None:
     bench = Repeats(tmp_path, kind=1)  # of which one call carries several
     call = bench.repeat()
-    bench.take("b")
+    bench.submit("b")
     bench.pass_time(0.01)
     (other,) = bench.calls
     call.items += other.items
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -39,7 +39,7 @@
     files = FailingFiles()
     bench = Bench(tmp_path, files=files, disk=2_000_000)
     bench.sender.start(bench.hops(Readiness.READY))
-    bench.take("a", grade=ONCE)
+    bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
     files.late = {"replace"}
@@ -62,7 +62,7 @@
     files = FailingFiles()
     bench = Bench(tmp_path, files=files)
     bench.sender.start(bench.hops(Readiness.READY))
-    bench.take("a", grade=ONCE)
+    bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
     assert bench.sender.admit(call, call.items)
@@ -101,7 +101,7 @@
 
 
 def test_a_message_that_another_process_delivered_is_not_sent(bench: Bench) -> None:
-    bench.take("a", grade=ONCE)
+    bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
     other_process(bench, ended=True)
@@ -113,7 +113,7 @@
 
 
 def test_a_message_that_another_process_may_have_sent_is_not_sent_again(bench: Bench) -> None:
-    bench.take("a", grade=ONCE)
+    bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
     other_process(bench, ended=False)
@@ -126,28 +126,28 @@
 
 @pytest.mark.parametrize("moment", ["before the stop", "after it"])
 def test_a_request_that_comes_again_at_the_stop_is_not_handed_back(bench: Bench, moment: str) -> None:
-    bench.take("twice", grade=ONCE)
+    bench.submit("twice", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
     bench.sender.admit(call, call.items)
     if moment == "before the stop":
-        bench.take("twice", grade=ONCE)
+        bench.submit("twice", grade=ONCE)
     bench.sender.stop()
     if moment == "after it":
-        bench.take("twice", grade=ONCE)
+        bench.submit("twice", grade=ONCE)
     assert bench.answers["twice"] == Accepted()
-    bench.take("new")
+    bench.submit("new")
     assert bench.answers["new"] == MessageOutcome(Status.DEFERRED)
 
 
 def test_a_message_that_has_ended_is_not_handed_back_after_the_stop(bench: Bench) -> None:
-    bench.take("twice", grade=ONCE)
+    bench.submit("twice", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
     bench.sender.admit(call, call.items)
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     bench.sender.stop()
-    bench.take("twice", grade=ONCE)
+    bench.submit("twice", grade=ONCE)
     assert bench.answers["twice"] == MessageOutcome(Status.DELIVERED)
 
 
@@ -184,11 +184,11 @@
     files.fails = {"read other"}
     bench = Bench(tmp_path, files=files)
     bench.sender.start(bench.hops(Readiness.READY))
-    bench.take("a", grade=ONCE)
+    bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     assert bench.answers.pop("a") == AGAIN and not bench.calls
     files.heal()
     adopt(bench)
-    bench.take("a", grade=ONCE)
+    bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     assert bench.answers["a"] == Accepted() and not bench.calls, "known, and it may have run"
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -125,7 +125,7 @@
         assert 0.5 < window < 20
         bench.sender.start(bench.hops(Readiness.READY))
         bench.pass_time(0.01)
-        bench.take("a", grade=1, left=60.0)
+        bench.submit("a", grade=1, left=60.0)
         bench.pass_time(0.01)
         (call,) = bench.calls
         bench.sender.admit(call, call.items)
@@ -143,7 +143,7 @@
     bench.sender.start(bench.hops(Readiness.READY))
     bench.pass_time(0.01)
     for name in ("tried", "untried"):
-        bench.take(name, grade=2)
+        bench.submit(name, grade=2)
         bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
@@ -251,7 +251,7 @@
     bench.sender.start(bench.hops(Readiness.READY, Readiness.READY))
     bench.pass_time(0.01)
     for name in ("never", "done", "maybe"):
-        bench.take(name, grade=2)
+        bench.submit(name, grade=2)
         bench.pass_time(0.3)
     calls = {call.items[0].id: call for call in bench.calls}
     for call in bench.calls:
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -312,7 +312,7 @@
     old = Bench(tmp_path)
     old.sender.start(old.hops(Readiness.DRAINING))
     old.pass_time(0.01)
-    old.take("a")
+    old.submit("a")
     old.pass_time(0.01)
     files = FailingFiles()
     new = Bench(tmp_path, time=old.time, files=files)
@@ -371,12 +371,12 @@
 @errors
 def test_what_is_not_on_record_is_not_taken_on_and_service_returns(bench: Bench, error: int) -> None:
     disk(bench).error, disk(bench).fails = error, {"write", "truncate"}
-    bench.take("refused")
+    bench.submit("refused")
     bench.pass_time(0.02)
     assert bench.answers == {"refused": MessageOutcome(Status.DEFERRED)}
     bench.pass_time(OUTAGE)
     disk(bench).heal()
-    bench.take("taken")
+    bench.submit("taken")
     bench.pass_time(0.02)
     assert bench.answers["taken"] == Accepted() and set(bench.journal.live) == {"taken"}
     assert [call.items[0].id for call in bench.calls] == ["taken"]
@@ -384,7 +384,7 @@
 
 def test_a_journal_that_is_closed_on_a_failing_disk_is_left_alone(bench: Bench) -> None:
     """Its descriptor may be another file's by then."""
-    bench.take("a")
+    bench.submit("a")
     bench.pass_time(0.01)
     disk(bench).fails = {"write"}
     bench.journal.finish("a", DELIVERED)
@@ -400,7 +400,7 @@
 def test_no_call_goes_before_its_attempt_is_on_record_and_none_is_used_up(bench: Bench, error: int) -> None:
     """Calls wait for the disk: a message must not run out of attempts of which none was made."""
     for name in ("a", "b"):
-        bench.take(name, grade=ONCE)
+        bench.submit(name, grade=ONCE)
     bench.pass_time(0.01)
     disk(bench).error, disk(bench).fails = error, {"write"}
     for call in list(bench.calls):
@@ -423,7 +423,7 @@
     bench: Bench, error: int, outcome: Outcome
 ) -> None:
     """An end is not taken back by a restart, and what never ran may be tried again."""
-    bench.take("a", grade=ONCE)
+    bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     [call] = bench.calls
     assert bench.sender.admit(call, call.items)
@@ -444,7 +444,7 @@
 
 def test_a_kill_while_the_disk_fails_repeats_nothing(bench: Bench) -> None:
     """The end was not written and never will be: what may have run is not sent again."""
-    bench.take("a", grade=ONCE)
+    bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     [call] = bench.calls
     assert bench.sender.admit(call, call.items)
@@ -461,7 +461,7 @@
     """A message that was never sent is handed back while the disk takes no record."""
     bench.sender.list_changed(bench.hops(Readiness.DRAINING))
     bench.pass_time(0.01)
-    bench.take("a", grade=ONCE, left=left)
+    bench.submit("a", grade=ONCE, left=left)
     bench.pass_time(0.01)
     disk(bench).fails = {"write"}
     bench.sender.outcomes.abandon(bench.sender.pending[bench.sender.numbers_by_id["a"]], DEFERRED)
@@ -503,7 +503,7 @@
     old.sender.start(old.hops(Readiness.DRAINING))
     old.pass_time(0.01)
     new = Bench(tmp_path, time=old.time)
-    old.take("a")
+    old.submit("a")
     old.pass_time(0.01)
     old.journal.close()
     new.journal.close()  # the newest one takes slot 0, and finds nothing in the other
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -49,7 +49,7 @@
     bench = Bench(folder)
     bench.sender.start(bench.hops(ready))
     bench.pass_time(0.01)
-    bench.take("a", grade=grade, left=LEFT)
+    bench.submit("a", grade=grade, left=LEFT)
     bench.pass_time(0.01)
     for call in bench.calls:
         bench.sender.admit(call, call.items)
@@ -74,7 +74,7 @@
     if when == WHEN[0]:
         bench.step(step)
         bench.pass_time(0.5)
-        bench.take("later", left=0.01)  # something is written after the step
+        bench.submit("later", left=0.01)  # something is written after the step
         bench.pass_time(0.5)
         down -= 1.0
     again = restarted(bench, down, step if when == WHEN[1] else 0.0, ready)
@@ -122,7 +122,7 @@
     bench = lives(tmp_path, Readiness.DRAINING, 0)
     second = restarted(bench, 1.0, step, Readiness.DRAINING)
     second.pass_time(0.01)
-    second.take("b", left=LEFT)
+    second.submit("b", left=LEFT)
     second.pass_time(lives_on + 0.02)
     third = restarted(second, 1.0, -step / 2, Readiness.DRAINING)
     gone = 2.03 + lives_on
@@ -200,7 +200,7 @@
     """
     bench = lives(tmp_path, Readiness.READY, KEYED)
     bench.pass_time(2.0)
-    bench.take("untried", left=LEFT)
+    bench.submit("untried", left=LEFT)
     bench.pass_time(0.01)
     again = rebooted(bench, 2.0, step, boot, time)
     assert set(again.outcomes) == {"a"} and again.outcomes["a"].status is not Status.DELIVERED
@@ -228,7 +228,7 @@
     again.sender.start(again.hops(Readiness.DRAINING))
     assert left_of(again) == pytest.approx(LEFT, abs=0.05)
     again.pass_time(4.0)
-    again.take("b")
+    again.submit("b")
     again.pass_time(0.01)
     last = restarted(again, 1.0, 0.0, Readiness.DRAINING)
     assert left_of(last) == pytest.approx(LEFT - 5.0, abs=0.05)
@@ -243,7 +243,7 @@
     bench.sender.start(bench.hops(Readiness.DRAINING))
     for second in range(1, 12):
         bench.pass_time(1.0)
-        bench.take(f"m{second}", left=LEFT)
+        bench.submit(f"m{second}", left=LEFT)
     bench.pass_time(0.01)
     bench.journal.close()
     time = lived
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -243,7 +243,7 @@
     bench.sender.start(bench.hops(Readiness.READY))
 
     def hand_in(msg_id: str, dest: int = 7) -> object:
-        bench.take(msg_id, dest=dest)
+        bench.submit(msg_id, dest=dest)
         bench.pass_time(0.01)
         return bench.answers[msg_id]
 
@@ -266,7 +266,7 @@
         (b"one", Accepted()),
         (b"two", MessageOutcome(Status.UNDELIVERABLE)),
     ):
-        bench.take("twice", body=body)
+        bench.submit("twice", body=body)
         bench.pass_time(0.01)
         assert bench.answers.pop("twice") == answer
 
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -94,7 +94,7 @@
         )
         return MapUpdate(1, full, found)
 
-    def take(
+    def submit(
         self, msg_id: str, grade: int = 0, left: float = 10.0, body: bytes = b"x", dest: int = 7
     ) -> None:
         def answer(what: Answer) -> None:
@@ -142,7 +142,7 @@
 
 
 def test_taken_on_then_attempted_then_ended(bench: Bench) -> None:
-    bench.take("a")
+    bench.submit("a")
     assert not bench.answers
     bench.pass_time(0.01)
     assert bench.answers == {"a": Accepted()} and "a" in bench.journal.live
@@ -161,7 +161,7 @@
     """The way to the platform is cut, and the list is not believed any more: its end could not be told."""
     cut = True
     bench.sender.admission.cut_off = lambda: cut
-    bench.take("a")
+    bench.submit("a")
     bench.pass_time(0.01)
     assert (
         bench.answers["a"] == MessageOutcome(Status.DEFERRED, 250)
@@ -169,7 +169,7 @@
         and not bench.calls
     )
     cut = False
-    bench.take("b")
+    bench.submit("b")
     bench.pass_time(0.01)
     assert bench.answers["b"] == Accepted() and len(bench.calls) == 1
 
@@ -179,7 +179,7 @@
     bench.sender.start(bench.hops(Readiness.READY, kind=1))
     bench.pass_time(0.01)
     for name in "abcdef":
-        bench.take(name)
+        bench.submit(name)
     bench.pass_time(0.01)
     assert [len(call.items) for call in bench.calls] == [4, 2]  # the kind's batch is 4
 
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize("late", ["drained", "gone", "absent", "wait", "ended", "expired", "moved"])
 def test_last_look_before_the_first_byte(bench: Bench, late: str) -> None:
     """A slow connect outlives what was decided: nothing may leave then, and no attempt is on record."""
-    bench.take("a", left=2.0)
+    bench.submit("a", left=2.0)
     bench.pass_time(0.01)
     call = bench.calls[0]
     if late == "drained":
@@ -199,7 +199,7 @@
     elif late == "moved":
         bench.sender.list_changed(bench.hops(Readiness.READY, cell=8))
     elif late == "wait":
-        bench.take("b")
+        bench.submit("b")
         bench.pass_time(0.01)
         other = bench.calls[1]
         bench.sender.admit(other, other.items)
@@ -215,7 +215,7 @@
 
 
 def test_never_two_out_and_never_to_another_destination(bench: Bench) -> None:
-    bench.take("a")
+    bench.submit("a")
     bench.pass_time(0.01)
     number = bench.calls[0].items[0].number
     bench.sender._carry_out([Issue(number, b"h0", 1.0), Issue(number, b"nosuch", 1.0)], bench.time)
@@ -228,7 +228,7 @@
 
 
 def test_over_at_the_next_hop_owes_nothing_more(bench: Bench) -> None:
-    bench.take("a")
+    bench.submit("a")
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
@@ -251,9 +251,9 @@
 
     with monkeypatch.context() as patched:
         patched.setattr(bench.sender.policy, "_take", fault)
-        bench.take("a", left=2.0)
+        bench.submit("a", left=2.0)
         bench.pass_time(0.01)
-    bench.take("b")
+    bench.submit("b")
     bench.pass_time(0.01)
     assert bench.answers == {"a": Accepted(), "b": Accepted()} and len(bench.calls) == 1
     bench.pass_time(2.2)
@@ -261,7 +261,7 @@
 
 
 def test_given_up_is_told_at_once_and_journalled_first(bench: Bench) -> None:
-    bench.take("a", grade=2, left=5.0)
+    bench.submit("a", grade=2, left=5.0)
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
@@ -275,7 +275,7 @@
 
 def test_deferred_says_when_to_come_again(bench: Bench) -> None:
     for number in range(60):
-        bench.take(f"m{number}")
+        bench.submit(f"m{number}")
     bench.pass_time(0.01)
     ends = [answer for answer in bench.answers.values() if isinstance(answer, MessageOutcome)]
     assert ends and all(end.status is Status.DEFERRED for end in ends)
@@ -285,15 +285,15 @@
 
 def test_the_same_id_is_taken_on_once(bench: Bench) -> None:
     """A request that crossed a close comes a second time, also in the very same turn."""
-    bench.take("twice")
-    bench.take("twice")
+    bench.submit("twice")
+    bench.submit("twice")
     bench.pass_time(0.02)
     assert bench.answers["twice"] == Accepted() and len(bench.calls) == 1
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     bench.answers.clear()
-    bench.take("twice")
+    bench.submit("twice")
     bench.pass_time(0.02)
     assert bench.answers == {"twice": MessageOutcome(Status.DELIVERED)} and len(bench.calls) == 1
 
@@ -301,8 +301,8 @@
 def test_second_of_an_id_whose_first_is_deferred_in_its_turn(bench: Bench) -> None:
     """Were it told that it is taken on, nobody would owe that message its end."""
     for number in range(60):
-        bench.take(f"twice{number}")
-        bench.take(f"twice{number}")
+        bench.submit(f"twice{number}")
+        bench.submit(f"twice{number}")
     bench.pass_time(0.03)
     taken = [name for name, answer in bench.answers.items() if isinstance(answer, Accepted)]
     assert len(bench.answers) == 60 and all(name in bench.sender.numbers_by_id for name in taken)
@@ -312,7 +312,7 @@
     bench = Bench(tmp_path, disk=200_000)
     bench.sender.start(bench.hops(Readiness.READY))
     for number in range(10):
-        bench.take(f"m{number}", body=b"x" * 30_000)
+        bench.submit(f"m{number}", body=b"x" * 30_000)
     bench.pass_time(0.01)
     assert {type(answer) for answer in bench.answers.values()} == {Accepted, MessageOutcome}
 
@@ -321,7 +321,7 @@
 
     monkeypatch.setattr(bench.journal, "accept", full)
     monkeypatch.setattr(bench.journal, "attempt", full)
-    bench.take("z")
+    bench.submit("z")
     bench.pass_time(0.02)
     assert bench.answers["z"] == MessageOutcome(Status.DEFERRED)
     assert bench.sender.admit(bench.calls[0], bench.calls[0].items) == []  # not on record: not sent
@@ -336,7 +336,7 @@
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY))
     bench.pass_time(0.01)
-    bench.take("a", grade=index)
+    bench.submit("a", grade=index)
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
@@ -357,7 +357,7 @@
 def test_restart_tells_at_once_what_is_out_of_time_or_given_up(tmp_path: Path, left: float) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.DRAINING))
-    bench.take("a", left=left)
+    bench.submit("a", left=left)
     bench.pass_time(0.01)
     if left > 1:
         bench.sender.outcomes.abandon(
@@ -372,11 +372,11 @@
 
 
 def test_stop_leaves_the_rest_in_the_journal(bench: Bench) -> None:
-    bench.take("a")
+    bench.submit("a")
     bench.pass_time(0.01)
-    bench.take("b")
+    bench.submit("b")
     bench.sender.stop()
-    bench.take("c")
+    bench.submit("c")
     bench.pass_time(20.0)
     assert bench.answers == {
         "a": Accepted(),
@@ -390,8 +390,8 @@
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY, kind=1))
     bench.pass_time(0.01)
-    bench.take("long")
-    bench.take("short", left=0.5)
+    bench.submit("long")
+    bench.submit("short", left=0.5)
     bench.pass_time(0.01)
     (call,) = bench.calls
     bench.sender.admit(call, call.items)
@@ -405,7 +405,7 @@
 
 def test_a_crowd_is_decided_on_in_parts_and_what_has_ended_wakes_nobody(bench: Bench) -> None:
     for n in range(100):
-        bench.take(f"m{n}")
+        bench.submit(f"m{n}")
     bench.pass_time(0.005)
     assert len(bench.answers) == 64  # what else waits for the loop goes first
     bench.pass_time(0.005)
@@ -430,7 +430,7 @@
 def test_a_fault_in_a_turn_leaves_the_watchdogs_of_all_messages(bench: Bench) -> None:
     """Without a further event nobody else would wake the sender, and what it holds would never end."""
     bench.sender.hops.clear()  # nothing can go, so nothing but the timers wakes it
-    bench.take("held", left=1.0)
+    bench.submit("held", left=1.0)
     bench.pass_time(0.01)
 
     def fails(what: Answer) -> None:
@@ -448,7 +448,7 @@
     sender, policy = bench.sender, bench.sender.policy
     setattr(sender, "list_lease", lambda dest: LeaseEnd.EXPIRED)  # noqa: B010
     for n in range(30):
-        bench.take(f"m{n}", left=60.0)
+        bench.submit(f"m{n}", left=60.0)
     bench.pass_time(0.01)
     for others in range(2):
         assert (len(policy.msgs) < len(policy.dests)) is bool(others)
