--- a/mountgauge/core/message_outcomes.py
+++ b/mountgauge/core/message_outcomes.py
@@ -107,7 +107,7 @@
         self._untold.pop(held.number, None)
         if held.number in self._held and self.scope is not None:
             self.scope.message_removed(held.stored.dest)
-        self._held.drop(held)
+        self._held.remove(held)
         self._monitor.forget(held.stored.id)
 
     def _front(self, held: PendingMessage) -> OutcomeReporter:
--- a/mountgauge/core/pending_messages.py
+++ b/mountgauge/core/pending_messages.py
@@ -30,13 +30,13 @@
         self.numbers_by_id: dict[str, int] = {}
         self._last = 0
 
-    def hold(self, stored: StoredMessage, expires: float) -> PendingMessage:
+    def add(self, stored: StoredMessage, expires: float) -> PendingMessage:
         self._last = self._last % _LAST_NUMBER + 1
         held = PendingMessage(self._last, stored, expires)
         self[held.number] = held
         self.numbers_by_id[stored.id] = held.number
         return held
 
-    def drop(self, held: PendingMessage) -> None:
+    def remove(self, held: PendingMessage) -> None:
         self.pop(held.number, None)
         self.numbers_by_id.pop(held.stored.id, None)
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -426,7 +426,7 @@
         return self._hold(self.admission.stored(one, expires), expires)
 
     def _hold(self, stored: StoredMessage, expires: float) -> PendingMessage:
-        held = self.pending.hold(stored, expires)
+        held = self.pending.add(stored, expires)
         if self.scope is not None:
             self.scope.message_added(stored.dest)
         self._timers.watch(expires + _GRACE, held.number)
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -297,7 +297,7 @@
         journal, waits = cast(Journal, _Journal(time)), Waits()
         state = SendState(rules, self.table, journal, held, waits)
         state.list_lease = lambda dest: self.watch.lease_ended(time.now())
-        self._message = held.hold(StoredMessage("m", "note", 1e9, 7, "k", "platform", b""), 1e9)
+        self._message = held.add(StoredMessage("m", "note", 1e9, 7, "k", "platform", b""), 1e9)
         self.attempts = parts.attempts(
             state, time, journal, self.table, held, waits,
             Counter(), SendMonitor(rules.drain_grace, _ignore), _ignore, _ignore,
