--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -1,8 +1,10 @@
-"""Delivery attempts, from the module's order to their outcome, and the last look before the first byte.
+"""Delivery attempts: from the decision module's order, past the last check before the first byte, to their
+outcome.
 
-Never two calls out for one message, none to another's endpoint, and no byte before the journal has the
-attempt. Next hops ask `admit` before the first byte, as a slow connect outlives what was decided; the guard
-(`rillspindle.send_guard`) says what may go and until when, and the call's lease is asked again at each write.
+A message never has two calls in flight, never goes to an endpoint of another destination, and sends no byte
+before the journal has the attempt. Next hops call `admit` before the first byte, because a slow connect may
+outlast the decision: the guard (`rillspindle.send_guard`) decides what may be sent and until when, and the
+call's lease is checked again at each write.
 """
 
 from __future__ import annotations
@@ -39,7 +41,8 @@
 log = logging.getLogger("mountgauge.sender")
 
 _NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-_MAY_STILL_RUN = {Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}  # there, though it is over here
+# The call has finished here, but the endpoint may still process it.
+_MAY_STILL_RUN = {Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED}
 
 
 class Attempts:
@@ -53,89 +56,95 @@
         clock: Clock,
         journal: Journal,
         table: HopTable,
-        held: PendingMessages,
+        pending: PendingMessages,
         waits: Waits,
         counts: Counter[tuple[str, str]],
         monitor: SendMonitor,
         enqueue: Callable[[io.Event], None],
-        end: Callable[[PendingMessage, MessageOutcome], None],
+        finish: Callable[[PendingMessage, MessageOutcome], None],
     ) -> None:
-        """`enqueue` gives the module an event in its next turn; `end` is told of a message that has ended."""
+        """`enqueue` passes an event to the decision module's next turn; `finish` is called with a message
+        that a next hop's answer finished.
+        """
         self.state = state
         self._clock, self._journal, self._table = clock, journal, table
-        self._held, self._waits, self._counts, self._monitor = held, waits, counts, monitor
-        self._enqueue, self._end = enqueue, end
+        self._pending, self._waits, self._counts, self._monitor = pending, waits, counts, monitor
+        self._enqueue, self._finish = enqueue, finish
         self._lines = LineBudget(clock.now)
         self.call_gate: CallGate | None = None  # fleet-wide budgets
-        self.on_wait: Callable[[], None] | None = None  # a wait was told: another process may need it
-        self.slots_used = 0  # slots taken
-        # Until what is known is fresh, the journal writes, and a budget has a place.
+        # Called when an endpoint required a wait, which another process may have to observe.
+        self.on_wait: Callable[[], None] | None = None
+        self.slots_used = 0
+        # Calls that wait for a valid list lease, a working journal or a budget slot.
         self.parked: list[Call] = []
 
     def issue(self, action: io.Issue, now: float, calls: CallBatches) -> None:
-        """Gather a message into a call; `start` comes when the turn has gathered all."""
-        held = self._held.get(action.msg_id)
+        """Add a message to a call; `start` follows when the turn has added all of them."""
+        message = self._pending.get(action.msg_id)
         hop = self._table.hops.get(action.endpoint.decode())
         send_no = 0
-        if held is not None:
-            send_no = held.issued
-            held.issued += 1
+        if message is not None:
+            send_no = message.issued
+            message.issued += 1
         if (
-            held is None
-            or held.over
-            or held.call is not None
+            message is None
+            or message.finished
+            or message.call is not None
             or hop is None
-            or hop.entry.owner != held.stored.dest
+            or hop.entry.owner != message.stored.dest
         ):
-            # Never two out, never to another's endpoint, whatever was decided on an older state.
+            # The decision was made on an older state. It would put a second call of the message in flight, or
+            # send it to another destination's endpoint.
             self._respond(action.msg_id, send_no, action.endpoint, 0.0, AttemptResult(Outcome.MOOT))
             return
-        stored = held.stored
-        item = CallItem(held.number, send_no, stored.id, stored.key, stored.grade, stored.body, held.expires)
+        stored = message.stored
+        item = CallItem(
+            message.number, send_no, stored.id, stored.key, stored.grade, stored.body, message.expires
+        )
         times_out_at = now + max(0.0, action.give_up_after)
         if (full := calls.full(hop)) is not None:
             self.start(full)
-        held.call = calls.add(item, hop, times_out_at)
+        message.call = calls.add(item, hop, times_out_at)
 
     def start(self, call: Call) -> None:
         self.slots_used += 1
         for item in call.items:
-            if item.expires < call.times_out_at:  # its time ends before that of the call that it shares
-                self._clock.call_at(item.expires, lambda item=item: self._item_late(call, item))  # type: ignore[misc]
-        self._go(call)
+            if item.expires < call.times_out_at:  # the message expires before the call that it shares
+                self._clock.call_at(item.expires, lambda item=item: self._item_expired(call, item))  # type: ignore[misc]
+        self._start_or_park(call)
         if call in self.parked:
             self._clock.call_at(self.state.useful_until(call), lambda: self._end_parked(call))
 
-    def _go(self, call: Call) -> None:
-        ended = None
+    def _start_or_park(self, call: Call) -> None:
+        lease_end = None
         if self._journal.failing:
             why = Refusal.JOURNAL_FAILING
-        elif (ended := self.state.list_ended(call.hop.entry.owner)) is not None:
+        elif (lease_end := self.state.list_lease_end(call.hop.entry.owner)) is not None:
             why = Refusal.LIST_LEASE_ENDED
         elif self.call_gate is not None and not self.call_gate.start(call):
             why = Refusal.NO_BUDGET
         else:
             self.next_hops.start(call)
             return
-        if not call.parked:  # counted once, however often it is looked at
+        if not call.parked:  # counted once, however often it is checked
             call.parked = True
-            self._counts["parked", why if ended is None else f"{why}.{ended}"] += 1
+            self._counts["parked", why if lease_end is None else f"{why}.{lease_end}"] += 1
         self.parked.append(call)
 
     def _end_parked(self, call: Call) -> None:
-        """A call that waited until it was of no use any more holds no slot."""
+        """Release the slot of a parked call that can no longer deliver any of its messages."""
         if call in self.parked:
             self.parked.remove(call)
             self.finished(call, {})
 
     def release(self) -> None:
-        """What was to be looked at before the next first byte has been, or the journal takes records again:
-        parked calls go if they may.
+        """Start the parked calls that are permitted by now: the list was confirmed, a budget has slots, or
+        the journal writes records again.
         """
         parked, self.parked = self.parked, []
         for call in parked:
             if call.times_out_at > self._clock.now():
-                self._go(call)
+                self._start_or_park(call)
             else:
                 self.finished(call, {})
 
@@ -146,43 +155,43 @@
         else:
             self.next_hops.cancel(call)
 
-    def _item_late(self, call: Call, item: CallItem) -> None:
-        held = self._held.get(item.number)
-        if held is not None and held.call is call and not item.reported and not self.state.stopped:
+    def _item_expired(self, call: Call, item: CallItem) -> None:
+        message = self._pending.get(item.number)
+        if message is not None and message.call is call and not item.reported and not self.state.stopped:
             item.reported = True
-            # Its first byte may still wait for a connection: then it has not run, and never will.
+            # If its first byte still waits for a connection, it has not run and never will.
             self._report(call, item, AttemptResult(Outcome.TIMEOUT if item in call.sent else Outcome.MOOT))
 
     def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
-        """Just before the first byte: which of these may go; their attempts are journalled, and `call.lease`
-        says until when the last byte must have left.
+        """Select the messages that may be sent, just before the first byte, and journal their attempts.
+        `call.lease` then says until when the last byte must have left.
         """
         endpoint, now = self.state.endpoint(call), self._clock.now()
-        going, until = [], call.times_out_at
+        admitted, until = [], call.times_out_at
         for item in items:
-            found = send_guard.permit_send(self.state.message(item), endpoint, call.times_out_at, now)
-            if isinstance(found, Refusal):
-                self._withheld(found, call, item)
+            permission = send_guard.permit_send(self.state.message(item), endpoint, call.times_out_at, now)
+            if isinstance(permission, Refusal):
+                self._withheld(permission, call, item)
             else:
-                going.append(item)
-                until = min(until, found.until)
-        if not going:
+                admitted.append(item)
+                until = min(until, permission.until)
+        if not admitted:
             return []
         if self.call_gate is not None:
             if not self.call_gate.take(call):
-                self._withheld(Refusal.NO_BUDGET, call, going[0])
+                self._withheld(Refusal.NO_BUDGET, call, admitted[0])
                 return []
             until = min(until, self.call_gate.until(call))
         try:
-            ids, zone = [item.id for item in going], endpoint.zone
+            ids, zone = [item.id for item in admitted], endpoint.zone
             self._journal.attempt(ids, self._journal.time.of(now), zone)
         except JournalFullError as error:
             log.warning("journal-full", extra=kv(reason=error))
             return []
-        call.sent = going
+        call.sent = admitted
         permit = SendPermit(until)
-        call.lease = CallLease(call, permit, zone, self.state.endpoint, self._clock.now, self._left)
-        return going
+        call.lease = CallLease(call, permit, zone, self.state.endpoint, self._clock.now, self._bytes_sent)
+        return admitted
 
     def _withheld(self, why: Refusal, call: Call, item: CallItem) -> None:
         self._counts["withheld", why] += 1
@@ -190,8 +199,8 @@
             attempt = kv(id=item.id, attempt=item.send_no, hop=call.hop.id, why=why)
             log.info("withheld", extra=attempt)
 
-    def _left(self, call: Call, begun: bool, complete: bool) -> None:
-        """Bytes of a call have left: what took effect is held against the rules."""
+    def _bytes_sent(self, call: Call, begun: bool, complete: bool) -> None:
+        """Check the bytes of a call that have left against the sending rules."""
         now, hop = self._clock.now(), call.hop
         if begun:
             ids = [item.id for item in call.sent]
@@ -206,7 +215,7 @@
             self._monitor.last_byte(messages, call.lease.zone, self.state.limit(hop), now)
 
     def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
-        """The call holds its slot no longer. A message without a result was not sent."""
+        """Release the call's slot. A message without a result was not sent."""
         self.slots_used -= 1
         now = self._clock.now()
         if self.call_gate is not None:
@@ -222,15 +231,15 @@
                 self._monitor.wait_told(limit, now, now + result.required_wait_s)
                 if self.on_wait is not None:
                     self.on_wait()
-            held = self._held.get(item.number)
-            if held is not None:
-                held.call = None
+            message = self._pending.get(item.number)
+            if message is not None:
+                message.call = None
                 if result.outcome in _NEVER_RAN and item in call.sent:
                     self._journal.never_ran(item.id)
-                if result.outcome == Outcome.OK and not held.over:
-                    self._end(held, MessageOutcome(Status.DELIVERED))
-                elif result.finished and not held.over:  # withdrawn or out of time: nothing more is owed
-                    self._end(held, MessageOutcome(Status.FINISHED))
+                if result.outcome == Outcome.OK and not message.finished:
+                    self._finish(message, MessageOutcome(Status.DELIVERED))
+                elif result.finished and not message.finished:  # withdrawn or expired: nothing more is owed
+                    self._finish(message, MessageOutcome(Status.FINISHED))
             if not item.reported:
                 self._report(call, item, result)
 
@@ -259,7 +268,9 @@
     def _respond(
         self, number: int, send_no: int, endpoint: bytes, spent: float, result: AttemptResult
     ) -> None:
-        over = result.finished or result.outcome == Outcome.OK
+        message_finished = result.finished or result.outcome == Outcome.OK
         remark = result.note if result.outcome == Outcome.MOOT else math.ceil(result.required_wait_s * 1000)
         outcome, stale = result.outcome, result.stale
-        self._enqueue(io.Response(number, spent, endpoint, outcome, send_no, over, remark, (), stale))
+        self._enqueue(
+            io.Response(number, spent, endpoint, outcome, send_no, message_finished, remark, (), stale)
+        )
--- a/mountgauge/core/batching.py
+++ b/mountgauge/core/batching.py
@@ -1,4 +1,4 @@
-"""What goes to one next hop in one turn travels in as few calls as its kind allows. No I/O, no clock."""
+"""Groups one turn's messages for the same next hop into as few calls as its kind allows. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class CallBatches:
-    """The calls of one turn, at most one of each next hop with room for more."""
+    """The open calls of one turn, at most one per next hop."""
 
     def __init__(self, now: float, kind_batch: Sequence[int]) -> None:
-        """`kind_batch`: by kind of endpoint, the most messages of one call."""
+        """`kind_batch`: the maximum number of messages in a call, by kind of endpoint."""
         self._now, self._kind_batch = now, kind_batch
         self._calls: dict[str, Call] = {}
 
@@ -19,19 +19,19 @@
         return iter(self._calls.values())
 
     def full(self, hop: NextHop) -> Call | None:
-        """The next hop's call where it has no room for another message: to be started now."""
+        """The next hop's call if it is full and must be started before another message is added."""
         call = self._calls.get(hop.id)
-        return call if call is not None and not self._has_room(call, hop) else None
+        return call if call is not None and not self._has_capacity(call, hop) else None
 
     def add(self, item: CallItem, hop: NextHop, times_out_at: float) -> Call:
-        """The call that the message travels with; it is given up on when the last of them would be."""
+        """Add a message to the next hop's call, which times out with the latest of its messages."""
         call = self._calls.get(hop.id)
-        if call is not None and self._has_room(call, hop):
+        if call is not None and self._has_capacity(call, hop):
             call.items.append(item)
             call.times_out_at = max(call.times_out_at, times_out_at)
         else:
             call = self._calls[hop.id] = Call(hop, [item], self._now, times_out_at)
         return call
 
-    def _has_room(self, call: Call, hop: NextHop) -> bool:
+    def _has_capacity(self, call: Call, hop: NextHop) -> bool:
         return len(call.items) < self._kind_batch[hop.entry.kind]
--- a/mountgauge/core/call_lease.py
+++ b/mountgauge/core/call_lease.py
@@ -1,4 +1,4 @@
-"""The lease of one call that was let through: its permit, asked again at each write by the call's socket."""
+"""The lease of one admitted call: its permit, checked again at each write by the call's socket."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CallLease:
-    """A `SendLease`; what it is asked and told at each write goes to the core by the functions given."""
+    """A `SendLease` that reads the endpoint's state from the core and notifies it of the bytes sent."""
 
     def __init__(
         self,
@@ -20,21 +20,21 @@
         zone: int,
         state: Callable[[Call], EndpointState],
         now: Callable[[], float],
-        left: Callable[[Call, bool, bool], None],
+        bytes_sent: Callable[[Call, bool, bool], None],
     ) -> None:
-        """`zone`: the endpoint's, as the attempt is on record with it; `state`: of the endpoint, now; `left`:
-        told that the first or the last byte has left.
+        """`zone`: the endpoint's, as recorded in the journal with the attempt; `state`: the current state of
+        the endpoint; `bytes_sent`: called when the first or the last byte has left.
         """
         self.permit, self.zone = permit, zone
         self.refusal: Refusal | None = None  # why it ended before the last byte
-        self._call, self._state, self._now, self._left = call, state, now, left
+        self._call, self._state, self._now, self._bytes_sent = call, state, now, bytes_sent
 
     def require(self, begun: bool) -> None:
-        """LeaseExpiredError where nothing more of the call may be written."""
+        """Raise LeaseExpiredError if nothing more of the call may be written."""
         self.refusal = send_guard.holds(self.permit, self._state(self._call), begun, self._now())
         if self.refusal is not None:
             raise LeaseExpiredError(self.refusal)
 
     def left(self, begun: bool, complete: bool) -> None:
-        """Bytes have left."""
-        self._left(self._call, begun, complete)
+        """Notify the core that bytes have left."""
+        self._bytes_sent(self._call, begun, complete)
--- a/mountgauge/core/message_outcomes.py
+++ b/mountgauge/core/message_outcomes.py
@@ -1,4 +1,4 @@
-"""The end of each message: one, on record before it is told, told to the front that the message came by."""
+"""The final outcome of each message: recorded in the journal, then reported to the front that received it."""
 
 from __future__ import annotations
 
@@ -18,97 +18,98 @@
 
 
 class MessageOutcomes:
-    """Ends messages, and lets go of them once nothing more is owed."""
+    """Finishes messages, and removes them once nothing more is owed."""
 
     def __init__(
         self,
         journal: Journal,
-        held: PendingMessages,
+        pending: PendingMessages,
         fronts: Mapping[str, OutcomeReporter],
         counts: Counter[tuple[str, str]],
         state: SendState,
         monitor: SendMonitor,
         now: Callable[[], float],
     ) -> None:
-        self.scope: DestinationScope | None = None  # where the sender holds a part of the destinations
-        self._journal, self._held, self._fronts, self._counts = journal, held, fronts, counts
+        self.scope: DestinationScope | None = None  # set if the sender serves a share of the destinations
+        self._journal, self._pending, self._fronts, self._counts = journal, pending, fronts, counts
         self._state, self._monitor, self._now = state, monitor, now
-        self._untold: dict[
-            int, tuple[PendingMessage, MessageOutcome]
-        ] = {}  # by number: ends that are not on record yet
+        # By message number: outcomes that wait for their journal record.
+        self._unreported: dict[int, tuple[PendingMessage, MessageOutcome]] = {}
         self._lines = LineBudget(now)
 
-    def abandon(self, held: PendingMessage | None, end: MessageOutcome) -> None:
-        """The module's final answer goes out as soon as it is on record, so that no restart takes it back."""
-        if held is None or held.over:
+    def abandon(self, message: PendingMessage | None, outcome: MessageOutcome) -> None:
+        """Record the decision module's final outcome and then report it, so that no restart revokes it."""
+        if message is None or message.finished:
             return
-        held.over = True
-        end = self._allowed(held, end)
-        self._tell_if_allowed(held, end, self._journal.abandon(held.stored.id, end))
+        message.finished = True
+        outcome = self._allowed(message, outcome)
+        self._report_if_allowed(message, outcome, self._journal.abandon(message.stored.id, outcome))
 
-    def _tell_if_allowed(self, held: PendingMessage, end: MessageOutcome, on_record: bool) -> None:
+    def _report_if_allowed(self, message: PendingMessage, outcome: MessageOutcome, on_record: bool) -> None:
         now = self._now()
-        if send_guard.may_tell_end(on_record, held.expires, now):
-            self._monitor.end_told(held.stored.id, on_record, held.expires, now)
-            self.tell(held, end)
+        if send_guard.may_tell_end(on_record, message.expires, now):
+            self._monitor.end_told(message.stored.id, on_record, message.expires, now)
+            self.report(message, outcome)
             return
-        self._untold[held.number] = held, end
+        self._unreported[message.number] = message, outcome
         self._counts["withheld", send_guard.Refusal.END_NOT_ON_RECORD] += 1
         if self._lines.take():
-            log.info("end-waits", extra=kv(id=held.stored.id, status=end.status.value))
-
-    def recorded(self) -> None:
-        """The journal has taken all records: what waited for that is told."""
-        untold, self._untold = self._untold, {}
-        for held, end in untold.values():
-            self._tell_if_allowed(held, end, True)
-
-    def tell_late(self, held: PendingMessage) -> None:
-        """The message's time is over: its end is told, on record or not."""
-        if (untold := self._untold.pop(held.number, None)) is not None:
-            self._tell_if_allowed(*untold, False)
-
-    def _allowed(self, held: PendingMessage, end: MessageOutcome) -> MessageOutcome:
-        """What its client may be told: a message that may have run is handed back only where that is
-        harmless.
+            log.info("end-waits", extra=kv(id=message.stored.id, status=outcome.status.value))
+
+    def journal_written(self) -> None:
+        """Report the outcomes that waited for the journal, which has written all records."""
+        unreported, self._unreported = self._unreported, {}
+        for message, outcome in unreported.values():
+            self._report_if_allowed(message, outcome, True)
+
+    def report_overdue(self, message: PendingMessage) -> None:
+        """Report the outcome of an expired message, recorded or not."""
+        if (unreported := self._unreported.pop(message.number, None)) is not None:
+            self._report_if_allowed(*unreported, False)
+
+    def _allowed(self, message: PendingMessage, outcome: MessageOutcome) -> MessageOutcome:
+        """The outcome that may be reported: `deferred` invites the client to submit the message again, so for
+        a message that may have run it is allowed only if a repeat is harmless.
         """
-        if end.status is not Status.DEFERRED:
-            return end
-        out = held.call is not None and any(item.number == held.number for item in held.call.sent)
-        grade = self._state.grades.get(held.stored.grade)
-        if send_guard.may_hand_back(grade, out or bool(held.stored.ran)):
-            return end
+        if outcome.status is not Status.DEFERRED:
+            return outcome
+        in_flight = message.call is not None and any(
+            item.number == message.number for item in message.call.sent
+        )
+        grade = self._state.grades.get(message.stored.grade)
+        if send_guard.may_hand_back(grade, in_flight or bool(message.stored.ran)):
+            return outcome
         self._counts["withheld", send_guard.Refusal.MAY_HAVE_RUN] += 1
         return MessageOutcome(Status.UNDELIVERABLE)
 
-    def finish(self, held: PendingMessage, end: MessageOutcome) -> None:
-        """A next hop's answer has ended the message: nothing more is owed, whether this is heard or not."""
-        held.over = True
-        self._journal.finish(held.stored.id, end)
-        self.drop(held)
-        self._counts["end", end.status.value] += 1
-        self._front(held).report_outcome(held.stored.id, end, lambda: None)
-
-    def tell(self, held: PendingMessage, end: MessageOutcome) -> None:
-        """Its end is owed until the front has it."""
-
-        def told() -> None:
-            if held.number in self._held:
-                self._journal.finish(held.stored.id, end)
-                self.drop(held)
-
-        self._counts["end", end.status.value] += 1
-        if end.status is Status.DEFERRED:
-            self._monitor.handed_back(held.stored.id, self._state.grades.get(held.stored.grade))
-        self._front(held).report_outcome(held.stored.id, end, told)
-
-    def drop(self, held: PendingMessage) -> None:
-        """The message is held no longer."""
-        self._untold.pop(held.number, None)
-        if held.number in self._held and self.scope is not None:
-            self.scope.message_removed(held.stored.dest)
-        self._held.remove(held)
-        self._monitor.forget(held.stored.id)
-
-    def _front(self, held: PendingMessage) -> OutcomeReporter:
-        return self._fronts.get(held.stored.front) or next(iter(self._fronts.values()))
+    def finish(self, message: PendingMessage, outcome: MessageOutcome) -> None:
+        """Finish a message by a next hop's answer: nothing more is owed, even if the report is lost."""
+        message.finished = True
+        self._journal.finish(message.stored.id, outcome)
+        self.remove(message)
+        self._counts["end", outcome.status.value] += 1
+        self._front(message).report_outcome(message.stored.id, outcome, lambda: None)
+
+    def report(self, message: PendingMessage, outcome: MessageOutcome) -> None:
+        """Report an outcome, which is owed until the front confirms that it was received."""
+
+        def confirmed() -> None:
+            if message.number in self._pending:
+                self._journal.finish(message.stored.id, outcome)
+                self.remove(message)
+
+        self._counts["end", outcome.status.value] += 1
+        if outcome.status is Status.DEFERRED:
+            self._monitor.handed_back(message.stored.id, self._state.grades.get(message.stored.grade))
+        self._front(message).report_outcome(message.stored.id, outcome, confirmed)
+
+    def remove(self, message: PendingMessage) -> None:
+        """The message is no longer pending."""
+        self._unreported.pop(message.number, None)
+        if message.number in self._pending and self.scope is not None:
+            self.scope.message_removed(message.stored.dest)
+        self._pending.remove(message)
+        self._monitor.forget(message.stored.id)
+
+    def _front(self, message: PendingMessage) -> OutcomeReporter:
+        return self._fronts.get(message.stored.front) or next(iter(self._fronts.values()))
--- a/mountgauge/core/pending_messages.py
+++ b/mountgauge/core/pending_messages.py
@@ -1,4 +1,4 @@
-"""Messages that the core has taken on, from then to the moment their end has been told. No I/O, no clock."""
+"""Messages from their submission until their outcome has been reported. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -7,36 +7,36 @@
 from mountgauge.core.journal import StoredMessage
 from mountgauge.core.ports import Call
 
-_LAST_NUMBER = 0xFFFFFFFE  # numbers are 32 bits wide and start over
+_MAX_NUMBER = 0xFFFFFFFE  # numbers are 32 bits wide and wrap around
 
 
 @dataclass(slots=True, eq=False)
 class PendingMessage:
-    """A message between its take-on and the moment its end has been told."""
+    """A message whose outcome has not been reported yet."""
 
-    number: int  # the module's id for it
+    number: int  # its id in the decision module
     stored: StoredMessage
-    expires: float  # of the sender's clock, s
-    issued: int = 0  # attempts, as the module counts them
+    expires: float  # on the sender's clock, s
+    issued: int = 0  # attempts that the decision module has ordered
     call: Call | None = None
-    over: bool = False
+    finished: bool = False
 
 
 class PendingMessages(dict[int, PendingMessage]):
-    """By the module's numbers; `numbers` has these by the messages' own ids."""
+    """Pending messages by number; `numbers_by_id` maps the messages' own ids to numbers."""
 
     def __init__(self) -> None:
         super().__init__()
         self.numbers_by_id: dict[str, int] = {}
-        self._last = 0
+        self._last_number = 0
 
     def add(self, stored: StoredMessage, expires: float) -> PendingMessage:
-        self._last = self._last % _LAST_NUMBER + 1
-        held = PendingMessage(self._last, stored, expires)
-        self[held.number] = held
-        self.numbers_by_id[stored.id] = held.number
-        return held
-
-    def remove(self, held: PendingMessage) -> None:
-        self.pop(held.number, None)
-        self.numbers_by_id.pop(held.stored.id, None)
+        self._last_number = self._last_number % _MAX_NUMBER + 1
+        message = PendingMessage(self._last_number, stored, expires)
+        self[message.number] = message
+        self.numbers_by_id[stored.id] = message.number
+        return message
+
+    def remove(self, message: PendingMessage) -> None:
+        self.pop(message.number, None)
+        self.numbers_by_id.pop(message.stored.id, None)
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -1,4 +1,4 @@
-"""What crosses the boundary between the core and the peers: plain records and small Protocols."""
+"""The types and protocols at the boundary between the core and the peers."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class Status(StrEnum):
-    """How a message ended."""
+    """The final state of a message."""
 
     DELIVERED = "delivered"
     DEFERRED = "deferred"
     UNDELIVERABLE = "undeliverable"
-    FINISHED = "over"  # a next hop knows that it was withdrawn or is out of time: nothing more is owed
+    FINISHED = "over"  # a next hop reported it withdrawn or expired: nothing more is owed to its client
 
 
 class MessageOutcome(NamedTuple):
-    """How a message ended; `retry_after_ms` says when to hand it in again, 0: not said."""
+    """The final outcome of a message; `retry_after_ms` is when to submit it again, 0 if unspecified."""
 
     status: Status
     retry_after_ms: int = 0
 
 
 class Accepted(NamedTuple):
-    """The sender owes this message its end from now on."""
+    """The message was accepted: from now on the sender owes its client an outcome."""
 
 
 Answer = Accepted | MessageOutcome
@@ -38,22 +38,22 @@
 
 @dataclass(slots=True, eq=False)
 class Submission:
-    """A message that a client hands in, and the way back to that client."""
+    """A message that a client submits, and the callback that answers the client."""
 
     id: str
-    grade: int
-    remaining_s: float  # s that it may still be delivered
+    grade: int  # index of its message class
+    remaining_s: float  # time left for delivery
     dest: int
     key: str
     body: bytes
-    front: str
+    front: str  # the protocol front that received it, which reports its outcome
     answer: Callable[[Answer], None]
     client_waiting: Callable[[], bool]  # whether the client still waits for the answer
-    tenant: str = ""  # to whom it is counted
+    tenant: str = ""  # whose quota it counts against
 
 
 class NextHop(NamedTuple):
-    """One line of the transport map."""
+    """One endpoint of the transport map."""
 
     id: str
     host: str
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, eq=False)
 class CallItem:
-    """One message of a call; `number` and `send_no` are the module's."""
+    """One message of a call; `number` and `send_no` are assigned for the decision module."""
 
     number: int
     send_no: int
@@ -76,48 +76,48 @@
 
 
 class AttemptResult(NamedTuple):
-    """How one delivery attempt went."""
+    """The result of one delivery attempt."""
 
     outcome: Outcome
-    finished: bool = False  # the message has ended, nothing more is owed
-    required_wait_s: float = 0.0  # s, told to wait
-    note: int = 0  # for MOOT: 1 where all slots were taken
-    stale: bool = False  # for RESET: on a kept connection, with nothing answered
+    finished: bool = False  # the message has its final outcome, nothing more is owed
+    required_wait_s: float = 0.0  # from Retry-After
+    note: int = 0  # for MOOT: 1 if all slots were in use
+    stale: bool = False  # for RESET: a reused connection was reset before any answer
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A delivery attempt for one message, or for several that travel together."""
+    """A request or publish that carries one message or several."""
 
     hop: NextHop
     items: list[CallItem]
     started: float
     times_out_at: float
     sent: list[CallItem] = field(default_factory=list)
-    lease: CallPermission | None = None  # once it was let through: until when its last byte must have left
-    parked: bool = False  # it has waited before it looked for its connection
+    lease: CallPermission | None = None  # set once admitted: until when its last byte must have left
+    parked: bool = False  # it has waited for a permission before looking for a connection
 
 
 class CallPermission(SendLease, Protocol):
-    """The lease of a call, which says why it ended."""
+    """The lease of a call, which also gives the reason why it ended."""
 
     permit: SendPermit
-    zone: int  # with which the attempt is on record
+    zone: int  # as recorded in the journal with the attempt
     refusal: Refusal | None
 
 
 class CallOwner(Protocol):
-    """What a next-hop side asks of the core."""
+    """What a next-hop side needs from the core."""
 
     def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
-        """Just before the first byte: which of these messages may go; their attempts are journalled."""
+        """Select the messages that may be sent, just before the first byte, and journal their attempts."""
 
     def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
-        """The call holds its slot no longer. A message without a result was not sent."""
+        """Release the call's slot. A message without a result was not sent."""
 
 
 class NextHops(Protocol):
-    """Who carries calls out."""
+    """Executes calls."""
 
     def start(self, call: Call) -> None: ...
 
@@ -127,60 +127,61 @@
 
 
 class OutcomeReporter(Protocol):
-    """Where the end of a taken message is told."""
+    """Reports the outcomes of accepted messages to the side that submitted them."""
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None: ...
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+        """Report this outcome; `told` is called once the other side has it."""
 
 
 class TenantGate(Protocol):
-    """Counts what is taken on for each tenant, and turns away what is past its quota. Times in s."""
+    """Counts accepted messages per tenant and rejects those above its quota. Times in seconds."""
 
     def admit(self, tenant: str, now: float) -> float | None:
-        """None: it may be taken on. Else in how many seconds to come again."""
+        """Return None if a message may be accepted, else after how many seconds to try again."""
 
     def give_back(self, tenant: str) -> None:
-        """What was admitted was not taken on."""
+        """Return the quota of a message that was admitted but not accepted."""
 
     def accepted(self, tenant: str) -> None: ...
 
 
 class CallGate(Protocol):
-    """Places of fleet-wide budgets for calls: a call without one waits, and never sends a byte."""
+    """Slots of fleet-wide budgets for calls: a call without one waits and sends nothing."""
 
     def admit(self, tenant: str) -> float:
-        """0: a message of the tenant may be taken on. Else s after which to come again."""
+        """Return 0 if a message of the tenant may be accepted, else after how many seconds to try again."""
 
     def give_back(self, tenant: str) -> None:
-        """What was admitted was not taken on."""
+        """Return the share of a message that was admitted but not accepted."""
 
     def start(self, call: Call) -> bool:
-        """Whether it may look for its connection now; else it is asked again at `Sender.release`."""
+        """Whether it may look for a connection now; if not, `Sender.release` asks again."""
 
     def take(self, call: Call) -> bool:
-        """In the last step before its first byte: whether it has its place."""
+        """Acquire a slot as the last step before the first byte; whether there was one."""
 
     def until(self, call: Call) -> float:
-        """Until when the place that it has just taken may be used; infinite where no budget binds it."""
+        """Until when the acquired slot may be used; infinite if no budget applies."""
 
     def finished(self, call: Call, answered: bool) -> None:
-        """It is over, whether it was sent or not."""
+        """The call has finished, whether it was sent or not."""
 
 
 class DestinationScope(Protocol):
-    """Which destinations are this sender's, where it holds a part of them."""
+    """The destinations of a sender that serves only a share of them."""
 
     def accepts(self, destination: int) -> bool:
-        """Whether a message for it may be taken on here."""
+        """Whether messages for this destination may be accepted here."""
 
     def message_added(self, destination: int) -> None:
-        """A message for it is held from now on."""
+        """One more message for this destination is pending."""
 
     def message_removed(self, destination: int) -> None:
-        """A message for it is held no longer."""
+        """One message for this destination is no longer pending."""
 
 
 class MapSource(Protocol):
-    """Where the transport map comes from."""
+    """The source of the transport map."""
 
     def watch(self, on: bool) -> None: ...
 
@@ -188,6 +189,6 @@
 
 
 class Clock(Clocks, Protocol):
-    """Time in s, and calls at a time of the monotonic clock."""
+    """Time in seconds, and callbacks at a time of the monotonic clock."""
 
     def call_at(self, when: float, then: Callable[[], None]) -> None: ...
--- a/mountgauge/core/restore.py
+++ b/mountgauge/core/restore.py
@@ -1,4 +1,4 @@
-"""Messages of earlier lives: what becomes of each, and those that the module is still to be given back."""
+"""Messages of a previous process run: their outcome, or their return to the decision module."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from mountgauge.core.ports import MessageOutcome, Status
 from rillspindle.interface import Restored
 
-AT_ONCE = 256  # that one turn gives back: thousands would keep clients and next hops waiting
+RESTORED_PER_TURN = 256  # thousands in one turn would keep clients and next hops waiting
 
 
-def end_without_class(stored: StoredMessage, names: SettingNames) -> MessageOutcome | None:
-    """The end of a message whose class the settings no longer name, so that what it allowed is not known:
-    one that has surely not run may come again. None where the class is known, or an end is on record.
+def outcome_without_class(stored: StoredMessage, names: SettingNames) -> MessageOutcome | None:
+    """The outcome of a message whose class is no longer in the settings, so that its repeat rule is unknown:
+    deferred only if it certainly has not run. None if the class is known, or an outcome is on record.
     """
     if stored.grade in names.grades or stored.notice is not None:
         return None
@@ -24,7 +24,7 @@
 
 
 class Backlog:
-    """Messages of earlier lives that are held, but not yet with the module."""
+    """Pending messages of previous runs that have not been passed to the decision module yet."""
 
     def __init__(self) -> None:
         self._waiting: deque[Restored] = deque()
@@ -32,13 +32,15 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, held: PendingMessage, grade: int, time: ProcessTime) -> None:
-        """`time`: what the journal's times are on the sender's clock."""
-        stored = held.stored
-        held.issued = stored.attempts
+    def add(self, message: PendingMessage, grade: int, time: ProcessTime) -> None:
+        """`time` converts the journal's times to the sender's clock."""
+        stored = message.stored
+        message.issued = stored.attempts
         ran = tuple((time.monotonic(at), zone) for at, zone in stored.ran)
-        self._waiting.append(Restored(held.number, held.expires, stored.dest, grade, stored.attempts, ran))
+        self._waiting.append(
+            Restored(message.number, message.expires, stored.dest, grade, stored.attempts, ran)
+        )
 
     def take(self) -> list[Restored]:
-        """What one turn gives back."""
-        return [self._waiting.popleft() for _ in range(min(AT_ONCE, len(self._waiting)))]
+        """Remove and return the messages for one turn."""
+        return [self._waiting.popleft() for _ in range(min(RESTORED_PER_TURN, len(self._waiting)))]
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -1,4 +1,4 @@
-"""What the core knows of a call's messages and endpoint at this moment, in the guard's terms."""
+"""The current state of a call's messages and endpoint, in the form that the send guard checks."""
 
 from __future__ import annotations
 
@@ -18,58 +18,63 @@
 
 
 class SendState:
-    """Reads the core's tables for the guard; it changes none of them."""
+    """Reads the core's tables for the guard, and changes none of them."""
 
     def __init__(
-        self, rules: io.Settings, table: HopTable, journal: Journal, held: PendingMessages, waits: Waits
+        self, rules: io.Settings, table: HopTable, journal: Journal, pending: PendingMessages, waits: Waits
     ) -> None:
         self.rules = rules
-        self.grades: Mapping[str, io.Grade] = {}  # by the classes' names
-        self.list_lease: LeaseCheck | None = None  # of the source of lists; None: they need none
+        self.grades: Mapping[str, io.Grade] = {}  # message classes by name
+        self.list_lease: LeaseCheck | None = None  # of the source of lists; None if lists need no lease
         self.stopped = False  # nothing new is sent
-        self._table, self._journal, self._held, self._waits = table, journal, held, waits
+        self._table, self._journal, self._pending, self._waits = table, journal, pending, waits
 
-    def list_ended(self, dest: int) -> LeaseEnd | None:
-        """Why no call to this destination may go by the list now; None: it may."""
+    def list_lease_end(self, dest: int) -> LeaseEnd | None:
+        """Why the list may not be used for calls to this destination now; None if it may."""
         return None if self.list_lease is None else self.list_lease(dest)
 
     def limit(self, hop: NextHop) -> object:
-        """What shares a limit, and so a told wait: a destination, or an endpoint where routes are apart."""
+        """The key of what shares a limit, and therefore a required wait: a destination, or a single endpoint
+        of a kind whose endpoints have limits of their own (`routes_apart`).
+        """
         return hop.id if self.rules.routes_apart[hop.entry.kind] else hop.entry.owner
 
     def endpoint(self, call: Call) -> EndpointState:
-        """The endpoint of a call."""
-        valid = self.list_ended(call.hop.entry.owner) is None  # first: asking may bring news of the next hop
+        """The state of a call's endpoint."""
+        # Checked before the table is read, as the check may bring in a list update that changes the next hop.
+        valid = self.list_lease_end(call.hop.entry.owner) is None
         hop = self._table.hops.get(call.hop.id)
-        place = (call.hop.host, call.hop.port, call.hop.entry.owner)
-        if hop is None or (hop.host, hop.port, hop.entry.owner) != place:
+        location = (call.hop.host, call.hop.port, call.hop.entry.owner)
+        if hop is None or (hop.host, hop.port, hop.entry.owner) != location:
             return EndpointState(False, list_valid=valid, stopped=self.stopped)
         wait_until = self._waits.get(self.limit(call.hop), -math.inf)
         listed = hop.entry.readiness == Readiness.READY
         return EndpointState(listed, hop.entry.zone, wait_until, valid, self.stopped)
 
     def message(self, item: CallItem) -> MessageState:
-        """A message of a call; one that is not held any more has ended."""
-        held = self._held.get(item.number)
-        if held is None:
+        """The state of a call's message; one that is no longer pending has finished."""
+        message = self._pending.get(item.number)
+        if message is None:
             return MessageState(item.expires, None, (), ended=True)
         return MessageState(
             item.expires,
             self.grades.get(item.grade),
             self.ran(item.number),
-            held.over or item.reported,
+            message.finished or item.reported,
             item.id in self._journal.live,
         )
 
     def ran(self, number: int) -> list[tuple[float, int]]:
-        """The attempts of a held message that may have run: when on the sender's clock, and in which zone."""
-        held = self._held.get(number)
-        if held is None:
+        """When, on the sender's clock, and in which zone the attempts of a pending message began that may
+        have run.
+        """
+        message = self._pending.get(number)
+        if message is None:
             return []
-        return [(self._journal.time.monotonic(at), zone) for at, zone in held.stored.ran]
+        return [(self._journal.time.monotonic(at), zone) for at, zone in message.stored.ran]
 
     def useful_until(self, call: Call) -> float:
-        """Until when a call that waits may still be sent with any of its messages."""
+        """Until when a waiting call may still be sent with any of its messages."""
         found = [self._repeat_until(call, item) for item in call.items]
         return min(call.times_out_at, max(found))
 
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -1,4 +1,6 @@
-"""The turn: what is ready goes to the module in one go, with one clock; then its actions are carried out."""
+"""The core's turns: each passes all events that are ready to the decision module, with one reading of the
+clock, and then executes the module's actions.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +33,7 @@
     Status,
     Submission,
 )
-from mountgauge.core.restore import Backlog, end_without_class
+from mountgauge.core.restore import Backlog, outcome_without_class
 from mountgauge.core.send_state import SendState
 from mountgauge.core.timers import Overdue, Timers
 from mountgauge.core.waits import Waits
@@ -43,16 +45,17 @@
 
 log = logging.getLogger("mountgauge.sender")
 
-_SHRUNK = 0.8  # of a budget's part: less than it was by more than its steps
-_LEAST_PACE = 0.3  # calls/s: a slower one would hold the first call after a part has grown again
-_AT_ONCE = 64  # new messages that the module decides on in one turn
-_WRITE_AGAIN_S = 0.05  # from one try to write what the disk did not take to the next
-_GRACE = 0.1  # s past its time after which a message that the module still holds is withdrawn from it
-_SWEPT = 64  # waits that each change of the list looks at: those that are over go
+# A budget share below this part of its previous value has shrunk by more than its usual steps.
+_SHRUNK_BELOW = 0.8
+_MIN_RATE = 0.3  # calls/s; a lower one would delay the first call after a share has grown again
+_NEW_PER_TURN = 64  # new messages that the module decides on in one turn
+_WRITE_RETRY_S = 0.05  # between two tries to write the records that the disk did not take
+_OVERDUE_AFTER_S = 0.1  # after its expiry a message that the module still holds is withdrawn from it
+_WAITS_SWEPT = 64  # waits checked with each change of the list, to drop the elapsed ones
 
 
 class Sender:
-    """The core of one sender: takes messages on, gives events to the module, carries its actions out."""
+    """The core of one sender: accepts messages, passes events to the module and executes its actions."""
 
     def __init__(
         self,
@@ -66,14 +69,13 @@
         self.journal, self.clock, self.fronts = journal, clock, fronts
         self.map: MapSource
         self.table = HopTable(self.rules.balancers)
-        self.version = -1  # none known: 0 is a version like any other
+        self.version = -1  # of the list; -1 if none is known, as 0 is a valid version
         self.pending = PendingMessages()
         self.numbers_by_id = self.pending.numbers_by_id
-        self.waits = Waits()  # told ones, by what shares the limit
-        self.on_list_update: Callable[[], None] | None = (
-            None  # a list, or word that none has changed, has come
-        )
-        self.counts: Counter[tuple[str, str]] = Counter()  # for metrics: ends and outcomes
+        self.waits = Waits()  # required by next hops, by the key of the limit
+        # Called with each list, and with each answer that nothing in it has changed.
+        self.on_list_update: Callable[[], None] | None = None
+        self.counts: Counter[tuple[str, str]] = Counter()  # for metrics, by kind and label
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
         state = SendState(self.rules, self.table, journal, self.pending, self.waits)
         state.grades = dict(zip(names.grades, self.rules.grades, strict=False))
@@ -104,7 +106,7 @@
         self._review_at = math.inf
         self._stopped = False
 
-    # The list, for reading
+    # The list, read-only
 
     @property
     def hops(self) -> dict[str, NextHop]:
@@ -142,7 +144,7 @@
 
     @property
     def list_lease(self) -> LeaseCheck | None:
-        """Why no call to a destination may go by the list; None: all may."""
+        """Why the list may not be used for calls to a destination; None if lists need no lease."""
         return self.attempts.state.list_lease
 
     @list_lease.setter
@@ -160,7 +162,7 @@
 
     @property
     def on_wait(self) -> Callable[[], None] | None:
-        """A wait was told: another process may need it."""
+        """Called when an endpoint required a wait, which another process may have to observe."""
         return self.attempts.on_wait
 
     @on_wait.setter
@@ -169,7 +171,7 @@
 
     @property
     def scope(self) -> DestinationScope | None:
-        """Where it holds a part of the destinations."""
+        """Set if the sender serves a share of the destinations."""
         return self.outcomes.scope
 
     @scope.setter
@@ -178,13 +180,13 @@
 
     @property
     def slots_used(self) -> int:
-        """Slots taken."""
+        """Slots in use."""
         return self.attempts.slots_used
 
     @property
     def waiting(self) -> Counter[tuple[int, str]]:
-        """By destination and endpoint: calls that wait for their first byte; and, with no endpoint, messages
-        that the module holds.
+        """Counts by destination and endpoint: calls that wait for their first byte and, under an empty
+        endpoint, messages queued in the decision module.
         """
         found = Counter((call.hop.entry.owner, call.hop.id) for call in self.attempts.parked)
         msgs, dests = self.policy.msgs, self.policy.dests
@@ -208,105 +210,105 @@
     # Start and stop
 
     def start(self, known: MapUpdate) -> None:
-        """Give the module its last list and what an earlier process took on and did not end."""
-        self._learn(known, io.ListKind.CACHED)
-        if self.journal.failing:  # already at its start
+        """Pass the module its last list and the unfinished messages of the previous process run."""
+        self._apply_update(known, io.ListKind.CACHED)
+        if self.journal.failing:  # since it was opened
             self._write_later()
         self.restore(list(self.journal.live.values()))
 
     def restore(self, stored_ones: list[StoredMessage]) -> None:
-        """Messages of an earlier process, from its journal: at the start, or adopted at a hand-over."""
+        """Restore the messages of another process's journal, at the start or after a hand-over."""
         for stored in stored_ones:
             if stored.id in self.numbers_by_id:
                 continue
-            held = self._hold(stored, self.journal.time.monotonic(stored.expires))
-            self.monitor.restored(stored.id, self.attempts.state.ran(held.number))
-            if stored.notice is not None:  # given up by the last process, whose notice may not have arrived
-                held.over = True
-                self.outcomes.tell(held, stored.notice)
-            elif (end := end_without_class(stored, self.names)) is not None:
-                self.outcomes.abandon(held, end)
+            message = self._add_pending(stored, self.journal.time.monotonic(stored.expires))
+            self.monitor.restored(stored.id, self.attempts.state.ran(message.number))
+            if stored.notice is not None:  # abandoned by the other process, whose notice may be lost
+                message.finished = True
+                self.outcomes.report(message, stored.notice)
+            elif (outcome := outcome_without_class(stored, self.names)) is not None:
+                self.outcomes.abandon(message, outcome)
             else:
-                self._backlog.add(held, self.names.grades.index(stored.grade), self.journal.time)
+                self._backlog.add(message, self.names.grades.index(stored.grade), self.journal.time)
         if stored_ones:
             log.info("restored", extra=kv(messages=len(stored_ones), cut_bytes=self.journal.truncated_bytes))
-        self._soon()
+        self._schedule_turn()
 
     def forget_finished(self) -> None:
-        """Messages that an adopted journal says have ended: nothing more is owed."""
+        """Drop the pending messages that finished according to an adopted journal: nothing more is owed."""
         for msg_id, number in list(self.numbers_by_id.items()):
             if msg_id in self.journal.outcomes and msg_id not in self.journal.live:
-                held = self.pending[number]
-                held.over = True
-                self.outcomes.drop(held)
+                message = self.pending[number]
+                message.finished = True
+                self.outcomes.remove(message)
                 self._enqueue(io.Withdrawn(number))
 
     @property
     def to_restore(self) -> int:
-        """Messages of an earlier life that the module has not been given back yet."""
+        """Messages of a previous run that have not been passed to the module yet."""
         return len(self._backlog)
 
     def stop(self) -> None:
-        """No more turns: what is out still has its outcome journalled, the rest stays in the journal."""
+        """End the turns. Outcomes of calls in flight are still journalled; other messages stay journalled."""
         self._stopped = self.attempts.state.stopped = True
-        refused, self._ready = [r for r in self._ready if isinstance(r, Submission)], []
-        for submission in refused:
-            self.admission.turn_away(submission)
+        rejected, self._ready = [r for r in self._ready if isinstance(r, Submission)], []
+        for submission in rejected:
+            self.admission.answer_while_stopping(submission)
 
     # The disk
 
     def _write_later(self) -> None:
-        """The journal did not take a record: it is tried until it does, and calls wait meanwhile."""
+        """Retry the journal's failed write until it succeeds; calls are parked meanwhile."""
         if not self._writing_later:
             self._writing_later = True
             log.warning("journal-failing", extra=kv(held=len(self.pending)))
-            self.clock.call_at(self.clock.now() + _WRITE_AGAIN_S, self._write_again)
+            self.clock.call_at(self.clock.now() + _WRITE_RETRY_S, self._write_again)
 
     def _write_again(self) -> None:
         if not self.journal.flush():
-            self.clock.call_at(self.clock.now() + _WRITE_AGAIN_S, self._write_again)
+            self.clock.call_at(self.clock.now() + _WRITE_RETRY_S, self._write_again)
             return
         self._writing_later = False
         log.info("journal-written", extra=kv(held=len(self.pending)))
-        self.outcomes.recorded()
+        self.outcomes.journal_written()
         if not self._stopped:
             self.attempts.release()
 
-    # What comes in
+    # Input
 
     def submit(self, submission: Submission) -> None:
         if self._stopped:
-            self.admission.turn_away(submission)
+            self.admission.answer_while_stopping(submission)
             return
         self._ready.append(submission)
-        self._soon()
+        self._schedule_turn()
 
     def list_changed(self, update: MapUpdate) -> None:
-        """Discovery told of the whole list, or of what changed."""
+        """Apply a full list from discovery, or a delta."""
         self.admission.list_received = True
-        self._learn(update, io.ListKind.FULL if update.full else io.ListKind.DELTA)
-        self._soon()
+        self._apply_update(update, io.ListKind.FULL if update.full else io.ListKind.DELTA)
+        self._schedule_turn()
         if self.on_list_update is not None:
             self.on_list_update()
 
     def remember(self, fact: io.Remembered) -> None:
-        """What an earlier life knew of a destination."""
+        """Pass on what a previous process run knew of a destination."""
         self._enqueue(fact)
 
     def _enqueue(self, event: io.Event) -> None:
         self._ready.append(event)
-        self._soon()
+        self._schedule_turn()
 
-    def _learn(self, update: MapUpdate, how: ListKind) -> None:
+    def _apply_update(self, update: MapUpdate, how: ListKind) -> None:
         now = self.clock.now()
-        whole = how != ListKind.DELTA
-        change = self.table.apply_update(update, whole, now)
+        full = how != ListKind.DELTA
+        change = self.table.apply_update(update, full, now)
         states = ((Place(*hop[:3]), hop.entry.readiness == io.Readiness.READY) for hop in update.hops)
-        self.monitor.listed(whole, states, now)
+        self.monitor.listed(full, states, now)
         for hop_id in change.closing:
             self.next_hops.close_idle(hop_id)
         self.version = update.version
-        self.waits.sweep(now, _SWEPT + len(update.hops))
+        self.waits.sweep(now, _WAITS_SWEPT + len(update.hops))
         self._ready.append(io.Targets(how, update.version, change.entries))
         self._review_by(change.review_at)
 
@@ -316,7 +318,9 @@
             self.clock.call_at(when, lambda: self._review(when))
 
     def _review(self, when: float) -> None:
-        """Endpoints that only older lists have as active are so after a while: versions have begun anew."""
+        """Believe older lists by which a drained endpoint is active again, once they have contradicted the
+        drain for long enough: the versions were restarted.
+        """
         if when != self._review_at:
             return
         self._review_at = math.inf
@@ -325,11 +329,11 @@
             ids = ",".join(entry.endpoint.decode(errors="replace") for entry in change.entries)
             log.warning("older-list-believed", extra=kv(version=self.version, active=ids[:200]))
             self._ready.append(io.Targets(io.ListKind.DELTA, self.version, change.entries))
-            self._soon()
+            self._schedule_turn()
         self._review_by(change.review_at)
 
     def apply_settings(self, rules: io.Settings, names: SettingNames) -> None:
-        """New settings from a reread file: messages under way keep the class that the module gave them."""
+        """Apply the settings of a reloaded file. Pending messages keep the class that they have."""
         self.policy.set = self.rules = self.attempts.state.rules = self.admission.rules = rules
         self.table.balancers = rules.balancers
         self.names = self.admission.names = names
@@ -337,132 +341,141 @@
         self.monitor.drain_grace_s = rules.drain_grace
 
     def set_detached(self, detached: set[str]) -> None:
-        """The endpoints that operators took out drain for the module, whatever discovery lists meanwhile;
-        one put back is given to it again as listed."""
+        """Set the endpoints that operators detached: for the module they drain, whatever discovery lists. One
+        that is attached again is as listed.
+        """
         change = self.table.set_detached(detached)
         for hop_id in change.closing:
             self.next_hops.close_idle(hop_id)
         if change.entries:
             log.info("maintained", extra=kv(detached=",".join(sorted(self.detached)) or "none"))
             self._ready.append(io.Targets(io.ListKind.DELTA, self.version, change.entries))
-            self._soon()
+            self._schedule_turn()
 
-    def set_budget_shares(self, parts: Mapping[int, float]) -> None:
-        """Calls/s of each destination's budget that are this sender's: the module is told them as it is told
-        a listed limit; where one has shrunk, that its pace is no higher.
+    def set_budget_shares(self, shares: Mapping[int, float]) -> None:
+        """Set this sender's share of each destination's budget, in calls/s. The module receives it as a
+        listed limit; if a share has shrunk, also as the maximum of its current send rate.
         """
-        shrunk = [dest for dest, part in parts.items() if part < _SHRUNK * self.budget_shares.get(dest, 0.0)]
-        if entries := self.table.set_budget_shares(parts):
+        shrunk = [
+            dest
+            for dest, share in shares.items()
+            if share < _SHRUNK_BELOW * self.budget_shares.get(dest, 0.0)
+        ]
+        if entries := self.table.set_budget_shares(shares):
             self._ready.append(io.Targets(io.ListKind.DELTA, self.version, entries))
         for dest in shrunk:
-            self.remember(io.Remembered(dest, 0.0, max(_LEAST_PACE, parts[dest])))
-        self._soon()
+            self.remember(io.Remembered(dest, 0.0, max(_MIN_RATE, shares[dest])))
+        self._schedule_turn()
 
     # The turn
 
-    def _soon(self) -> None:
-        """The next turn comes with the next tick, so that what arrives together is decided together."""
+    def _schedule_turn(self) -> None:
+        """Schedule a turn at the next tick, so that events that arrive together are decided on together."""
         now = self.clock.now()
-        self._turn_by((math.floor(now / self.rules.tick) + 1) * self.rules.tick)
+        self._schedule_turn_at((math.floor(now / self.rules.tick) + 1) * self.rules.tick)
 
-    def _turn_by(self, when: float) -> None:
+    def _schedule_turn_at(self, when: float) -> None:
         if when < self._turn_at and not self._stopped:
             self._turn_at = when
-            self.clock.call_at(when, lambda: self._turn_due(when))
+            self.clock.call_at(when, lambda: self._run_turn(when))
 
-    def _turn_due(self, when: float) -> None:
+    def _run_turn(self, when: float) -> None:
         if when == self._turn_at and not self._stopped:
             self._turn_at = math.inf
             try:
                 self.turn()
-            finally:  # whatever fails in one turn, the watchdogs of all messages are still to be rung
-                self._wake_for_timers()
+            finally:  # the watchdogs of all messages must run even if a turn fails
+                self._schedule_timers()
 
-    def _wake_for_timers(self) -> None:
+    def _schedule_timers(self) -> None:
         if (at := self._timers.next_at(self.pending)) is not None:
-            self._turn_by(at)
+            self._schedule_turn_at(at)
 
     def turn(self) -> None:
         now = self.clock.now()
         ready, self._ready = self._ready, []
-        for rung in self._timers.due(now):
-            ready.extend(self._overdue(rung.number) if isinstance(rung, Overdue) else [rung])
+        for due in self._timers.due(now):
+            ready.extend(self._overdue(due.number) if isinstance(due, Overdue) else [due])
         ready.extend(self._backlog.take())
         if self._backlog:
-            self._soon()
+            self._schedule_turn()
         actions: list[io.Action] = []
         fresh: dict[int, tuple[Submission, PendingMessage]] = {}
         for one in ready:
             if not isinstance(one, Submission):
                 actions += self._decide(one, now)
-            elif len(fresh) >= _AT_ONCE:  # a crowd: what else waits for the loop goes first
+            elif len(fresh) >= _NEW_PER_TURN:  # a burst: let the event loop do its other work first
                 self._ready.append(one)
-                self._soon()
+                self._schedule_turn()
             elif self.numbers_by_id.get(one.id) in fresh:
-                # The same id twice in one turn: whether the first is taken on shows at the turn's end.
+                # The same id twice in one turn: whether the first is accepted is known at its end.
                 self._ready.append(one)
-                self._soon()
-            elif (held := self._enter(one, now)) is not None:
-                fresh[held.number] = one, held
-                event = io.Incoming(held.number, 0, held.expires, 0, 0.0, one.dest, one.grade, 0)
+                self._schedule_turn()
+            elif (message := self._admit_submission(one, now)) is not None:
+                fresh[message.number] = one, message
+                event = io.Incoming(message.number, 0, message.expires, 0, 0.0, one.dest, one.grade, 0)
                 actions += self._decide(event, now)
         self._answer(fresh, actions)
         self._carry_out(actions, now)
 
     def _decide(self, event: io.Event, now: float) -> list[io.Action]:
-        """A fault in the module costs the one event: the watchdog still ends each message in time."""
+        """The module's actions for an event. If the module fails, only this event is lost: the watchdogs
+        still finish each message in time.
+        """
         try:
             return list(self.policy.handle(event, now))
         except Exception:
             log.exception("module-failed", extra=kv(on=event))
             return []
 
-    def _enter(self, one: Submission, now: float) -> PendingMessage | None:
-        """Whether the module is to hear of it: answered at once if it is known, or if there is no room."""
+    def _admit_submission(self, one: Submission, now: float) -> PendingMessage | None:
+        """Add a message that the module has to decide on; None if it was answered at once."""
         if (answer := self.admission.immediate_answer(one, now)) is not None:
             one.answer(answer)
             return None
         expires = now + one.remaining_s
-        return self._hold(self.admission.stored(one, expires), expires)
+        return self._add_pending(self.admission.stored(one, expires), expires)
 
-    def _hold(self, stored: StoredMessage, expires: float) -> PendingMessage:
-        held = self.pending.add(stored, expires)
+    def _add_pending(self, stored: StoredMessage, expires: float) -> PendingMessage:
+        message = self.pending.add(stored, expires)
         if self.scope is not None:
             self.scope.message_added(stored.dest)
-        self._timers.watch(expires + _GRACE, held.number)
-        return held
+        self._timers.watch(expires + _OVERDUE_AFTER_S, message.number)
+        return message
 
     def _overdue(self, number: int) -> list[io.Event]:
-        """Guards against a message that outlives its time, whatever kept its end from coming."""
-        held = self.pending.get(number)
-        if held is None:
+        """Finish an expired message, for whatever reason it has no outcome yet."""
+        message = self.pending.get(number)
+        if message is None:
             return []
-        if held.over:
-            self.outcomes.tell_late(held)
+        if message.finished:
+            self.outcomes.report_overdue(message)
             return []
-        log.warning("overdue", extra=kv(id=held.stored.id, attempts=held.issued, out=held.call is not None))
-        self.outcomes.abandon(held, MessageOutcome(Status.UNDELIVERABLE))
+        log.warning(
+            "overdue", extra=kv(id=message.stored.id, attempts=message.issued, out=message.call is not None)
+        )
+        self.outcomes.abandon(message, MessageOutcome(Status.UNDELIVERABLE))
         return [io.Withdrawn(number)]
 
     def _answer(
         self, fresh: Mapping[int, tuple[Submission, PendingMessage]], actions: list[io.Action]
     ) -> None:
-        """Tell each client whether its message is taken on, which the journal must know first."""
-        ends: dict[int, MessageOutcome] = {}
+        """Answer each client whether its message is accepted, which is journalled first."""
+        rejections: dict[int, MessageOutcome] = {}
         for action in actions:
             if isinstance(action, io.PushBack):
-                ends[action.msg_id] = _deferred(action)
+                rejections[action.msg_id] = _deferred(action)
             elif isinstance(action, io.Abort):
-                ends[action.msg_id] = MessageOutcome(Status.UNDELIVERABLE)
-        for number, (submission, held) in fresh.items():
-            end = ends.get(number)
-            if end is None:
-                if self.admission.take_on(submission, held):
+                rejections[action.msg_id] = MessageOutcome(Status.UNDELIVERABLE)
+        for number, (submission, message) in fresh.items():
+            outcome = rejections.get(number)
+            if outcome is None:
+                if self.admission.accept(submission, message):
                     continue
-                end = MessageOutcome(Status.DEFERRED)
+                outcome = MessageOutcome(Status.DEFERRED)
                 self._ready.append(io.Withdrawn(number))
-                self._soon()
-            self.admission.refuse(submission, held, end)
+                self._schedule_turn()
+            self.admission.reject(submission, message, outcome)
 
     def _carry_out(self, actions: list[io.Action], now: float) -> None:
         calls = CallBatches(now, self.rules.kind_batch)
@@ -483,9 +496,9 @@
                 case io.Close(endpoint):
                     self.next_hops.close_idle(endpoint.decode())
                 case io.StopAttempt(number):
-                    held = self.pending.get(number)
-                    if held is not None and held.call is not None and len(held.call.items) == 1:
-                        self.attempts.cancel(held.call)
+                    message = self.pending.get(number)
+                    if message is not None and message.call is not None and len(message.call.items) == 1:
+                        self.attempts.cancel(message.call)
                 case io.WriteLog(line):
                     log.info("module", extra=kv(line=line))
                 case _:
--- a/mountgauge/core/shared_waits.py
+++ b/mountgauge/core/shared_waits.py
@@ -1,10 +1,10 @@
-"""Told waits in the form that two processes of one sender share through the state folder.
+"""The file format in which two processes of one sender share required waits through the state folder.
 
-While an old and a new process serve side by side they are one sender: a wait that an endpoint told one
-binds the other. No I/O and no clock here: times come in, bytes go out.
+While an old and a new process serve side by side they are one sender: a wait that an endpoint required of one
+applies to the other. No I/O and no clock.
 
-A file is a JSON object: `clock`, how the writer's clocks stood, and `waits`, until when each holds in the
-writer's base. One of an older version is the waits alone, in wall time.
+A file is a JSON object: `clock`, the writer's clock readings, and `waits`, until when each wait lasts in the
+writer's time base. A file of an older version holds the waits alone, in wall time.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 
 def encode(waits: dict[object, float], now: Stamp) -> bytes:
-    """Waits by what shares the limit (a destination number, or an endpoint id), until when on the monotonic
-    clock.
+    """Encode waits by the key of the limit (a destination number, or an endpoint id); their values are times
+    of the monotonic clock.
     """
     found = {
         (f"d{limit}" if isinstance(limit, int) else f"e{limit}"): now.base + until - now.monotonic
@@ -27,8 +27,8 @@
 
 
 def decode(content: bytes, now: Stamp) -> dict[object, float]:
-    """Until when on the monotonic clock; ValueError where it is not such a file. Waits over already are left
-    out.
+    """Decode the waits that have not elapsed, as times of the monotonic clock; ValueError if the content has
+    another form.
     """
     found = orjson.loads(content)
     if not isinstance(found, dict):
@@ -52,10 +52,10 @@
     return waits
 
 
-def merge(into: dict[object, float], told: dict[object, float]) -> bool:
-    """The longer of two waits holds; whether anything changed."""
+def merge(into: dict[object, float], received: dict[object, float]) -> bool:
+    """Keep the longer of two waits for the same limit; returns whether anything changed."""
     changed = False
-    for limit, until in told.items():
+    for limit, until in received.items():
         if until > into.get(limit, 0.0):
             into[limit], changed = until, True
     return changed
--- a/mountgauge/core/timers.py
+++ b/mountgauge/core/timers.py
@@ -10,40 +10,40 @@
 
 from rillspindle.interface import Ring
 
-_WATCHDOG = 1 << 62  # token space of the watchdogs, past all of the module's
+_WATCHDOG = 1 << 62  # first token of the watchdogs, above all tokens of the decision module
 
 
 class Overdue(NamedTuple):
-    """The time of a message is over, whatever kept its end from coming."""
+    """A message has expired without an outcome, for whatever reason."""
 
-    number: int  # the module's id for it
+    number: int  # its id in the decision module
 
 
 class Timers:
     """The times at which the core has to wake, in order."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[float, int]] = []  # when, and for what
+        self._heap: list[tuple[float, int]] = []  # time and token
 
     def ring(self, at: float, token: int) -> None:
-        """The module has asked to hear of this token then."""
+        """Set a timer of the decision module, identified by its token."""
         heapq.heappush(self._heap, (at, token))
 
     def watch(self, at: float, number: int) -> None:
-        """A message should have its end by then."""
+        """Set the watchdog of a message, which should have its outcome by then."""
         heapq.heappush(self._heap, (at, _WATCHDOG + number))
 
     def due(self, now: float) -> Iterator[Ring | Overdue]:
-        """Take out those whose time has come, in order."""
+        """Remove and return the timers that are due, in order."""
         while self._heap and self._heap[0][0] <= now:
             token = heapq.heappop(self._heap)[1]
             yield Overdue(token - _WATCHDOG) if token >= _WATCHDOG else Ring(token)
 
-    def next_at(self, held: Container[int]) -> float | None:
-        """When to wake next; nobody is woken for a message that is not held any more."""
+    def next_at(self, pending: Container[int]) -> float | None:
+        """The next time to wake; watchdogs of messages that are no longer pending are dropped."""
         while self._heap:
             at, token = self._heap[0]
-            if token < _WATCHDOG or token - _WATCHDOG in held:
+            if token < _WATCHDOG or token - _WATCHDOG in pending:
                 return at
             heapq.heappop(self._heap)
         return None
--- a/mountgauge/core/waits.py
+++ b/mountgauge/core/waits.py
@@ -1,4 +1,4 @@
-"""Waits that next hops have told, by what shares the limit: a destination number, or an endpoint id."""
+"""Waits that next hops have required, by the key of the limit: a destination number, or an endpoint id."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Waits(OrderedDict[object, float]):
-    """Until when each holds, on the sender's clock in seconds. One that is over says the same as none."""
+    """Until when each wait lasts, on the sender's clock in seconds. An elapsed wait counts as none."""
 
     def sweep(self, now: float, most: int) -> None:
-        """Drop those that are over among the `most` that were looked at longest ago."""
+        """Check up to `most` waits, those first that were checked longest ago, and drop the elapsed ones."""
         for _ in range(min(most, len(self))):
             limit, until = next(iter(self.items()))
             if until <= now:
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -207,7 +207,7 @@
             other, {other.items[0].number: AttemptResult(Outcome.FULL, required_wait_s=5.0)}
         )
     elif late == "ended":
-        bench.sender.pending[call.items[0].number].over = True
+        bench.sender.pending[call.items[0].number].finished = True
     else:
         bench.pass_time(2.0)
     assert bench.sender.admit(call, call.items) == []
