--- a/mountgauge/core/drain_memory.py
+++ b/mountgauge/core/drain_memory.py
@@ -1,12 +1,14 @@
-"""What has been told as draining or gone, and by which version, so that no older list takes it back.
+"""Which endpoints were reported as draining or gone, and by which version, so that no older list reverts it.
 
-A list can be older than what is known: another address of discovery lags behind, or a whole list was asked
-for across a change. An endpoint at a place (its id, address and destination) that a version told as `leaving`
-or `left`, or left out of a whole list, isn't active again before a version that is as new says so.
+A list may be older than what is known: another discovery address lags behind, or a full list was requested
+before a change. An endpoint at a location (its id, address and destination) that a version reported as
+`leaving` or `left`, or that a full list no longer contained, isn't active again until a version at least as
+new says so.
 
-Versions may also begin anew for good. Nothing in one list tells that from an old one, but an old list is
-followed by a newer one soon: what contradicts a drain for `WITHHELD_FOR_S` on end is believed. No I/O, no
-clock: times are parameters, in seconds, and never go back. Each call costs the same whatever is remembered.
+Versions may also be restarted for good. A single list does not show whether that happened or the list is old,
+but an old list is soon followed by a newer one: what contradicts a drain for `WITHHELD_FOR_S` without a break
+is believed. No I/O, no clock: times are parameters, in seconds, and never go back. The cost of a call does
+not depend on how much is remembered.
 """
 
 from __future__ import annotations
@@ -17,18 +19,18 @@
 
 from mountgauge.core.ports import NextHop
 
-ASK_WITHIN_S = 10.0  # for which a list may be used unasked, in the settings of most sites
-TOLD_WITHIN_S = 6.0  # after which whatever discovery has to tell counts as told
-MOVE_WITHIN_S = 4.0  # in which the list of another address holds
-# The oldest list that may still come within the protocol was asked for before a move, and told late. It is
-# also the longest time for which an endpoint stays out that is active in versions that began anew.
-WITHHELD_FOR_S = ASK_WITHIN_S + TOLD_WITHIN_S + MOVE_WITHIN_S
-REMEMBERED_FOR_S = 600.0  # after the drain was last told: as long as a destination without endpoints counts
-MOST_REMEMBERED = 8192  # places, about 300 bytes each; past it the one told longest ago is forgotten
+ASK_WITHIN_S = 10.0  # for how long a list may be used without a new request, in the settings of most sites
+NOTIFIED_WITHIN_S = 6.0  # after this time all that discovery has to report counts as notified
+MOVE_WITHIN_S = 4.0  # the time within which the list of another address applies
+# The oldest list that the protocol still allows was requested before a move, and answered late. This is also
+# the longest time for which an endpoint is withheld that is active in restarted versions.
+WITHHELD_FOR_S = ASK_WITHIN_S + NOTIFIED_WITHIN_S + MOVE_WITHIN_S
+REMEMBERED_FOR_S = 600.0  # after the last report of the drain, like a destination without endpoints
+MAX_REMEMBERED = 8192  # locations, about 300 bytes each; beyond it the one reported longest ago is forgotten
 
 
-class Place(NamedTuple):
-    """An endpoint where it is listed: under its id at another one it is another endpoint."""
+class EndpointLocation(NamedTuple):
+    """An endpoint at an address: the same id at another address is another endpoint."""
 
     id: str
     host: str
@@ -36,42 +38,42 @@
     destination: int
 
     @classmethod
-    def of(cls, hop: NextHop) -> Place:
+    def of(cls, hop: NextHop) -> EndpointLocation:
         return cls(hop.id, hop.host, hop.port, hop.entry.owner)
 
 
 @dataclass(slots=True)
 class _Drain:
-    version: int  # the newest that told of it
+    version: int  # the newest that reported it
     forget_at: float
-    believe_at: float | None = None  # until when what contradicts it is withheld, once something does
+    believe_at: float | None = None  # until when a contradiction is withheld, once there is one
 
 
 class DrainMemory:
-    """The drains that have been told, bounded in number and in time."""
+    """The drains that have been reported, bounded in number and in time."""
 
     def __init__(self) -> None:
-        self._drains: OrderedDict[Place, _Drain] = OrderedDict()  # told longest ago first
+        self._drains: OrderedDict[EndpointLocation, _Drain] = OrderedDict()  # reported longest ago first
 
     def __len__(self) -> int:
         return len(self._drains)
 
-    def note(self, place: Place, version: int, now: float) -> None:
-        """A version has told this place as draining or gone."""
-        known = self._drains.pop(place, None)
+    def record(self, location: EndpointLocation, version: int, now: float) -> None:
+        """Record that a version reported this location as draining or gone."""
+        known = self._drains.pop(location, None)
         newest = version if known is None else max(known.version, version)
-        self._drains[place] = _Drain(newest, now + REMEMBERED_FOR_S)
+        self._drains[location] = _Drain(newest, now + REMEMBERED_FOR_S)
         while self._drains:
             oldest = next(iter(self._drains.values()))
-            if oldest.forget_at > now and len(self._drains) <= MOST_REMEMBERED:
+            if oldest.forget_at > now and len(self._drains) <= MAX_REMEMBERED:
                 break
             self._drains.popitem(last=False)
 
-    def withheld_until(self, place: Place, version: int, now: float) -> float | None:
-        """A version tells this place as active: None where that holds, and its drain is over; else until
-        when it is withheld, unless a newer version says so before.
+    def withheld_until(self, location: EndpointLocation, version: int, now: float) -> float | None:
+        """Decide on a version that reports this location as active: None if that is believed, and the drain
+        forgotten; else until when the location is withheld, unless a newer version reports it before.
         """
-        drain = self._drains.get(place)
+        drain = self._drains.get(location)
         if drain is None:
             return None
         if version < drain.version and now < drain.forget_at:
@@ -79,12 +81,14 @@
                 drain.believe_at = now + WITHHELD_FOR_S
             if now < drain.believe_at:
                 return drain.believe_at
-        del self._drains[place]
+        del self._drains[location]
         return None
 
-    def contradicted(self, place: Place, version: int, now: float) -> float:
-        """One update tells this place both as draining and as active: the drain counts, for so long."""
-        self.note(place, version, now)
-        drain = self._drains[place]
+    def contradicted(self, location: EndpointLocation, version: int, now: float) -> float:
+        """Record an update that reports this location both as draining and as active. The drain counts;
+        returns until when.
+        """
+        self.record(location, version, now)
+        drain = self._drains[location]
         drain.believe_at = now + WITHHELD_FOR_S
         return drain.believe_at
--- a/tests/test_drain_memory.py
+++ b/tests/test_drain_memory.py
@@ -6,19 +6,19 @@
 from hypothesis import strategies as st
 
 from mountgauge.core.drain_memory import (
-    MOST_REMEMBERED,
+    MAX_REMEMBERED,
     REMEMBERED_FOR_S,
     WITHHELD_FOR_S,
     DrainMemory,
-    Place,
+    EndpointLocation,
 )
 
-E0 = Place("e0", "127.0.0.1", 1, 7)
+E0 = EndpointLocation("e0", "127.0.0.1", 1, 7)
 
 
 def test_only_a_version_as_new_as_the_drain_takes_it_back() -> None:
     memory = DrainMemory()
-    memory.note(E0, 50, 0.0)
+    memory.record(E0, 50, 0.0)
     assert memory.withheld_until(E0, 49, 1.0) == 1.0 + WITHHELD_FOR_S
     assert memory.withheld_until(E0, 45, 2.0) == 1.0 + WITHHELD_FOR_S, "counted from the first contradiction"
     assert memory.withheld_until(E0, 50, 3.0) is None
@@ -27,7 +27,7 @@
 
 def test_a_place_is_an_id_an_address_and_a_destination() -> None:
     memory = DrainMemory()
-    memory.note(E0, 50, 0.0)
+    memory.record(E0, 50, 0.0)
     for other in (
         E0._replace(id="e1"),
         E0._replace(host="::1"),
@@ -40,33 +40,33 @@
 
 def test_an_older_drain_does_not_lower_the_version_that_counts() -> None:
     memory = DrainMemory()
-    memory.note(E0, 50, 0.0)
-    memory.note(E0, 40, 1.0)
+    memory.record(E0, 50, 0.0)
+    memory.record(E0, 40, 1.0)
     assert memory.withheld_until(E0, 45, 2.0) is not None
 
 
 def test_what_contradicts_a_drain_long_enough_is_believed_and_told_again_it_holds_anew() -> None:
     memory = DrainMemory()
-    memory.note(E0, 50, 0.0)
+    memory.record(E0, 50, 0.0)
     assert memory.withheld_until(E0, 1, 10.0) == 10.0 + WITHHELD_FOR_S
-    memory.note(E0, 2, 11.0)  # told as draining again: what came before contradicts it no longer
+    memory.record(E0, 2, 11.0)  # told as draining again: what came before contradicts it no longer
     assert memory.withheld_until(E0, 3, 12.0) == 12.0 + WITHHELD_FOR_S
     assert memory.withheld_until(E0, 3, 12.0 + WITHHELD_FOR_S) is None
-    memory.note(E0, 4, 40.0)  # versions that began anew count from now on
+    memory.record(E0, 4, 40.0)  # versions that began anew count from now on
     assert memory.withheld_until(E0, 3, 41.0) is not None
     assert memory.withheld_until(E0, 5, 42.0) is None
 
 
 def test_a_drain_is_forgotten_in_time_and_past_the_bound_in_number() -> None:
     memory = DrainMemory()
-    memory.note(E0, 50, 0.0)
+    memory.record(E0, 50, 0.0)
     assert memory.withheld_until(E0, 1, REMEMBERED_FOR_S) is None
-    for number in range(MOST_REMEMBERED + 10):
-        memory.note(Place(f"e{number}", "h", 1, 7), 50, 1.0)
-    assert len(memory) == MOST_REMEMBERED
-    assert memory.withheld_until(Place("e9", "h", 1, 7), 1, 2.0) is None
-    assert memory.withheld_until(Place("e10", "h", 1, 7), 1, 2.0) is not None
-    memory.note(E0, 51, 1.0 + REMEMBERED_FOR_S)
+    for number in range(MAX_REMEMBERED + 10):
+        memory.record(EndpointLocation(f"e{number}", "h", 1, 7), 50, 1.0)
+    assert len(memory) == MAX_REMEMBERED
+    assert memory.withheld_until(EndpointLocation("e9", "h", 1, 7), 1, 2.0) is None
+    assert memory.withheld_until(EndpointLocation("e10", "h", 1, 7), 1, 2.0) is not None
+    memory.record(E0, 51, 1.0 + REMEMBERED_FOR_S)
     assert len(memory) == 1, "all whose time has come go with the next drain"
 
 
@@ -86,7 +86,7 @@
     for drains_now, version, passed in steps:
         now += passed
         if drains_now:
-            memory.note(E0, version, now)
+            memory.record(E0, version, now)
             drains.append(version)
             since = None
             continue
