--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -129,8 +129,8 @@
 class OutcomeReporter(Protocol):
     """Reports the outcomes of accepted messages to the side that submitted them."""
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        """Report this outcome; `told` is called once the other side has it."""
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
+        """Report this outcome; `on_delivered` is called once the other side has received it."""
 
 
 class TenantGate(Protocol):
--- a/tests/test_drain_memory.py
+++ b/tests/test_drain_memory.py
@@ -1,4 +1,4 @@
-"""Drains against older lists: the rule itself, and the memory's bounds in number and in time."""
+"""Drains against older lists: the rule, and the bounds of the memory in number and in time."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 E0 = EndpointLocation("e0", "127.0.0.1", 1, 7)
 
 
-def test_only_a_version_as_new_as_the_drain_takes_it_back() -> None:
+def test_only_a_version_at_least_as_new_as_the_drain_reverts_it() -> None:
     memory = DrainMemory()
     memory.record(E0, 50, 0.0)
     assert memory.withheld_until(E0, 49, 1.0) == 1.0 + WITHHELD_FOR_S
     assert memory.withheld_until(E0, 45, 2.0) == 1.0 + WITHHELD_FOR_S, "counted from the first contradiction"
     assert memory.withheld_until(E0, 50, 3.0) is None
-    assert memory.withheld_until(E0, 45, 4.0) is None, "the drain is over"
+    assert memory.withheld_until(E0, 45, 4.0) is None, "the drain is forgotten"
 
 
-def test_a_place_is_an_id_an_address_and_a_destination() -> None:
+def test_a_location_is_an_id_an_address_and_a_destination() -> None:
     memory = DrainMemory()
     memory.record(E0, 50, 0.0)
     for other in (
@@ -45,14 +45,14 @@
     assert memory.withheld_until(E0, 45, 2.0) is not None
 
 
-def test_what_contradicts_a_drain_long_enough_is_believed_and_told_again_it_holds_anew() -> None:
+def test_a_long_contradiction_is_believed_and_a_repeated_report_renews_the_drain() -> None:
     memory = DrainMemory()
     memory.record(E0, 50, 0.0)
     assert memory.withheld_until(E0, 1, 10.0) == 10.0 + WITHHELD_FOR_S
-    memory.record(E0, 2, 11.0)  # told as draining again: what came before contradicts it no longer
+    memory.record(E0, 2, 11.0)  # reported as draining again: earlier contradictions no longer count
     assert memory.withheld_until(E0, 3, 12.0) == 12.0 + WITHHELD_FOR_S
     assert memory.withheld_until(E0, 3, 12.0 + WITHHELD_FOR_S) is None
-    memory.record(E0, 4, 40.0)  # versions that began anew count from now on
+    memory.record(E0, 4, 40.0)  # restarted versions count from now on
     assert memory.withheld_until(E0, 3, 41.0) is not None
     assert memory.withheld_until(E0, 5, 42.0) is None
 
@@ -67,7 +67,7 @@
     assert memory.withheld_until(EndpointLocation("e9", "h", 1, 7), 1, 2.0) is None
     assert memory.withheld_until(EndpointLocation("e10", "h", 1, 7), 1, 2.0) is not None
     memory.record(E0, 51, 1.0 + REMEMBERED_FOR_S)
-    assert len(memory) == 1, "all whose time has come go with the next drain"
+    assert len(memory) == 1, "the next drain removes all expired ones"
 
 
 STEPS = st.lists(
@@ -76,25 +76,25 @@
 
 
 @given(STEPS)
-def test_an_older_version_never_takes_a_drain_back_within_the_bound(
+def test_an_older_version_never_reverts_a_drain_within_the_bound(
     steps: list[tuple[bool, int, float]],
 ) -> None:
-    """Against the plain history of what was told of one place since it was last active."""
+    """Against the complete history of the reports on one location since it was last active."""
     memory, now = DrainMemory(), 0.0
     drains: list[int] = []
     since: float | None = None
-    for drains_now, version, passed in steps:
+    for draining, version, passed in steps:
         now += passed
-        if drains_now:
+        if draining:
             memory.record(E0, version, now)
             drains.append(version)
             since = None
             continue
-        held = memory.withheld_until(E0, version, now)
+        withheld = memory.withheld_until(E0, version, now)
         if drains and version < max(drains):
             since = now if since is None else since
-            assert held == (since + WITHHELD_FOR_S if now < since + WITHHELD_FOR_S else None)
+            assert withheld == (since + WITHHELD_FOR_S if now < since + WITHHELD_FOR_S else None)
         else:
-            assert held is None
-        if held is None:
+            assert withheld is None
+        if withheld is None:
             drains, since = [], None
--- a/tests/test_hop_table.py
+++ b/tests/test_hop_table.py
@@ -1,4 +1,4 @@
-"""The list's state against a plain reference, and what a change of one endpoint visits."""
+"""The next hop table against a plain reference, and the cost of changing one endpoint."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 
 class Reference:
-    """What the list's state was kept by before: each change copies and walks all of it.
+    """A plain implementation of the table: each change copies and iterates over all of it.
 
-    A drain is kept as the whole history of what was told of a place, and looked up by walking over it.
+    Drains are kept as the complete history of the reports on each location, which each lookup iterates over.
     """
 
     def __init__(self, balancers: int) -> None:
@@ -37,10 +37,10 @@
         self.waits: dict[object, float] = {}
         self.detached: set[str] = set()
         self.budget_shares: dict[int, float] = {}
-        self.drains: list[tuple[tuple[object, ...], int, float]] = []  # place, version, when
-        self.contradicted: dict[tuple[object, ...], float] = {}  # by place: since when
+        self.drains: list[tuple[tuple[object, ...], int, float]] = []  # location, version, time
+        self.contradicted: dict[tuple[object, ...], float] = {}  # by location: since when
         self.withheld: dict[str, float] = {}
-        self.told: list[Targets] = []
+        self.events: list[Targets] = []
         self.closed: list[str] = []
 
     def apply_update(self, update: MapUpdate, how: ListKind, now: float) -> None:
@@ -55,11 +55,11 @@
                 self.listed_hops.pop(hop.id, None)
             else:
                 self.listed_hops[hop.id] = hop
-            hop = self.maintained(hop)
+            hop = self.effective(hop)
             old = before.get(hop.id)
             if old is not None and (*old[:3], old.entry.owner) != (*hop[:3], hop.entry.owner):
                 entries.append(old.entry._replace(readiness=Readiness.GONE))
-                self.drained(place(old), update.version, now)
+                self.drained(location(old), update.version, now)
             entries.append(hop.entry)
             if hop.entry.readiness == Readiness.GONE:
                 self.hops.pop(hop.id, None)
@@ -69,7 +69,7 @@
             if (new := self.hops.get(hop_id)) is None or new[:3] != old[:3]:
                 self.closed.append(hop_id)
             if new is None:
-                self.drained(place(old), update.version, now)
+                self.drained(location(old), update.version, now)
         self.waits = {limit: until for limit, until in self.waits.items() if until > now}
         for hop in self.hops.values():
             self.listed[hop.entry.owner] = math.inf
@@ -77,85 +77,87 @@
             self.listed[dest] = min(self.listed[dest], now + 600.0)
             if self.listed[dest] <= now:
                 del self.listed[dest]
-        self.told.append(Targets(how, update.version, tuple(entries)))
+        self.events.append(Targets(how, update.version, tuple(entries)))
 
-    def drained(self, where: tuple[object, ...], version: int, now: float) -> None:
-        self.drains.append((where, version, now))
-        self.contradicted.pop(where, None)
+    def drained(self, at_location: tuple[object, ...], version: int, now: float) -> None:
+        self.drains.append((at_location, version, now))
+        self.contradicted.pop(at_location, None)
 
     def withhold(self, hop: NextHop, update: MapUpdate, now: float) -> None:
-        where = place(hop)
+        at_location = location(hop)
         self.withheld.pop(hop.id, None)
         if hop.entry.readiness != Readiness.READY:
             if hop.host:
-                self.drained(where, update.version, now)
+                self.drained(at_location, update.version, now)
             return
         others = [one for one in update.hops if one.id == hop.id and one.entry.readiness != Readiness.READY]
-        if any(place(one) == where or not one.host for one in others):
-            self.drained(where, update.version, now)
-            self.contradicted[where] = now
-        told = [(version, at) for one, version, at in self.drains if one == where]
-        recent = bool(told) and now < max(at for _, at in told) + 600.0
-        older = recent and update.version < max(version for version, _ in told)
-        if older or (where in self.contradicted and others):
-            until = self.contradicted.setdefault(where, now) + 20.0
+        if any(location(one) == at_location or not one.host for one in others):
+            self.drained(at_location, update.version, now)
+            self.contradicted[at_location] = now
+        reports = [(version, at) for one, version, at in self.drains if one == at_location]
+        recent = bool(reports) and now < max(at for _, at in reports) + 600.0
+        older = recent and update.version < max(version for version, _ in reports)
+        if older or (at_location in self.contradicted and others):
+            until = self.contradicted.setdefault(at_location, now) + 20.0
             if now < until:
                 self.withheld[hop.id] = until
                 return
-        self.drains = [one for one in self.drains if one[0] != where]
-        self.contradicted.pop(where, None)
+        self.drains = [one for one in self.drains if one[0] != at_location]
+        self.contradicted.pop(at_location, None)
 
     def review(self, now: float, version: int) -> None:
         entries = []
         for hop_id in [hop_id for hop_id, until in self.withheld.items() if until <= now]:
             del self.withheld[hop_id]
-            hop = self.hops[hop_id] = self.maintained(self.listed_hops[hop_id])
+            hop = self.hops[hop_id] = self.effective(self.listed_hops[hop_id])
             entries.append(hop.entry)
         if entries:
-            self.told.append(Targets(ListKind.DELTA, version, tuple(entries)))
+            self.events.append(Targets(ListKind.DELTA, version, tuple(entries)))
 
     def set_detached(self, detached: set[str], version: int) -> None:
         changed, self.detached = detached ^ self.detached, set(detached)
         entries = []
         for hop_id in sorted(changed):
             if (listed := self.listed_hops.get(hop_id)) is not None:
-                hop = self.hops[hop_id] = self.maintained(listed)
+                hop = self.hops[hop_id] = self.effective(listed)
                 entries.append(hop.entry)
                 if hop_id in self.detached:
                     self.closed.append(hop_id)
         if entries:
-            self.told.append(Targets(ListKind.DELTA, version, tuple(entries)))
+            self.events.append(Targets(ListKind.DELTA, version, tuple(entries)))
 
-    def set_budget_shares(self, parts: Mapping[int, float], version: int) -> None:
+    def set_budget_shares(self, shares: Mapping[int, float], version: int) -> None:
         changed = {
-            dest for dest in {*parts, *self.budget_shares} if parts.get(dest) != self.budget_shares.get(dest)
+            dest
+            for dest in {*shares, *self.budget_shares}
+            if shares.get(dest) != self.budget_shares.get(dest)
         }
-        self.budget_shares = dict(parts)
+        self.budget_shares = dict(shares)
         entries = []
         for hop_id, listed in self.listed_hops.items():
             if listed.entry.owner in changed:
-                hop = self.hops[hop_id] = self.maintained(listed)
+                hop = self.hops[hop_id] = self.effective(listed)
                 entries.append(hop.entry)
         if entries:
-            self.told.append(Targets(ListKind.DELTA, version, tuple(entries)))
+            self.events.append(Targets(ListKind.DELTA, version, tuple(entries)))
 
-    def maintained(self, hop: NextHop) -> NextHop:
+    def effective(self, hop: NextHop) -> NextHop:
         out = hop.id in self.detached or hop.id in self.withheld
         if out and hop.entry.readiness == Readiness.READY:
             hop = hop._replace(entry=hop.entry._replace(readiness=Readiness.DRAINING))
-        if (part := self.budget_shares.get(hop.entry.owner)) is not None:
-            hop = hop._replace(entry=hop.entry._replace(scale=part * self.balancers))
+        if (share := self.budget_shares.get(hop.entry.owner)) is not None:
+            hop = hop._replace(entry=hop.entry._replace(scale=share * self.balancers))
         return hop
 
 
-def place(hop: NextHop) -> tuple[object, ...]:
+def location(hop: NextHop) -> tuple[object, ...]:
     return (*hop[:3], hop.entry.owner)
 
 
-def drawn(rng: Random, most: int) -> tuple[NextHop, ...]:
-    """A few of 24 ids on 9 destinations: some twice, some moved, some that could not be read."""
+def drawn(rng: Random, max_count: int) -> tuple[NextHop, ...]:
+    """A few of 24 ids on 9 destinations: some occur twice, some have moved, some are unreadable entries."""
     found = []
-    for _ in range(rng.randint(0, most)):
+    for _ in range(rng.randint(0, max_count)):
         name = f"h{rng.randrange(24)}"
         if rng.random() < 0.05:
             gone = Entry(Readiness.GONE, 0.0, 0.0, 0, -1, 0, name.encode())
@@ -168,7 +170,7 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_the_same_state_events_and_closings_as_the_reference(tmp_path: Path, seed: int) -> None:
+def test_state_events_and_closed_connections_match_the_reference(tmp_path: Path, seed: int) -> None:
     rng, bench, closed = Random(seed), Bench(tmp_path), list[str]()
     sender = bench.sender
     setattr(bench, "close_idle", closed.append)  # noqa: B010
@@ -182,7 +184,7 @@
         if sender._review_at <= bench.time:
             sender._review(sender._review_at)
         plain.review(bench.time, sender.version)
-        version = max(0, newest - rng.choice([0, 0, 0, 1, 10]))  # some lists are older than what is known
+        version = max(0, newest - rng.choice([0, 0, 0, 1, 10]))  # some lists are older than the known version
         match rng.choice(["delta"] * 6 + ["whole", "set_detached", "set_budget_shares", "wait", "wait"]):
             case "delta":
                 update = MapUpdate(version, False, drawn(rng, 4))
@@ -197,94 +199,96 @@
                 sender.set_detached(detached)
                 plain.set_detached(detached, sender.version)
             case "set_budget_shares":
-                parts = {rng.randrange(9): rng.choice([1.0, 2.0, 5.0]) for _ in range(rng.randint(0, 4))}
-                sender.set_budget_shares(parts)
-                plain.set_budget_shares(parts, sender.version)
+                shares = {rng.randrange(9): rng.choice([1.0, 2.0, 5.0]) for _ in range(rng.randint(0, 4))}
+                sender.set_budget_shares(shares)
+                plain.set_budget_shares(shares, sender.version)
             case "wait":
                 limit, until = rng.choice([f"h{rng.randrange(24)}", rng.randrange(9)]), rng.uniform(0, 30)
                 sender.waits[limit] = plain.waits[limit] = bench.time + until
         events = [event for event in sender._ready if isinstance(event, Targets)]
-        assert events == plain.told and closed == plain.closed
+        assert events == plain.events and closed == plain.closed
         assert list(sender.hops.items()) == list(plain.hops.items())
         assert list(sender.listed_hops.items()) == list(plain.listed_hops.items())
         assert (sender.listed, sender.waits) == (plain.listed, plain.waits)
         assert (sender.detached, sender.budget_shares) == (plain.detached, plain.budget_shares)
         assert sender.table.withheld == plain.withheld
         withheld += len(plain.withheld)
-    assert len(plain.closed) > 20 and len(plain.told) > 40 and withheld >= 5
+    assert len(plain.closed) > 20 and len(plain.events) > 40 and withheld >= 5
 
 
-def one_of(count: int, readiness: Readiness = Readiness.READY, port: int = 1, owner: int = 2) -> NextHop:
+def next_hop(count: int, readiness: Readiness = Readiness.READY, port: int = 1, owner: int = 2) -> NextHop:
     entry = Entry(readiness, 0.0, 0.0, 0, owner, 0, b"h%d" % count)
     return NextHop(f"h{count}", "127.0.0.1", port, entry)
 
 
 def visited(folder: Path, listed: int) -> list[int]:
-    """Elements visited by each of several changes of one endpoint, with so many listed, half of them left."""
+    """Elements visited by each of several changes of one endpoint in a list of this size, which was twice as
+    long before.
+    """
     folder.mkdir()
     bench, visits = Bench(folder), list[object]()
     sender = bench.sender
-    sender.start(MapUpdate(0, True, tuple(one_of(n, owner=n) for n in range(2 * listed))))
-    sender.list_changed(MapUpdate(1, True, tuple(one_of(n, owner=n) for n in range(listed))))
+    sender.start(MapUpdate(0, True, tuple(next_hop(n, owner=n) for n in range(2 * listed))))
+    sender.list_changed(MapUpdate(1, True, tuple(next_hop(n, owner=n) for n in range(listed))))
     for n in range(listed):
         sender.waits[n] = bench.time + 60.0
-    sender.set_budget_shares({9: 2.0})  # the first time it may walk over all
+    sender.set_budget_shares({9: 2.0})  # the first call may visit all of them
     watch(sender.table, visits)
     sender.waits = counting(sender.waits, visits)
     found = []
     for step in (
-        MapUpdate(2, False, (one_of(5, Readiness.DRAINING, owner=5),)),
-        MapUpdate(3, False, (one_of(5, port=2, owner=5),)),
-        MapUpdate(4, False, (one_of(5, Readiness.GONE, owner=5),)),
-        MapUpdate(5, False, (one_of(3 * listed, owner=3 * listed),)),
-        MapUpdate(6, False, (one_of(7, owner=8),)),
+        MapUpdate(2, False, (next_hop(5, Readiness.DRAINING, owner=5),)),
+        MapUpdate(3, False, (next_hop(5, port=2, owner=5),)),
+        MapUpdate(4, False, (next_hop(5, Readiness.GONE, owner=5),)),
+        MapUpdate(5, False, (next_hop(3 * listed, owner=3 * listed),)),
+        MapUpdate(6, False, (next_hop(7, owner=8),)),
         MapUpdate(7, False, ()),
     ):
         visits.clear()
         sender.list_changed(step)
         found.append(len(visits))
-    for parts in ({9: 3.0}, {9: 4.0}, {}):
+    for shares in ({9: 3.0}, {9: 4.0}, {}):
         visits.clear()
-        sender.set_budget_shares(parts)
+        sender.set_budget_shares(shares)
         found.append(len(visits))
     visits.clear()
     sender.set_detached({"h11"})
     return [*found, len(visits)]
 
 
-def test_a_change_of_one_endpoint_visits_as_many_of_50000_as_of_1000(tmp_path: Path) -> None:
+def test_a_change_of_one_endpoint_visits_as_many_elements_of_50000_as_of_1000(tmp_path: Path) -> None:
     few, many = visited(tmp_path / "few", 1_000), visited(tmp_path / "many", 50_000)
     assert few == many and max(many) < 100
 
 
-def test_the_count_sees_what_the_reference_visits() -> None:
-    """Else the test above could not fail."""
+def test_the_count_includes_the_visits_of_the_reference() -> None:
+    """Otherwise the test above could not fail."""
     visits, plain = list[object](), Reference(1)
     plain.apply_update(
-        MapUpdate(0, True, tuple(one_of(n, owner=n) for n in range(1_000))), ListKind.CACHED, 1.0
+        MapUpdate(0, True, tuple(next_hop(n, owner=n) for n in range(1_000))), ListKind.CACHED, 1.0
     )
     watch(plain, visits)
     plain.set_budget_shares({9: 3.0}, 0)
     assert len(visits) == 1_000
 
 
-def test_waits_that_are_over_do_not_pile_up(tmp_path: Path) -> None:
-    """Each change looks at a bounded part of them; those that hold are all kept meanwhile."""
+def test_elapsed_waits_do_not_accumulate(tmp_path: Path) -> None:
+    """Each change checks a bounded number of waits; those that still apply are all kept."""
     bench = Bench(tmp_path)
     sender = bench.sender
-    sender.start(MapUpdate(0, True, (one_of(0),)))
+    sender.start(MapUpdate(0, True, (next_hop(0),)))
     for n in range(5_000):
         sender.waits[n] = bench.time + (0.5 if n % 5 else 1e6)
     bench.time += 1.0
-    holding = {limit: until for limit, until in sender.waits.items() if until > bench.time}
+    active = {limit: until for limit, until in sender.waits.items() if until > bench.time}
     for version in range(80):
         sender.list_changed(MapUpdate(version, False, ()))
-        assert holding.items() <= sender.waits.items()
+        assert active.items() <= sender.waits.items()
     assert len(sender.waits) == 1_000
 
 
 @pytest.mark.parametrize("listed", [100, 2_000])
-def test_closing_one_next_hops_connections_passes_over_those_of_others(listed: int) -> None:
+def test_closing_a_next_hops_idle_connections_does_not_visit_those_of_others(listed: int) -> None:
     class Idle:
         state, idle_since = State.IDLE, 0.0
 
@@ -302,7 +306,7 @@
         made = []
         for n in range(listed):
             for port in (1, 2):
-                hop = one_of(n, port=port)
+                hop = next_hop(n, port=port)
                 idle = Idle(hops._lost((hop.id, hop.host, hop.port)))
                 hops._rest(SimpleNamespace(call=SimpleNamespace(hop=hop), last=False), idle)  # type: ignore[arg-type]
                 made.append(idle)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The lasting log, against a model of what it must remember."""
+"""The journal against a model of what it must preserve."""
 
 from __future__ import annotations
 
@@ -23,37 +23,36 @@
 
 
 class Model(RuleBasedStateMachine):
-    """Whatever the steps: a new process finds just what was told, and the folder keeps to its limit."""
+    """After any steps a new process finds just what was recorded, and the folder keeps its limit."""
 
     def __init__(self) -> None:
         super().__init__()
         self.folder = TemporaryDirectory()
         self.path = Path(self.folder.name)
         self.journal = Journal(self.path, DISK)
-        self.live: dict[
-            str, tuple[bytes, int, int, MessageOutcome | None]
-        ] = {}  # body, attempts, may have run, notice
-        self.ended: dict[str, MessageOutcome] = {}
+        # By id: body, attempts, attempts that may have run, notice.
+        self.live: dict[str, tuple[bytes, int, int, MessageOutcome | None]] = {}
+        self.finished: dict[str, MessageOutcome] = {}
         self.last = 0
 
-    def pick(self, place: int) -> str:
-        return list(self.live)[place % len(self.live)]
+    def pick(self, position: int) -> str:
+        return list(self.live)[position % len(self.live)]
 
     @rule(size=st.sampled_from([0, 10, 4000, 40_000]))
-    def take(self, size: int) -> None:
+    def submit(self, size: int) -> None:
         self.last += 1
         name, body = f"m{self.last}", os.urandom(size)
-        room = self.journal.has_capacity(size)
-        if room:
+        has_capacity = self.journal.has_capacity(size)
+        if has_capacity:
             self.journal.accept(stored(name, body))
             self.live[name] = (body, 0, 0, None)
         else:
             assert sum(len(body) for body, *_ in self.live.values()) + size > DISK / 4
 
     @precondition(lambda self: self.live)
-    @rule(place=st.integers(0, 99), never=st.booleans())
-    def attempt(self, place: int, never: bool) -> None:
-        name = self.pick(place)
+    @rule(position=st.integers(0, 99), never=st.booleans())
+    def attempt(self, position: int, never: bool) -> None:
+        name = self.pick(position)
         body, attempts, ran, notice = self.live[name]
         if attempts < 8:
             self.journal.attempt([name], 12.25, 0)
@@ -62,20 +61,20 @@
             self.live[name] = (body, attempts + 1, ran + (not never), notice)
 
     @precondition(lambda self: self.live)
-    @rule(place=st.integers(0, 99), again=st.integers(0, 9000))
-    def give_up(self, place: int, again: int) -> None:
-        name = self.pick(place)
-        end = MessageOutcome(Status.DEFERRED, again)
+    @rule(position=st.integers(0, 99), again_ms=st.integers(0, 9000))
+    def give_up(self, position: int, again_ms: int) -> None:
+        name = self.pick(position)
+        end = MessageOutcome(Status.DEFERRED, again_ms)
         self.journal.abandon(name, end)
         self.live[name] = (*self.live[name][:3], end)
 
     @precondition(lambda self: self.live)
-    @rule(place=st.integers(0, 99), status=st.sampled_from(Status))
-    def end(self, place: int, status: Status) -> None:
-        name = self.pick(place)
+    @rule(position=st.integers(0, 99), status=st.sampled_from(Status))
+    def finish(self, position: int, status: Status) -> None:
+        name = self.pick(position)
         self.journal.finish(name, MessageOutcome(status))
         del self.live[name]
-        self.ended[name] = MessageOutcome(status)
+        self.finished[name] = MessageOutcome(status)
 
     @rule(torn=st.sampled_from([b"", b"\x07", b"\xff" * 40, b"\x05\0\0\0\x01\x02\x03\x04T[1]"]))
     def restart(self, torn: bytes) -> None:
@@ -87,8 +86,8 @@
 
     @rule(torn=st.sampled_from([b"", b"\x07", b"\x05\0\0\0\x01\x02\x03\x04T[1]"]))
     def hand_over(self, torn: bytes) -> None:
-        """A new process beside the old: it hears of nothing until the old one is killed, at whatever step,
-        then adopts all that was live there, and the old file goes."""
+        """A new process runs beside the old one. It knows none of its messages until the old one is killed,
+        at any step; then it adopts all live ones, and the old file is removed."""
         new = Journal(self.path, DISK)
         assert new.slot != self.journal.slot and new.unadopted and new.adopt() == []
         self.journal.close()
@@ -99,13 +98,13 @@
         self.journal = new
 
     @invariant()
-    def remembers(self) -> None:
+    def preserves_the_model(self) -> None:
         found = {
             name: (one.body, one.attempts, len(one.ran), one.notice)
             for name, one in self.journal.live.items()
         }
         assert found == self.live
-        assert all(self.ended[name] == end for name, end in self.journal.outcomes.items())
+        assert all(self.finished[name] == end for name, end in self.journal.outcomes.items())
         used = sum(-(-file.stat().st_size // 512) * 512 for file in self.path.iterdir())
         assert used <= DISK
 
@@ -118,8 +117,8 @@
 TestModel = Model.TestCase
 
 
-def test_full_disk_is_no_crash_and_leaves_whole_records(tmp_path: Path) -> None:
-    """ENOSPC after half a record: what follows must still be readable, as the half would hide all of it."""
+def test_a_full_disk_causes_no_crash_and_leaves_complete_records(tmp_path: Path) -> None:
+    """ENOSPC after half a record: that half must not make the records after it unreadable."""
     files = FailingFiles()
     journal = Journal(tmp_path, DISK, files=files)
     journal.accept(stored("a"))
@@ -134,25 +133,25 @@
     assert set(again.live) == {"c"} and set(again.outcomes) == {"a"} and again.truncated_bytes == 0
 
 
-def test_leftover_of_a_compaction_is_removed(tmp_path: Path) -> None:
+def test_the_spare_file_of_an_interrupted_compaction_is_removed(tmp_path: Path) -> None:
     (tmp_path / "journal.new").write_bytes(b"half")
     Journal(tmp_path, DISK).close()
     assert sorted(file.name for file in tmp_path.iterdir()) == ["journal", "lock"]
 
 
-def test_slots_are_one_process_each_and_all_held_is_refused(tmp_path: Path) -> None:
-    held = [Journal(tmp_path, DISK, slots=2) for _ in range(2)]
-    assert [j.slot for j in held] == [0, 1]
+def test_a_slot_is_for_one_process_and_a_process_without_a_slot_fails(tmp_path: Path) -> None:
+    journals = [Journal(tmp_path, DISK, slots=2) for _ in range(2)]
+    assert [j.slot for j in journals] == [0, 1]
     with pytest.raises(OSError, match="in use"):
         Journal(tmp_path, DISK, slots=2)
-    for journal in held:
+    for journal in journals:
         journal.close()
 
 
 @pytest.mark.parametrize("crash", [False, True])
-def test_hand_over_adopts_what_is_live_once_the_old_process_has_gone(tmp_path: Path, crash: bool) -> None:
-    """The new process hears of the old one's messages only once it has gone; a crash in the adoption
-    (after the append, before the old file goes) leaves them twice, and read twice they are the same."""
+def test_a_hand_over_adopts_live_messages_once_the_old_process_has_ended(tmp_path: Path, crash: bool) -> None:
+    """The new process gets the old one's messages only once that has ended. A crash in the adoption (after
+    the append, before the old file is removed) leaves two copies, which count as one message."""
     old = Journal(tmp_path, DISK)
     old.accept(stored("a"))
     old.accept(stored("b"))
@@ -161,7 +160,7 @@
     files = FailingFiles()
     new = Journal(tmp_path, DISK, files=files)
     assert new.slot == 1 and new.unadopted == [tmp_path / "journal"] and not new.live
-    assert new.adopt() == [] and not new.live  # still held: never two processes on one message
+    assert new.adopt() == [] and not new.live  # still locked: never two processes with one message
     old.accept(stored("c"))
     old.close()
     if crash:
@@ -169,7 +168,7 @@
         with pytest.raises(Killed):
             new.adopt()
         files.heal()
-        new.close()  # SIGKILL: both files are there
+        new.close()  # SIGKILL: both files exist
         new = Journal(tmp_path, DISK)
         assert new.slot == 0
     else:
@@ -179,6 +178,6 @@
     assert new.outcomes["b"].status == "delivered"
     new.finish("a", MessageOutcome(Status.DELIVERED))
     new.close()
-    again = Journal(tmp_path, DISK)  # whatever is left on disk, "a" stays ended and nothing is doubled
+    again = Journal(tmp_path, DISK)  # whatever is left on disk, "a" stays finished and nothing is duplicated
     assert sorted(again.live) == ["c"] and "a" in again.outcomes
     assert [p.name for p in tmp_path.glob("journal*")] == [again.path.name]
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -1,4 +1,6 @@
-"""The core without any wire: take-on, the last look before the first byte, restarts, told waits."""
+"""The core without a wire protocol: acceptance, the last check before the first byte, restarts and required
+waits.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +34,7 @@
 
 
 class Bench(SteppedClocks):
-    """The core's ports, and time that only moves when told to."""
+    """Implements the core's ports, with a clock that only the test advances."""
 
     def __init__(
         self,
@@ -72,9 +74,9 @@
 
     def snapshot(self) -> None: ...
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        assert msg_id not in self.outcomes, "a second end"
-        self.outcomes[msg_id], self.told[msg_id] = end, told
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, told: Callable[[], None]) -> None:
+        assert msg_id not in self.outcomes, "a second outcome"
+        self.outcomes[msg_id], self.told[msg_id] = outcome, told
 
     def pass_time(self, seconds: float) -> None:
         until = self.time + seconds
@@ -112,8 +114,8 @@
     return made
 
 
-def test_another_endpoint_under_an_old_id_inherits_nothing(bench: Bench) -> None:
-    """Its id was known, so its health, its destination and its connections were taken to be the old one's."""
+def test_another_endpoint_with_a_known_id_inherits_no_state(bench: Bench) -> None:
+    """As the id was known, the new endpoint used to get the old one's health, destination and connections."""
     closed: list[str] = []
     setattr(bench.sender.next_hops, "close_idle", closed.append)  # noqa: B010
     old = bench.sender.policy.eps[b"h0"]
@@ -130,7 +132,7 @@
     assert closed == ["h0", "h0"] and not bench.sender.policy.eps
 
 
-def test_endpoints_that_come_and_go_leave_nothing_behind(bench: Bench) -> None:
+def test_listed_and_removed_endpoints_leave_no_state(bench: Bench) -> None:
     for n in range(300):
         bench.sender.list_changed(bench.hops(Readiness.GONE, full=False, first=n))
         bench.sender.list_changed(bench.hops(Readiness.READY, full=False, first=n + 1, cell=n))
@@ -141,7 +143,7 @@
     assert len(policy.dests) < 60 and len(bench.sender.listed) < 200
 
 
-def test_taken_on_then_attempted_then_ended(bench: Bench) -> None:
+def test_a_message_is_accepted_attempted_and_delivered(bench: Bench) -> None:
     bench.submit("a")
     assert not bench.answers
     bench.pass_time(0.01)
@@ -157,8 +159,10 @@
     )
 
 
-def test_nothing_is_taken_on_that_could_be_neither_sent_nor_ended(bench: Bench) -> None:
-    """The way to the platform is cut, and the list is not believed any more: its end could not be told."""
+def test_no_message_is_accepted_that_could_neither_be_sent_nor_have_its_outcome_reported(
+    bench: Bench,
+) -> None:
+    """The network to the platform is cut and the list lease has ended, so no outcome could be reported."""
     cut = True
     bench.sender.admission.cut_off = lambda: cut
     bench.submit("a")
@@ -174,7 +178,7 @@
     assert bench.answers["b"] == Accepted() and len(bench.calls) == 1
 
 
-def test_what_arrives_in_one_tick_travels_as_one_call(tmp_path: Path) -> None:
+def test_messages_of_one_tick_share_a_call(tmp_path: Path) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY, kind=1))
     bench.pass_time(0.01)
@@ -185,8 +189,8 @@
 
 
 @pytest.mark.parametrize("late", ["drained", "gone", "absent", "wait", "ended", "expired", "moved"])
-def test_last_look_before_the_first_byte(bench: Bench, late: str) -> None:
-    """A slow connect outlives what was decided: nothing may leave then, and no attempt is on record."""
+def test_last_check_before_the_first_byte(bench: Bench, late: str) -> None:
+    """A slow connect outlasts the decision: nothing may be sent then, and no attempt is recorded."""
     bench.submit("a", left=2.0)
     bench.pass_time(0.01)
     call = bench.calls[0]
@@ -214,7 +218,7 @@
     assert "a" not in bench.journal.live or bench.journal.live["a"].attempts == 0
 
 
-def test_never_two_out_and_never_to_another_destination(bench: Bench) -> None:
+def test_a_message_never_has_two_calls_in_flight_and_never_goes_to_another_destination(bench: Bench) -> None:
     bench.submit("a")
     bench.pass_time(0.01)
     number = bench.calls[0].items[0].number
@@ -227,7 +231,7 @@
     assert outcomes == [Outcome.MOOT] * 3
 
 
-def test_over_at_the_next_hop_owes_nothing_more(bench: Bench) -> None:
+def test_a_message_that_the_next_hop_reports_as_finished_needs_no_outcome(bench: Bench) -> None:
     bench.submit("a")
     bench.pass_time(0.01)
     call = bench.calls[0]
@@ -241,10 +245,10 @@
     )
 
 
-def test_a_fault_in_the_module_does_not_lose_the_message(
+def test_a_failure_of_the_module_does_not_lose_the_message(
     bench: Bench, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The turn goes on for all others, and the watchdog ends in time what the module has dropped."""
+    """The turn continues for the other messages, and the watchdog finishes the lost one in time."""
 
     def fault(*_: object) -> None:
         raise RuntimeError("a fault")
@@ -260,7 +264,7 @@
     assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
 
-def test_given_up_is_told_at_once_and_journalled_first(bench: Bench) -> None:
+def test_an_abandoned_message_is_journalled_and_then_reported_at_once(bench: Bench) -> None:
     bench.submit("a", grade=2, left=5.0)
     bench.pass_time(0.01)
     call = bench.calls[0]
@@ -268,12 +272,14 @@
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.RESET)})
     bench.pass_time(0.02)
     assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
-    assert bench.journal.live["a"].notice == MessageOutcome(Status.UNDELIVERABLE)  # until the platform has it
+    assert bench.journal.live["a"].notice == MessageOutcome(
+        Status.UNDELIVERABLE
+    )  # until the platform has received it
     bench.told["a"]()
     assert not bench.journal.live and bench.journal.outcomes["a"] == MessageOutcome(Status.UNDELIVERABLE)
 
 
-def test_deferred_says_when_to_come_again(bench: Bench) -> None:
+def test_a_deferred_message_gets_a_retry_delay(bench: Bench) -> None:
     for number in range(60):
         bench.submit(f"m{number}")
     bench.pass_time(0.01)
@@ -283,8 +289,8 @@
     assert len(bench.journal.live) == len(bench.sender.pending) <= 40
 
 
-def test_the_same_id_is_taken_on_once(bench: Bench) -> None:
-    """A request that crossed a close comes a second time, also in the very same turn."""
+def test_the_same_id_is_accepted_once(bench: Bench) -> None:
+    """A request that crossed the close of a connection is submitted again, even in the same turn."""
     bench.submit("twice")
     bench.submit("twice")
     bench.pass_time(0.02)
@@ -298,8 +304,10 @@
     assert bench.answers == {"twice": MessageOutcome(Status.DELIVERED)} and len(bench.calls) == 1
 
 
-def test_second_of_an_id_whose_first_is_deferred_in_its_turn(bench: Bench) -> None:
-    """Were it told that it is taken on, nobody would owe that message its end."""
+def test_a_repeated_id_is_not_accepted_if_its_first_submission_is_deferred_in_the_same_turn(
+    bench: Bench,
+) -> None:
+    """Answered as accepted, the repeated message would never get an outcome."""
     for number in range(60):
         bench.submit(f"twice{number}")
         bench.submit(f"twice{number}")
@@ -308,7 +316,7 @@
     assert len(bench.answers) == 60 and all(name in bench.sender.numbers_by_id for name in taken)
 
 
-def test_no_room_on_disk_defers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_defers_messages(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     bench = Bench(tmp_path, disk=200_000)
     bench.sender.start(bench.hops(Readiness.READY))
     for number in range(10):
@@ -324,13 +332,13 @@
     bench.submit("z")
     bench.pass_time(0.02)
     assert bench.answers["z"] == MessageOutcome(Status.DEFERRED)
-    assert bench.sender.admit(bench.calls[0], bench.calls[0].items) == []  # not on record: not sent
+    assert bench.sender.admit(bench.calls[0], bench.calls[0].items) == []  # not recorded, so not sent
 
 
 @pytest.mark.parametrize(("index", "ran", "calls", "end"), [
     (0, True, 2, None), (1, True, 2, None), (2, True, 1, Status.UNDELIVERABLE), (2, False, 2, None),
 ])  # fmt: skip
-def test_restart_knows_what_may_have_run(
+def test_a_restart_knows_which_messages_may_have_run(
     tmp_path: Path, index: int, ran: bool, calls: int, end: Status | None
 ) -> None:
     bench = Bench(tmp_path)
@@ -343,18 +351,18 @@
     if not ran:
         bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.CONNECT_FAILED)})
     bench.journal.close()
-    again = Bench(tmp_path, time=50.0, ahead=1_000_052.0, boot="two")  # the wall's clock is what lasts
+    again = Bench(tmp_path, time=50.0, ahead=1_000_052.0, boot="two")  # only the wall clock continues
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.03)
     assert len(bench.calls) + len(again.calls) == calls
     assert again.outcomes.get("a", MessageOutcome(Status.DELIVERED)).status is (end or Status.DELIVERED)
     if end is None:
-        held = next(iter(again.sender.pending.values()))
-        assert held.expires == pytest.approx(again.time + 10 - 2, abs=0.1) and held.issued == 2
+        message = next(iter(again.sender.pending.values()))
+        assert message.expires == pytest.approx(again.time + 10 - 2, abs=0.1) and message.issued == 2
 
 
 @pytest.mark.parametrize("left", [0.5, 3.0])
-def test_restart_tells_at_once_what_is_out_of_time_or_given_up(tmp_path: Path, left: float) -> None:
+def test_a_restart_reports_expired_and_abandoned_messages_at_once(tmp_path: Path, left: float) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.DRAINING))
     bench.submit("a", left=left)
@@ -371,7 +379,7 @@
     assert left < 1 or again.outcomes["a"] == MessageOutcome(Status.DEFERRED, 70)
 
 
-def test_stop_leaves_the_rest_in_the_journal(bench: Bench) -> None:
+def test_a_stop_leaves_unfinished_messages_in_the_journal(bench: Bench) -> None:
     bench.submit("a")
     bench.pass_time(0.01)
     bench.submit("b")
@@ -386,7 +394,7 @@
     assert set(bench.journal.live) == {"a"} and not bench.outcomes
 
 
-def test_item_that_expires_before_its_call_is_ended_in_time(tmp_path: Path) -> None:
+def test_a_message_that_expires_before_its_call_is_finished_in_time(tmp_path: Path) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY, kind=1))
     bench.pass_time(0.01)
@@ -403,11 +411,11 @@
     ] != MessageOutcome(Status.DELIVERED)
 
 
-def test_a_crowd_is_decided_on_in_parts_and_what_has_ended_wakes_nobody(bench: Bench) -> None:
+def test_a_burst_is_decided_on_in_several_turns_and_finished_messages_cause_no_wakeups(bench: Bench) -> None:
     for n in range(100):
         bench.submit(f"m{n}")
     bench.pass_time(0.005)
-    assert len(bench.answers) == 64  # what else waits for the loop goes first
+    assert len(bench.answers) == 64  # the event loop does its other work before the rest
     bench.pass_time(0.005)
     assert len(bench.answers) == 100 and Accepted() in bench.answers.values()
     done = 0
@@ -427,9 +435,9 @@
     assert turns[0] <= 3
 
 
-def test_a_fault_in_a_turn_leaves_the_watchdogs_of_all_messages(bench: Bench) -> None:
-    """Without a further event nobody else would wake the sender, and what it holds would never end."""
-    bench.sender.hops.clear()  # nothing can go, so nothing but the timers wakes it
+def test_a_failed_turn_keeps_the_watchdogs_of_all_messages(bench: Bench) -> None:
+    """Without a further event nothing else wakes the sender, and pending messages would never finish."""
+    bench.sender.hops.clear()  # no message can be sent, so only the timers wake the sender
     bench.submit("held", left=1.0)
     bench.pass_time(0.01)
 
@@ -443,8 +451,8 @@
     assert set(bench.outcomes) == {"held"}
 
 
-def test_what_waits_by_destination_and_endpoint(bench: Bench) -> None:
-    """Held messages are counted over the smaller of messages and destinations: the same either way."""
+def test_waiting_calls_and_messages_are_counted_by_destination_and_endpoint(bench: Bench) -> None:
+    """Queued messages are counted over the smaller of messages and destinations, with the same result."""
     sender, policy = bench.sender, bench.sender.policy
     setattr(sender, "list_lease", lambda dest: LeaseEnd.EXPIRED)  # noqa: B010
     for n in range(30):
@@ -452,9 +460,9 @@
     bench.pass_time(0.01)
     for others in range(2):
         assert (len(policy.msgs) < len(policy.dests)) is bool(others)
-        held = {(dest.id, ""): len(dest.held) for dest in policy.dests.values() if dest.held}
-        assert sum(held.values()) > 1 and len(sender.attempts.parked) > 1
-        assert sender.waiting == {**held, (7, "h0"): len(sender.attempts.parked)}
+        queued = {(dest.id, ""): len(dest.held) for dest in policy.dests.values() if dest.held}
+        assert sum(queued.values()) > 1 and len(sender.attempts.parked) > 1
+        assert sender.waiting == {**queued, (7, "h0"): len(sender.attempts.parked)}
         for dest in range(100, 200):
             sender.remember(Remembered(dest, 0.0, 1.0))
         bench.pass_time(0.01)
--- a/tests/test_unreadable_files.py
+++ b/tests/test_unreadable_files.py
@@ -1,4 +1,4 @@
-"""A configuration that the system does not let be read for a moment is read as soon as it can (issue 40)."""
+"""A configuration file that is temporarily unreadable is read as soon as that is possible (issue 40)."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 def unreadable(monkeypatch: pytest.MonkeyPatch, file: Path, times: int, error: int = errno.EIO) -> list[int]:
-    """The next reads of this file fail; how many are left to."""
-    left = [times]
+    """Make the next reads of this file fail; returns how many failures remain."""
+    remaining = [times]
     for name in ("read_bytes", "read_text"):
         read = getattr(Path, name)
 
         def failing(path: Path, *args: Any, read: Any = read, **options: Any) -> Any:
-            if path == file and left[0] > 0:
-                left[0] -= 1
+            if path == file and remaining[0] > 0:
+                remaining[0] -= 1
                 raise OSError(error, os.strerror(error))
             return read(path, *args, **options)
 
         monkeypatch.setattr(Path, name, failing)
-    return left
+    return remaining
 
 
 def configured(folder: Path, discovery: str) -> Path:
@@ -55,15 +55,17 @@
 
 @pytest.fixture
 def platform(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """The platform's configuration of a sender, which its environment names."""
+    """The platform's configuration file of a sender, named in its environment."""
     file = configured(tmp_path, "127.0.0.1:7001")
     monkeypatch.setenv("GW_CONFIG", str(file))
     monkeypatch.setenv("GW_STATE", str(tmp_path / "state"))
     return file
 
 
-def test_a_start_waits_for_its_configuration(platform: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It ended with 2, as over a faulty file."""
+def test_a_start_waits_for_an_unreadable_configuration(
+    platform: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The process exited with status 2, as for an invalid file."""
 
     async def main() -> None:
         unreadable(monkeypatch, platform, 2)
@@ -74,9 +76,7 @@
     run(main())
 
 
-def test_a_configuration_that_is_not_there_is_said_at_once(
-    platform: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_missing_configuration_is_reported_at_once(platform: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         unreadable(monkeypatch, platform, 9, errno.ENOENT)
         with pytest.raises(ConfigError):
@@ -85,25 +85,25 @@
     run(main())
 
 
-def test_a_reload_is_done_as_soon_as_the_configuration_can_be_read(
+def test_a_reload_completes_as_soon_as_the_configuration_is_readable(
     platform: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What the new discovery tells counts 4 s after the signal, whether the file could be read or not."""
+    """The new discovery's list applies 4 s after the signal, whether or not the file was readable."""
 
     async def main() -> None:
         runtime = PlatformRuntime(Config.load())
         configured(platform.parent, "127.0.0.1:7002")
-        left = unreadable(monkeypatch, platform, 2)
+        remaining = unreadable(monkeypatch, platform, 2)
         runtime.reload()
-        runtime.reload()  # two signals are one reload
+        runtime.reload()  # two signals cause one reload
         await until(lambda: runtime.config.discovery == Address("127.0.0.1", 7002), 4.0)
-        assert not left[0]
+        assert not remaining[0]
         runtime.close()
 
     run(main())
 
 
-def test_an_operators_reload_is_done_as_soon_as_the_file_can_be_read(
+def test_an_operators_reload_completes_as_soon_as_the_file_is_readable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
@@ -116,7 +116,7 @@
     run(main())
 
 
-def test_a_relays_reload_is_done_as_soon_as_its_file_can_be_read(
+def test_a_relays_reload_completes_as_soon_as_its_file_is_readable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
@@ -131,7 +131,7 @@
     run(main())
 
 
-def test_an_agents_reload_is_done_as_soon_as_its_file_can_be_read(
+def test_an_agents_reload_completes_as_soon_as_its_file_is_readable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for name in ("a", "b"):
