--- a/tests/faults/__init__.py
+++ b/tests/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of faults below the sender: clocks that are stepped, disks and system calls that fail."""
+"""Tests of faults below the sender: stepped clocks, and disks and system calls that fail."""
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -1,6 +1,6 @@
-"""The durable folder fails for a while, at each call, and a kill leaves a record half written at each byte.
+"""Temporary failures of each file system call, and records that a kill truncates at each byte.
 
-Where a process is killed, its journal is closed with the disk still failing, and read by the next one.
+A killed process is simulated by closing its journal while the disk fails; the next process reads it.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 DISK = 300_000
 DELIVERED = MessageOutcome(Status.DELIVERED)
 DEFERRED = MessageOutcome(Status.DEFERRED, 70)
-ONCE = 2  # a class of which nothing may run twice
+ONCE = 2  # a message class that must never run twice
 OUTAGE = 2.0  # s
 
 errors = pytest.mark.parametrize("error", [errno.EIO, errno.ENOSPC])
@@ -54,7 +54,7 @@
     return StoredMessage(msg_id, "note", 1000.5, 7, "key", "platform", body)
 
 
-def holding(folder: Path, *names: str) -> tuple[Journal, FailingFiles]:
+def journal_with(folder: Path, *names: str) -> tuple[Journal, FailingFiles]:
     files = FailingFiles()
     journal = Journal(folder, DISK, files=files)
     for name in names:
@@ -63,7 +63,7 @@
 
 
 def killed(journal: Journal, files: FailingFiles) -> None:
-    """The process ends here: what it has not written it never will."""
+    """Kill the process: what it has not written is lost."""
     files.fails |= {"write", "truncate", "open", "replace", "unlink"}
     journal.close()
 
@@ -88,7 +88,7 @@
 }
 
 
-def said(journal: Journal) -> object:
+def state_of(journal: Journal) -> object:
     live = {i: (one.attempts, len(one.ran), one.notice) for i, one in journal.live.items()}
     return live, dict(journal.outcomes)
 
@@ -97,36 +97,36 @@
 @pytest.mark.parametrize("kind", RECORDS)
 @pytest.mark.parametrize("written", [0, 1, 7, 8, 9, 17])  # of 18 bytes and more
 @pytest.mark.parametrize("cut", [True, False])
-def test_a_record_that_fails_hides_none_behind_it(
+def test_a_failed_record_hides_no_later_record(
     tmp_path: Path, error: int, kind: str, written: int, cut: bool
 ) -> None:
-    """Whether the part of it can be cut off at once, or not before the disk is back."""
-    journal, files = holding(tmp_path, "a", "tried")
+    """Whether the partial record can be truncated at once, or only after the disk has recovered."""
+    journal, files = journal_with(tmp_path, "a", "tried")
     journal.attempt(["tried"], 4.0, 0)
-    before = said(journal)
+    before = state_of(journal)
     files.error, files.room = error, written
     files.fails |= set() if cut else {"truncate"}
     if kind in ("take", "attempt"):
         with pytest.raises(JournalFullError):
             RECORDS[kind](journal)
-        assert said(journal) == before, "what is not on record is not so"
+        assert state_of(journal) == before, "an unrecorded change has no effect"
     else:
         assert not RECORDS[kind](journal)
-        assert said(journal) != before
+        assert state_of(journal) != before
     assert journal.failing and not journal.flush()
     files.heal()
     journal.accept(stored("later"))
     assert not journal.failing
-    now = said(journal)
+    now = state_of(journal)
     killed(journal, files)
     again = reopened(tmp_path)
-    assert said(again) == now and not again.truncated_bytes
+    assert state_of(again) == now and not again.truncated_bytes
     again.close()
 
 
-def test_what_could_not_be_written_is_written_in_its_order(tmp_path: Path) -> None:
-    """A mark that an attempt never ran must not take away a later attempt."""
-    journal, files = holding(tmp_path, "a")
+def test_delayed_records_are_written_in_order(tmp_path: Path) -> None:
+    """The record that an attempt never ran must not remove a later attempt."""
+    journal, files = journal_with(tmp_path, "a")
     journal.attempt(["a"], 4.0, 0)
     files.room = 0
     assert not journal.never_ran("a")
@@ -140,13 +140,13 @@
     again.close()
 
 
-def test_a_kill_at_each_byte_of_each_record_hides_none_before_or_behind(tmp_path: Path) -> None:
-    journal, files = holding(tmp_path, "a", "tried")
+def test_a_kill_at_each_byte_of_each_record_hides_no_other_record(tmp_path: Path) -> None:
+    journal, files = journal_with(tmp_path, "a", "tried")
     journal.attempt(["tried"], 4.0, 0)
-    states = [(journal.path.read_bytes(), said(journal))]
+    states = [(journal.path.read_bytes(), state_of(journal))]
     for write in RECORDS.values():
         write(journal)
-        states.append((journal.path.read_bytes(), said(journal)))
+        states.append((journal.path.read_bytes(), state_of(journal)))
     killed(journal, files)
     number = 0
     for (before, told), (after, _) in pairwise(states):
@@ -156,9 +156,9 @@
             folder.mkdir()
             (folder / "journal").write_bytes(after[:size])
             files = FailingFiles()
-            files.fails.add("truncate")  # nor can it be cut off before the next record
+            files.fails.add("truncate")  # nor can it be truncated before the next record
             torn = Journal(folder, DISK, files=files)
-            assert said(torn) == told and torn.truncated_bytes == size - len(before)
+            assert state_of(torn) == told and torn.truncated_bytes == size - len(before)
             with pytest.raises(JournalFullError):
                 torn.accept(stored("later")) if torn.truncated_bytes else attempt_of_none(torn)
             files.heal()
@@ -167,7 +167,7 @@
             again = reopened(folder)
             assert "later" in again.live and not again.truncated_bytes
             del again.live["later"]
-            assert said(again) == told
+            assert state_of(again) == told
             again.close()
 
 
@@ -180,7 +180,7 @@
 
 @errors
 @pytest.mark.parametrize("fails", [{"open"}, {"write"}, {"replace"}, {"replace", "unlink"}, {"close"}])
-def test_a_compaction_that_fails_costs_nothing_and_comes_again(
+def test_a_failed_compaction_loses_nothing_and_is_retried(
     tmp_path: Path, error: int, fails: set[str]
 ) -> None:
     clock = SteppedClocks()
@@ -191,23 +191,23 @@
         journal.accept(stored(f"m{number}", bytes(1000)))
         journal.finish(f"m{number}", DELIVERED)
     files.error, files.fails = error, fails
-    size, before = journal.path.stat().st_size, said(journal)
+    size, before = journal.path.stat().st_size, state_of(journal)
     files.calls.clear()
-    for _ in range(3):  # asked for with each message that comes, and begun once a second
+    for _ in range(3):  # requested with each new message, but started once a second
         journal._compact()
     assert files.calls["open"] == 1
-    assert said(journal) == before
-    if fails != {"close"}:  # closed all the same, and the new file stands
+    assert state_of(journal) == before
+    if fails != {"close"}:  # close takes effect even so, and the new file is used
         assert journal.path.stat().st_size == size
     files.heal()
     clock.time += 1.0
     journal._compact()
     assert journal.path.stat().st_size < size / 4
     journal.accept(stored("b"))
-    now = said(journal)
+    now = state_of(journal)
     killed(journal, files)
     again = reopened(tmp_path)
-    assert said(again) == now and set(again.live) == {"a", "b"} and not again.truncated_bytes
+    assert state_of(again) == now and set(again.live) == {"a", "b"} and not again.truncated_bytes
     again.close()
 
 
@@ -215,16 +215,16 @@
     for call in ("open", "write", "replace", "close"):
         folder = tmp_path / call
         folder.mkdir()
-        journal, files = holding(folder, "a", "b")
+        journal, files = journal_with(folder, "a", "b")
         journal.finish("b", DELIVERED)
-        now = said(journal)
+        now = state_of(journal)
         files.killed_at = call
         with pytest.raises(Killed):
             journal._rewrite(journal._content())
         files.heal()
         killed(journal, files)
         again = reopened(folder)
-        assert said(again) == now
+        assert state_of(again) == now
         again.close()
 
 
@@ -232,7 +232,7 @@
 
 
 def pair(folder: Path) -> tuple[Journal, Journal, FailingFiles]:
-    """An old process that has gone, and a new one beside it that is to adopt its journal."""
+    """The journals of an ended process and of a new one that has to adopt it."""
     old = Journal(folder, DISK)
     files = FailingFiles()
     new = Journal(folder, DISK, files=files)
@@ -250,30 +250,28 @@
 @pytest.mark.parametrize(
     "fails", [{"lock"}, {"read"}, {"write"}, {"write", "truncate"}, {"lock", "read", "write", "truncate"}]
 )
-def test_an_adoption_that_fails_is_as_none_and_comes_later(
-    tmp_path: Path, error: int, fails: set[str]
-) -> None:
+def test_a_failed_adoption_has_no_effect_and_is_retried(tmp_path: Path, error: int, fails: set[str]) -> None:
     _, new, files = pair(tmp_path)
-    before = said(new)
+    before = state_of(new)
     files.error, files.fails = error, fails
     for _ in range(3):
-        assert new.adopt() == [] and new.unadopted and said(new) == before
+        assert new.adopt() == [] and new.unadopted and state_of(new) == before
     files.heal()
     assert sorted(one.id for one in new.adopt()) == ["a", "given-up"] and not new.unadopted
-    now = said(new)
+    now = state_of(new)
     killed(new, files)
     again = reopened(tmp_path)
-    assert said(again) == now and not again.truncated_bytes
+    assert state_of(again) == now and not again.truncated_bytes
     again.close()
 
 
 @errors
-def test_what_is_adopted_is_held_though_the_old_file_cannot_be_removed(tmp_path: Path, error: int) -> None:
-    """It is handed on once, and nobody takes the old copy for its own while it lies there."""
+def test_adopted_messages_are_kept_though_the_old_file_cannot_be_removed(tmp_path: Path, error: int) -> None:
+    """They are adopted once, and no process opens the old copy as its own while it exists."""
     old, new, files = pair(tmp_path)
     files.error, files.fails = error, {"unlink"}
     assert sorted(one.id for one in new.adopt()) == ["a", "given-up"]
-    assert old.path.exists() and new.unadopted and not new.in_use, "it is no process that runs"
+    assert old.path.exists() and new.unadopted and not new.in_use, "its process is not running"
     new.attempt(["a"], 6.0, 1)
     new.finish("given-up", DEFERRED)
     assert new.adopt() == [], "not twice"
@@ -286,29 +284,29 @@
 
 
 @pytest.mark.parametrize("own_slot", [0, 1])
-def test_an_older_copy_that_was_left_does_not_undo_what_came_after(tmp_path: Path, own_slot: int) -> None:
-    """The process ends before the file that it adopted could be removed: the next one reads both."""
+def test_an_outdated_copy_does_not_revert_later_records(tmp_path: Path, own_slot: int) -> None:
+    """The process ends before it could remove the file that it adopted: the next process reads both."""
     _, new, files = pair(tmp_path)
     files.fails = {"unlink"}
     new.adopt()
     new.attempt(["a"], 6.0, 1)
     new.abandon("own", DEFERRED)
     new.finish("given-up", DEFERRED)
-    now = said(new)
+    now = state_of(new)
     killed(new, files)
-    if own_slot == 1:  # whichever is read first
+    if own_slot == 1:  # in either order of reading
         for name, to in (("journal", "spare"), ("journal.1", "journal"), ("spare", "journal.1")):
             (tmp_path / name).rename(tmp_path / to)
     again = reopened(tmp_path)
-    assert said(again) == now and not again.unadopted
+    assert state_of(again) == now and not again.unadopted
     assert [zone for _, zone in again.live["a"].ran] == [0, 1]
     again.close()
     last = reopened(tmp_path)
-    assert said(last) == now
+    assert state_of(last) == now
     last.close()
 
 
-def test_a_hand_over_goes_on_by_itself_when_the_disk_does(tmp_path: Path) -> None:
+def test_a_hand_over_continues_once_the_disk_has_recovered(tmp_path: Path) -> None:
     old = Bench(tmp_path)
     old.sender.start(old.hops(Readiness.DRAINING))
     old.pass_time(0.01)
@@ -325,7 +323,7 @@
     assert not (tmp_path / "waits.1").exists()
     files.heal()
     handover.look()
-    assert (tmp_path / "waits.1").exists(), "told once it can be written"
+    assert (tmp_path / "waits.1").exists(), "shared once it can be written"
     old.journal.close()
     for fails in ({"read"}, {"write"}, {"lock"}):
         files.fails = fails
@@ -359,8 +357,8 @@
     return cast(FailingFiles, bench.journal._files)
 
 
-def on(bench: Bench) -> Bench:
-    """Killed, and started again at once on a disk that works."""
+def killed_and_restarted(bench: Bench) -> Bench:
+    """Kill the process and start it again at once on a working disk."""
     killed(bench.journal, disk(bench))
     again = Bench(bench.journal.folder, time=bench.time)
     again.sender.start(again.hops(Readiness.READY))
@@ -369,7 +367,7 @@
 
 
 @errors
-def test_what_is_not_on_record_is_not_taken_on_and_service_returns(bench: Bench, error: int) -> None:
+def test_an_unrecorded_message_is_not_accepted_and_service_recovers(bench: Bench, error: int) -> None:
     disk(bench).error, disk(bench).fails = error, {"write", "truncate"}
     bench.submit("refused")
     bench.pass_time(0.02)
@@ -382,8 +380,8 @@
     assert [call.items[0].id for call in bench.calls] == ["taken"]
 
 
-def test_a_journal_that_is_closed_on_a_failing_disk_is_left_alone(bench: Bench) -> None:
-    """Its descriptor may be another file's by then."""
+def test_a_journal_closed_on_a_failing_disk_is_not_used_again(bench: Bench) -> None:
+    """Its descriptor may belong to another file by then."""
     bench.submit("a")
     bench.pass_time(0.01)
     disk(bench).fails = {"write"}
@@ -397,8 +395,10 @@
 
 
 @errors
-def test_no_call_goes_before_its_attempt_is_on_record_and_none_is_used_up(bench: Bench, error: int) -> None:
-    """Calls wait for the disk: a message must not run out of attempts of which none was made."""
+def test_no_call_is_sent_before_its_attempt_is_recorded_and_no_attempt_is_used_up(
+    bench: Bench, error: int
+) -> None:
+    """Calls wait for the disk: a message must not exhaust its attempts without a call being made."""
     for name in ("a", "b"):
         bench.submit(name, grade=ONCE)
     bench.pass_time(0.01)
@@ -408,9 +408,9 @@
         bench.sender.finished(call, {})
     begun = len(bench.calls)
     bench.pass_time(OUTAGE)
-    assert len(bench.calls) == begun and not bench.outcomes, "nothing is looked for a connection"
+    assert len(bench.calls) == begun and not bench.outcomes, "no call looks for a connection"
     disk(bench).heal()
-    bench.pass_time(0.1)  # with no client's help
+    bench.pass_time(0.1)  # without a request from a client
     later = bench.calls[begun:]
     assert sorted(item.id for call in later for item in call.items) == ["a", "b"]
     assert all(bench.sender.admit(call, call.items) for call in later)
@@ -419,10 +419,10 @@
 
 @errors
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.CONNECT_FAILED, Outcome.RESET])
-def test_what_an_attempt_came_to_is_on_record_as_soon_as_the_disk_is_back(
+def test_the_outcome_of_an_attempt_is_recorded_as_soon_as_the_disk_has_recovered(
     bench: Bench, error: int, outcome: Outcome
 ) -> None:
-    """An end is not taken back by a restart, and what never ran may be tried again."""
+    """A restart does not revoke an outcome, and a message that never ran may be tried again."""
     bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     [call] = bench.calls
@@ -432,18 +432,18 @@
     bench.pass_time(OUTAGE / 4)
     disk(bench).heal()
     bench.pass_time(0.06)
-    again = on(bench)
+    again = killed_and_restarted(bench)
     calls = [item.id for one in again.calls for item in one.items]
     if outcome == Outcome.CONNECT_FAILED:
         assert calls == ["a"] and not again.outcomes
     elif outcome == Outcome.OK:
         assert not calls and not again.outcomes and again.journal.outcomes["a"] == DELIVERED
-    else:  # given up, and told again as nobody has heard it
+    else:  # abandoned, and reported again as the report was never confirmed
         assert not calls and again.outcomes == bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
 
-def test_a_kill_while_the_disk_fails_repeats_nothing(bench: Bench) -> None:
-    """The end was not written and never will be: what may have run is not sent again."""
+def test_a_kill_while_the_disk_fails_causes_no_repeat(bench: Bench) -> None:
+    """The outcome was never written: a message that may have run is not sent again."""
     bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     [call] = bench.calls
@@ -451,14 +451,13 @@
     disk(bench).fails = {"write", "truncate"}
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     bench.pass_time(0.1)
-    again = on(bench)
-    assert not again.calls and again.outcomes == {
-        "a": MessageOutcome(Status.UNDELIVERABLE)
-    }  # harmless: it is over
+    again = killed_and_restarted(bench)
+    # Reporting it is harmless, as the message has finished.
+    assert not again.calls and again.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
 
-def given_up(bench: Bench, left: float = 10.0) -> None:
-    """A message that was never sent is handed back while the disk takes no record."""
+def abandon_on_failing_disk(bench: Bench, left: float = 10.0) -> None:
+    """Defer a message that was never sent while no record can be written."""
     bench.sender.list_changed(bench.hops(Readiness.DRAINING))
     bench.pass_time(0.01)
     bench.submit("a", grade=ONCE, left=left)
@@ -467,38 +466,38 @@
     bench.sender.outcomes.abandon(bench.sender.pending[bench.sender.numbers_by_id["a"]], DEFERRED)
 
 
-def test_an_end_is_not_told_before_it_is_on_record(bench: Bench) -> None:
-    """The next process sent what its client had been told to hand in again."""
-    given_up(bench)
+def test_an_outcome_is_not_reported_before_it_is_recorded(bench: Bench) -> None:
+    """The next process sent a message that its client had been told to submit again."""
+    abandon_on_failing_disk(bench)
     bench.pass_time(0.2)
     assert not bench.outcomes
-    again = on(bench)
-    assert [item.id for call in again.calls for item in call.items] == ["a"], "nobody was told of an end"
+    again = killed_and_restarted(bench)
+    assert [item.id for call in again.calls for item in call.items] == ["a"], "no outcome was reported"
 
 
-def test_a_notice_that_could_not_be_written_is_not_taken_back_by_a_restart(bench: Bench) -> None:
-    given_up(bench)
+def test_an_outcome_that_was_recorded_late_is_not_revoked_by_a_restart(bench: Bench) -> None:
+    abandon_on_failing_disk(bench)
     bench.pass_time(0.2)
     disk(bench).heal()
     bench.pass_time(0.06)
-    assert bench.outcomes == {"a": DEFERRED}, "told as soon as it is on record"
-    again = on(bench)
+    assert bench.outcomes == {"a": DEFERRED}, "reported as soon as it is recorded"
+    again = killed_and_restarted(bench)
     assert again.outcomes == {"a": DEFERRED} and not again.calls
 
 
-def test_an_end_is_told_in_time_though_the_disk_never_takes_it(bench: Bench) -> None:
-    """Past the message's time no process sends it any more, and its end is overdue 0.3 s later."""
-    given_up(bench, left=1.0)
+def test_an_outcome_is_reported_in_time_though_it_can_never_be_recorded(bench: Bench) -> None:
+    """After its expiry no process sends the message any more, and its outcome is overdue 0.3 s later."""
+    abandon_on_failing_disk(bench, left=1.0)
     bench.pass_time(0.9)
     assert not bench.outcomes
     bench.pass_time(0.25)
     assert bench.outcomes == {"a": DEFERRED}
-    again = on(bench)
+    again = killed_and_restarted(bench)
     assert not again.calls
 
 
-def test_a_start_on_a_failing_disk_holds_what_is_owed_and_writes_when_it_can(tmp_path: Path) -> None:
-    """The old process has gone: its journal is adopted at the start, or as soon as the disk lets it."""
+def test_a_start_on_a_failing_disk_adopts_messages_and_writes_once_it_can(tmp_path: Path) -> None:
+    """The old process has ended: its journal is adopted at the start, or as soon as the disk works."""
     old = Bench(tmp_path)
     old.sender.start(old.hops(Readiness.DRAINING))
     old.pass_time(0.01)
@@ -524,9 +523,11 @@
 
 @errors
 @pytest.mark.parametrize("call", ["lock", "open", "read"])
-def test_a_folder_that_cannot_be_read_holds_nothing_up_later(tmp_path: Path, error: int, call: str) -> None:
-    """What is owed is not known, so nothing is begun; and neither lock nor descriptor is kept."""
-    journal, files = holding(tmp_path, "a")
+def test_an_unreadable_folder_leaves_no_lock_or_descriptor_open(
+    tmp_path: Path, error: int, call: str
+) -> None:
+    """The unfinished messages are unknown, so the journal does not open, and releases what it opened."""
+    journal, files = journal_with(tmp_path, "a")
     killed(journal, files)
     files.heal()
     files.error, files.fails = error, {call}
@@ -540,7 +541,7 @@
     again.close()
 
 
-def test_a_start_waits_for_its_folder_and_heeds_the_end() -> None:
+def test_a_start_waits_for_its_folder_until_it_is_stopped() -> None:
     runtime = cast(Runtime, SimpleNamespace())
     tries: list[int] = []
 
@@ -555,7 +556,7 @@
         raise JournalUnavailableError(errno.ENOSPC, "failing")
 
     def wrong() -> Runtime:
-        raise JournalUnavailableError(errno.EACCES, "not this one's")
+        raise JournalUnavailableError(errno.EACCES, "permission denied")
 
     async def main() -> None:
         assert await made(make, asyncio.Event()) is runtime and len(tries) == 3
@@ -568,12 +569,12 @@
     asyncio.run(main())
 
 
-# Files that are written as a whole
+# Files that are replaced atomically
 
 
 @errors
 @pytest.mark.parametrize("call", ["open", "write", "replace"])
-def test_a_file_that_cannot_be_replaced_stays_as_it_was(tmp_path: Path, error: int, call: str) -> None:
+def test_a_file_that_cannot_be_replaced_is_unchanged(tmp_path: Path, error: int, call: str) -> None:
     files, now = FailingFiles(), Stamp("one", 1000.0, 50.0, 1000.0)
     folder, lists = Folder(tmp_path, files), KeptListFile(tmp_path, SHARDS, files)
     one, _, _ = folder.arrive("m1", False)
@@ -597,7 +598,7 @@
     assert folder.remember([], now, one.id), "it is still to be written"
 
 
-def test_a_start_that_cannot_read_who_it_is_does_not_write_another_over_it(tmp_path: Path) -> None:
+def test_a_start_that_cannot_read_its_identity_does_not_overwrite_it(tmp_path: Path) -> None:
     files = FailingFiles()
     first, _, _ = Folder(tmp_path).arrive("m1", False)
     clock = SimpleNamespace(now=lambda: 5.0, wall=lambda: 105.0, boot=lambda: "")
@@ -624,12 +625,12 @@
     asyncio.run(main())
 
 
-# All of it, in any order
+# All failures, in any order
 
 
 class Model(RuleBasedStateMachine):
-    """Whatever fails, and whenever the process is killed: the next one finds each message that was taken on
-    and has not ended, and of each attempt that was made that it may have run.
+    """Whatever fails, and whenever the process is killed, the next one finds each unfinished message, and
+    each attempt that may have run.
     """
 
     def __init__(self) -> None:
@@ -637,13 +638,13 @@
         self.folder = Path(tempfile.mkdtemp(prefix="disk-"))
         self.files = FailingFiles()
         self.journal = Journal(self.folder, DISK, files=self.files)
-        self.owed: dict[str, int] = {}  # attempts that may have run
-        self.ended: dict[str, bool] = {}  # whether that is surely on record
-        self.unsure: dict[str, int] = {}  # marks and ends that may not be on record
+        self.unfinished: dict[str, int] = {}  # attempts that may have run
+        self.finished: dict[str, bool] = {}  # whether that is certainly recorded
+        self.unsure: dict[str, int] = {}  # records that may not be written
         self.last = 0
 
     def pick(self, place: int) -> str:
-        return list(self.owed)[place % len(self.owed)]
+        return list(self.unfinished)[place % len(self.unfinished)]
 
     @rule(
         fails=st.sampled_from(["", "truncate", "open", "replace unlink", "unlink close", "truncate unlink"]),
@@ -664,9 +665,9 @@
                 self.journal.accept(stored(f"m{self.last}", bytes(size)))
             except JournalFullError:
                 return
-            self.owed[f"m{self.last}"] = 0
+            self.unfinished[f"m{self.last}"] = 0
 
-    @precondition(lambda self: self.owed)
+    @precondition(lambda self: self.unfinished)
     @rule(place=st.integers(0, 99), never=st.booleans())
     def attempt(self, place: int, never: bool) -> None:
         name = self.pick(place)
@@ -677,20 +678,20 @@
         if never:
             self.journal.never_ran(name)
         else:
-            self.owed[name] += 1
+            self.unfinished[name] += 1
 
-    @precondition(lambda self: self.owed)
+    @precondition(lambda self: self.unfinished)
     @rule(place=st.integers(0, 99))
     def end(self, place: int) -> None:
         name = self.pick(place)
         self.journal.finish(name, DELIVERED)
-        del self.owed[name]
-        self.ended[name] = False
+        del self.unfinished[name]
+        self.finished[name] = False
 
     @rule()
     def flush(self) -> None:
         if self.journal.flush():
-            self.ended = dict.fromkeys(self.ended, True)
+            self.finished = dict.fromkeys(self.finished, True)
 
     @rule()
     def compact(self) -> None:
@@ -703,12 +704,14 @@
         self.files.heal()
         self.journal = Journal(self.folder, DISK, files=self.files)
         live = {name: len(one.ran) for name, one in self.journal.live.items()}
-        assert set(live) >= set(self.owed) and all(live[name] >= n for name, n in self.owed.items())
-        assert not set(live) & {name for name, sure in self.ended.items() if sure or flushed}
+        assert set(live) >= set(self.unfinished) and all(
+            live[name] >= n for name, n in self.unfinished.items()
+        )
+        assert not set(live) & {name for name, certain in self.finished.items() if certain or flushed}
         if flushed:
-            assert live == self.owed
-        self.ended = {name: True for name in self.ended if name not in live}
-        self.owed = live
+            assert live == self.unfinished
+        self.finished = {name: True for name in self.finished if name not in live}
+        self.unfinished = live
 
     @rule()
     def hand_over(self) -> None:
@@ -724,19 +727,19 @@
         self.files.heal()
         new.adopt()
         live = {name: len(one.ran) for name, one in new.live.items()}
-        assert not new.unadopted and set(live) >= set(self.owed)
-        assert all(live[name] >= n for name, n in self.owed.items())
+        assert not new.unadopted and set(live) >= set(self.unfinished)
+        assert all(live[name] >= n for name, n in self.unfinished.items())
         if flushed:
-            assert live == self.owed
-        self.ended = {name: True for name in self.ended if name not in live}
-        self.journal, self.owed = new, live
+            assert live == self.unfinished
+        self.finished = {name: True for name in self.finished if name not in live}
+        self.journal, self.unfinished = new, live
 
     def broken(self) -> bool:
         return bool(self.files.fails & {"open"})
 
     @invariant()
     def knows(self) -> None:
-        assert {name: len(one.ran) for name, one in self.journal.live.items()} == self.owed
+        assert {name: len(one.ran) for name, one in self.journal.live.items()} == self.unfinished
 
     def teardown(self) -> None:
         self.journal.close()
@@ -747,7 +750,7 @@
 TestModel = Model.TestCase
 
 
-def test_the_detached_endpoints_hold_while_their_file_cannot_be_read(tmp_path: Path) -> None:
+def test_detached_endpoints_stay_detached_while_their_file_is_unreadable(tmp_path: Path) -> None:
     told: list[set[str]] = []
     sender = cast(Sender, SimpleNamespace(set_detached=told.append, detached=set()))
     files = FailingFiles()
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -1,7 +1,8 @@
-"""The wall clock is stepped, either way, before, in and after a restart, a hand-over and an adoption.
+"""Steps of the wall clock, in either direction, before, during and after a restart, a hand-over and an
+adoption.
 
-All time is virtual: `Bench` has a monotonic clock that is real time here, and a wall clock that is set apart
-from it. What is asked for is always a span of real time.
+All time is virtual: the monotonic clock of `Bench` is real time, and its wall clock is set separately.
+The expected spans are always spans of real time.
 """
 
 from __future__ import annotations
@@ -38,14 +39,14 @@
 WHEN = ("in the first life", "between", "in the second life")
 KEYED = 1  # a class whose receiver drops repeats for `WINDOW` after the first attempt
 WINDOW = 7.0  # s
-LEFT = 10.0  # s that a message may still be delivered when it is handed in
+LEFT = 10.0  # s that remain for delivery when a message is submitted
 
 steps = pytest.mark.parametrize("step", STEPS)
 whenever = pytest.mark.parametrize("when", WHEN)
 
 
-def lives(folder: Path, ready: Readiness, grade: int) -> Bench:
-    """A first life that has taken on a message, and has it out where its endpoint is ready."""
+def first_run(folder: Path, ready: Readiness, grade: int) -> Bench:
+    """A first process run that has accepted a message, which is in flight if its endpoint is ready."""
     bench = Bench(folder)
     bench.sender.start(bench.hops(ready))
     bench.pass_time(0.01)
@@ -58,19 +59,19 @@
 
 
 def restarted(bench: Bench, down: float, step: float = 0.0, ready: Readiness = Readiness.READY) -> Bench:
-    """The next life on the same boot, after `down` seconds in which the wall clock was set."""
+    """The next process run on the same boot, after `down` seconds in which the wall clock was stepped."""
     bench.journal.close()
-    return begun(bench, down, step, ready)
+    return started_after(bench, down, step, ready)
 
 
-def begun(bench: Bench, after: float, step: float, ready: Readiness) -> Bench:
+def started_after(bench: Bench, after: float, step: float, ready: Readiness) -> Bench:
     again = Bench(bench.journal.folder, time=bench.time + after, ahead=bench.ahead + step)
     again.sender.start(again.hops(ready))
     return again
 
 
-def stepped_life(bench: Bench, when: str, step: float, down: float, ready: Readiness) -> Bench:
-    """A restart with the step where it is asked for."""
+def restarted_with_step(bench: Bench, when: str, step: float, down: float, ready: Readiness) -> Bench:
+    """A restart with the step at the given moment."""
     if when == WHEN[0]:
         bench.step(step)
         bench.pass_time(0.5)
@@ -89,9 +90,13 @@
 
 @steps
 @whenever
-def test_a_message_has_its_real_time_over_a_restart(tmp_path: Path, when: str, step: float) -> None:
-    """Not given up, and not kept for longer, on the strength of a stepped clock."""
-    again = stepped_life(lives(tmp_path, Readiness.DRAINING, 0), when, step, 2.0, Readiness.DRAINING)
+def test_a_message_keeps_its_real_remaining_time_over_a_restart(
+    tmp_path: Path, when: str, step: float
+) -> None:
+    """A stepped clock neither abandons a message early nor keeps it for longer."""
+    again = restarted_with_step(
+        first_run(tmp_path, Readiness.DRAINING, 0), when, step, 2.0, Readiness.DRAINING
+    )
     assert left_of(again) == pytest.approx(LEFT - 2.0, abs=0.05)
     again.pass_time(LEFT - 2.0 - 1.0)
     assert "a" not in again.outcomes
@@ -105,11 +110,13 @@
 @steps
 @whenever
 @pytest.mark.parametrize(("down", "calls"), [(WINDOW - 1.0, 1), (WINDOW + 0.5, 0)])
-def test_a_window_for_repeats_is_real_time_over_a_restart(
+def test_a_repeat_window_is_real_time_over_a_restart(
     tmp_path: Path, when: str, step: float, down: float, calls: int
 ) -> None:
-    """Within it one more call may go, past it none, whatever the wall clock says."""
-    again = stepped_life(lives(tmp_path, Readiness.READY, KEYED), when, step, down, Readiness.READY)
+    """Within the window one more call may be sent, after it none, whatever the wall clock shows."""
+    again = restarted_with_step(
+        first_run(tmp_path, Readiness.READY, KEYED), when, step, down, Readiness.READY
+    )
     again.pass_time(0.05)
     assert [item.id for call in again.calls for item in call.items] == ["a"] * calls
     assert ("a" in again.outcomes) is (not calls)
@@ -117,9 +124,9 @@
 
 @steps
 @pytest.mark.parametrize("lives_on", [0.0, 3.0])
-def test_three_lives_with_a_step_before_each(tmp_path: Path, step: float, lives_on: float) -> None:
-    """The second life writes after records of the first: each is read by the clocks of its own writer."""
-    bench = lives(tmp_path, Readiness.DRAINING, 0)
+def test_three_runs_with_a_step_before_each(tmp_path: Path, step: float, lives_on: float) -> None:
+    """The second run appends to the records of the first: each is read by the clocks of its own writer."""
+    bench = first_run(tmp_path, Readiness.DRAINING, 0)
     second = restarted(bench, 1.0, step, Readiness.DRAINING)
     second.pass_time(0.01)
     second.submit("b", left=LEFT)
@@ -133,14 +140,14 @@
 @steps
 @whenever
 @pytest.mark.parametrize(("out_for", "calls"), [(WINDOW - 1.0, 1), (WINDOW + 0.5, 0)])
-def test_what_is_adopted_at_a_hand_over_has_its_real_times(
+def test_messages_adopted_at_a_hand_over_keep_their_real_times(
     tmp_path: Path, when: str, step: float, out_for: float, calls: int
 ) -> None:
-    """An old and a new process on one folder, whose wall clocks differ; the old one goes later."""
-    old = lives(tmp_path, Readiness.READY, KEYED)
+    """An old and a new process on one folder, whose wall clocks differ; the old one ends later."""
+    old = first_run(tmp_path, Readiness.READY, KEYED)
     if when == WHEN[0]:
         old.step(step)
-    new = begun(old, 0.0, step if when == WHEN[1] else 0.0, Readiness.READY)
+    new = started_after(old, 0.0, step if when == WHEN[1] else 0.0, Readiness.READY)
     assert new.journal.unadopted and not new.sender.pending
     if when == WHEN[2]:
         new.step(step)
@@ -150,15 +157,15 @@
     assert left_of(new) == pytest.approx(LEFT - out_for, abs=0.05)
     new.pass_time(0.05)
     assert len(new.calls) == calls and ("a" in new.outcomes) is (not calls)
-    if calls:  # and what it adopted is read back as it was written
+    if calls:  # what it adopted is read back as it was written
         last = restarted(new, 0.0, -step, Readiness.READY)
         assert left_of(last) == pytest.approx(LEFT - out_for - 0.05, abs=0.05)
 
 
 @steps
-def test_a_told_wait_binds_the_other_process_for_its_real_time(tmp_path: Path, step: float) -> None:
-    old = lives(tmp_path, Readiness.READY, 0)
-    new = begun(old, 0.0, step, Readiness.READY)
+def test_a_required_wait_applies_to_the_other_process_for_its_real_time(tmp_path: Path, step: float) -> None:
+    old = first_run(tmp_path, Readiness.READY, 0)
+    new = started_after(old, 0.0, step, Readiness.READY)
     ours = Handover(new.sender, new.journal, tmp_path, True)
     theirs = Handover(old.sender, old.journal, tmp_path, True)
     theirs.adopt()  # sees the new process
@@ -169,14 +176,14 @@
     new.pass_time(0.5)
     ours.hear()
     assert new.sender.waits[7] - new.time == pytest.approx(2.5, abs=0.01)
-    old.step(-2 * step)  # and in the life of the one that tells
+    old.step(-2 * step)  # also while the process that shares the wait runs
     old.sender.waits[7] += 1.0
     theirs.tell()
     ours.hear()
     assert new.sender.waits[7] - new.time == pytest.approx(3.5, abs=0.01)
 
 
-# Another boot, another epoch, an older file: the wall clock is all there is
+# Another boot, another epoch, an older file: only the wall clock is left
 
 boots = pytest.mark.parametrize(("boot", "time"), [("two", 7.0), ("two", 500.0), ("", 7.0), ("", 500.0)])
 
@@ -192,13 +199,13 @@
 
 @boots
 @pytest.mark.parametrize("step", [-3600.0, -5.0])
-def test_a_clock_set_back_over_a_boot_repeats_nothing(
+def test_a_clock_set_back_over_a_boot_causes_no_repeat(
     tmp_path: Path, step: float, boot: str, time: float
 ) -> None:
-    """How long ago the attempt was is not known, so its window is over; the untried message is still tried,
-    and has no more time than it had.
+    """The age of the attempt is unknown, so its repeat window counts as elapsed. The untried message is still
+    tried, with no more time than it had.
     """
-    bench = lives(tmp_path, Readiness.READY, KEYED)
+    bench = first_run(tmp_path, Readiness.READY, KEYED)
     bench.pass_time(2.0)
     bench.submit("untried", left=LEFT)
     bench.pass_time(0.01)
@@ -213,16 +220,16 @@
 
 
 @boots
-def test_over_a_boot_the_wall_clock_counts_where_nothing_contradicts_it(
+def test_over_a_boot_the_wall_clock_counts_if_nothing_contradicts_it(
     tmp_path: Path, boot: str, time: float
 ) -> None:
-    again = rebooted(lives(tmp_path, Readiness.READY, KEYED), 3.0, 0.0, boot, time)
+    again = rebooted(first_run(tmp_path, Readiness.READY, KEYED), 3.0, 0.0, boot, time)
     assert left_of(again) == pytest.approx(LEFT - 3.0, abs=0.05) and len(again.calls) == 1
 
 
-def test_a_process_writes_down_by_which_clocks_it_read_what_it_found(tmp_path: Path) -> None:
-    """It idles after a boot that set the clock back: what is left of a message then is not more later on."""
-    bench = lives(tmp_path, Readiness.DRAINING, 0)
+def test_a_process_records_the_clocks_by_which_it_read_the_journal(tmp_path: Path) -> None:
+    """It idles after a boot that set the clock back: the next run gives a message no more time."""
+    bench = first_run(tmp_path, Readiness.DRAINING, 0)
     bench.journal.close()
     again = Bench(tmp_path, time=7.0, ahead=bench.ahead - 1000.0, boot="two")
     again.sender.start(again.hops(Readiness.DRAINING))
@@ -235,10 +242,10 @@
 
 
 @pytest.mark.parametrize("lived", [0.0, 2.5, 6.0])
-def test_processes_whose_monotonic_clocks_begin_with_them_go_by_the_wall_clock(
+def test_processes_with_monotonic_clocks_of_their_own_use_the_wall_clock(
     tmp_path: Path, lived: float
 ) -> None:
-    """One boot, but an epoch for each process: what is on record is ahead of the new one's clock."""
+    """One boot, but an epoch for each process: the recorded times are ahead of the new process's clock."""
     bench = Bench(tmp_path, time=0.0)
     bench.sender.start(bench.hops(Readiness.DRAINING))
     for second in range(1, 12):
@@ -269,16 +276,16 @@
 def test_a_journal_of_an_older_version_is_read_by_the_wall_clock(
     tmp_path: Path, down: float, step: float, calls: int
 ) -> None:
-    bench = lives(tmp_path, Readiness.READY, KEYED)
+    bench = first_run(tmp_path, Readiness.READY, KEYED)
     bench.journal.close()
     without_stamps(tmp_path)
-    again = begun(bench, down, step, Readiness.READY)
+    again = started_after(bench, down, step, Readiness.READY)
     again.pass_time(0.05)
     assert len(again.calls) == calls and ("a" in again.outcomes) is (not calls)
-    if calls:  # and once more, behind records of this version
+    if calls:  # once more, after records of this version
         again.sender.admit(again.calls[0], again.calls[0].items)
         again.journal.close()
-        last = begun(again, 0.0, 3600.0, Readiness.READY)
+        last = started_after(again, 0.0, 3600.0, Readiness.READY)
         assert left_of(last) == pytest.approx(LEFT - down - 0.05, abs=0.05)
 
 
@@ -293,14 +300,14 @@
         max_size=25,
     )
 )
-def test_whatever_the_steps_each_record_keeps_its_real_times(history: list[tuple[str, float]]) -> None:
+def test_each_record_keeps_its_real_times_over_any_steps(history: list[tuple[str, float]]) -> None:
     """On one boot. The tolerance grows with the number of runs: each may ignore up to `CLOCK_TOLERANCE_S`."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         clock = SteppedClocks()
         journal = Journal(folder, 1_000_000, clock=clock)
-        real: dict[str, tuple[float, float]] = {}  # until when, and when tried, on the monotonic clock
-        hands = 0
+        real: dict[str, tuple[float, float]] = {}  # expiry and time of the attempt, on the monotonic clock
+        runs = 0
         for what, amount in history:
             match what:
                 case "pass":
@@ -317,23 +324,23 @@
                     journal._rewrite(journal._content())
                 case "restart":
                     journal.close()
-                    journal, hands = Journal(folder, 1_000_000, clock=clock), hands + 1
+                    journal, runs = Journal(folder, 1_000_000, clock=clock), runs + 1
                 case _:
-                    new, hands = Journal(folder, 1_000_000, clock=clock), hands + 1
+                    new, runs = Journal(folder, 1_000_000, clock=clock), runs + 1
                     journal.close()
                     new.adopt()
                     journal = new
             assert set(journal.live) == set(real)
             for stored in journal.live.values():
                 until, tried = real[stored.id]
-                about = CLOCK_TOLERANCE_S * hands + 0.001
+                about = CLOCK_TOLERANCE_S * runs + 0.001
                 assert journal.time.monotonic(stored.expires) == pytest.approx(until, abs=about)
                 [(at, _)] = stored.ran
                 assert journal.time.monotonic(at) == pytest.approx(tried, abs=about)
         journal.close()
 
 
-# What recovery and the relays keep
+# Files of the recovery and of the relays
 
 
 def remembered(folder: Path, written: Stamp, now: Stamp) -> list[Fact]:
@@ -344,7 +351,7 @@
 
 
 @steps
-def test_what_recovery_remembers_is_read_by_real_time(tmp_path: Path, step: float) -> None:
+def test_remembered_facts_are_read_by_real_time(tmp_path: Path, step: float) -> None:
     written = Stamp("one", 1000.0, 50.0, 1000.0)
     for gone, kinds in ((3.0, ["wait", "pace"]), (9.0, ["pace"]), (61.0, [])):
         wall = written.wall + gone + step
@@ -357,8 +364,8 @@
                 assert fact.value == 0.5
 
 
-def test_what_recovery_remembers_over_a_boot_makes_it_more_careful(tmp_path: Path) -> None:
-    """By the wall clock; where that was set back, a wait is heeded as if no time had gone by."""
+def test_remembered_facts_are_read_conservatively_over_a_boot(tmp_path: Path) -> None:
+    """They are read by the wall clock; if that was set back, a wait applies as if no time had passed."""
     written = Stamp("one", 1000.0, 50.0, 1000.0)
     [wait, _] = remembered(tmp_path, written, Stamp("two", 1003.0, 1.0, 1003.0))
     assert wait.value - 1003.0 == pytest.approx(5.0)
@@ -379,7 +386,7 @@
         ("two", 0.0, 40.0), ("two", 60.0, 100.0), ("two", -60.0, math.inf),
     ],
 )  # fmt: skip
-def test_a_kept_list_has_its_real_age_or_none(
+def test_a_kept_list_has_its_real_age_or_an_unknown_one(
     tmp_path: Path, boot: str, step: float, expected: float
 ) -> None:
     clock = SteppedClocks()
@@ -415,7 +422,7 @@
     assert age(found.confirmed, read_clocks(clock)) == pytest.approx(30.0)
 
 
-# The rule by itself
+# The rule
 
 
 @pytest.mark.parametrize(
@@ -427,35 +434,37 @@
         ("", "", 990.0, 70.0, Basis.SET_BACK), ("one", "one", 990.0, 40.0, Basis.SET_BACK),
     ],
 )  # fmt: skip
-def test_which_clock_is_taken(
+def test_which_clock_determines_the_span(
     boot: str, saved_boot: str, wall: float, monotonic: float, basis: Basis
 ) -> None:
     saved = Stamp(saved_boot, 1000.0, 50.0, 1000.0)
     assert rebase(saved, saved.base, Stamp(boot, wall, monotonic, wall)).basis is basis
 
 
-def test_a_boot_id_that_cannot_be_read_is_unknown(tmp_path: Path) -> None:
+def test_an_unreadable_boot_id_is_unknown(tmp_path: Path) -> None:
     (tmp_path / "binary").write_bytes(b"\xff\n")
     (tmp_path / "one").write_bytes(b"one\n")
     assert [boot_id(tmp_path / name) for name in ("none", "binary", "one")] == ["", "", "one"]
 
 
-def test_an_agent_passes_sighup_on_though_the_wall_clock_was_set_back() -> None:
-    """An instance has its handler two seconds after its start; an hour set back must not be waited for."""
+def test_an_agent_forwards_sighup_though_the_wall_clock_was_set_back() -> None:
+    """The agent waits two seconds after an instance's start for its signal handler, and not also for the hour
+    by which the clock was set back.
+    """
 
     class Process:
         def __init__(self) -> None:
-            self.heard: list[int] = []
+            self.received: list[int] = []
 
         def send_signal(self, number: int) -> None:
-            self.heard.append(number)
+            self.received.append(number)
 
     async def main() -> None:
         instance, process = Instance("one", []), Process()
         instance._process = cast(asyncio.subprocess.Process, process)
-        instance.since += 3600.0  # what the wall clock said at its start
+        instance.since += 3600.0  # the wall clock at its start
         async with asyncio.timeout(60):
             await instance.reload()
-        assert process.heard == [signal.SIGHUP]
+        assert process.received == [signal.SIGHUP]
 
     asyncio.run(main())
