--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -1,4 +1,4 @@
-"""Where two events cross at a delivery attempt: each is forced by what the peer has seen."""
+"""Races between two events of a delivery attempt, each forced by what the peer has received."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """At once: the other side's kernel knows it when this returns."""
+    """Reset the connection: the other side's kernel has the reset when this returns."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 class Peer:
-    """An endpoint on bare sockets: what it does takes effect before the sender's next step."""
+    """An endpoint on plain sockets, whose actions take effect before the sender's next step."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server((HOST, 0))
@@ -44,7 +44,7 @@
         return sock
 
     async def call(self, sock: socket.socket) -> bytes:
-        """One call, whole."""
+        """Receive one complete call."""
         data, loop = b"", asyncio.get_running_loop()
         while True:
             data += await loop.sock_recv(sock, 65536)
@@ -61,12 +61,12 @@
     yield peer, hops
     hops.close()
     await asyncio.sleep(0)
-    assert hops.out == 0 and hops._open == 0, "each connection is counted out once"
+    assert hops.out == 0 and hops._open == 0, "the close of each connection is counted once"
     peer.listener.close()
 
 
 async def kept(peer: Peer, hops: HttpNextHops, owner: Owner) -> socket.socket:
-    """The peer's end of a connection that has served one call and rests."""
+    """The peer's end of an idle connection that has served one call."""
     hops.start(call(peer.port))
     sock = await peer.accept()
     await peer.call(sock)
@@ -77,7 +77,7 @@
 
 
 class Before(Owner):
-    """Something happens between the last look and the first byte."""
+    """Calls a function between the last check and the first byte."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -88,8 +88,8 @@
         return items
 
 
-def test_a_reset_between_the_last_look_and_the_first_byte_has_not_run() -> None:
-    """Not one byte was written: a class that may never be repeated may be sent again."""
+def test_after_a_reset_between_the_last_check_and_the_first_byte_a_call_has_not_run() -> None:
+    """No byte was written, so even a message that may never be repeated may be sent again."""
 
     async def main() -> None:
         owner = Before()
@@ -103,8 +103,8 @@
     run(main())
 
 
-def test_an_end_between_the_last_look_and_the_first_byte_may_have_run() -> None:
-    """The bytes went out before the other side's reset came back: only the protocol's table can tell."""
+def test_after_a_close_between_the_last_check_and_the_first_byte_a_call_may_have_run() -> None:
+    """The bytes were sent before the other side's reset arrived: only the protocol's table can decide."""
 
     async def main() -> None:
         owner = Before()
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("what", ["half a line", "an answer", "an end", "a reset"])
-def test_what_comes_as_a_kept_connection_is_taken_again_is_not_the_next_calls(what: str) -> None:
+def test_data_that_arrives_as_an_idle_connection_is_reused_is_not_the_next_calls_answer(what: str) -> None:
     async def main() -> None:
         owner = Owner()
         async with world(owner) as (peer, hops):
@@ -133,7 +133,7 @@
                     sock.shutdown(socket.SHUT_WR)
                 case _:
                     reset(sock)
-            hops.start(call(peer.port))  # in the same turn: it lies there unread
+            hops.start(call(peer.port))  # in the same turn, so the data is still unread
             other = await peer.accept()
             await peer.call(other)
             other.send(GOOD)
@@ -149,8 +149,8 @@
 
 
 @pytest.mark.parametrize("reason", ["room", "expiry"])
-def test_what_comes_as_a_resting_connection_is_let_go_is_nobodys(reason: str) -> None:
-    """Bytes of the partner and the sender's own reason to close, in one turn: one end, counted once."""
+def test_data_that_arrives_as_an_idle_connection_is_closed_is_ignored(reason: str) -> None:
+    """The partner's bytes and the sender's own reason to close in the same turn: one close, counted once."""
 
     async def main() -> None:
         owner = Owner()
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("before", [True, False])
 def test_a_reset_before_and_after_a_calls_last_byte(before: bool) -> None:
-    """A paused reader keeps the last byte with the sender; one that has read it all may have run it."""
+    """A paused reader keeps the last byte at the sender; one that has read the whole call may have run it."""
 
     async def main() -> None:
         owner, loop = Owner(), asyncio.get_running_loop()
@@ -205,9 +205,9 @@
 
 @pytest.mark.parametrize("turns", range(10))
 @pytest.mark.parametrize("how", ["cancel", "give up"])
-def test_giving_up_in_each_turn_in_which_a_connection_comes_up(how: str, turns: int) -> None:
-    """Whichever turn it falls into: one outcome, never-ran only where the peer got no whole call, no
-    descriptor left over and none counted twice.
+def test_a_cancel_or_timeout_in_each_turn_of_establishing_a_connection(how: str, turns: int) -> None:
+    """In each turn there is one outcome, which is "never ran" only if the peer received no complete call, and
+    no descriptor is leaked or counted twice.
     """
 
     async def main() -> None:
@@ -221,16 +221,16 @@
             await until(lambda: owner.done)
             await asyncio.sleep(0.02)
             assert len(owner.done) == 1 and hops._open == 0
-            got = b""
+            received = b""
             with contextlib.suppress(BlockingIOError):
                 sock, _ = peer.listener.accept()
                 with sock, contextlib.suppress(ConnectionError):
                     sock.settimeout(2)
                     while data := sock.recv(65536):
-                        got += data
+                        received += data
             outcome = owner.done[0][1][0].outcome
-            whole = got.endswith(b"\r\n\r\nx")
-            assert not (whole and outcome in NEVER), (outcome, got)
+            complete = received.endswith(b"\r\n\r\nx")
+            assert not (complete and outcome in NEVER), (outcome, received)
             late = {"cancel": Outcome.CANCELLED, "give up": Outcome.TIMEOUT}[how]
             assert outcome in (*NEVER, late)
 
@@ -238,7 +238,7 @@
 
 
 def full_backlog(peer: Peer) -> list[socket.socket]:
-    """The peer's system takes no further connection until `accept`; one that asks is told nothing."""
+    """Fill the peer's listen backlog: its system answers no further connection attempt until `accept`."""
     peer.listener.listen(0)
     fillers = []
     for _ in range(3):
@@ -248,7 +248,7 @@
     return fillers
 
 
-def test_a_connection_that_comes_up_late_carries_one_call_that_says_what_is_left() -> None:
+def test_a_late_connection_carries_one_call_with_the_remaining_time() -> None:
     async def main() -> None:
         owner = Owner()
         async with world(owner, timeout=8.0) as (peer, hops):
@@ -256,14 +256,15 @@
             hops.start(call(peer.port, limit=9.0))
             await asyncio.sleep(0.2)
             assert hops.out == 1
-            got = b""
+            received = b""
             async with asyncio.timeout(9):
-                while b"/hook" not in got:  # room is made; its system asks again after a second
+                # Frees the backlog; the sender's system retries the connect after a second.
+                while b"/hook" not in received:
                     sock = await peer.accept()
                     with contextlib.suppress(TimeoutError):
                         async with asyncio.timeout(0.05):
-                            got = await peer.call(sock)
-            assert int(got.lower().split(b"x-expires-in-ms: ")[1].split(b"\r\n")[0]) < 8900
+                            received = await peer.call(sock)
+            assert int(received.lower().split(b"x-expires-in-ms: ")[1].split(b"\r\n")[0]) < 8900
             sock.send(GOOD)
             await until(lambda: owner.done)
             assert owner.done[0][1] == {0: AttemptResult(Outcome.OK)} and hops.opened == 1
@@ -273,7 +274,7 @@
     run(main())
 
 
-def test_one_that_comes_up_after_the_limit_has_not_run() -> None:
+def test_a_call_whose_connection_comes_after_the_limit_has_not_run() -> None:
     async def main() -> None:
         owner = Owner()
         async with world(owner, timeout=0.2) as (peer, hops):
@@ -287,7 +288,7 @@
     run(main())
 
 
-def test_a_connection_whose_endpoint_leaves_during_its_call_is_not_kept() -> None:
+def test_a_connection_to_an_endpoint_that_leaves_during_the_call_is_not_kept() -> None:
     async def main() -> None:
         owner = Owner()
         async with world(owner) as (peer, hops):
@@ -297,15 +298,15 @@
             hops.close_idle("h")
             sock.send(GOOD)
             await until(lambda: owner.done)
-            assert owner.done[0][1] == {0: AttemptResult(Outcome.OK)}, "its answer is still heard"
+            assert owner.done[0][1] == {0: AttemptResult(Outcome.OK)}, "its answer still counts"
             assert hops._open == 0 and not hops._pools
             sock.close()
 
     run(main())
 
 
-def test_a_message_whose_time_ends_before_the_first_byte_of_its_call_has_not_run(tmp_path: Path) -> None:
-    """It shares a call that is still connecting: handing it in again is harmless, whatever its class."""
+def test_a_message_that_expires_before_the_first_byte_of_its_call_has_not_run(tmp_path: Path) -> None:
+    """It shares a call that is still connecting: submitting it again is harmless, whatever its class."""
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY, kind=1))
     bench.pass_time(0.01)
@@ -320,21 +321,23 @@
     assert bench.sender.admit(bench.calls[0], bench.calls[0].items) == bench.calls[0].items[1:]
 
 
-def test_an_answer_for_several_is_not_waited_for_past_the_time_of_the_first() -> None:
-    """A message's time ends while the call that it shares is out: the answer after it is nobody's."""
+def test_a_batch_answer_is_not_awaited_after_the_first_message_has_expired() -> None:
+    """A message expires while the call that it shares is in flight: an answer after that is ignored."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
-        told, let_go, owner = list[int](), asyncio.Event(), Owner()
+        remaining_ms, disconnected, owner = list[int](), asyncio.Event(), Owner()
 
         class Late(HttpServer):
             async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
-                told.append(int(head.split("x-expires-in-ms: ")[1].split("\r\n")[0]))
+                remaining_ms.append(int(head.split("x-expires-in-ms: ")[1].split("\r\n")[0]))
                 await reader.readexactly(int(head.split("content-length: ")[1].split("\r\n")[0]))
                 gone = asyncio.ensure_future(reader.read())
-                await asyncio.wait([gone], timeout=2.0)  # the sender has gone; or it waits on, past its time
-                let_go.set() if gone.done() else gone.cancel()
+                await asyncio.wait(
+                    [gone], timeout=2.0
+                )  # until the sender disconnects, or for longer than the time limit
+                disconnected.set() if gone.done() else gone.cancel()
                 states = [{"id": f"id{n}", "state": "ok"} for n in range(2)]
                 writer.write(response(200, "OK", {}, orjson.dumps(states)))
                 await writer.drain()
@@ -348,9 +351,9 @@
         shared.items[0].expires = loop.time() + 0.4
         hops.start(shared)
         await until(lambda: owner.done)
-        await asyncio.wait_for(let_go.wait(), 5)
+        await asyncio.wait_for(disconnected.wait(), 5)
         assert owner.done[0][1] == {n: AttemptResult(Outcome.TIMEOUT) for n in range(2)}
-        assert told[0] <= 400 and loop.time() >= shared.items[0].expires
+        assert remaining_ms[0] <= 400 and loop.time() >= shared.items[0].expires
         hops.close()
         await server.stop()
 
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -1,5 +1,5 @@
-"""What a file, another process or an answer says of an attempt that may have run is believed in time (issue
-40): a message that must not be repeated is not, and none is handed back that may have run.
+"""Records of an attempt that may have run, in a file, by another process or in an answer, take effect in time
+(issue 40): no message is repeated that must not be, and none is deferred that may have run.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from tests.test_sender import Bench
 
 ONCE = 2  # the class of `Bench` that is never repeated
-AGAIN = MessageOutcome(Status.DEFERRED, 250)
+RETRY = MessageOutcome(Status.DEFERRED, 250)
 
 
 @pytest.fixture
@@ -34,8 +34,8 @@
     return made
 
 
-def test_a_replace_that_fails_after_it_took_effect_loses_no_attempt(tmp_path: Path) -> None:
-    """The journal went on writing to the file that had been replaced."""
+def test_a_replace_that_reports_an_error_after_it_took_effect_loses_no_attempt(tmp_path: Path) -> None:
+    """The journal continued to write to the file that had been replaced."""
     files = FailingFiles()
     bench = Bench(tmp_path, files=files, disk=2_000_000)
     bench.sender.start(bench.hops(Readiness.READY))
@@ -43,7 +43,7 @@
     bench.pass_time(0.01)
     (call,) = bench.calls
     files.late = {"replace"}
-    for number in range(400):  # ends that a compaction drops
+    for number in range(400):  # finished messages, which a compaction drops
         bench.journal.accept(StoredMessage(f"s{number}", "safe", 1e9, 7, "k", "platform", b"x" * 2000))
         bench.journal.finish(f"s{number}", MessageOutcome(Status.DELIVERED))
     assert files.calls["replace"]
@@ -55,10 +55,10 @@
     again.close()
 
 
-def test_a_replace_of_which_nothing_is_known_is_looked_at_before_the_next_record(
+def test_a_replace_with_unknown_effect_is_checked_before_the_next_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The file could not be looked at either, and the mark that an attempt never ran is still unwritten."""
+    """The file could not be inspected either, and the record that an attempt never ran is still unwritten."""
     files = FailingFiles()
     bench = Bench(tmp_path, files=files)
     bench.sender.start(bench.hops(Readiness.READY))
@@ -71,11 +71,11 @@
     files.heal()
     files.late = {"replace"}
 
-    def unseen(*_: object) -> bool:
+    def uninspectable(*_: object) -> bool:
         raise OSError(errno.EIO, os.strerror(errno.EIO))
 
     with monkeypatch.context() as patched, pytest.raises(OSError):
-        patched.setattr(journal, "same_file", unseen)
+        patched.setattr(journal, "same_file", uninspectable)
         bench.journal._rewrite(bench.journal._content())
     files.late = set()
     bench.journal.attempt(["a"], bench.journal.time.of(bench.time), 0)
@@ -85,13 +85,13 @@
     again.close()
 
 
-def other_process(bench: Bench, *, ended: bool) -> None:
-    """Another process on the folder has sent the message that this one holds, and has gone."""
+def other_process(bench: Bench, *, finished: bool) -> None:
+    """Another process on the folder has sent the message that is pending here, and has ended."""
     other = Journal(bench.journal.folder, 1_000_000, clock=bench)
-    held = bench.journal.live["a"]
-    other.accept(StoredMessage("a", held.grade, held.expires, held.dest, held.key, held.front, held.body))
+    one = bench.journal.live["a"]
+    other.accept(StoredMessage("a", one.grade, one.expires, one.dest, one.key, one.front, one.body))
     other.attempt(["a"], bench.journal.time.of(bench.time), 0)
-    if ended:
+    if finished:
         other.finish("a", MessageOutcome(Status.DELIVERED))
     other.close()
 
@@ -104,28 +104,28 @@
     bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
-    other_process(bench, ended=True)
+    other_process(bench, finished=True)
     adopt(bench)
     assert bench.sender.admit(call, call.items) == []
     bench.sender.finished(call, {})
     bench.pass_time(20.0)
-    assert bench.outcomes == {} and not bench.sender.pending, "it has had its end"
+    assert bench.outcomes == {} and not bench.sender.pending, "its outcome was reported already"
 
 
 def test_a_message_that_another_process_may_have_sent_is_not_sent_again(bench: Bench) -> None:
     bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
-    other_process(bench, ended=False)
+    other_process(bench, finished=False)
     adopt(bench)
     assert bench.sender.admit(call, call.items) == []
     bench.sender.finished(call, {})
     bench.pass_time(20.0)
-    assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}, "handing it in again might do harm"
+    assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}, "submitting it again might do harm"
 
 
 @pytest.mark.parametrize("moment", ["before the stop", "after it"])
-def test_a_request_that_comes_again_at_the_stop_is_not_handed_back(bench: Bench, moment: str) -> None:
+def test_a_request_repeated_at_the_stop_is_not_deferred(bench: Bench, moment: str) -> None:
     bench.submit("twice", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
@@ -140,7 +140,7 @@
     assert bench.answers["new"] == MessageOutcome(Status.DEFERRED)
 
 
-def test_a_message_that_has_ended_is_not_handed_back_after_the_stop(bench: Bench) -> None:
+def test_a_finished_message_is_not_deferred_after_the_stop(bench: Bench) -> None:
     bench.submit("twice", grade=ONCE)
     bench.pass_time(0.01)
     (call,) = bench.calls
@@ -152,8 +152,8 @@
 
 
 @pytest.mark.parametrize("states", [("ok", "later"), ("later", "ok"), ("exhausted", "error")])
-def test_a_batch_answer_that_contradicts_itself_proves_nothing(states: tuple[str, str]) -> None:
-    """The last word of an answer that names a message twice counted."""
+def test_a_contradictory_batch_answer_proves_nothing(states: tuple[str, str]) -> None:
+    """If an answer named a message twice, the last state used to count."""
 
     async def reply(message: Message) -> bytes:
         lines = [{"id": "id0", "state": state} for state in states] + [{"id": "id1", "state": "ok"}]
@@ -166,8 +166,8 @@
     asyncio.run(main())
 
 
-def test_a_start_takes_nothing_on_while_an_ended_process_s_journal_cannot_be_read(tmp_path: Path) -> None:
-    """A request that comes again may be in there: taken on as new, it would be sent a second time."""
+def test_no_message_is_accepted_while_an_ended_processs_journal_is_unreadable(tmp_path: Path) -> None:
+    """It may contain a repeated request, which would be sent a second time if it were accepted as new."""
     first, second = Journal(tmp_path, 1_000_000), Journal(tmp_path, 1_000_000)
     first.close()
     second.accept(StoredMessage("a", "once", 1e10, 7, "k", "platform", b"x"))
@@ -186,9 +186,9 @@
     bench.sender.start(bench.hops(Readiness.READY))
     bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
-    assert bench.answers.pop("a") == AGAIN and not bench.calls
+    assert bench.answers.pop("a") == RETRY and not bench.calls
     files.heal()
     adopt(bench)
     bench.submit("a", grade=ONCE)
     bench.pass_time(0.01)
-    assert bench.answers["a"] == Accepted() and not bench.calls, "known, and it may have run"
+    assert bench.answers["a"] == Accepted() and not bench.calls, "it is known, and may have run"
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -1,6 +1,7 @@
-"""What a restart finds taken on and untried is still tried; where a hand-over of a folder crosses a fault.
+"""Restarts try accepted messages that were not tried yet, and hand-overs of a folder that coincide with
+faults.
 
-Found, tried, delivered and given up are counted from the journal, the partner's log and the notices.
+What was found, tried, delivered and abandoned is taken from the journal, the partner's log and the notices.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 from tests.test_peers import listing
 from tests.test_sender import Bench
 
-LIMIT = 8  # messages held, as the settings have it
+LIMIT = 8  # maximum of pending messages in the settings
 SHARE = LIMIT // 2  # of them for one destination
 
 
 class Unlisted(Served):
-    """Its endpoint is leaving in all that a sender knows, until discovery says on a watch that it is back."""
+    """Its endpoint is leaving in all lists of a sender, until a watch reports that it is active again."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
@@ -46,9 +47,11 @@
         return listing(5, True, id="e", addr=f"{HOST}:{self.endpoint.port}", cell=7, kind="one", zone="near")
 
 
-def test_what_a_restart_finds_untried_is_tried_though_more_comes_than_may_be_held(tmp_path: Path) -> None:
-    """Nothing can go before the restart nor right after it, by an old list; the clients go on with more than
-    there is room for. Newcomers are turned back, not those that were taken on.
+def test_a_restart_tries_untried_messages_though_more_are_submitted_than_may_be_pending(
+    tmp_path: Path,
+) -> None:
+    """Nothing can be sent before the restart, nor right after it by an old list, and the clients continue to
+    submit more than there is capacity for. New messages are rejected, not the accepted ones.
     """
 
     async def main() -> None:
@@ -61,12 +64,14 @@
             journal = Journal(tmp_path / "state", 3_000_000)
             found = {one.id for one in journal.live.values() if not one.attempts and one.notice is None}
             journal.close()
-            taken = {msg_id for (msg_id, _), answer in zip(first, answers, strict=True) if answer[:1] == b"+"}
-            assert found and found <= taken and not platform.hooks
+            accepted = {
+                msg_id for (msg_id, _), answer in zip(first, answers, strict=True) if answer[:1] == b"+"
+            }
+            assert found and found <= accepted and not platform.hooks
             await platform.start()
             for burst in range(3):
                 await platform.send(*[(f"b{burst}-{n}", "safe") for n in range(60)])
-            assert not found & {*platform.notices}, "given up with no call"
+            assert not found & {*platform.notices}, "abandoned without a call"
             platform.back.set()
             await until(lambda: found <= {*platform.delivered}, 15)
             assert not found & {*platform.notices}
@@ -93,30 +98,30 @@
 OLD, NEW = list(range(1, SHARE + 1)), list(range(100, 100 + LIMIT))
 
 
-def hand_in(driver: Driver, numbers: list[int]) -> None:
+def submit(driver: Driver, numbers: list[int]) -> None:
     for number in numbers:
         driver.policy.handle(io.Incoming(number, 0, driver.now + 12.0, 0, 0.0, 0, 0, 0), driver.now)
 
 
 @pytest.mark.parametrize(("readiness", "wait"), [(Readiness.DRAINING, 0.0), (Readiness.READY, 3.0)])
-def test_the_bound_on_what_is_held_turns_newcomers_back_not_what_was_taken_on(
+def test_the_bound_on_pending_messages_rejects_new_ones_not_accepted_ones(
     readiness: Readiness, wait: float
 ) -> None:
-    """What has surely not run is kept for seven tenths of its time, though a newcomer is worth more."""
+    """A message that certainly has not run is kept for 70 % of its time, even if a new one has more value."""
     driver = small(readiness, wait)
-    hand_in(driver, NEW)
+    submit(driver, NEW)
     assert kept(driver, OLD) == set(OLD) and not kept(driver, NEW)
 
 
-def test_what_has_had_seven_tenths_of_its_time_makes_room_for_what_is_worth_more() -> None:
+def test_after_70_percent_of_its_time_a_message_yields_to_one_of_higher_value() -> None:
     driver = small(Readiness.READY, wait=7.0)
     driver.now += 5.0
-    hand_in(driver, NEW[:SHARE])
+    submit(driver, NEW[:SHARE])
     assert kept(driver, NEW) == set(NEW[:SHARE]) and not kept(driver, OLD)
 
 
-def test_a_window_for_repeats_runs_on_over_a_restart(tmp_path: Path) -> None:
-    """It counts on the wall clock: a process that is down while it ends must not repeat the message."""
+def test_a_repeat_window_continues_over_a_restart(tmp_path: Path) -> None:
+    """It is counted by the wall clock: if it elapses during a downtime, the message must not be repeated."""
     for down, calls in ((0.5, 1), (20.0, 0)):
         folder = tmp_path / str(down)
         folder.mkdir()
@@ -137,8 +142,8 @@
         assert ("a" in again.outcomes) is (not calls)
 
 
-def test_an_untried_message_of_a_class_that_has_gone_may_come_again(tmp_path: Path) -> None:
-    """The new settings don't know what its class allowed; it has surely not run, so it is not lost."""
+def test_an_untried_message_of_a_removed_class_is_deferred(tmp_path: Path) -> None:
+    """The settings no longer have its class and repeat rule, but as it has not run, a repeat is harmless."""
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY))
     bench.pass_time(0.01)
@@ -161,9 +166,9 @@
 # Hand-over of a folder
 
 
-def beside(folder: Path, *names: str, files: Files | None = None) -> tuple[Journal, Journal]:
-    """The journals of an old and a new process on one folder; the old one holds these. `files` are the new
-    one's.
+def two_journals(folder: Path, *names: str, files: Files | None = None) -> tuple[Journal, Journal]:
+    """The journals of an old and a new process on one folder; the old one has these messages, and the new one
+    uses `files`.
     """
     old = Journal(folder, 300_000)
     new = Journal(folder, 300_000, files=files)
@@ -177,10 +182,10 @@
 
 
 @pytest.mark.parametrize("written", [0, 1, 40])
-def test_a_disk_that_fails_as_a_journal_is_adopted_costs_nothing(tmp_path: Path, written: int) -> None:
-    """Half a record in front of all later ones would cut them off at the next start."""
+def test_a_disk_failure_during_an_adoption_loses_nothing(tmp_path: Path, written: int) -> None:
+    """At the next start half a record would hide all records after it."""
     files = FailingFiles()
-    old, new = beside(tmp_path, "a", "b", files=files)
+    old, new = two_journals(tmp_path, "a", "b", files=files)
     old.finish("a", MessageOutcome(Status.DELIVERED))
     old.close()
     files.room = written
@@ -195,9 +200,9 @@
     last.close()
 
 
-def test_ends_that_are_adopted_are_known_after_a_restart_however_many_there_were(tmp_path: Path) -> None:
-    """Past the number of ends that are remembered the oldest go, and the new ones' places move."""
-    old, new = beside(tmp_path, "a")
+def test_adopted_outcomes_are_known_after_a_restart_however_many_there_were(tmp_path: Path) -> None:
+    """Above the maximum number of outcomes the oldest are dropped, and the positions of newer ones change."""
+    old, new = two_journals(tmp_path, "a")
     for n in range(400):  # more than a folder of this size remembers
         name = f"m{n}"
         new.accept(StoredMessage(name, "note", 1000.5, 7, "key", "platform", b""))
@@ -208,13 +213,13 @@
     assert "a" in new.outcomes
     new.close()
     last = reopened(tmp_path)
-    assert "a" in last.outcomes, "handed in again it would be delivered a second time"
+    assert "a" in last.outcomes, "submitted again it would be delivered a second time"
     last.close()
 
 
-def test_the_old_ones_last_record_is_adopted_whenever_it_comes(tmp_path: Path) -> None:
-    """An answer that comes between two looks of the new process, with the old one still there."""
-    old, new = beside(tmp_path, "a", "b")
+def test_the_old_processs_last_record_is_adopted_whenever_it_is_written(tmp_path: Path) -> None:
+    """An answer arrives between two checks by the new process, while the old one still runs."""
+    old, new = two_journals(tmp_path, "a", "b")
     assert new.adopt() == [] and new.unadopted
     old.attempt(["a"], 5.0, 0)
     old.finish("b", MessageOutcome(Status.DELIVERED))
@@ -225,9 +230,9 @@
     new.close()
 
 
-def test_what_the_old_one_gave_up_and_did_not_tell_is_told_and_not_tried_again(tmp_path: Path) -> None:
-    """Its notice crossed the process's end: the new one owes the same end, and no other."""
-    bench = Bench(tmp_path)  # the new process, beside the old one
+def test_an_unreported_outcome_of_the_old_process_is_reported_and_not_tried_again(tmp_path: Path) -> None:
+    """Its notice coincided with the process's end: the new process owes the same outcome, and no other."""
+    bench = Bench(tmp_path)  # the new process, while the old one runs
     old = Journal(tmp_path, 300_000, clock=bench)
     now = bench.wall()
     for name in ("given-up", "untried"):
@@ -245,8 +250,8 @@
     assert "given-up" in bench.journal.outcomes and "given-up" not in bench.journal.live
 
 
-def test_an_attempt_that_ended_while_the_old_one_goes_is_in_its_last_record(tmp_path: Path) -> None:
-    """After the last turn no further one is decided on, but what an attempt came to is written down."""
+def test_the_outcome_of_an_attempt_during_the_stop_is_in_the_last_record(tmp_path: Path) -> None:
+    """After the last turn no attempt is decided on, but the outcomes of those in flight are journalled."""
     bench: Any = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY, Readiness.READY))
     bench.pass_time(0.01)
@@ -268,11 +273,11 @@
     last.close()
 
 
-def test_a_kill_at_each_byte_of_an_adoption_loses_and_doubles_nothing(tmp_path: Path) -> None:
-    """The append may stop anywhere with the old file still there; or be whole with the old file gone."""
+def test_a_kill_at_each_byte_of_an_adoption_neither_loses_nor_duplicates_a_message(tmp_path: Path) -> None:
+    """The append may stop anywhere while the old file exists, or be complete with the old file removed."""
     first = tmp_path / "first"
     first.mkdir()
-    old, new = beside(first, "a", "b", "d")
+    old, new = two_journals(first, "a", "b", "d")
     old.attempt(["a"], 5.0, 0)
     old.finish("b", MessageOutcome(Status.DELIVERED))
     old.abandon("d", MessageOutcome(Status.DEFERRED, 70))
@@ -290,7 +295,7 @@
         if theirs is not None:
             (folder / old.path.name).write_bytes(theirs)
         (folder / new.path.name).write_bytes(mine)
-        for _ in range(2):  # and once more, by what the first one wrote
+        for _ in range(2):  # a second time, to read what the first one wrote
             found = reopened(folder)
             assert {one.id: len(one.ran) for one in found.live.values()} == {"a": 1, "c": 0, "d": 0}
             assert found.live["d"].notice == MessageOutcome(Status.DEFERRED, 70) and set(found.outcomes) == {
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -1,5 +1,5 @@
-"""Where the process's shutdown and start cross signals and clients: real processes, each crossing forced by
-what a peer has seen.
+"""Races between the process's shutdown or start and signals or clients: real processes, each race forced by
+what a peer has received.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Served(Platform):
-    """Whatever a test's end, it leaves no process behind."""
+    """Leaves no process running, however a test ends."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder)
@@ -45,14 +45,14 @@
 
 
 class Piped(Served):
-    """Its configuration is a pipe: a sender waits in reading it until the test writes it."""
+    """Its configuration file is a pipe: a sender blocks reading it until the test writes it."""
 
     async def spawn(self) -> asyncio.subprocess.Process:
-        process = await self.start()  # once as ever, which writes the file
+        process = await self.start()  # a first start, which writes the file
         process.kill()
         await process.wait()
         self.file = self.folder / "config.json"
-        self.told = json.loads(self.file.read_text())
+        self.configuration = json.loads(self.file.read_text())
         self.file.unlink()
         os.mkfifo(self.file)
         env = {"GW_CONFIG": str(self.file), "GW_STATE": str(self.folder / "state")}
@@ -63,15 +63,15 @@
         return process
 
     def writer(self) -> int | None:
-        """The pipe's other end, None where nobody reads it."""
+        """The pipe's write end; None if no process reads it."""
         try:
             return os.open(self.file, os.O_WRONLY | os.O_NONBLOCK)
         except OSError:
             return None
 
-    async def tell(self, then: Callable[[], None] = lambda: None) -> None:
-        """The sender has opened the pipe, so it reads; `then` comes before it has a byte of it. At the end it
-        has read all of it.
+    async def write_configuration(self, then: Callable[[], None] = lambda: None) -> None:
+        """Wait until the sender has opened the pipe, call `then` before it receives a byte, then write the
+        configuration and wait until the sender has read all of it.
         """
         pipe: int | None = None
 
@@ -83,7 +83,7 @@
         await until(reads)
         assert pipe is not None
         then()
-        os.write(pipe, json.dumps(self.told).encode())
+        os.write(pipe, json.dumps(self.configuration).encode())
         os.close(pipe)
 
         def has_read() -> bool:
@@ -94,18 +94,18 @@
         await until(has_read)
 
 
-def test_sigterm_before_anything_listens_ends_in_order(tmp_path: Path) -> None:
+def test_sigterm_before_the_sender_listens_ends_it_in_order(tmp_path: Path) -> None:
     async def main() -> None:
         async with Piped(tmp_path) as platform:
             process = await platform.spawn()
-            await platform.tell(lambda: process.send_signal(signal.SIGTERM))
+            await platform.write_configuration(lambda: process.send_signal(signal.SIGTERM))
             assert await process.wait() == 0
 
     run(main(), 30)
 
 
-def test_sighup_between_reading_the_file_and_serving_is_heard(tmp_path: Path) -> None:
-    """The file was replaced as the sender started: what it says now holds, though nobody asks again."""
+def test_sighup_between_reading_the_file_and_serving_takes_effect(tmp_path: Path) -> None:
+    """The file is replaced while the sender starts: the new content applies without a further signal."""
 
     async def main() -> None:
         called = asyncio.Event()
@@ -119,10 +119,10 @@
             moved = HttpServer(other)
             await moved.start()
             process = await platform.spawn()
-            await platform.tell()  # it has the old one
+            await platform.write_configuration()  # it has read the old file
             process.send_signal(signal.SIGHUP)
-            platform.told["discovery"] = f"{HOST}:{moved.port}"
-            await platform.tell()
+            platform.configuration["discovery"] = f"{HOST}:{moved.port}"
+            await platform.write_configuration()
             await asyncio.wait_for(called.wait(), 10)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -131,9 +131,9 @@
     run(main(), 30)
 
 
-def test_further_signals_within_the_drain_change_nothing(tmp_path: Path) -> None:
-    """SIGTERM again, SIGINT, and SIGHUP with a file that cannot be read and one with another seed. A message
-    is handed in behind each of them, as long as any is let in.
+def test_further_signals_during_the_drain_have_no_effect(tmp_path: Path) -> None:
+    """SIGTERM again, SIGINT, and SIGHUP with an unreadable file and with one that has another seed. A message
+    is submitted after each of them, as long as the sender accepts connections.
     """
 
     async def main() -> None:
@@ -142,33 +142,35 @@
             platform.hold.clear()
             assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
             await until(lambda: platform.hooks)
-            file, taken = tmp_path / "config.json", ["a"]
-            told = file.read_text()
+            file, accepted = tmp_path / "config.json", ["a"]
+            valid = file.read_text()
             for number, content in (
-                (signal.SIGTERM, told), (signal.SIGTERM, told), (signal.SIGHUP, "{"), (signal.SIGINT, told),
-                (signal.SIGHUP, told.replace('"seed": "1f"', '"seed": "2f"')),
+                (signal.SIGTERM, valid), (signal.SIGTERM, valid), (signal.SIGHUP, "{"),
+                (signal.SIGINT, valid), (signal.SIGHUP, valid.replace('"seed": "1f"', '"seed": "2f"')),
             ):  # fmt: skip
                 file.write_text(content)
                 process.send_signal(number)
-                with contextlib.suppress(ConnectionError):  # it has ended taking already, on a slow machine
-                    [answer] = await platform.send((name := f"s{len(taken)}", "safe"))
-                    taken += [name] if answer == b"+OK\r\n" else []
+                with contextlib.suppress(
+                    ConnectionError
+                ):  # on a slow machine it has stopped accepting already
+                    [answer] = await platform.send((name := f"s{len(accepted)}", "safe"))
+                    accepted += [name] if answer == b"+OK\r\n" else []
             platform.hold.set()
             assert await process.wait() == 0
             journal = Journal(tmp_path / "state", 3_000_000)
-            owed = set(journal.live)
+            unfinished = set(journal.live)
             journal.close()
-            assert {*platform.delivered, *owed} == set(taken) and not platform.notices
+            assert {*platform.delivered, *unfinished} == set(accepted) and not platform.notices
             assert len(set(platform.delivered)) == len(platform.delivered)
 
     run(main(), 30)
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP, signal.SIGINT])
-def test_signals_that_go_on_until_the_process_has_gone_do_not_end_it_otherwise(
+def test_signals_repeated_until_the_process_has_exited_do_not_kill_it(
     tmp_path: Path, number: signal.Signals
 ) -> None:
-    """Found by the soak: once the loop was closed, signals had their default action again."""
+    """Once the event loop was closed, signals had their default action again. Found by the soak."""
 
     async def main() -> None:
         async with Served(tmp_path) as platform:
@@ -176,7 +178,7 @@
             process.send_signal(signal.SIGTERM)
             while process.returncode is None:
                 with contextlib.suppress(ProcessLookupError):
-                    os.kill(process.pid, number)  # `send_signal` would take the process's end for itself
+                    os.kill(process.pid, number)  # `send_signal` would reap the process
                 await asyncio.sleep(0.001)
             assert await process.wait() == 0
 
@@ -184,12 +186,12 @@
 
 
 class Busy:
-    """A client that hands in its next message at once when it is answered, on one connection, to the end."""
+    """A client that submits its next message once it is answered, on one connection, until that closes."""
 
     def __init__(self, name: str, grade: str) -> None:
         self.name, self.grade = name, grade
-        self.taken: list[str] = []
-        self.refused: list[str] = []
+        self.accepted: list[str] = []
+        self.rejected: list[str] = []
         self.crossed = ""  # sent, and the connection ended without an answer
 
     async def run(self, port: int) -> None:
@@ -204,17 +206,17 @@
                 answer = await reader.readline()
                 if not answer:
                     break
-                (self.taken if answer.startswith(b"+") else self.refused).append(msg_id)
+                (self.accepted if answer.startswith(b"+") else self.rejected).append(msg_id)
                 self.crossed = ""
         writer.close()
 
 
 @pytest.mark.parametrize("hangs", [False, True])
-def test_under_load_to_the_end_and_started_again_each_message_has_its_one_end(
+def test_under_load_over_a_stop_and_a_restart_each_message_has_one_outcome(
     tmp_path: Path, hangs: bool
 ) -> None:
-    """Every client sends on every connection up to the end, so on each a request crosses it. With `hangs`
-    the endpoint stops answering as the end is asked for.
+    """Each client sends on its connection until the shutdown, so that a request crosses it. With `hangs`
+    the endpoint stops answering when the shutdown is requested.
     """
 
     async def main() -> None:
@@ -229,19 +231,19 @@
             assert await process.wait() == 0
             await asyncio.gather(*tasks)
             platform.hold.set()
-            taken = [msg_id for one in clients for msg_id in one.taken]
+            accepted = [msg_id for one in clients for msg_id in one.accepted]
             crossed = {one.crossed for one in clients} - {""}
-            assert taken and crossed, "requests crossed the end"
+            assert accepted and crossed, "requests crossed the shutdown"
             process = await platform.start()
-            await until(lambda: set(taken) <= {*platform.delivered, *platform.notices}, 15)
+            await until(lambda: set(accepted) <= {*platform.delivered, *platform.notices}, 15)
             ran = platform.hooks
             assert not crossed & {*ran, *platform.notices}, "read after the shutdown, and sent on"
-            refused = {msg_id for one in clients for msg_id in one.refused}
-            assert not refused & {*ran, *platform.notices}, "refused, and sent on"
+            rejected = {msg_id for one in clients for msg_id in one.rejected}
+            assert not rejected & {*ran, *platform.notices}, "rejected, and sent on"
             once = [msg_id for msg_id in ran if msg_id.startswith("once")]
             assert len(once) == len(set(once)), "never repeated"
             both = {*platform.delivered} & {*platform.notices}
-            # One that hung when its sender had to go may have run: never repeated, so told as undeliverable.
+            # A call that hung at the stop may have run: never repeated, so reported as undeliverable.
             assert all(hangs and one.startswith("once") for one in both)
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
