--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -49,27 +49,29 @@
         self._policy, self._journal, self._table, self._pending = policy, journal, table, pending
         self._attempts, self._outcomes, self._counts, self._started = attempts, outcomes, counts, started
 
-    def known(self, one: Submission) -> Answer | None:
+    def known(self, submission: Submission) -> Answer | None:
         """The answer to a submission whose id is known; None if the id is new."""
-        if (number := self._pending.numbers_by_id.get(one.id)) is not None:
+        if (number := self._pending.numbers_by_id.get(submission.id)) is not None:
             # A repeated submission of an accepted message, or another message under the same id.
             known = self._pending[number].stored
-            same = (known.dest, known.key, known.body) == (one.dest, one.key, one.body)
+            same = (known.dest, known.key, known.body) == (submission.dest, submission.key, submission.body)
             return Accepted() if same else MessageOutcome(Status.UNDELIVERABLE)
-        return self._journal.outcomes.get(one.id)
+        return self._journal.outcomes.get(submission.id)
 
-    def answer_while_stopping(self, one: Submission) -> None:
+    def answer_while_stopping(self, submission: Submission) -> None:
         """Reject a new message, and answer a known one as usual."""
-        known = self.known(one)
-        one.answer(MessageOutcome(Status.DEFERRED) if known is None else known)
+        known = self.known(submission)
+        submission.answer(MessageOutcome(Status.DEFERRED) if known is None else known)
 
-    def immediate_answer(self, one: Submission, now: float) -> Answer | None:
+    def immediate_answer(self, submission: Submission, now: float) -> Answer | None:
         """The answer to a message that is known or rejected without asking the decision module; None if the
         module decides.
         """
-        if not one.client_waiting():  # it disconnected and may submit the message again under another id
+        if (
+            not submission.client_waiting()
+        ):  # it disconnected and may submit the message again under another id
             return MessageOutcome(Status.DEFERRED)
-        if (known := self.known(one)) is not None:
+        if (known := self.known(submission)) is not None:
             return known
         if not send_guard.may_take_on(bool(self._journal.unreadable), now - self._started):
             return MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
@@ -77,39 +79,43 @@
             self._counts["refused", "cut-off"] += 1
             return MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
         scope = self._outcomes.scope
-        if scope is not None and not scope.accepts(one.dest):
+        if scope is not None and not scope.accepts(submission.dest):
             # Served by another sender, to which it may be submitted, or not known yet.
             return MessageOutcome(Status.DEFERRED)
-        if one.dest not in self._table.listed:
+        if submission.dest not in self._table.listed:
             # Until discovery has answered, the destination may be newer than the previous process's list.
             return (
                 MessageOutcome(Status.UNDELIVERABLE)
                 if self.list_received
                 else MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
             )
-        if len(self._policy.msgs) >= self.rules.max_open or not self._journal.has_capacity(len(one.body)):
+        if len(self._policy.msgs) >= self.rules.max_open or not self._journal.has_capacity(
+            len(submission.body)
+        ):
             return MessageOutcome(Status.DEFERRED)
-        return self._rejection_by_limits(one, now)
+        return self._rejection_by_limits(submission, now)
 
-    def _rejection_by_limits(self, one: Submission, now: float) -> MessageOutcome | None:
+    def _rejection_by_limits(self, submission: Submission, now: float) -> MessageOutcome | None:
         """The rejection by the tenant's quota or by a fleet-wide budget, if any."""
-        if self.gate is not None and (again := self.gate.admit(one.tenant, now)) is not None:
+        if self.gate is not None and (again := self.gate.admit(submission.tenant, now)) is not None:
             self._counts["refused", "quota"] += 1
             return MessageOutcome(Status.DEFERRED, math.ceil(again * 1000))
         call_gate = self._attempts.call_gate
-        if call_gate is None or (wait := call_gate.admit(one.tenant)) <= 0:
+        if call_gate is None or (wait := call_gate.admit(submission.tenant)) <= 0:
             return None
         if self.gate is not None:
-            self.gate.give_back(one.tenant)
+            self.gate.give_back(submission.tenant)
         self._counts["refused", "budget"] += 1
         return MessageOutcome(Status.DEFERRED, math.ceil(min(wait, self.rules.max_retry_after) * 1000))
 
-    def stored(self, one: Submission, expires: float) -> StoredMessage:
+    def stored(self, submission: Submission, expires: float) -> StoredMessage:
         """The message as recorded in the journal; `expires` is on the sender's clock."""
-        until, grade = self._journal.time.of(expires), self.names.grades[one.grade]
-        return StoredMessage(one.id, grade, until, one.dest, one.key, one.front, one.body)
+        until, grade = self._journal.time.of(expires), self.names.grades[submission.grade]
+        return StoredMessage(
+            submission.id, grade, until, submission.dest, submission.key, submission.front, submission.body
+        )
 
-    def accept(self, one: Submission, message: PendingMessage) -> bool:
+    def accept(self, submission: Submission, message: PendingMessage) -> bool:
         """Journal the message and answer its client; False, with no answer, if the journal failed."""
         try:
             self._journal.accept(message.stored)
@@ -119,17 +125,17 @@
             return False
         self._counts["taken", ""] += 1
         if self.gate is not None:
-            self.gate.accepted(one.tenant)
-        one.answer(Accepted())
+            self.gate.accepted(submission.tenant)
+        submission.answer(Accepted())
         return True
 
-    def reject(self, one: Submission, message: PendingMessage, outcome: MessageOutcome) -> None:
+    def reject(self, submission: Submission, message: PendingMessage, outcome: MessageOutcome) -> None:
         """Answer the client and remove all state of the message."""
         message.finished = True
         self._outcomes.remove(message)
         if self.gate is not None:
-            self.gate.give_back(one.tenant)
+            self.gate.give_back(submission.tenant)
         if self._attempts.call_gate is not None:
-            self._attempts.call_gate.give_back(one.tenant)
+            self._attempts.call_gate.give_back(submission.tenant)
         self._counts["refused", outcome.status.value] += 1
-        one.answer(outcome)
+        submission.answer(outcome)
--- a/mountgauge/core/config.py
+++ b/mountgauge/core/config.py
@@ -137,8 +137,8 @@
 
 def _contradicts_itself(hops: list[NextHop]) -> bool:
     """Whether an id occurs several times in different states or at different locations."""
-    found: dict[str, object] = {}
-    return any(found.setdefault(hop.id, _reported_state(hop)) != _reported_state(hop) for hop in hops)
+    seen: dict[str, object] = {}
+    return any(seen.setdefault(hop.id, _reported_state(hop)) != _reported_state(hop) for hop in hops)
 
 
 def _reported_state(hop: NextHop) -> object:
--- a/mountgauge/core/hop_table.py
+++ b/mountgauge/core/hop_table.py
@@ -213,10 +213,10 @@
         return tuple(entries)
 
     def _group_by_destination(self) -> dict[int, dict[str, None]]:
-        found: dict[int, dict[str, None]] = {}
+        groups: dict[int, dict[str, None]] = {}
         for hop in self.hops.values():
-            found.setdefault(hop.entry.owner, {})[hop.id] = None
-        return found
+            groups.setdefault(hop.entry.owner, {})[hop.id] = None
+        return groups
 
     def _effective(self, hop: NextHop) -> NextHop:
         if (hop.id in self.detached or hop.id in self.withheld) and hop.entry.readiness == Readiness.READY:
--- a/mountgauge/core/journal.py
+++ b/mountgauge/core/journal.py
@@ -61,7 +61,7 @@
         self.folder, self._files = folder, files or SystemFiles()
         self.truncated_bytes = 0  # bytes at the ends of files that were no complete records
         self.time = ProcessTime(clock or SystemClocks())
-        self._opened_at = self.time.stamp()  # the time base for what is found in the folder
+        self._opening_stamp = self.time.stamp()  # the time base for what is found in the folder
         self._last_stamp: Stamp | None = None  # the last one that this process wrote to the file
         self._max_bytes = disk_bytes
         self._slots = slots
@@ -73,13 +73,13 @@
         self._compact_from = -math.inf  # the earliest time for a compaction
         self._compacted_size = 0  # size at the last compaction
         try:
-            found = self._free_slot()
-            if found is not None:
-                self.slot, self._lock = found
+            free = self._free_slot()
+            if free is not None:
+                self.slot, self._lock = free
                 self._open()
         except OSError as error:
             raise JournalUnavailableError(error.errno, error.strerror, str(folder)) from error
-        if found is None:  # every slot is held by a running process: one more would overlap them
+        if free is None:  # every slot is held by a running process: one more would overlap them
             raise OSError(f"{folder}: in use by another process")
         self.unadopted: list[Path] = []  # journals of other processes, not adopted yet
         self.unreadable: list[Path] = []  # those of them that could not be read, whose messages are unknown
@@ -107,9 +107,9 @@
         except OSError:
             self._close(self._lock)
             raise
-        found, self.truncated_bytes = self._read(content, self._opened_at)
-        self._contents = found
-        self.live, self.outcomes = found.live, found.outcomes
+        contents, self.truncated_bytes = self._read(content, self._opening_stamp)
+        self._contents = contents
+        self.live, self.outcomes = contents.live, contents.outcomes
         self._live_bytes = sum(map(self._bytes_of, self.live.values()))
         # A process killed during a write leaves a torn tail. All records before it are complete.
         self._size = len(content) - self.truncated_bytes
@@ -119,10 +119,10 @@
 
     def _read(self, content: bytes, now: Stamp) -> tuple[JournalContents, int]:
         """The contents of a file, and how many bytes at its end are no complete records."""
-        found = JournalContents(min(_MAX_OUTCOMES, self._max_bytes // 1024))
-        cut = len(content) - found.read(content)
-        found.rebase(now)
-        return found, cut
+        contents = JournalContents(min(_MAX_OUTCOMES, self._max_bytes // 1024))
+        incomplete_bytes = len(content) - contents.read(content)
+        contents.rebase(now)
+        return contents, incomplete_bytes
 
     def close(self) -> None:
         """Close the journal; records that cannot be written now are lost."""
@@ -264,11 +264,11 @@
         """Record the contents of another journal, then apply them; returns the messages that are new here.
         Raises OSError if they cannot be written, and changes nothing.
         """
-        theirs, cut = self._read(content, self.time.stamp())
+        theirs, incomplete_bytes = self._read(content, self.time.stamp())
         finished = {i: outcome for i, outcome in theirs.outcomes.items() if i not in self.outcomes}
         copies = [one for i, one in theirs.live.items() if i not in self.outcomes]
         self._write(b"".join([*outcome_records(finished.items()), *(stored.record() for stored in copies)]))
-        self.truncated_bytes += cut
+        self.truncated_bytes += incomplete_bytes
         for msg_id, outcome in finished.items():
             self._remove_live(msg_id, outcome)
         fresh = []
@@ -383,8 +383,8 @@
         one. The first is preceded by the stamp of the opening, when the earlier content of the file was read,
         so that the next process reads that content as this one did.
         """
-        last = self._last_stamp or self._opened_at
-        stamps = [] if self._last_stamp is not None else [self._opened_at]
+        last = self._last_stamp or self._opening_stamp
+        stamps = [] if self._last_stamp is not None else [self._opening_stamp]
         if self.failing or self.time.now() - last.base >= STAMP_EVERY_S:  # a failing disk is probed with it
             stamps.append(self.time.stamp())
         return stamps
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -75,8 +75,8 @@
 
     def useful_until(self, call: Call) -> float:
         """Until when a waiting call may still be sent with any of its messages."""
-        found = [self._repeat_until(call, item) for item in call.items]
-        return min(call.times_out_at, max(found))
+        latest = [self._repeat_until(call, item) for item in call.items]
+        return min(call.times_out_at, max(latest))
 
     def _repeat_until(self, call: Call, item: CallItem) -> float:
         grade = self.grades.get(item.grade)
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -97,8 +97,8 @@
             self.counts,
             clock.now(),
         )
-        journal.on_failing = self._write_later
-        self._writing_later = False
+        journal.on_failing = self._schedule_flush
+        self._flush_scheduled = False
         self._backlog = Backlog()
         self._ready: list[Submission | io.Event] = []
         self._timers = Timers()
@@ -188,15 +188,15 @@
         """Counts by destination and endpoint: calls that wait for their first byte and, under an empty
         endpoint, messages queued in the decision module.
         """
-        found = Counter((call.hop.entry.owner, call.hop.id) for call in self.attempts.parked)
+        counts = Counter((call.hop.entry.owner, call.hop.id) for call in self.attempts.parked)
         msgs, dests = self.policy.msgs, self.policy.dests
         if len(msgs) < len(dests):
-            found.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.held)
+            counts.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.held)
         else:
             for dest in dests.values():
                 if dest.held:
-                    found[dest.id, ""] = len(dest.held)
-        return found
+                    counts[dest.id, ""] = len(dest.held)
+        return counts
 
     def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         return self.attempts.admit(call, items)
@@ -213,12 +213,12 @@
         """Pass the module its last list and the unfinished messages of the previous process run."""
         self._apply_update(known, io.ListKind.CACHED)
         if self.journal.failing:  # since it was opened
-            self._write_later()
+            self._schedule_flush()
         self.restore(list(self.journal.live.values()))
 
-    def restore(self, stored_ones: list[StoredMessage]) -> None:
+    def restore(self, messages: list[StoredMessage]) -> None:
         """Restore the messages of another process's journal, at the start or after a hand-over."""
-        for stored in stored_ones:
+        for stored in messages:
             if stored.id in self.numbers_by_id:
                 continue
             message = self._add_pending(stored, self.journal.time.monotonic(stored.expires))
@@ -230,8 +230,8 @@
                 self.outcomes.abandon(message, outcome)
             else:
                 self._backlog.add(message, self.names.grades.index(stored.grade), self.journal.time)
-        if stored_ones:
-            log.info("restored", extra=kv(messages=len(stored_ones), cut_bytes=self.journal.truncated_bytes))
+        if messages:
+            log.info("restored", extra=kv(messages=len(messages), cut_bytes=self.journal.truncated_bytes))
         self._schedule_turn()
 
     def forget_finished(self) -> None:
@@ -257,18 +257,18 @@
 
     # The disk
 
-    def _write_later(self) -> None:
+    def _schedule_flush(self) -> None:
         """Retry the journal's failed write until it succeeds; calls are parked meanwhile."""
-        if not self._writing_later:
-            self._writing_later = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             log.warning("journal-failing", extra=kv(held=len(self.pending)))
-            self.clock.call_at(self.clock.now() + _WRITE_RETRY_S, self._write_again)
+            self.clock.call_at(self.clock.now() + _WRITE_RETRY_S, self._retry_flush)
 
-    def _write_again(self) -> None:
+    def _retry_flush(self) -> None:
         if not self.journal.flush():
-            self.clock.call_at(self.clock.now() + _WRITE_RETRY_S, self._write_again)
+            self.clock.call_at(self.clock.now() + _WRITE_RETRY_S, self._retry_flush)
             return
-        self._writing_later = False
+        self._flush_scheduled = False
         log.info("journal-written", extra=kv(held=len(self.pending)))
         self.outcomes.journal_written()
         if not self._stopped:
@@ -428,13 +428,13 @@
             log.exception("module-failed", extra=kv(on=event))
             return []
 
-    def _admit_submission(self, one: Submission, now: float) -> PendingMessage | None:
+    def _admit_submission(self, submission: Submission, now: float) -> PendingMessage | None:
         """Add a message that the module has to decide on; None if it was answered at once."""
-        if (answer := self.admission.immediate_answer(one, now)) is not None:
-            one.answer(answer)
+        if (answer := self.admission.immediate_answer(submission, now)) is not None:
+            submission.answer(answer)
             return None
-        expires = now + one.remaining_s
-        return self._add_pending(self.admission.stored(one, expires), expires)
+        expires = now + submission.remaining_s
+        return self._add_pending(self.admission.stored(submission, expires), expires)
 
     def _add_pending(self, stored: StoredMessage, expires: float) -> PendingMessage:
         message = self.pending.add(stored, expires)
@@ -507,8 +507,8 @@
             self.attempts.start(call)
 
 
-def _log_violation(found: Violation) -> None:
-    log.error("invariant-violated", extra=kv(rule=found.rule, id=found.message, why=found.why))
+def _log_violation(violation: Violation) -> None:
+    log.error("invariant-violated", extra=kv(rule=violation.rule, id=violation.message, why=violation.why))
 
 
 def _deferred(action: io.PushBack) -> MessageOutcome:
--- a/mountgauge/core/shared_waits.py
+++ b/mountgauge/core/shared_waits.py
@@ -18,32 +18,32 @@
     """Encode waits by the key of the limit (a destination number, or an endpoint id); their values are times
     of the monotonic clock.
     """
-    found = {
+    shared = {
         (f"d{limit}" if isinstance(limit, int) else f"e{limit}"): now.base + until - now.monotonic
         for limit, until in waits.items()
         if until > now.monotonic
     }
-    return orjson.dumps({"clock": list(now), "waits": found})
+    return orjson.dumps({"clock": list(now), "waits": shared})
 
 
 def decode(content: bytes, now: Stamp) -> dict[object, float]:
     """Decode the waits that have not elapsed, as times of the monotonic clock; ValueError if the content has
     another form.
     """
-    found = orjson.loads(content)
-    if not isinstance(found, dict):
+    raw = orjson.loads(content)
+    if not isinstance(raw, dict):
         raise ValueError("not an object")
     shift = 0.0
-    if "clock" in found:
+    if "clock" in raw:
         try:
-            boot, wall, monotonic, base = found["clock"]
+            boot, wall, monotonic, base = raw["clock"]
             saved = Stamp(str(boot), float(wall), float(monotonic), float(base))
-            found = dict(found["waits"])
+            raw = dict(raw["waits"])
         except (TypeError, KeyError) as error:
             raise ValueError(f"not a clock and waits: {error}") from None
         shift, _ = rebase(saved, saved.base, now)
     waits: dict[object, float] = {}
-    for name, until in found.items():
+    for name, until in raw.items():
         if not isinstance(until, int | float) or len(name) < 2 or name[0] not in "de":
             raise ValueError(f"not a wait: {name!r}")
         left = until + shift - now.base
