--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -67,9 +67,8 @@
         """The answer to a message that is known or rejected without asking the decision module; None if the
         module decides.
         """
-        if (
-            not submission.client_waiting()
-        ):  # it disconnected and may submit the message again under another id
+        if not submission.client_waiting():
+            # The client disconnected, and may submit the message again under another id.
             return MessageOutcome(Status.DEFERRED)
         if (known := self.known(submission)) is not None:
             return known
--- a/mountgauge/core/files.py
+++ b/mountgauge/core/files.py
@@ -1,5 +1,4 @@
-"""The file system calls for state that must outlast the process, as an interface whose calls can be made to
-fail.
+"""The file system calls for state that must outlast the process, as an interface that tests can make fail.
 
 Each may raise OSError at any time, for a while: no space, an input/output error, no descriptor. The callers
 handle that.
--- a/mountgauge/core/journal_records.py
+++ b/mountgauge/core/journal_records.py
@@ -38,9 +38,8 @@
     front: str
     body: bytes
     attempts: int = 0
-    ran: list[tuple[float, int]] = field(
-        default_factory=list
-    )  # time and zone of each attempt that may have run
+    # Time and zone of each attempt that may have run.
+    ran: list[tuple[float, int]] = field(default_factory=list)
     notice: MessageOutcome | None = None  # abandoned with this outcome, which is not reported yet
 
     def record(self) -> bytes:
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -334,9 +334,8 @@
                 remaining_ms.append(int(head.split("x-expires-in-ms: ")[1].split("\r\n")[0]))
                 await reader.readexactly(int(head.split("content-length: ")[1].split("\r\n")[0]))
                 gone = asyncio.ensure_future(reader.read())
-                await asyncio.wait(
-                    [gone], timeout=2.0
-                )  # until the sender disconnects, or for longer than the time limit
+                # Until the sender disconnects, or for longer than the time limit.
+                await asyncio.wait([gone], timeout=2.0)
                 disconnected.set() if gone.done() else gone.cancel()
                 states = [{"id": f"id{n}", "state": "ok"} for n in range(2)]
                 writer.write(response(200, "OK", {}, orjson.dumps(states)))
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -246,7 +246,7 @@
     bench.pass_time(0.02)
     assert bench.outcomes == {"given-up": MessageOutcome(Status.DEFERRED, 70)}
     assert [item.id for call in bench.calls for item in call.items] == ["untried"]
-    bench.told["given-up"]()
+    bench.confirmations["given-up"]()
     assert "given-up" in bench.journal.outcomes and "given-up" not in bench.journal.live
 
 
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -150,9 +150,8 @@
             ):  # fmt: skip
                 file.write_text(content)
                 process.send_signal(number)
-                with contextlib.suppress(
-                    ConnectionError
-                ):  # on a slow machine it has stopped accepting already
+                # On a slow machine it may have stopped accepting already.
+                with contextlib.suppress(ConnectionError):
                     [answer] = await platform.send((name := f"s{len(accepted)}", "safe"))
                     accepted += [name] if answer == b"+OK\r\n" else []
             platform.hold.set()
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -50,7 +50,7 @@
         self.timers: list[tuple[float, Callable[[], None]]] = []
         self.calls: list[Call] = []
         self.outcomes: dict[str, MessageOutcome] = {}
-        self.told: dict[str, Callable[[], None]] = {}
+        self.confirmations: dict[str, Callable[[], None]] = {}
         self.answers: dict[str, object] = {}
         self.watching = 0
         grades = [grade(), grade("deduplicated"), grade("at_most_once")]
@@ -74,9 +74,9 @@
 
     def snapshot(self) -> None: ...
 
-    def report_outcome(self, msg_id: str, outcome: MessageOutcome, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
         assert msg_id not in self.outcomes, "a second outcome"
-        self.outcomes[msg_id], self.told[msg_id] = outcome, told
+        self.outcomes[msg_id], self.confirmations[msg_id] = outcome, on_delivered
 
     def pass_time(self, seconds: float) -> None:
         until = self.time + seconds
@@ -272,10 +272,9 @@
     bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.RESET)})
     bench.pass_time(0.02)
     assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
-    assert bench.journal.live["a"].notice == MessageOutcome(
-        Status.UNDELIVERABLE
-    )  # until the platform has received it
-    bench.told["a"]()
+    # The notice stays until the platform has received it.
+    assert bench.journal.live["a"].notice == MessageOutcome(Status.UNDELIVERABLE)
+    bench.confirmations["a"]()
     assert not bench.journal.live and bench.journal.outcomes["a"] == MessageOutcome(Status.UNDELIVERABLE)
 
 
