--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -156,7 +156,7 @@
         owner = Owner()
         async with world(owner, most=1) as (peer, hops):
             sock = await kept(peer, hops, owner)
-            [(place, [connection])] = hops._pools.items()
+            [(key, [connection])] = hops._pools.items()
             sock.send(b"HTTP/1.1 500 E\r\n\r\n")
             if reason == "room":  # another endpoint's call needs the one descriptor
                 other = Peer()
@@ -164,7 +164,7 @@
             else:
                 other = peer
                 connection.idle_since -= 60
-                hops._expire(place, connection)
+                hops._expire(key, connection)
                 hops.start(call(peer.port))
             mine = await other.accept()
             await other.call(mine)
@@ -333,10 +333,10 @@
                 head = (await reader.readuntil(b"\r\n\r\n")).decode().lower()
                 remaining_ms.append(int(head.split("x-expires-in-ms: ")[1].split("\r\n")[0]))
                 await reader.readexactly(int(head.split("content-length: ")[1].split("\r\n")[0]))
-                gone = asyncio.ensure_future(reader.read())
+                closed = asyncio.ensure_future(reader.read())
                 # Until the sender disconnects, or for longer than the time limit.
-                await asyncio.wait([gone], timeout=2.0)
-                disconnected.set() if gone.done() else gone.cancel()
+                await asyncio.wait([closed], timeout=2.0)
+                disconnected.set() if closed.done() else closed.cancel()
                 states = [{"id": f"id{n}", "state": "ok"} for n in range(2)]
                 writer.write(response(200, "OK", {}, orjson.dumps(states)))
                 await writer.drain()
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -149,7 +149,7 @@
         states.append((journal.path.read_bytes(), state_of(journal)))
     killed(journal, files)
     number = 0
-    for (before, told), (after, _) in pairwise(states):
+    for (before, state), (after, _) in pairwise(states):
         assert after.startswith(before)
         for size in range(len(before), len(after)):
             folder = tmp_path / str(number := number + 1)
@@ -158,7 +158,7 @@
             files = FailingFiles()
             files.fails.add("truncate")  # nor can it be truncated before the next record
             torn = Journal(folder, DISK, files=files)
-            assert state_of(torn) == told and torn.truncated_bytes == size - len(before)
+            assert state_of(torn) == state and torn.truncated_bytes == size - len(before)
             with pytest.raises(JournalFullError):
                 torn.accept(stored("later")) if torn.truncated_bytes else attempt_of_none(torn)
             files.heal()
@@ -167,7 +167,7 @@
             again = reopened(folder)
             assert "later" in again.live and not again.truncated_bytes
             del again.live["later"]
-            assert state_of(again) == told
+            assert state_of(again) == state
             again.close()
 
 
@@ -643,8 +643,8 @@
         self.unsure: dict[str, int] = {}  # records that may not be written
         self.last = 0
 
-    def pick(self, place: int) -> str:
-        return list(self.unfinished)[place % len(self.unfinished)]
+    def pick(self, position: int) -> str:
+        return list(self.unfinished)[position % len(self.unfinished)]
 
     @rule(
         fails=st.sampled_from(["", "truncate", "open", "replace unlink", "unlink close", "truncate unlink"]),
@@ -658,7 +658,7 @@
         self.files.heal()
 
     @rule(size=st.sampled_from([0, 10, 4000]))
-    def take(self, size: int) -> None:
+    def submit(self, size: int) -> None:
         self.last += 1
         if self.journal.has_capacity(size):
             try:
@@ -668,9 +668,9 @@
             self.unfinished[f"m{self.last}"] = 0
 
     @precondition(lambda self: self.unfinished)
-    @rule(place=st.integers(0, 99), never=st.booleans())
-    def attempt(self, place: int, never: bool) -> None:
-        name = self.pick(place)
+    @rule(position=st.integers(0, 99), never=st.booleans())
+    def attempt(self, position: int, never: bool) -> None:
+        name = self.pick(position)
         try:
             self.journal.attempt([name], self.journal.time.now(), 0)
         except JournalFullError:
@@ -681,9 +681,9 @@
             self.unfinished[name] += 1
 
     @precondition(lambda self: self.unfinished)
-    @rule(place=st.integers(0, 99))
-    def end(self, place: int) -> None:
-        name = self.pick(place)
+    @rule(position=st.integers(0, 99))
+    def end(self, position: int) -> None:
+        name = self.pick(position)
         self.journal.finish(name, DELIVERED)
         del self.unfinished[name]
         self.finished[name] = False
@@ -751,14 +751,14 @@
 
 
 def test_detached_endpoints_stay_detached_while_their_file_is_unreadable(tmp_path: Path) -> None:
-    told: list[set[str]] = []
-    sender = cast(Sender, SimpleNamespace(set_detached=told.append, detached=set()))
+    detached: list[set[str]] = []
+    sender = cast(Sender, SimpleNamespace(set_detached=detached.append, detached=set()))
     files = FailingFiles()
     service = Service(sender, None, cast(Registry, None), tmp_path, lambda: True, files)
     (tmp_path / "detached").write_bytes(detached_text({"e1"}))
     files.fails = {"read"}
     service.look()
-    assert not told
+    assert not detached
     files.heal()
     service.look()
-    assert told == [{"e1"}]
+    assert detached == [{"e1"}]
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -132,9 +132,9 @@
     second.submit("b", left=LEFT)
     second.pass_time(lives_on + 0.02)
     third = restarted(second, 1.0, -step / 2, Readiness.DRAINING)
-    gone = 2.03 + lives_on
-    assert left_of(third) == pytest.approx(LEFT - gone, abs=0.05)
-    assert left_of(third, "b") == pytest.approx(LEFT - gone + 1.0, abs=0.05)
+    elapsed = 2.03 + lives_on
+    assert left_of(third) == pytest.approx(LEFT - elapsed, abs=0.05)
+    assert left_of(third, "b") == pytest.approx(LEFT - elapsed + 1.0, abs=0.05)
 
 
 @steps
@@ -353,13 +353,13 @@
 @steps
 def test_remembered_facts_are_read_by_real_time(tmp_path: Path, step: float) -> None:
     written = Stamp("one", 1000.0, 50.0, 1000.0)
-    for gone, kinds in ((3.0, ["wait", "pace"]), (9.0, ["pace"]), (61.0, [])):
-        wall = written.wall + gone + step
-        found = remembered(tmp_path, written, Stamp("one", wall, written.monotonic + gone, wall))
+    for elapsed, kinds in ((3.0, ["wait", "pace"]), (9.0, ["pace"]), (61.0, [])):
+        wall = written.wall + elapsed + step
+        found = remembered(tmp_path, written, Stamp("one", wall, written.monotonic + elapsed, wall))
         assert [fact.kind for fact in found] == kinds
         for fact in found:
             if fact.kind == "wait":
-                assert fact.value - wall == pytest.approx(8.0 - gone)
+                assert fact.value - wall == pytest.approx(8.0 - elapsed)
             else:
                 assert fact.value == 0.5
 
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -282,9 +282,9 @@
     for number in range(60):
         bench.submit(f"m{number}")
     bench.pass_time(0.01)
-    ends = [answer for answer in bench.answers.values() if isinstance(answer, MessageOutcome)]
-    assert ends and all(end.status is Status.DEFERRED for end in ends)
-    assert any(end.retry_after_ms > 0 for end in ends)
+    outcomes = [answer for answer in bench.answers.values() if isinstance(answer, MessageOutcome)]
+    assert outcomes and all(one.status is Status.DEFERRED for one in outcomes)
+    assert any(one.retry_after_ms > 0 for one in outcomes)
     assert len(bench.journal.live) == len(bench.sender.pending) <= 40
 
 
@@ -311,8 +311,8 @@
         bench.submit(f"twice{number}")
         bench.submit(f"twice{number}")
     bench.pass_time(0.03)
-    taken = [name for name, answer in bench.answers.items() if isinstance(answer, Accepted)]
-    assert len(bench.answers) == 60 and all(name in bench.sender.numbers_by_id for name in taken)
+    accepted = [name for name, answer in bench.answers.items() if isinstance(answer, Accepted)]
+    assert len(bench.answers) == 60 and all(name in bench.sender.numbers_by_id for name in accepted)
 
 
 def test_a_full_disk_defers_messages(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
