--- a/benchmarks/slopes/pages.py
+++ b/benchmarks/slopes/pages.py
@@ -14,7 +14,7 @@
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, timed
 from benchmarks.slopes.worlds import NAMES, hop
 from mountgauge.core.config import Address
-from mountgauge.core.ports import End, Status
+from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.http1 import Client
 from mountgauge.notices import Notices
 from mountgauge.operator_file import load_hops
@@ -93,7 +93,9 @@
         notices = Notices(Address("127.0.0.1", 1))
         notices._client = cast(Client, _Answering())
         for number in range(count):
-            notices.tell(f"message-{number:012d}", End(Status.UNDELIVERABLE), lambda: None)
+            notices.report_outcome(
+                f"message-{number:012d}", MessageOutcome(Status.UNDELIVERABLE), lambda: None
+            )
         task = notices._task
         assert task is not None
         began = time.process_time()
@@ -106,7 +108,7 @@
 
 
 PROBES = (
-    Probe("discovery-parse", _parse_list, "mountgauge.core.config.Names.update", repeats=3),
+    Probe("discovery-parse", _parse_list, "mountgauge.core.config.SettingNames.update", repeats=3),
     Probe("discovery-list-bytes", _list_bytes, "mountgauge.platform.discovery.MOST_LIST_BYTES bounds it",
           unit=Unit.BYTES, method=Method.COUNTED, repeats=1, sizes=(300, 1_000, 3_000, 10_000, 30_000)),
     Probe("operator-file", _load_file, "mountgauge.operator_file.load_hops (tomllib)", sizes=_FILE,
--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/worlds.py
@@ -8,9 +8,9 @@
 from pathlib import Path
 from typing import Any
 
-from mountgauge.core.config import MapUpdate, Names
-from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import Call, End, NextHop, Result
+from mountgauge.core.config import MapUpdate, SettingNames
+from mountgauge.core.journal import Journal, StoredMessage
+from mountgauge.core.ports import AttemptResult, Call, MessageOutcome, NextHop
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle import interface as io
@@ -19,7 +19,7 @@
 SEED = 1
 DEADLINE_S = 3600.0
 DISK_BYTES = 1 << 34
-NAMES = Names(("note",), (), ("next-hop",))
+NAMES = SettingNames(("note",), (), ("next-hop",))
 
 
 def settings(max_open: int = 10_000_000, workers: int = 1, senders: int = 1) -> dict[str, Any]:
@@ -107,7 +107,7 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         told()
 
     def run_due(self) -> None:
@@ -134,8 +134,8 @@
     return io.Response(number, 0.05, b"hop-%d" % dest, Outcome.OK, 0, True, 0, ())
 
 
-def stored(number: int, dest: int, body_bytes: int, expires: float) -> Stored:
-    return Stored(f"message-{number:012d}", "note", expires, dest, "", "platform", bytes(body_bytes))
+def stored(number: int, dest: int, body_bytes: int, expires: float) -> StoredMessage:
+    return StoredMessage(f"message-{number:012d}", "note", expires, dest, "", "platform", bytes(body_bytes))
 
 
 def numbers(start: int = 1) -> Callable[[], int]:
@@ -146,4 +146,4 @@
 
 def finish_all(core: Sender, calls: Sequence[Call], outcome: Outcome = Outcome.OK) -> None:
     for call in calls:
-        core.finished(call, {item.number: Result(outcome) for item in call.items})
+        core.finished(call, {item.number: AttemptResult(outcome) for item in call.items})
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -1,4 +1,6 @@
-"""Whether a message that a client hands in is taken on, and what its client is told: on record first."""
+"""Whether a submitted message is accepted, and the answer to its client. Accepted messages are journalled
+before the client is answered.
+"""
 
 from __future__ import annotations
 
@@ -8,119 +10,131 @@
 from collections.abc import Callable
 
 from mountgauge.core.attempts import Attempts
-from mountgauge.core.config import Names
-from mountgauge.core.ends import MessageEnds
-from mountgauge.core.held import Held, HeldMessages
+from mountgauge.core.config import SettingNames
 from mountgauge.core.hop_table import HopTable
-from mountgauge.core.journal import Journal, JournalFullError, Stored
-from mountgauge.core.ports import Answer, End, Gate, Status, Submission, Taken
+from mountgauge.core.journal import Journal, JournalFullError, StoredMessage
+from mountgauge.core.message_outcomes import MessageOutcomes
+from mountgauge.core.pending_messages import PendingMessage, PendingMessages
+from mountgauge.core.ports import Accepted, Answer, MessageOutcome, Status, Submission, TenantGate
 from mountgauge.log import kv
 from rillspindle import Policy, send_guard
 
 log = logging.getLogger("mountgauge.sender")
 
-_ASK_AGAIN_MS = 250
+_RETRY_AFTER_MS = 250
 
 
 class Admission:
-    """Takes messages on, or turns them away with a promise that they have no effect."""
+    """Accepts messages, or rejects them with the guarantee that they have no effect."""
 
     def __init__(
         self,
         policy: Policy,
-        names: Names,
+        names: SettingNames,
         journal: Journal,
         table: HopTable,
-        held: HeldMessages,
+        pending: PendingMessages,
         attempts: Attempts,
-        ends: MessageEnds,
+        outcomes: MessageOutcomes,
         counts: Counter[tuple[str, str]],
-        began: float,
+        started: float,
     ) -> None:
-        """`began`: when the process did, on the sender's clock in seconds."""
+        """`started`: when the process started, on the sender's clock in seconds."""
         self.rules, self.names = policy.settings, names
-        self.gate: Gate | None = None  # where tenants are counted
-        # Discovery has told this process of the whole list, or that the known one holds.
-        self.list_told = False
-        # Whether a message that is taken on now could be neither sent nor ended.
+        self.gate: TenantGate | None = None  # set if messages are counted per tenant
+        # Discovery has sent this process the full list, or confirmed the one that it was started with.
+        self.list_received = False
+        # Whether a message accepted now could neither be sent nor have its outcome reported.
         self.cut_off: Callable[[], bool] = lambda: False
-        self._policy, self._journal, self._table, self._held = policy, journal, table, held
-        self._attempts, self._ends, self._counts, self._began = attempts, ends, counts, began
+        self._policy, self._journal, self._table, self._pending = policy, journal, table, pending
+        self._attempts, self._outcomes, self._counts, self._started = attempts, outcomes, counts, started
 
-    def known(self, one: Submission) -> Answer | None:
-        """The answer to a request that has come before; None: its id is new."""
-        if (number := self._held.numbers.get(one.id)) is not None:
-            # It was sent twice and taken on the first time; or it is not that request.
-            known = self._held[number].stored
-            same = (known.dest, known.key, known.body) == (one.dest, one.key, one.body)
-            return Taken() if same else End(Status.UNDELIVERABLE)
-        return self._journal.ends.get(one.id)
+    def known(self, submission: Submission) -> Answer | None:
+        """The answer to a submission whose id is known; None if the id is new."""
+        if (number := self._pending.numbers_by_id.get(submission.id)) is not None:
+            # A repeated submission of an accepted message, or another message under the same id.
+            known = self._pending[number].stored
+            same = (known.dest, known.key, known.body) == (submission.dest, submission.key, submission.body)
+            return Accepted() if same else MessageOutcome(Status.UNDELIVERABLE)
+        return self._journal.outcomes.get(submission.id)
 
-    def turn_away(self, one: Submission) -> None:
-        """Nothing new is taken on any more; what is known has its answer as ever."""
-        known = self.known(one)
-        one.answer(End(Status.DEFERRED) if known is None else known)
+    def answer_while_stopping(self, submission: Submission) -> None:
+        """Reject a new message, and answer a known one as usual."""
+        known = self.known(submission)
+        submission.answer(MessageOutcome(Status.DEFERRED) if known is None else known)
 
-    def immediate_answer(self, one: Submission, now: float) -> Answer | None:
-        """Its answer if it is known, or if there is no room for it; None: the module is to hear of it."""
-        if not one.waiting():  # it has hung up and may hand the message in again under another id
-            return End(Status.DEFERRED)
-        if (known := self.known(one)) is not None:
+    def immediate_answer(self, submission: Submission, now: float) -> Answer | None:
+        """The answer to a message that is known or rejected without asking the decision module; None if the
+        module decides.
+        """
+        if not submission.client_waiting():
+            # The client disconnected, and may submit the message again under another id.
+            return MessageOutcome(Status.DEFERRED)
+        if (known := self.known(submission)) is not None:
             return known
-        if not send_guard.may_accept(bool(self._journal.unread), now - self._began):
-            return End(Status.DEFERRED, _ASK_AGAIN_MS)
+        if not send_guard.may_accept(bool(self._journal.unreadable), now - self._started):
+            return MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
         if self.cut_off():
             self._counts["refused", "cut-off"] += 1
-            return End(Status.DEFERRED, _ASK_AGAIN_MS)
-        scope = self._ends.scope
-        if scope is not None and not scope.accepts(one.dest):
-            return End(Status.DEFERRED)  # another sender's, or not known yet: it may be handed in there
-        if one.dest not in self._table.listed:
-            # Until discovery has spoken, the destination may be newer than the last process's list.
-            return End(Status.UNDELIVERABLE) if self.list_told else End(Status.DEFERRED, _ASK_AGAIN_MS)
-        if len(self._policy.messages) >= self.rules.max_open or not self._journal.room(len(one.body)):
-            return End(Status.DEFERRED)
-        return self._refused_by_limits(one, now)
+            return MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
+        scope = self._outcomes.scope
+        if scope is not None and not scope.accepts(submission.dest):
+            # Served by another sender, to which it may be submitted, or not known yet.
+            return MessageOutcome(Status.DEFERRED)
+        if submission.dest not in self._table.listed:
+            # Until discovery has answered, the destination may be newer than the previous process's list.
+            return (
+                MessageOutcome(Status.UNDELIVERABLE)
+                if self.list_received
+                else MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
+            )
+        if len(self._policy.messages) >= self.rules.max_open or not self._journal.has_capacity(
+            len(submission.body)
+        ):
+            return MessageOutcome(Status.DEFERRED)
+        return self._rejection_by_limits(submission, now)
 
-    def _refused_by_limits(self, one: Submission, now: float) -> End | None:
-        """By its tenant's quota, or by a fleet-wide budget."""
-        if self.gate is not None and (again := self.gate.admit(one.tenant, now)) is not None:
+    def _rejection_by_limits(self, submission: Submission, now: float) -> MessageOutcome | None:
+        """The rejection by the tenant's quota or by a fleet-wide budget, if any."""
+        if self.gate is not None and (again := self.gate.admit(submission.tenant, now)) is not None:
             self._counts["refused", "quota"] += 1
-            return End(Status.DEFERRED, math.ceil(again * 1000))
+            return MessageOutcome(Status.DEFERRED, math.ceil(again * 1000))
         call_gate = self._attempts.call_gate
-        if call_gate is None or (wait := call_gate.admit(one.tenant)) <= 0:
+        if call_gate is None or (wait := call_gate.admit(submission.tenant)) <= 0:
             return None
         if self.gate is not None:
-            self.gate.give_back(one.tenant)
+            self.gate.give_back(submission.tenant)
         self._counts["refused", "budget"] += 1
-        return End(Status.DEFERRED, math.ceil(min(wait, self.rules.max_retry_after) * 1000))
+        return MessageOutcome(Status.DEFERRED, math.ceil(min(wait, self.rules.max_retry_after) * 1000))
 
-    def stored(self, one: Submission, expires: float) -> Stored:
-        """The message as the journal will have it; `expires` is of the sender's clock."""
-        until, grade = self._journal.time.of(expires), self.names.grades[one.grade]
-        return Stored(one.id, grade, until, one.dest, one.key, one.front, one.body)
+    def stored(self, submission: Submission, expires: float) -> StoredMessage:
+        """The message as recorded in the journal; `expires` is on the sender's clock."""
+        until, grade = self._journal.time.of(expires), self.names.grades[submission.grade]
+        return StoredMessage(
+            submission.id, grade, until, submission.dest, submission.key, submission.front, submission.body
+        )
 
-    def take_on(self, one: Submission, held: Held) -> bool:
-        """Put it on record and say so; False: the journal did not take it, and nothing was said."""
+    def accept(self, submission: Submission, message: PendingMessage) -> bool:
+        """Journal the message and answer its client; False, with no answer, if the journal failed."""
         try:
-            self._journal.take(held.stored)
+            self._journal.accept(message.stored)
         except JournalFullError as error:
-            # The disk may be full though the count said otherwise. Not on record means not taken on.
+            # The disk may be full although the byte count allowed it. An unrecorded message isn't accepted.
             log.warning("journal-full", extra=kv(reason=error))
             return False
         self._counts["taken", ""] += 1
         if self.gate is not None:
-            self.gate.taken(one.tenant)
-        one.answer(Taken())
+            self.gate.accepted(submission.tenant)
+        submission.answer(Accepted())
         return True
 
-    def refuse(self, one: Submission, held: Held, end: End) -> None:
-        """It is not taken on, and nothing is held of it."""
-        held.over = True
-        self._ends.drop(held)
+    def reject(self, submission: Submission, message: PendingMessage, outcome: MessageOutcome) -> None:
+        """Answer the client and remove all state of the message."""
+        message.finished = True
+        self._outcomes.remove(message)
         if self.gate is not None:
-            self.gate.give_back(one.tenant)
+            self.gate.give_back(submission.tenant)
         if self._attempts.call_gate is not None:
-            self._attempts.call_gate.give_back(one.tenant)
-        self._counts["refused", end.status.value] += 1
-        one.answer(end)
+            self._attempts.call_gate.give_back(submission.tenant)
+        self._counts["refused", outcome.status.value] += 1
+        submission.answer(outcome)
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -1,4 +1,6 @@
-"""The turn: what is ready goes to the module in one go, with one clock; then its actions are carried out."""
+"""The core's turns: each passes all events that are ready to the decision module, with one reading of the
+clock, and then executes the module's actions.
+"""
 
 from __future__ import annotations
 
@@ -10,28 +12,28 @@
 from mountgauge.core.admission import Admission
 from mountgauge.core.attempts import Attempts
 from mountgauge.core.batching import CallBatches
-from mountgauge.core.config import MapUpdate, Names
-from mountgauge.core.ends import MessageEnds
-from mountgauge.core.held import Held, HeldMessages
+from mountgauge.core.config import MapUpdate, SettingNames
 from mountgauge.core.hop_table import HopTable
-from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.core.list_lease import LeaseCheck
+from mountgauge.core.message_outcomes import MessageOutcomes
+from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import (
+    AttemptResult,
     Call,
     CallGate,
+    CallItem,
     Clock,
     DestinationScope,
-    End,
-    Item,
     MapSource,
+    MessageOutcome,
     NextHop,
     NextHops,
-    Result,
-    SenderSide,
+    OutcomeReporter,
     Status,
     Submission,
 )
-from mountgauge.core.restore import Backlog, end_without_class
+from mountgauge.core.restore import Backlog, outcome_without_class
 from mountgauge.core.send_state import SendState
 from mountgauge.core.timers import Overdue, Timers
 from mountgauge.core.waits import Waits
@@ -43,48 +45,60 @@
 
 log = logging.getLogger("mountgauge.sender")
 
-_SHRUNK = 0.8  # of a budget's part: less than it was by more than its steps
-_LEAST_PACE = 0.3  # calls/s: a slower one would hold the first call after a part has grown again
-_AT_ONCE = 64  # new messages that the module decides on in one turn
-_WRITE_AGAIN_S = 0.05  # from one try to write what the disk did not take to the next
-_GRACE = 0.1  # s past its time after which a message that the module still holds is withdrawn from it
-_SWEPT = 64  # waits that each change of the list looks at: those that are over go
+# A budget share below this part of its previous value has shrunk by more than its usual steps.
+_SHRUNK_BELOW = 0.8
+_MIN_RATE = 0.3  # calls/s; a lower one would delay the first call after a share has grown again
+_NEW_PER_TURN = 64  # new messages that the module decides on in one turn
+_WRITE_RETRY_S = 0.05  # between two tries to write the records that the disk did not take
+_OVERDUE_AFTER_S = 0.1  # after its expiry a message that the module still holds is withdrawn from it
+_WAITS_SWEPT = 64  # waits checked with each change of the list, to drop the elapsed ones
 
 
 class Sender:
-    """The core of one sender: takes messages on, gives events to the module, carries its actions out."""
+    """The core of one sender: accepts messages, passes events to the module and executes its actions."""
 
     def __init__(
         self,
         policy: Policy,
-        names: Names,
+        names: SettingNames,
         journal: Journal,
         clock: Clock,
-        fronts: Mapping[str, SenderSide],
+        fronts: Mapping[str, OutcomeReporter],
     ) -> None:
         self.policy, self.rules, self.names = policy, policy.settings, names
         self.journal, self.clock, self.fronts = journal, clock, fronts
         self.map: MapSource
         self.table = HopTable(self.rules.balancers)
-        self.version = -1  # none known: 0 is a version like any other
-        self.held = HeldMessages()
-        self.numbers = self.held.numbers
-        self.waits = Waits()  # told ones, by what shares the limit
-        self.on_list: Callable[[], None] | None = None  # a list, or word that none has changed, has come
-        self.counts: Counter[tuple[str, str]] = Counter()  # for metrics: ends and outcomes
+        self.version = -1  # of the list; -1 if none is known, as 0 is a valid version
+        self.pending = PendingMessages()
+        self.numbers_by_id = self.pending.numbers_by_id
+        self.waits = Waits()  # required by next hops, by the key of the limit
+        # Called with each list, and with each answer that nothing in it has changed.
+        self.on_list_update: Callable[[], None] | None = None
+        self.counts: Counter[tuple[str, str]] = Counter()  # for metrics, by kind and label
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
-        state = SendState(self.rules, self.table, journal, self.held, self.waits)
+        state = SendState(self.rules, self.table, journal, self.pending, self.waits)
         state.grades = dict(zip(names.grades, self.rules.message_classes, strict=False))
-        self.ends = MessageEnds(journal, self.held, fronts, self.counts, state, self.monitor, clock.now)
+        self.outcomes = MessageOutcomes(
+            journal, self.pending, fronts, self.counts, state, self.monitor, clock.now
+        )
         self.attempts = Attempts(
-            state, clock, journal, self.table, self.held, self.waits, self.counts, self.monitor,
-            self._enqueue, self.ends.finish,
+            state, clock, journal, self.table, self.pending, self.waits, self.counts, self.monitor,
+            self._enqueue, self.outcomes.finish,
         )  # fmt: skip
         self.admission = Admission(
-            policy, names, journal, self.table, self.held, self.attempts, self.ends, self.counts, clock.now()
+            policy,
+            names,
+            journal,
+            self.table,
+            self.pending,
+            self.attempts,
+            self.outcomes,
+            self.counts,
+            clock.now(),
         )
-        journal.on_failing = self._write_later
-        self._writing_later = False
+        journal.on_failing = self._schedule_flush
+        self._flush_scheduled = False
         self._backlog = Backlog()
         self._ready: list[Submission | io.Event] = []
         self._timers = Timers()
@@ -92,7 +106,7 @@
         self._review_at = math.inf
         self._stopped = False
 
-    # The list, for reading
+    # The list, read-only
 
     @property
     def hops(self) -> dict[str, NextHop]:
@@ -107,16 +121,16 @@
         return self.table.listed
 
     @property
-    def ever(self) -> set[str]:
-        return self.table.ever
+    def ever_listed(self) -> set[str]:
+        return self.table.ever_listed
 
     @property
     def detached(self) -> set[str]:
         return self.table.detached
 
     @property
-    def parts(self) -> dict[int, float]:
-        return self.table.parts
+    def budget_shares(self) -> dict[int, float]:
+        return self.table.budget_shares
 
     # Delivery attempts
 
@@ -130,7 +144,7 @@
 
     @property
     def list_lease(self) -> LeaseCheck | None:
-        """Why no call to a destination may go by the list; None: all may."""
+        """Why the list may not be used for calls to a destination; None if lists need no lease."""
         return self.attempts.state.list_lease
 
     @list_lease.setter
@@ -148,7 +162,7 @@
 
     @property
     def on_wait(self) -> Callable[[], None] | None:
-        """A wait was told: another process may need it."""
+        """Called when an endpoint required a wait, which another process may have to observe."""
         return self.attempts.on_wait
 
     @on_wait.setter
@@ -157,37 +171,37 @@
 
     @property
     def scope(self) -> DestinationScope | None:
-        """Where it holds a part of the destinations."""
-        return self.ends.scope
+        """Set if the sender serves a share of the destinations."""
+        return self.outcomes.scope
 
     @scope.setter
     def scope(self, scope: DestinationScope | None) -> None:
-        self.ends.scope = scope
+        self.outcomes.scope = scope
 
     @property
-    def calls(self) -> int:
-        """Slots taken."""
-        return self.attempts.out
+    def slots_used(self) -> int:
+        """Slots in use."""
+        return self.attempts.slots_used
 
     @property
     def waiting(self) -> Counter[tuple[int, str]]:
-        """By destination and endpoint: calls that wait for their first byte; and, with no endpoint, messages
-        that the module holds.
+        """Counts by destination and endpoint: calls that wait for their first byte and, under an empty
+        endpoint, messages queued in the decision module.
         """
-        found = Counter((call.hop.entry.owner, call.hop.id) for call in self.attempts.parked)
+        counts = Counter((call.hop.entry.owner, call.hop.id) for call in self.attempts.parked)
         msgs, dests = self.policy.messages, self.policy.destinations
         if len(msgs) < len(dests):
-            found.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.queued)
+            counts.update((msg.dest.id, "") for msg in msgs.values() if msg.id in msg.dest.queued)
         else:
             for dest in dests.values():
                 if dest.queued:
-                    found[dest.id, ""] = len(dest.queued)
-        return found
+                    counts[dest.id, ""] = len(dest.queued)
+        return counts
 
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         return self.attempts.admit(call, items)
 
-    def finished(self, call: Call, results: dict[int, Result]) -> None:
+    def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
         self.attempts.finished(call, results)
 
     def release(self) -> None:
@@ -196,107 +210,107 @@
     # Start and stop
 
     def start(self, known: MapUpdate) -> None:
-        """Give the module its last list and what an earlier process took on and did not end."""
-        self._learn(known, io.ListKind.CACHED)
-        if self.journal.failing:  # already at its start
-            self._write_later()
+        """Pass the module its last list and the unfinished messages of the previous process run."""
+        self._apply_update(known, io.ListKind.CACHED)
+        if self.journal.failing:  # since it was opened
+            self._schedule_flush()
         self.restore(list(self.journal.live.values()))
 
-    def restore(self, stored_ones: list[Stored]) -> None:
-        """Messages of an earlier process, from its journal: at the start, or adopted at a hand-over."""
-        for stored in stored_ones:
-            if stored.id in self.numbers:
+    def restore(self, messages: list[StoredMessage]) -> None:
+        """Restore the messages of another process's journal, at the start or after a hand-over."""
+        for stored in messages:
+            if stored.id in self.numbers_by_id:
                 continue
-            held = self._hold(stored, self.journal.time.monotonic(stored.expires))
-            self.monitor.restored(stored.id, self.attempts.state.ran(held.number))
-            if stored.notice is not None:  # given up by the last process, whose notice may not have arrived
-                held.over = True
-                self.ends.tell(held, stored.notice)
-            elif (end := end_without_class(stored, self.names)) is not None:
-                self.ends.give_up(held, end)
+            message = self._add_pending(stored, self.journal.time.monotonic(stored.expires))
+            self.monitor.restored(stored.id, self.attempts.state.ran(message.number))
+            if stored.notice is not None:  # abandoned by the other process, whose notice may be lost
+                message.finished = True
+                self.outcomes.report(message, stored.notice)
+            elif (outcome := outcome_without_class(stored, self.names)) is not None:
+                self.outcomes.abandon(message, outcome)
             else:
-                self._backlog.add(held, self.names.grades.index(stored.grade), self.journal.time)
-        if stored_ones:
-            log.info("restored", extra=kv(messages=len(stored_ones), cut_bytes=self.journal.cut))
-        self._soon()
-
-    def forget_ended(self) -> None:
-        """Messages that an adopted journal says have ended: nothing more is owed."""
-        for msg_id, number in list(self.numbers.items()):
-            if msg_id in self.journal.ends and msg_id not in self.journal.live:
-                held = self.held[number]
-                held.over = True
-                self.ends.drop(held)
+                self._backlog.add(message, self.names.grades.index(stored.grade), self.journal.time)
+        if messages:
+            log.info("restored", extra=kv(messages=len(messages), cut_bytes=self.journal.truncated_bytes))
+        self._schedule_turn()
+
+    def forget_finished(self) -> None:
+        """Drop the pending messages that finished according to an adopted journal: nothing more is owed."""
+        for msg_id, number in list(self.numbers_by_id.items()):
+            if msg_id in self.journal.outcomes and msg_id not in self.journal.live:
+                message = self.pending[number]
+                message.finished = True
+                self.outcomes.remove(message)
                 self._enqueue(io.Withdrawn(number))
 
     @property
     def to_restore(self) -> int:
-        """Messages of an earlier life that the module has not been given back yet."""
+        """Messages of a previous run that have not been passed to the module yet."""
         return len(self._backlog)
 
     def stop(self) -> None:
-        """No more turns: what is out still has its outcome journalled, the rest stays in the journal."""
+        """End the turns. Outcomes of calls in flight are still journalled; other messages stay journalled."""
         self._stopped = self.attempts.state.stopped = True
-        refused, self._ready = [r for r in self._ready if isinstance(r, Submission)], []
-        for submission in refused:
-            self.admission.turn_away(submission)
+        rejected, self._ready = [r for r in self._ready if isinstance(r, Submission)], []
+        for submission in rejected:
+            self.admission.answer_while_stopping(submission)
 
     # The disk
 
-    def _write_later(self) -> None:
-        """The journal did not take a record: it is tried until it does, and calls wait meanwhile."""
-        if not self._writing_later:
-            self._writing_later = True
-            log.warning("journal-failing", extra=kv(held=len(self.held)))
-            self.clock.call_at(self.clock.now() + _WRITE_AGAIN_S, self._write_again)
+    def _schedule_flush(self) -> None:
+        """Retry the journal's failed write until it succeeds; calls are parked meanwhile."""
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
+            log.warning("journal-failing", extra=kv(held=len(self.pending)))
+            self.clock.call_at(self.clock.now() + _WRITE_RETRY_S, self._retry_flush)
 
-    def _write_again(self) -> None:
+    def _retry_flush(self) -> None:
         if not self.journal.flush():
-            self.clock.call_at(self.clock.now() + _WRITE_AGAIN_S, self._write_again)
+            self.clock.call_at(self.clock.now() + _WRITE_RETRY_S, self._retry_flush)
             return
-        self._writing_later = False
-        log.info("journal-written", extra=kv(held=len(self.held)))
-        self.ends.recorded()
+        self._flush_scheduled = False
+        log.info("journal-written", extra=kv(held=len(self.pending)))
+        self.outcomes.journal_written()
         if not self._stopped:
             self.attempts.release()
 
-    # What comes in
+    # Input
 
     def submit(self, submission: Submission) -> None:
         if self._stopped:
-            self.admission.turn_away(submission)
+            self.admission.answer_while_stopping(submission)
             return
         self._ready.append(submission)
-        self._soon()
+        self._schedule_turn()
 
     def list_changed(self, update: MapUpdate) -> None:
-        """Discovery told of the whole list, or of what changed."""
-        self.admission.list_told = True
-        self._learn(update, io.ListKind.FULL if update.full else io.ListKind.DELTA)
-        self._soon()
-        if self.on_list is not None:
-            self.on_list()
+        """Apply a full list from discovery, or a delta."""
+        self.admission.list_received = True
+        self._apply_update(update, io.ListKind.FULL if update.full else io.ListKind.DELTA)
+        self._schedule_turn()
+        if self.on_list_update is not None:
+            self.on_list_update()
 
     def remember(self, fact: io.Remembered) -> None:
-        """What an earlier life knew of a destination."""
+        """Pass on what a previous process run knew of a destination."""
         self._enqueue(fact)
 
     def _enqueue(self, event: io.Event) -> None:
         self._ready.append(event)
-        self._soon()
+        self._schedule_turn()
 
-    def _learn(self, update: MapUpdate, how: ListKind) -> None:
+    def _apply_update(self, update: MapUpdate, how: ListKind) -> None:
         now = self.clock.now()
-        whole = how != ListKind.DELTA
-        change = self.table.learn(update, whole, now)
+        full = how != ListKind.DELTA
+        change = self.table.apply_update(update, full, now)
         states = (
             (EndpointAddress(*hop[:3]), hop.entry.readiness == io.Readiness.READY) for hop in update.hops
         )
-        self.monitor.list_applied(whole, states, now)
+        self.monitor.list_applied(full, states, now)
         for hop_id in change.closing:
             self.next_hops.close_idle(hop_id)
         self.version = update.version
-        self.waits.sweep(now, _SWEPT + len(update.hops))
+        self.waits.sweep(now, _WAITS_SWEPT + len(update.hops))
         self._ready.append(io.Targets(how, update.version, change.entries))
         self._review_by(change.review_at)
 
@@ -306,7 +320,9 @@
             self.clock.call_at(when, lambda: self._review(when))
 
     def _review(self, when: float) -> None:
-        """Endpoints that only older lists have as active are so after a while: versions have begun anew."""
+        """Believe older lists by which a drained endpoint is active again, once they have contradicted the
+        drain for long enough: the versions were restarted.
+        """
         if when != self._review_at:
             return
         self._review_at = math.inf
@@ -315,142 +331,153 @@
             ids = ",".join(entry.endpoint.decode(errors="replace") for entry in change.entries)
             log.warning("older-list-believed", extra=kv(version=self.version, active=ids[:200]))
             self._ready.append(io.Targets(io.ListKind.DELTA, self.version, change.entries))
-            self._soon()
+            self._schedule_turn()
         self._review_by(change.review_at)
 
-    def retune(self, rules: io.Settings, names: Names) -> None:
-        """New settings from a reread file: messages under way keep the class that the module gave them."""
+    def apply_settings(self, rules: io.Settings, names: SettingNames) -> None:
+        """Apply the settings of a reloaded file. Pending messages keep the class that they have."""
         self.policy.settings = self.rules = self.attempts.state.rules = self.admission.rules = rules
         self.table.balancers = rules.balancers
         self.names = self.admission.names = names
         self.attempts.state.grades = dict(zip(names.grades, rules.message_classes, strict=False))
         self.monitor.drain_grace_s = rules.drain_grace
 
-    def maintain(self, detached: set[str]) -> None:
-        """The endpoints that operators took out drain for the module, whatever discovery lists meanwhile;
-        one put back is given to it again as listed."""
-        change = self.table.maintain(detached)
+    def set_detached(self, detached: set[str]) -> None:
+        """Set the endpoints that operators detached: for the module they drain, whatever discovery lists. One
+        that is attached again is as listed.
+        """
+        change = self.table.set_detached(detached)
         for hop_id in change.closing:
             self.next_hops.close_idle(hop_id)
         if change.entries:
             log.info("maintained", extra=kv(detached=",".join(sorted(self.detached)) or "none"))
             self._ready.append(io.Targets(io.ListKind.DELTA, self.version, change.entries))
-            self._soon()
+            self._schedule_turn()
 
-    def divide(self, parts: Mapping[int, float]) -> None:
-        """Calls/s of each destination's budget that are this sender's: the module is told them as it is told
-        a listed limit; where one has shrunk, that its pace is no higher.
+    def set_budget_shares(self, shares: Mapping[int, float]) -> None:
+        """Set this sender's share of each destination's budget, in calls/s. The module receives it as a
+        listed limit; if a share has shrunk, also as the maximum of its current send rate.
         """
-        shrunk = [dest for dest, part in parts.items() if part < _SHRUNK * self.parts.get(dest, 0.0)]
-        if entries := self.table.divide(parts):
+        shrunk = [
+            dest
+            for dest, share in shares.items()
+            if share < _SHRUNK_BELOW * self.budget_shares.get(dest, 0.0)
+        ]
+        if entries := self.table.set_budget_shares(shares):
             self._ready.append(io.Targets(io.ListKind.DELTA, self.version, entries))
         for dest in shrunk:
-            self.remember(io.Remembered(dest, 0.0, max(_LEAST_PACE, parts[dest])))
-        self._soon()
+            self.remember(io.Remembered(dest, 0.0, max(_MIN_RATE, shares[dest])))
+        self._schedule_turn()
 
     # The turn
 
-    def _soon(self) -> None:
-        """The next turn comes with the next tick, so that what arrives together is decided together."""
+    def _schedule_turn(self) -> None:
+        """Schedule a turn at the next tick, so that events that arrive together are decided on together."""
         now = self.clock.now()
-        self._turn_by((math.floor(now / self.rules.tick) + 1) * self.rules.tick)
+        self._schedule_turn_at((math.floor(now / self.rules.tick) + 1) * self.rules.tick)
 
-    def _turn_by(self, when: float) -> None:
+    def _schedule_turn_at(self, when: float) -> None:
         if when < self._turn_at and not self._stopped:
             self._turn_at = when
-            self.clock.call_at(when, lambda: self._turn_due(when))
+            self.clock.call_at(when, lambda: self._run_turn(when))
 
-    def _turn_due(self, when: float) -> None:
+    def _run_turn(self, when: float) -> None:
         if when == self._turn_at and not self._stopped:
             self._turn_at = math.inf
             try:
                 self.turn()
-            finally:  # whatever fails in one turn, the watchdogs of all messages are still to be rung
-                self._wake_for_timers()
+            finally:  # the watchdogs of all messages must run even if a turn fails
+                self._schedule_timers()
 
-    def _wake_for_timers(self) -> None:
-        if (at := self._timers.next_at(self.held)) is not None:
-            self._turn_by(at)
+    def _schedule_timers(self) -> None:
+        if (at := self._timers.next_at(self.pending)) is not None:
+            self._schedule_turn_at(at)
 
     def turn(self) -> None:
         now = self.clock.now()
         ready, self._ready = self._ready, []
-        for rung in self._timers.due(now):
-            ready.extend(self._overdue(rung.number) if isinstance(rung, Overdue) else [rung])
+        for due in self._timers.due(now):
+            ready.extend(self._overdue(due.number) if isinstance(due, Overdue) else [due])
         ready.extend(self._backlog.take())
         if self._backlog:
-            self._soon()
+            self._schedule_turn()
         actions: list[io.Action] = []
-        fresh: dict[int, tuple[Submission, Held]] = {}
+        fresh: dict[int, tuple[Submission, PendingMessage]] = {}
         for one in ready:
             if not isinstance(one, Submission):
                 actions += self._decide(one, now)
-            elif len(fresh) >= _AT_ONCE:  # a crowd: what else waits for the loop goes first
+            elif len(fresh) >= _NEW_PER_TURN:  # a burst: let the event loop do its other work first
                 self._ready.append(one)
-                self._soon()
-            elif self.numbers.get(one.id) in fresh:
-                # The same id twice in one turn: whether the first is taken on shows at the turn's end.
+                self._schedule_turn()
+            elif self.numbers_by_id.get(one.id) in fresh:
+                # The same id twice in one turn: whether the first is accepted is known at its end.
                 self._ready.append(one)
-                self._soon()
-            elif (held := self._enter(one, now)) is not None:
-                fresh[held.number] = one, held
-                event = io.Incoming(held.number, 0, held.expires, 0, 0.0, one.dest, one.grade, 0)
+                self._schedule_turn()
+            elif (message := self._admit_submission(one, now)) is not None:
+                fresh[message.number] = one, message
+                event = io.Incoming(message.number, 0, message.expires, 0, 0.0, one.dest, one.grade, 0)
                 actions += self._decide(event, now)
         self._answer(fresh, actions)
         self._carry_out(actions, now)
 
     def _decide(self, event: io.Event, now: float) -> list[io.Action]:
-        """A fault in the module costs the one event: the watchdog still ends each message in time."""
+        """The module's actions for an event. If the module fails, only this event is lost: the watchdogs
+        still finish each message in time.
+        """
         try:
             return list(self.policy.handle(event, now))
         except Exception:
             log.exception("module-failed", extra=kv(on=event))
             return []
 
-    def _enter(self, one: Submission, now: float) -> Held | None:
-        """Whether the module is to hear of it: answered at once if it is known, or if there is no room."""
-        if (answer := self.admission.immediate_answer(one, now)) is not None:
-            one.answer(answer)
+    def _admit_submission(self, submission: Submission, now: float) -> PendingMessage | None:
+        """Add a message that the module has to decide on; None if it was answered at once."""
+        if (answer := self.admission.immediate_answer(submission, now)) is not None:
+            submission.answer(answer)
             return None
-        expires = now + one.left
-        return self._hold(self.admission.stored(one, expires), expires)
+        expires = now + submission.remaining_s
+        return self._add_pending(self.admission.stored(submission, expires), expires)
 
-    def _hold(self, stored: Stored, expires: float) -> Held:
-        held = self.held.hold(stored, expires)
+    def _add_pending(self, stored: StoredMessage, expires: float) -> PendingMessage:
+        message = self.pending.add(stored, expires)
         if self.scope is not None:
-            self.scope.held(stored.dest)
-        self._timers.watch(expires + _GRACE, held.number)
-        return held
+            self.scope.message_added(stored.dest)
+        self._timers.watch(expires + _OVERDUE_AFTER_S, message.number)
+        return message
 
     def _overdue(self, number: int) -> list[io.Event]:
-        """Guards against a message that outlives its time, whatever kept its end from coming."""
-        held = self.held.get(number)
-        if held is None:
+        """Finish an expired message, for whatever reason it has no outcome yet."""
+        message = self.pending.get(number)
+        if message is None:
             return []
-        if held.over:
-            self.ends.tell_late(held)
+        if message.finished:
+            self.outcomes.report_overdue(message)
             return []
-        log.warning("overdue", extra=kv(id=held.stored.id, attempts=held.issued, out=held.call is not None))
-        self.ends.give_up(held, End(Status.UNDELIVERABLE))
+        log.warning(
+            "overdue", extra=kv(id=message.stored.id, attempts=message.issued, out=message.call is not None)
+        )
+        self.outcomes.abandon(message, MessageOutcome(Status.UNDELIVERABLE))
         return [io.Withdrawn(number)]
 
-    def _answer(self, fresh: Mapping[int, tuple[Submission, Held]], actions: list[io.Action]) -> None:
-        """Tell each client whether its message is taken on, which the journal must know first."""
-        ends: dict[int, End] = {}
+    def _answer(
+        self, fresh: Mapping[int, tuple[Submission, PendingMessage]], actions: list[io.Action]
+    ) -> None:
+        """Answer each client whether its message is accepted, which is journalled first."""
+        rejections: dict[int, MessageOutcome] = {}
         for action in actions:
             if isinstance(action, io.PushBack):
-                ends[action.msg_id] = _deferred(action)
+                rejections[action.msg_id] = _deferred(action)
             elif isinstance(action, io.Abort):
-                ends[action.msg_id] = End(Status.UNDELIVERABLE)
-        for number, (submission, held) in fresh.items():
-            end = ends.get(number)
-            if end is None:
-                if self.admission.take_on(submission, held):
+                rejections[action.msg_id] = MessageOutcome(Status.UNDELIVERABLE)
+        for number, (submission, message) in fresh.items():
+            outcome = rejections.get(number)
+            if outcome is None:
+                if self.admission.accept(submission, message):
                     continue
-                end = End(Status.DEFERRED)
+                outcome = MessageOutcome(Status.DEFERRED)
                 self._ready.append(io.Withdrawn(number))
-                self._soon()
-            self.admission.refuse(submission, held, end)
+                self._schedule_turn()
+            self.admission.reject(submission, message, outcome)
 
     def _carry_out(self, actions: list[io.Action], now: float) -> None:
         calls = CallBatches(now, self.rules.kind_batch)
@@ -461,9 +488,9 @@
                 case io.Schedule(delay, token):
                     self._timers.ring(now + delay, token)
                 case io.PushBack(number):
-                    self.ends.give_up(self.held.get(number), _deferred(action))
+                    self.outcomes.abandon(self.pending.get(number), _deferred(action))
                 case io.Abort(number):
-                    self.ends.give_up(self.held.get(number), End(Status.UNDELIVERABLE))
+                    self.outcomes.abandon(self.pending.get(number), MessageOutcome(Status.UNDELIVERABLE))
                 case io.Watch(on):
                     self.map.watch(on)
                 case io.Snapshot():
@@ -471,9 +498,9 @@
                 case io.Close(endpoint):
                     self.next_hops.close_idle(endpoint.decode())
                 case io.StopAttempt(number):
-                    held = self.held.get(number)
-                    if held is not None and held.call is not None and len(held.call.items) == 1:
-                        self.attempts.cancel(held.call)
+                    message = self.pending.get(number)
+                    if message is not None and message.call is not None and len(message.call.items) == 1:
+                        self.attempts.cancel(message.call)
                 case io.WriteLog(line):
                     log.info("module", extra=kv(line=line))
                 case _:
@@ -482,9 +509,9 @@
             self.attempts.start(call)
 
 
-def _log_violation(found: Violation) -> None:
-    log.error("invariant-violated", extra=kv(rule=found.rule, id=found.message, why=found.why))
+def _log_violation(violation: Violation) -> None:
+    log.error("invariant-violated", extra=kv(rule=violation.rule, id=violation.message, why=violation.why))
 
 
-def _deferred(action: io.PushBack) -> End:
-    return End(Status.DEFERRED, max(0, math.ceil(action.retry_after * 1000)))
+def _deferred(action: io.PushBack) -> MessageOutcome:
+    return MessageOutcome(Status.DEFERRED, max(0, math.ceil(action.retry_after * 1000)))
--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -17,7 +17,7 @@
 from mountgauge.cli import main
 from mountgauge.core import sender as core
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import Call, End, Status
+from mountgauge.core.ports import Call, MessageOutcome, Status
 from mountgauge.lab.faults.lease import believe_silence
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.platform import watch, watch_bounds
@@ -29,35 +29,35 @@
 
 def _forgets() -> None:
     """Says +OK without a record: what it holds is gone with its process."""
-    take = Journal.take
+    take = Journal.accept
 
     def forgetful(self: Journal, stored: Any) -> None:
         self.live[stored.id] = stored
 
-    setattr(Journal, "take", forgetful)  # noqa: B010
+    setattr(Journal, "accept", forgetful)  # noqa: B010
     assert take is not None
 
 
 def _never_tells() -> None:
     """Gives up without a notice."""
 
-    def tell(self: Any, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def tell(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         told()
 
-    setattr(notices.Notices, "tell", tell)  # noqa: B010
+    setattr(notices.Notices, "report_outcome", tell)  # noqa: B010
 
 
 def _tells_two_ends() -> None:
     """Tells a deferred message as undeliverable as well."""
-    tell = notices.Notices.tell
+    tell = notices.Notices.report_outcome
 
-    def both(self: Any, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def both(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         tell(self, msg_id, end, told)
         if end.status is Status.DEFERRED:
-            later = End(Status.UNDELIVERABLE)
+            later = MessageOutcome(Status.UNDELIVERABLE)
             asyncio.get_running_loop().call_later(0.2, tell, self, msg_id, later, lambda: None)
 
-    setattr(notices.Notices, "tell", both)  # noqa: B010
+    setattr(notices.Notices, "report_outcome", both)  # noqa: B010
 
 
 def _two_out() -> None:
@@ -111,12 +111,12 @@
 
 def _late() -> None:
     """Sits on the ends that it has to tell until long after the message's time."""
-    tell = notices.Notices.tell
+    tell = notices.Notices.report_outcome
 
-    def late(self: Any, msg_id: str, end: End, told: Callable[[], None]) -> None:
+    def late(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         asyncio.get_running_loop().call_later(6.0, tell, self, msg_id, end, told)
 
-    setattr(notices.Notices, "tell", late)  # noqa: B010
+    setattr(notices.Notices, "report_outcome", late)  # noqa: B010
 
 
 def _waits_on_silence() -> None:
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -16,7 +16,7 @@
 from mountgauge.core.config import Address, Config
 from mountgauge.core.durable_time import SystemClocks
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import End, MapSource, SenderSide
+from mountgauge.core.ports import MapSource, MessageOutcome, OutcomeReporter
 from mountgauge.core.sender import Sender
 from mountgauge.log import kv
 from mountgauge.notices import Notices
@@ -86,8 +86,8 @@
 
     owed = 0
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
-        log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.again_ms))
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+        log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.retry_after_ms))
         told()
 
     def close(self) -> None: ...
@@ -111,7 +111,7 @@
         self.notices: Notices | LoggedOutcomes = (
             Notices(notices_at) if notices_at is not None else LoggedOutcomes()
         )
-        self.fronts: dict[str, SenderSide] = {"platform": self.notices}
+        self.fronts: dict[str, OutcomeReporter] = {"platform": self.notices}
         clock = LoopClock()
         self.journal = Journal(config.state, config.limits.disk_bytes, clock=clock)
         policy = Policy(config.settings, config.seed)
@@ -159,7 +159,7 @@
                 counts.update(listener.counts)
         counts.update(self.registry.counts)
         violations = {str(rule): count for rule, count in sender.monitor.violations.items()}
-        return Snapshot(counts, len(sender.held), sender.calls, sender.rules.workers, violations)
+        return Snapshot(counts, len(sender.pending), sender.slots_used, sender.rules.workers, violations)
 
     def report(self) -> Mapping[str, Any]:
         """The status page."""
@@ -207,7 +207,7 @@
     @property
     def needs_polling(self) -> bool:
         """Whether another process may share the folder or operators may call; else there are no wakeups."""
-        return self.handover.sharing or self.service is not None or bool(self.journal.others)
+        return self.handover.sharing or self.service is not None or bool(self.journal.unadopted)
 
     def check_folder(self) -> None:
         """The periodic check for journals, waits and commands that other processes left in the folder."""
@@ -225,7 +225,7 @@
         began = time.monotonic()
         self.accepting = False
         handing = self.handover.successor()
-        log.info("handing-over" if handing else "draining", extra=kv(held=len(self.sender.held)))
+        log.info("handing-over" if handing else "draining", extra=kv(held=len(self.sender.pending)))
 
         def left(until: float) -> float:
             return max(0.0, began + until - time.monotonic())
@@ -236,7 +236,7 @@
             listener.stop_listening()
             listener.close_idle()
         while left(_SUCCESSOR_UNTIL_S if handing else _SEND_UNTIL_S) and (
-            (self.sender.held and not handing) or self.registry.open
+            (self.sender.pending and not handing) or self.registry.open
         ):
             await asyncio.sleep(0.02)
         self.sender.stop()
--- a/mountgauge/run/handover.py
+++ b/mountgauge/run/handover.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from mountgauge.core import shared_waits
-from mountgauge.core.files import Files, SystemFiles, write_whole
+from mountgauge.core.files import Files, SystemFiles, replace_file
 from mountgauge.core.journal import Journal
 from mountgauge.core.sender import Sender
 from mountgauge.log import kv
@@ -45,11 +45,11 @@
 
     async def begin(self) -> None:
         """At the start: share waits with an older process that still serves, and apply its waits."""
-        if not self.journal.others:
+        if not self.journal.unadopted:
             return
         self.share_waits()
         for _ in range(_STARTUP_CHECKS):
-            if all(map(self._has_shared_waits, self.journal.others)):
+            if all(map(self._has_shared_waits, self.journal.unadopted)):
                 break
             await asyncio.sleep(FOLDER_CHECK_INTERVAL_S)
         self.apply_shared_waits()
@@ -57,25 +57,25 @@
     def check_others(self) -> None:
         """Adopt the journals of exited processes; apply the waits of a process that runs beside this one."""
         self._checks += 1
-        if (self._checks % _CHECKS_PER_ADOPTION == 0 and self.sharing) or self.journal.others:
+        if (self._checks % _CHECKS_PER_ADOPTION == 0 and self.sharing) or self.journal.unadopted:
             self.adopt()
-        if self.journal.others:
+        if self.journal.unadopted:
             if not self._waits_written:
                 self.share_waits()
             self.apply_shared_waits()
 
     def adopt(self) -> None:
         """Take over the messages of processes on the same folder that have exited."""
-        had = bool(self.journal.others)
+        had = bool(self.journal.unadopted)
         adopted = self.journal.adopt()
-        if had and not self.journal.others:  # the exited process's waits file has no further use
+        if had and not self.journal.unadopted:  # the exited process's waits file has no further use
             for path in self._waits_paths():
                 # A file that remains is harmless: its waits expire, and a later write replaces it.
                 with contextlib.suppress(OSError):
                     self._files.unlink(path)
-        elif self.journal.others and not had:  # a newer process has started: it has to apply these waits
+        elif self.journal.unadopted and not had:  # a newer process has started: it has to apply these waits
             self.share_waits()
-        self.sender.forget_ended()
+        self.sender.forget_finished()
         if adopted:
             log.info("adopted", extra=kv(messages=len(adopted)))
             self.sender.restore(adopted)
@@ -83,18 +83,18 @@
     def successor(self) -> bool:
         """Whether a newer process serves beside this one, on the same listening socket and folder."""
         self.adopt()
-        return self.sharing and bool(self.journal.beside)
+        return self.sharing and bool(self.journal.in_use)
 
     def _waits_path(self, slot: int) -> Path:
         return self.folder / ("waits" if slot == 0 else f"waits.{slot}")
 
     def share_waits(self) -> None:
         """Write this process's required waits for the other process; called for each new wait."""
-        if not self.journal.others:
+        if not self.journal.unadopted:
             return
         content = shared_waits.encode(self.sender.waits, self.journal.time.stamp())
         try:
-            write_whole(self._files, self._waits_path(self.journal.slot), content)
+            replace_file(self._files, self._waits_path(self.journal.slot), content)
         except OSError as error:
             if self._waits_written:  # logged once; each check retries
                 log.warning("waits-not-shared", extra=kv(error=error))
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping, Sequence
 from typing import TYPE_CHECKING, Any
 
-from mountgauge.core.durable_time import Stamp, read
+from mountgauge.core.durable_time import Stamp, read_clocks
 from mountgauge.core.list_lease import LeaseCheck, LeaseEnd
 from mountgauge.log import kv
 from mountgauge.recovery import bounds
@@ -70,14 +70,14 @@
             self._failed = True
         self._source_lease = runtime.sender.list_lease
         runtime.sender.list_lease = self.lease_ended
-        runtime.sender.on_list = self._on_list
+        runtime.sender.on_list_update = self._on_list
         self._timer = asyncio.get_running_loop().call_later(bounds.CHECK_INTERVAL_S, self._check)
 
     def _start_run(self) -> None:
         """Start this run from the folder's content; raises OSError if it cannot be read or written."""
         runtime = self.runtime
-        had = bool(runtime.journal.live or runtime.journal.ends)
-        stamp = read(runtime.sender.clock)
+        had = bool(runtime.journal.live or runtime.journal.outcomes)
+        stamp = read_clocks(runtime.sender.clock)
         self.identity, self.folder_state, clean = self.folder.start_run(runtime.config.name, had)
         self._identity_loaded = True
         try:
@@ -173,8 +173,8 @@
         runtime = self.runtime
         sender, now = runtime.sender, runtime.sender.clock.now()
         observed = Observation(
-            now, runtime.accepting, sender.to_restore, sender.admission.list_told, self.peers.joined(),
-            destination_states(sender.policy, now), len(sender.held),
+            now, runtime.accepting, sender.to_restore, sender.admission.list_received, self.peers.joined(),
+            destination_states(sender.policy, now), len(sender.pending),
         )  # fmt: skip
         before = self.phases.held_up
         for change in self.phases.update(observed):
@@ -221,8 +221,8 @@
         """
         runtime = self.runtime
         try:
-            if not runtime.journal.standing():
-                if not runtime.journal.write_anew():
+            if not runtime.journal.is_in_place():
+                if not runtime.journal.recreate():
                     log.critical("folder-taken", extra=kv(why="another process holds it: this one exits"))
                     runtime.sender.stop()
                     os._exit(3)  # at once: the other process has the messages, no answer may contradict it
@@ -262,7 +262,7 @@
         if self.runtime.journal.slot or not self._identity_loaded:
             return  # the older process beside this one writes them
         try:
-            stamp = read(self.runtime.sender.clock)
+            stamp = read_clocks(self.runtime.sender.clock)
             self.folder.save_facts(self.facts(stamp), stamp, self.identity.id)
         except OSError as error:
             log.warning("not-remembered", extra=kv(error=error))
@@ -287,7 +287,7 @@
         return {
             **self.phases.report(now), "life": self.identity.life, "id": self.identity.id,
             "found": self.folder_state.value, "restored": self.restored,
-            "to_restore": self.runtime.sender.to_restore, "held": len(self.runtime.sender.held),
+            "to_restore": self.runtime.sender.to_restore, "held": len(self.runtime.sender.pending),
             "pauses": self.pause_detector.pauses,
             "longest_pause_s": round(self.pause_detector.longest_gap_s, 3),
             "folder_emptied": self._emptied_count, "peers_coming_back": self.peers.members_recovering(),
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -66,7 +66,7 @@
     """Apply another process's waits and excluded endpoints while this one stops. Journals are no longer
     adopted.
     """
-    if runtime.journal.others:
+    if runtime.journal.unadopted:
         runtime.handover.apply_shared_waits()
     if runtime.service is not None:
         runtime.service.look()
@@ -131,7 +131,7 @@
     if check_task is not None:
         check_task.cancel()
         check_task = loop.create_task(_check_periodically(lambda: _check_while_stopping(runtime)))
-    log.info("stopping", extra=kv(held=len(runtime.sender.held), out=runtime.next_hops.out))
+    log.info("stopping", extra=kv(held=len(runtime.sender.pending), out=runtime.next_hops.out))
     await runtime.stop()
     if check_task is not None:
         check_task.cancel()
--- a/mountgauge/sharding/evidence.py
+++ b/mountgauge/sharding/evidence.py
@@ -49,14 +49,14 @@
             self._refused[call.relay] = call.made_at
         all_refuse = self._refused.keys() >= self._relays
         if failure is RelayFailure.UNREADABLE:
-            self.lease.lose(Loss.CERTAIN, now)
+            self.lease.answer_lost(Loss.CERTAIN, now)
         elif failure is RelayFailure.REFUSED and all_refuse:
-            self.lease.unreachable(min(self._refused.values()))
+            self.lease.call_refused(min(self._refused.values()))
         elif failure is RelayFailure.BROKEN and call.lane is Lane.WATCH:
             if all_refuse:
-                self.lease.broke(call.made_at, now)
+                self.lease.call_broke(call.made_at, now)
             else:
-                self.lease.lose(Loss.POSSIBLE, now)
+                self.lease.answer_lost(Loss.POSSIBLE, now)
 
     def ended(self, now: float) -> LeaseEnd | None:
         """Return why the list must not be used now, or None if it may be used."""
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -22,10 +22,10 @@
 from mountgauge.amqp import codec
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core import drain_memory
-from mountgauge.core.config import Address, MapUpdate, Names
+from mountgauge.core.config import Address, MapUpdate, SettingNames
 from mountgauge.core.journal import Journal
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Answer, Call, End, Item, Submission
+from mountgauge.core.ports import Answer, Call, CallItem, MessageOutcome, Submission
 from mountgauge.core.sender import Sender
 from mountgauge.http1 import Message, response
 from mountgauge.lab.ports import reserve_ports
@@ -43,7 +43,7 @@
 from tests.test_peers import bounds
 from tests.test_process import Platform
 
-NAMES = Names(("safe",), ("near", "far"), ("one", "many"))
+NAMES = SettingNames(("safe",), ("near", "far"), ("one", "many"))
 GRACE = 0.25 + 0.05  # s after which nothing may leave; what is told here is told long before
 MOST_CALLS = 16  # at once to one destination: half of the slots
 NOTHING_KNOWN = MapUpdate(-1, True, ())
@@ -121,7 +121,7 @@
         await asyncio.sleep(0)
         self.journal.close()
 
-    def tell(self, msg_id: str, end: End, told: Any) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
         told()
 
     def line(self, state: str, hop: int = 0, **fields: Any) -> dict[str, Any]:
@@ -346,7 +346,7 @@
         async with World(tmp_path, protocol=protocol) as world:
             await world.told(1, 40, True, world.line("active"))
             await world.sent()
-            await until(lambda: not world.sender.calls)
+            await until(lambda: not world.sender.slots_used)
             drained_at_the_start(world, before=True)
             await world.quiet()
 
@@ -395,7 +395,7 @@
             ended = None
             world.sender.release()
             await asyncio.sleep(GRACE)
-            assert not world.hops[0].calls and not world.sender.calls
+            assert not world.hops[0].calls and not world.sender.slots_used
 
     run(main())
 
@@ -412,7 +412,7 @@
             await world.told(2, 50, False, world.line("leaving"))
             broker.hold_at = ""
             broker.go_on.set()
-            await until(lambda: not world.sender.calls)
+            await until(lambda: not world.sender.slots_used)
             await world.quiet()
             assert not broker.calls
 
@@ -433,7 +433,7 @@
             await old.held.wait()
             await world.told(2, 50, False, {**world.line("active", 1), "id": "e0"})
             world.submit()
-            await until(lambda: world.sender.calls == 2 or new.calls)
+            await until(lambda: world.sender.slots_used == 2 or new.calls)
             old.go_on.set()
             await until(lambda: len(old.calls) + len(new.calls) >= 2)
             assert not old.calls and len(new.calls) == 2
@@ -457,17 +457,17 @@
             await world.told(1, 40, True, world.line("active"))
             for _ in range(MOST_CALLS):  # at once: so many channels stand from now on
                 world.submit()
-            await until(lambda: len(broker.calls) == MOST_CALLS and not world.sender.calls)
+            await until(lambda: len(broker.calls) == MOST_CALLS and not world.sender.slots_used)
             broker.hold_at = "basic.publish"
             sent = [world.submit(b"x" * 900_000) for _ in range(unread)]
-            await until(lambda: world.sender.calls == len(sent))
+            await until(lambda: world.sender.slots_used == len(sent))
             late = world.submit()
-            await until(lambda: world.sender.calls == len(sent) + 1)
+            await until(lambda: world.sender.slots_used == len(sent) + 1)
             await world.told(2, 50, False, world.line("leaving"))
             assert len(broker.calls) == MOST_CALLS
             broker.hold_at = ""
             broker.go_on.set()
-            await until(lambda: not world.sender.calls)
+            await until(lambda: not world.sender.slots_used)
             assert late not in [call[1] for call in broker.calls]
             assert sent[0] in [call[1] for call in broker.calls], "what had begun goes on"
 
@@ -546,7 +546,7 @@
             take_out(tmp_path / "state", "h0")
             hop.script = ["ok"]
             await world.start()
-            assert world.runtime.journal.others
+            assert world.runtime.journal.unadopted
             await asyncio.sleep(GRACE)
             assert len(hop.calls) == 1
             beside.close()
@@ -609,7 +609,7 @@
         async with helper.World(tmp_path, "http", extra=extra) as world:
             admit, paused = world.runtime.sender.admit, list[str]()
 
-            def late(call: Call, items: list[Item]) -> list[Item]:
+            def late(call: Call, items: list[CallItem]) -> list[CallItem]:
                 if not paused:
                     paused.append(call.hop.id)
                     if where == "file":
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -10,9 +10,9 @@
 import pytest
 
 from mountgauge.amqp.next_hops import AmqpNextHops
-from mountgauge.core.config import MapUpdate, Names
+from mountgauge.core.config import MapUpdate, SettingNames
 from mountgauge.core.journal import Journal
-from mountgauge.core.ports import Answer, Call, End, NextHop, Result, Submission, Taken
+from mountgauge.core.ports import Accepted, Answer, AttemptResult, Call, MessageOutcome, NextHop, Submission
 from mountgauge.core.sender import Sender
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.next_hops import HttpNextHops
@@ -37,7 +37,7 @@
         super().__init__(folder, grades=grades, **extra)
         self.sender.start(self.hops(Readiness.READY, kind=kind))
         self.pass_time(0.01)
-        self.take("a", grade=KEYED)
+        self.submit("a", grade=KEYED)
         self.pass_time(0.01)
         call = self.calls.pop()
         self.sender.admit(call, call.items)
@@ -45,10 +45,10 @@
 
     def fail_first(self) -> None:
         """The first attempt ends in an error, so it may have run."""
-        number = self.sender.numbers["a"]
-        call = self.sender.held[number].call
+        number = self.sender.numbers_by_id["a"]
+        call = self.sender.pending[number].call
         assert call is not None
-        self.sender.finished(call, {number: Result(Outcome.ERROR)})
+        self.sender.finished(call, {number: AttemptResult(Outcome.ERROR)})
 
     def repeat(self) -> Call:
         """The repeat, decided within the window."""
@@ -73,7 +73,7 @@
     files = FailingFiles()
     bench = Repeats(tmp_path, files=files)
     files.fails = {"write"}
-    bench.take("probe")  # its record shows that the disk fails
+    bench.submit("probe")  # its record shows that the disk fails
     bench.pass_time(0.02)
     bench.fail_first()
     bench.pass_window()
@@ -96,7 +96,7 @@
 class Senders:
     """A core with its journal and next hops on faulty sockets, whose list a test gives it."""
 
-    names = Names(("keyed",), ("near",), ("one",))
+    names = SettingNames(("keyed",), ("near",), ("one",))
 
     hops: HttpNextHops | AmqpNextHops
 
@@ -134,7 +134,7 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: End, told: Any) -> None:
+    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
         told()
 
     async def hand_in(self, name: str, left: float = 6.0, body: bytes = b"x") -> None:
@@ -143,7 +143,7 @@
             Submission(name, 0, left, 7, "k", body, "platform", self.answers.append, lambda: True)
         )
         await until(lambda: len(self.answers) > count)
-        assert self.answers[-1] == Taken()
+        assert self.answers[-1] == Accepted()
 
     async def blocked(self, name: str, **extra: Any) -> None:
         """A message whose call has been let through, and whose bytes the socket does not take."""
@@ -210,7 +210,7 @@
 def test_a_message_past_its_window_stays_behind_where_others_of_its_call_go(tmp_path: Path) -> None:
     bench = Repeats(tmp_path, kind=1)  # of which one call carries several
     call = bench.repeat()
-    bench.take("b")
+    bench.submit("b")
     bench.pass_time(0.01)
     (other,) = bench.calls
     call.items += other.items
--- a/tests/platform/mutants.py
+++ b/tests/platform/mutants.py
@@ -6,7 +6,7 @@
 from mountgauge.core.config import MapUpdate
 from mountgauge.core.hop_table import Change, HopTable
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Call, Item
+from mountgauge.core.ports import Call, CallItem
 from mountgauge.platform.list_call import DropReason, Failure, ListCall
 from mountgauge.platform.watch import DiscoveryWatch
 from mountgauge.platform.watch_bounds import WatchBounds
@@ -51,7 +51,7 @@
 
     def lease_ended(self, now: float) -> LeaseEnd | None:
         ended = super().lease_ended(now)
-        return None if ended in (LeaseEnd.EXPIRED, LeaseEnd.UNHEARD, LeaseEnd.MOVED) else ended
+        return None if ended in (LeaseEnd.EXPIRED, LeaseEnd.NO_EVIDENCE, LeaseEnd.MOVED) else ended
 
 
 class RefusalInWordsRenews(DiscoveryWatch):
@@ -99,17 +99,17 @@
         super().__init__(balancers)
         self._answers = 0
 
-    def learn(self, update: MapUpdate, whole: bool, now: float) -> Change:
+    def apply_update(self, update: MapUpdate, whole: bool, now: float) -> Change:
         self._answers += bool(update.hops)
         if self._answers % 4 == 3:
             return Change((), [])
-        return super().learn(update, whole, now)
+        return super().apply_update(update, whole, now)
 
 
 class NoLastLook(Attempts):
     """What was chosen goes, whatever has become of the endpoint since."""
 
-    def admit(self, call: Call, items: list[Item]) -> list[Item]:
+    def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
         return items
 
 
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -18,10 +18,10 @@
 from mountgauge.core.attempts import Attempts
 from mountgauge.core.config import MapUpdate
 from mountgauge.core.durable_time import ProcessTime
-from mountgauge.core.held import HeldMessages
 from mountgauge.core.hop_table import HopTable
-from mountgauge.core.journal import Journal, Stored
-from mountgauge.core.ports import Call, Item, NextHop
+from mountgauge.core.journal import Journal, StoredMessage
+from mountgauge.core.pending_messages import PendingMessages
+from mountgauge.core.ports import Call, CallItem, NextHop
 from mountgauge.core.send_state import SendState
 from mountgauge.core.waits import Waits
 from mountgauge.platform.list_call import Failure, ListCall
@@ -292,12 +292,12 @@
         self.table = parts.table(rules.balancers)
         known = [next_hop(name, state) for name, (state, _) in discovery.hops.items()]
         self.version = 0
-        self.table.learn(MapUpdate(0, True, tuple(known)), True, time.now())
-        held = HeldMessages()
+        self.table.apply_update(MapUpdate(0, True, tuple(known)), True, time.now())
+        held = PendingMessages()
         journal, waits = cast(Journal, _Journal(time)), Waits()
         state = SendState(rules, self.table, journal, held, waits)
         state.list_lease = lambda dest: self.watch.lease_ended(time.now())
-        self._message = held.hold(Stored("m", "note", 1e9, 7, "k", "platform", b""), 1e9)
+        self._message = held.add(StoredMessage("m", "note", 1e9, 7, "k", "platform", b""), 1e9)
         self.attempts = parts.attempts(
             state, time, journal, self.table, held, waits,
             Counter(), SendMonitor(rules.drain_grace, _ignore), _ignore, _ignore,
@@ -351,7 +351,7 @@
             if self.watch.answered(
                 exchange.call, update.version, self._time.now(), unwritten_at=self._looked_at
             ):
-                self.table.learn(update, update.full, self._time.now())
+                self.table.apply_update(update, update.full, self._time.now())
                 self.version = update.version
             self.step()
 
@@ -392,7 +392,7 @@
         if self._waits(lambda: self._look(hop), READ_FIRST_S):
             return
         now = self._time.now()
-        item = Item(self._message.number, 0, "m", "k", "note", b"", 1e9)
+        item = CallItem(self._message.number, 0, "m", "k", "note", b"", 1e9)
         if self.attempts.admit(Call(hop, [item], now, 1e9), [item]):
             self.sent.at.setdefault(hop.id, []).append(now + self._schedule.hold_up_s)
         elif hop.id == STAYS:
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from mountgauge.core.durable_time import Stamp
-from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.lab.faults.files import FailingFiles
 from mountgauge.recovery import bounds
 from mountgauge.recovery.files import Folder
@@ -176,27 +176,27 @@
 def test_an_emptied_folder_is_written_anew_and_a_taken_one_is_not(tmp_path: Path) -> None:
     files = FailingFiles()
     journal = Journal(tmp_path, 1_000_000, files=files)
-    journal.take(Stored("m1", "note", 1e12, 7, "k", "platform", b"hello"))
-    assert journal.standing()
+    journal.accept(StoredMessage("m1", "note", 1e12, 7, "k", "platform", b"hello"))
+    assert journal.is_in_place()
     journal.path.unlink()  # without the lock, which this process still has
-    assert not journal.standing() and journal.write_anew() and journal.standing()
+    assert not journal.is_in_place() and journal.recreate() and journal.is_in_place()
     for one in tmp_path.iterdir():
         one.unlink()
-    assert not journal.standing()
+    assert not journal.is_in_place()
     files.room = 0
     for _ in range(3):  # retried each second: a failed attempt must release the lock
         with pytest.raises(OSError):
-            journal.write_anew()
+            journal.recreate()
     files.heal()
-    assert journal.write_anew() and journal.standing()
-    journal.take(Stored("m2", "note", 1e12, 7, "k", "platform", b"hello"))
+    assert journal.recreate() and journal.is_in_place()
+    journal.accept(StoredMessage("m2", "note", 1e12, 7, "k", "platform", b"hello"))
     journal.close()
     again = Journal(tmp_path, 1_000_000)
     assert set(again.live) == {"m1", "m2"}
     for one in tmp_path.iterdir():
         one.unlink()
     other = Journal(tmp_path, 1_000_000)  # another process has started meanwhile
-    assert not again.standing() and not again.write_anew() and other.standing()
+    assert not again.is_in_place() and not again.recreate() and other.is_in_place()
     again.close()
     other.close()
 
--- a/tests/recovery/test_restored.py
+++ b/tests/recovery/test_restored.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-from mountgauge.core.journal import Journal, Stored
+from mountgauge.core.journal import Journal, StoredMessage
 from mountgauge.operator_file import load
 from mountgauge.run.operator import OperatorRuntime
 from tests.helper import HOST, HttpHop, RespClient, run, until
@@ -20,7 +20,7 @@
     journal = Journal(state, 64_000_000)
     for number in range(COUNT):
         expires = time.time() + 300
-        journal.take(Stored(f"r{number}", "note", expires, 7, "k", "platform", b"hello"))
+        journal.accept(StoredMessage(f"r{number}", "note", expires, 7, "k", "platform", b"hello"))
     journal.close()
 
     async def main() -> None:
@@ -37,7 +37,7 @@
         runtime = OperatorRuntime(load(file))
         await runtime.start()
         loop = asyncio.get_running_loop()
-        assert len(runtime.sender.held) == COUNT and runtime.sender.to_restore > COUNT - 1000
+        assert len(runtime.sender.pending) == COUNT and runtime.sender.to_restore > COUNT - 1000
         client = RespClient(None)  # type: ignore[arg-type]
         listener = runtime.listeners[0][0]
         client.reader, client.writer = await asyncio.open_connection(HOST, getattr(listener, "port"))  # noqa: B009
@@ -51,7 +51,7 @@
                 assert runtime.sender.to_restore, "a client is answered before all of them are restored"
             assert answer.startswith(b"+")
         await until(lambda: len(other.delivered) == 100, 60)
-        assert len(runtime.sender.held) > COUNT / 2, "most of the restored messages are still queued"
+        assert len(runtime.sender.pending) > COUNT / 2, "most of the restored messages are still queued"
         await until(lambda: not runtime.sender.to_restore, 60)
         answer_times.sort()
         assert answer_times[50] < 0.4, "most are accepted in time, despite the backlog"
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -8,7 +8,7 @@
 import pytest
 
 from mountgauge.core.config import Address, MapUpdate
-from mountgauge.core.durable_time import SystemClocks, read
+from mountgauge.core.durable_time import SystemClocks, read_clocks
 from mountgauge.core.hop_table import HopTable
 from mountgauge.http1 import Message, response
 from mountgauge.relay import wire
@@ -113,7 +113,7 @@
     )
     shard = shard_of(7, SHARDS)
     snapshot = ShardSnapshot(shard, 41, found, digest_of(found))
-    confirmed = read(SystemClocks()).before(30)
+    confirmed = read_clocks(SystemClocks()).before(30)
     return KeptList(confirmed, PlacementUpdate(3, 1, (PlacedShard(shard, ("s1",)),)), (snapshot,))
 
 
@@ -186,7 +186,7 @@
         core, table = Core(), HopTable(1)
 
         def learn(update: MapUpdate) -> None:
-            table.learn(update, update.full, asyncio.get_running_loop().time())
+            table.apply_update(update, update.full, asyncio.get_running_loop().time())
 
         setattr(core, "list_changed", learn)  # noqa: B010
         shard_map = ShardMap(core, sharding(relay.port), "s1", tmp_path, seed=1)
@@ -199,12 +199,12 @@
             (100, EndpointState.ACTIVE),
         ):
             relay.as_of, relay.state = as_of, state
-            shard_map.held(7)
+            shard_map.message_added(7)
             await until(lambda: "e7" in table.hops)
             if as_of == 95:
                 shard_map.snapshot()  # the whole list, as SIGHUP asks for it
             states.append(table.hops["e7"].entry.readiness)
-            shard_map.dropped(7)
+            shard_map.message_removed(7)
             await until(lambda: "e7" not in table.hops)
         assert states == [Readiness.READY, Readiness.DRAINING, Readiness.DRAINING, Readiness.READY]
         shard_map.close()
--- a/tests/test_amqp_states.py
+++ b/tests/test_amqp_states.py
@@ -10,12 +10,16 @@
 from mountgauge.amqp import codec
 from mountgauge.amqp.clients import AmqpClients
 from mountgauge.amqp.connection import AmqpConnection
-from mountgauge.core.ports import End, Status, Submission, Taken
+from mountgauge.core.ports import Accepted, MessageOutcome, Status, Submission
 from rillspindle.interface import MessageClass
 from tests.helper import Transport, receive
 
 GRADE = MessageClass(2.0, 8.0, "idempotent", "all", 8.0, False, 1.0, 0.3)
-ENDS = [End(Status.DELIVERED), End(Status.DEFERRED, 250), End(Status.UNDELIVERABLE)]
+ENDS = [
+    MessageOutcome(Status.DELIVERED),
+    MessageOutcome(Status.DEFERRED, 250),
+    MessageOutcome(Status.UNDELIVERABLE),
+]
 OPENING = [
     codec.PROTOCOL_HEADER,
     codec.method(0, "connection.start-ok", mechanism="PLAIN", response="\0u\0p"),
@@ -78,12 +82,12 @@
                 owed.append((msg_id, channel, lives[channel], tags[channel]))
                 if msg_id not in taken:
                     taken.append(msg_id)
-                handed.pop().answer(Taken())
+                handed.pop().answer(Accepted())
             elif step == "cut" and channel in tags:  # a content that comes in two parts
                 receive(connection, publish(channel, "cut")[:-5])
                 receive(connection, publish(channel, "cut")[-5:])
                 tags[channel] += 1
-                handed.pop().answer(End(Status.DEFERRED))  # refused at once
+                handed.pop().answer(MessageOutcome(Status.DEFERRED))  # refused at once
                 wanted = [(channel, "basic.return", 313), (channel, "basic.nack", tags[channel])]
             elif step == "close" and channel in tags:
                 del tags[channel]
@@ -97,7 +101,7 @@
                 wanted = [(channel, "channel.close", 404)]
             elif step == "end" and taken:
                 msg_id, end, told = taken.pop(0), ENDS[channel - 1], list[int]()
-                clients.tell(msg_id, end, lambda told=told: told.append(1))  # type: ignore[misc]
+                clients.report_outcome(msg_id, end, lambda told=told: told.append(1))  # type: ignore[misc]
                 assert told == [1]
                 for one in [one for one in owed if one[0] == msg_id]:
                     owed.remove(one)
@@ -112,7 +116,7 @@
             assert connection.unsettled == len(owed) and not transport.closing
         connection.connection_lost(None)
         for msg_id in taken:  # the way back is gone: nothing is written, nobody fails
-            clients.tell(msg_id, ENDS[0], lambda: None)
+            clients.report_outcome(msg_id, ENDS[0], lambda: None)
         assert not transport.take()
 
     asyncio.run(main())
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -18,7 +18,7 @@
 from mountgauge.amqp import codec
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core.config import Address, Config, ConfigError
-from mountgauge.core.ports import Call, Item, NextHop, Result
+from mountgauge.core.ports import AttemptResult, Call, CallItem, NextHop
 from mountgauge.http1 import Message, response
 from mountgauge.operator_file import load
 from mountgauge.otlp import Exporter
@@ -122,24 +122,24 @@
 
 def test_broker_connections_are_bounded() -> None:
     async def main() -> None:
-        brokers, done = [Broker(), Broker()], list[dict[int, Result]]()
+        brokers, done = [Broker(), Broker()], list[dict[int, AttemptResult]]()
 
         class Owner:
-            def admit(self, call: Call, items: list[Item]) -> list[Item]:
+            def admit(self, call: Call, items: list[CallItem]) -> list[CallItem]:
                 return items
 
-            def finished(self, call: Call, results: dict[int, Result]) -> None:
+            def finished(self, call: Call, results: dict[int, AttemptResult]) -> None:
                 done.append(results)
 
         hops = AmqpNextHops(Owner(), 0.5, 60.0, 1, {})
         now = asyncio.get_running_loop().time()
         for index, broker in enumerate(brokers):
             await broker.start()
-            item = Item(index, 0, f"m{index}", "", "note", b"x", now + 9)
+            item = CallItem(index, 0, f"m{index}", "", "note", b"x", now + 9)
             entry = Entry(2, 0, 0, 0, 7, 0, b"h%d" % index)
             hops.start(Call(NextHop(f"h{index}", HOST, broker.port, entry), [item], now, now + 2))
             await until(lambda index=index: len(done) > index)  # type: ignore[misc]
-        assert done == [{0: Result(Outcome.OK)}, {1: Result(Outcome.OK)}]
+        assert done == [{0: AttemptResult(Outcome.OK)}, {1: AttemptResult(Outcome.OK)}]
         assert list(hops._links) == ["h1"]  # the idle connection was closed for the new one
         brokers[1].script = ["silent"]
         hops.start(Call(NextHop("h1", HOST, brokers[1].port, entry), [item], now, now + 2))
@@ -306,7 +306,7 @@
         async with World(tmp_path, "http") as world:
             await world.client.take("m1")
             await world.client.end("m1")
-            await until(lambda: not world.runtime.sender.held)
+            await until(lambda: not world.runtime.sender.pending)
             server = StatusServer(world.runtime.report)
             await server.listen(Address(HOST, 0))
             found = await ask(Address(HOST, server.port))
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -1,4 +1,6 @@
-"""The core without any wire: take-on, the last look before the first byte, restarts, told waits."""
+"""The core without a wire protocol: acceptance, the last check before the first byte, restarts and required
+waits.
+"""
 
 from __future__ import annotations
 
@@ -8,22 +10,31 @@
 
 import pytest
 
-from mountgauge.core.config import MapUpdate, Names
+from mountgauge.core.config import MapUpdate, SettingNames
 from mountgauge.core.files import Files
 from mountgauge.core.journal import Journal, JournalFullError
 from mountgauge.core.list_lease import LeaseEnd
-from mountgauge.core.ports import Answer, Call, End, NextHop, Result, Status, Submission, Taken
+from mountgauge.core.ports import (
+    Accepted,
+    Answer,
+    AttemptResult,
+    Call,
+    MessageOutcome,
+    NextHop,
+    Status,
+    Submission,
+)
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle.interface import Entry, Issue, Outcome, Readiness, Remembered, Response
 from tests.clocks import SteppedClocks
 from tests.settings import message_class, settings
 
-NAMES = Names(("safe", "keyed", "once"), ("near", "far"), ("one", "many"))
+NAMES = SettingNames(("safe", "keyed", "once"), ("near", "far"), ("one", "many"))
 
 
 class Bench(SteppedClocks):
-    """The core's ports, and time that only moves when told to."""
+    """Implements the core's ports, with a clock that only the test advances."""
 
     def __init__(
         self,
@@ -38,8 +49,8 @@
         super().__init__(time, ahead, boot)
         self.timers: list[tuple[float, Callable[[], None]]] = []
         self.calls: list[Call] = []
-        self.ends: dict[str, End] = {}
-        self.told: dict[str, Callable[[], None]] = {}
+        self.outcomes: dict[str, MessageOutcome] = {}
+        self.confirmations: dict[str, Callable[[], None]] = {}
         self.answers: dict[str, object] = {}
         self.watching = 0
         grades = [message_class(), message_class("deduplicated"), message_class("at_most_once")]
@@ -63,9 +74,9 @@
 
     def snapshot(self) -> None: ...
 
-    def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
-        assert msg_id not in self.ends, "a second end"
-        self.ends[msg_id], self.told[msg_id] = end, told
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
+        assert msg_id not in self.outcomes, "a second outcome"
+        self.outcomes[msg_id], self.confirmations[msg_id] = outcome, on_delivered
 
     def pass_time(self, seconds: float) -> None:
         until = self.time + seconds
@@ -85,7 +96,7 @@
         )
         return MapUpdate(1, full, found)
 
-    def take(
+    def submit(
         self, msg_id: str, grade: int = 0, left: float = 10.0, body: bytes = b"x", dest: int = 7
     ) -> None:
         def answer(what: Answer) -> None:
@@ -103,8 +114,8 @@
     return made
 
 
-def test_another_endpoint_under_an_old_id_inherits_nothing(bench: Bench) -> None:
-    """Its id was known, so its health, its destination and its connections were taken to be the old one's."""
+def test_another_endpoint_with_a_known_id_inherits_no_state(bench: Bench) -> None:
+    """As the id was known, the new endpoint used to get the old one's health, destination and connections."""
     closed: list[str] = []
     setattr(bench.sender.next_hops, "close_idle", closed.append)  # noqa: B010
     old = bench.sender.policy.endpoints[b"h0"]
@@ -121,7 +132,7 @@
     assert closed == ["h0", "h0"] and not bench.sender.policy.endpoints
 
 
-def test_endpoints_that_come_and_go_leave_nothing_behind(bench: Bench) -> None:
+def test_listed_and_removed_endpoints_leave_no_state(bench: Bench) -> None:
     for n in range(300):
         bench.sender.list_changed(bench.hops(Readiness.GONE, full=False, first=n))
         bench.sender.list_changed(bench.hops(Readiness.READY, full=False, first=n + 1, cell=n))
@@ -132,45 +143,55 @@
     assert len(policy.destinations) < 60 and len(bench.sender.listed) < 200
 
 
-def test_taken_on_then_attempted_then_ended(bench: Bench) -> None:
-    bench.take("a")
+def test_a_message_is_accepted_attempted_and_delivered(bench: Bench) -> None:
+    bench.submit("a")
     assert not bench.answers
     bench.pass_time(0.01)
-    assert bench.answers == {"a": Taken()} and "a" in bench.journal.live
+    assert bench.answers == {"a": Accepted()} and "a" in bench.journal.live
     (call,) = bench.calls
     assert bench.sender.admit(call, call.items) == call.items
     assert bench.journal.live["a"].attempts == 1
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
-    assert bench.ends == {"a": End(Status.DELIVERED)} and not bench.journal.live and not bench.sender.held
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
+    assert (
+        bench.outcomes == {"a": MessageOutcome(Status.DELIVERED)}
+        and not bench.journal.live
+        and not bench.sender.pending
+    )
 
 
-def test_nothing_is_taken_on_that_could_be_neither_sent_nor_ended(bench: Bench) -> None:
-    """The way to the platform is cut, and the list is not believed any more: its end could not be told."""
+def test_no_message_is_accepted_that_could_neither_be_sent_nor_have_its_outcome_reported(
+    bench: Bench,
+) -> None:
+    """The network to the platform is cut and the list lease has ended, so no outcome could be reported."""
     cut = True
     bench.sender.admission.cut_off = lambda: cut
-    bench.take("a")
+    bench.submit("a")
     bench.pass_time(0.01)
-    assert bench.answers["a"] == End(Status.DEFERRED, 250) and not bench.journal.live and not bench.calls
+    assert (
+        bench.answers["a"] == MessageOutcome(Status.DEFERRED, 250)
+        and not bench.journal.live
+        and not bench.calls
+    )
     cut = False
-    bench.take("b")
+    bench.submit("b")
     bench.pass_time(0.01)
-    assert bench.answers["b"] == Taken() and len(bench.calls) == 1
+    assert bench.answers["b"] == Accepted() and len(bench.calls) == 1
 
 
-def test_what_arrives_in_one_tick_travels_as_one_call(tmp_path: Path) -> None:
+def test_messages_of_one_tick_share_a_call(tmp_path: Path) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY, kind=1))
     bench.pass_time(0.01)
     for name in "abcdef":
-        bench.take(name)
+        bench.submit(name)
     bench.pass_time(0.01)
     assert [len(call.items) for call in bench.calls] == [4, 2]  # the kind's batch is 4
 
 
 @pytest.mark.parametrize("late", ["drained", "gone", "absent", "wait", "ended", "expired", "moved"])
-def test_last_look_before_the_first_byte(bench: Bench, late: str) -> None:
-    """A slow connect outlives what was decided: nothing may leave then, and no attempt is on record."""
-    bench.take("a", left=2.0)
+def test_last_check_before_the_first_byte(bench: Bench, late: str) -> None:
+    """A slow connect outlasts the decision: nothing may be sent then, and no attempt is recorded."""
+    bench.submit("a", left=2.0)
     bench.pass_time(0.01)
     call = bench.calls[0]
     if late == "drained":
@@ -182,25 +203,27 @@
     elif late == "moved":
         bench.sender.list_changed(bench.hops(Readiness.READY, cell=8))
     elif late == "wait":
-        bench.take("b")
+        bench.submit("b")
         bench.pass_time(0.01)
         other = bench.calls[1]
         bench.sender.admit(other, other.items)
-        bench.sender.finished(other, {other.items[0].number: Result(Outcome.FULL, wait=5.0)})
+        bench.sender.finished(
+            other, {other.items[0].number: AttemptResult(Outcome.FULL, required_wait_s=5.0)}
+        )
     elif late == "ended":
-        bench.sender.held[call.items[0].number].over = True
+        bench.sender.pending[call.items[0].number].finished = True
     else:
         bench.pass_time(2.0)
     assert bench.sender.admit(call, call.items) == []
     assert "a" not in bench.journal.live or bench.journal.live["a"].attempts == 0
 
 
-def test_never_two_out_and_never_to_another_destination(bench: Bench) -> None:
-    bench.take("a")
+def test_a_message_never_has_two_calls_in_flight_and_never_goes_to_another_destination(bench: Bench) -> None:
+    bench.submit("a")
     bench.pass_time(0.01)
     number = bench.calls[0].items[0].number
     bench.sender._carry_out([Issue(number, b"h0", 1.0), Issue(number, b"nosuch", 1.0)], bench.time)
-    bench.sender.held[number].call = None
+    bench.sender.pending[number].call = None
     bench.sender.list_changed(bench.hops(Readiness.READY, cell=8))
     bench.sender._carry_out([Issue(number, b"h0", 1.0)], bench.time)
     assert len(bench.calls) == 1
@@ -208,183 +231,198 @@
     assert outcomes == [Outcome.MOOT] * 3
 
 
-def test_over_at_the_next_hop_owes_nothing_more(bench: Bench) -> None:
-    bench.take("a")
+def test_a_message_that_the_next_hop_reports_as_finished_needs_no_outcome(bench: Bench) -> None:
+    bench.submit("a")
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.MOOT, over=True)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.MOOT, finished=True)})
     bench.pass_time(20.0)
-    assert bench.ends == {"a": End(Status.OVER)} and not bench.journal.live and len(bench.calls) == 1
+    assert (
+        bench.outcomes == {"a": MessageOutcome(Status.FINISHED)}
+        and not bench.journal.live
+        and len(bench.calls) == 1
+    )
 
 
-def test_a_fault_in_the_module_does_not_lose_the_message(
+def test_a_failure_of_the_module_does_not_lose_the_message(
     bench: Bench, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The turn goes on for all others, and the watchdog ends in time what the module has dropped."""
+    """The turn continues for the other messages, and the watchdog finishes the lost one in time."""
 
     def fault(*_: object) -> None:
         raise RuntimeError("a fault")
 
     with monkeypatch.context() as patched:
         patched.setattr(bench.sender.policy, "_take", fault)
-        bench.take("a", left=2.0)
+        bench.submit("a", left=2.0)
         bench.pass_time(0.01)
-    bench.take("b")
+    bench.submit("b")
     bench.pass_time(0.01)
-    assert bench.answers == {"a": Taken(), "b": Taken()} and len(bench.calls) == 1
+    assert bench.answers == {"a": Accepted(), "b": Accepted()} and len(bench.calls) == 1
     bench.pass_time(2.2)
-    assert bench.ends == {"a": End(Status.UNDELIVERABLE)}
+    assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
 
 
-def test_given_up_is_told_at_once_and_journalled_first(bench: Bench) -> None:
-    bench.take("a", grade=2, left=5.0)
+def test_an_abandoned_message_is_journalled_and_then_reported_at_once(bench: Bench) -> None:
+    bench.submit("a", grade=2, left=5.0)
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.RESET)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.RESET)})
     bench.pass_time(0.02)
-    assert bench.ends == {"a": End(Status.UNDELIVERABLE)}
-    assert bench.journal.live["a"].notice == End(Status.UNDELIVERABLE)  # until the platform has it
-    bench.told["a"]()
-    assert not bench.journal.live and bench.journal.ends["a"] == End(Status.UNDELIVERABLE)
+    assert bench.outcomes == {"a": MessageOutcome(Status.UNDELIVERABLE)}
+    # The notice stays until the platform has received it.
+    assert bench.journal.live["a"].notice == MessageOutcome(Status.UNDELIVERABLE)
+    bench.confirmations["a"]()
+    assert not bench.journal.live and bench.journal.outcomes["a"] == MessageOutcome(Status.UNDELIVERABLE)
 
 
-def test_deferred_says_when_to_come_again(bench: Bench) -> None:
+def test_a_deferred_message_gets_a_retry_delay(bench: Bench) -> None:
     for number in range(60):
-        bench.take(f"m{number}")
+        bench.submit(f"m{number}")
     bench.pass_time(0.01)
-    ends = [answer for answer in bench.answers.values() if isinstance(answer, End)]
-    assert ends and all(end.status is Status.DEFERRED for end in ends)
-    assert any(end.again_ms > 0 for end in ends)
-    assert len(bench.journal.live) == len(bench.sender.held) <= 40
+    outcomes = [answer for answer in bench.answers.values() if isinstance(answer, MessageOutcome)]
+    assert outcomes and all(one.status is Status.DEFERRED for one in outcomes)
+    assert any(one.retry_after_ms > 0 for one in outcomes)
+    assert len(bench.journal.live) == len(bench.sender.pending) <= 40
 
 
-def test_the_same_id_is_taken_on_once(bench: Bench) -> None:
-    """A request that crossed a close comes a second time, also in the very same turn."""
-    bench.take("twice")
-    bench.take("twice")
+def test_the_same_id_is_accepted_once(bench: Bench) -> None:
+    """A request that crossed the close of a connection is submitted again, even in the same turn."""
+    bench.submit("twice")
+    bench.submit("twice")
     bench.pass_time(0.02)
-    assert bench.answers["twice"] == Taken() and len(bench.calls) == 1
+    assert bench.answers["twice"] == Accepted() and len(bench.calls) == 1
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
-    bench.sender.finished(call, {call.items[0].number: Result(Outcome.OK)})
+    bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.OK)})
     bench.answers.clear()
-    bench.take("twice")
+    bench.submit("twice")
     bench.pass_time(0.02)
-    assert bench.answers == {"twice": End(Status.DELIVERED)} and len(bench.calls) == 1
+    assert bench.answers == {"twice": MessageOutcome(Status.DELIVERED)} and len(bench.calls) == 1
 
 
-def test_second_of_an_id_whose_first_is_deferred_in_its_turn(bench: Bench) -> None:
-    """Were it told that it is taken on, nobody would owe that message its end."""
+def test_a_repeated_id_is_not_accepted_if_its_first_submission_is_deferred_in_the_same_turn(
+    bench: Bench,
+) -> None:
+    """Answered as accepted, the repeated message would never get an outcome."""
     for number in range(60):
-        bench.take(f"twice{number}")
-        bench.take(f"twice{number}")
+        bench.submit(f"twice{number}")
+        bench.submit(f"twice{number}")
     bench.pass_time(0.03)
-    taken = [name for name, answer in bench.answers.items() if isinstance(answer, Taken)]
-    assert len(bench.answers) == 60 and all(name in bench.sender.numbers for name in taken)
+    accepted = [name for name, answer in bench.answers.items() if isinstance(answer, Accepted)]
+    assert len(bench.answers) == 60 and all(name in bench.sender.numbers_by_id for name in accepted)
 
 
-def test_no_room_on_disk_defers(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_defers_messages(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     bench = Bench(tmp_path, disk=200_000)
     bench.sender.start(bench.hops(Readiness.READY))
     for number in range(10):
-        bench.take(f"m{number}", body=b"x" * 30_000)
+        bench.submit(f"m{number}", body=b"x" * 30_000)
     bench.pass_time(0.01)
-    assert {type(answer) for answer in bench.answers.values()} == {Taken, End}
+    assert {type(answer) for answer in bench.answers.values()} == {Accepted, MessageOutcome}
 
     def full(*_: object) -> None:
         raise JournalFullError("no space left")
 
-    monkeypatch.setattr(bench.journal, "take", full)
+    monkeypatch.setattr(bench.journal, "accept", full)
     monkeypatch.setattr(bench.journal, "attempt", full)
-    bench.take("z")
+    bench.submit("z")
     bench.pass_time(0.02)
-    assert bench.answers["z"] == End(Status.DEFERRED)
-    assert bench.sender.admit(bench.calls[0], bench.calls[0].items) == []  # not on record: not sent
+    assert bench.answers["z"] == MessageOutcome(Status.DEFERRED)
+    assert bench.sender.admit(bench.calls[0], bench.calls[0].items) == []  # not recorded, so not sent
 
 
 @pytest.mark.parametrize(("index", "ran", "calls", "end"), [
     (0, True, 2, None), (1, True, 2, None), (2, True, 1, Status.UNDELIVERABLE), (2, False, 2, None),
 ])  # fmt: skip
-def test_restart_knows_what_may_have_run(
+def test_a_restart_knows_which_messages_may_have_run(
     tmp_path: Path, index: int, ran: bool, calls: int, end: Status | None
 ) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY))
     bench.pass_time(0.01)
-    bench.take("a", grade=index)
+    bench.submit("a", grade=index)
     bench.pass_time(0.01)
     call = bench.calls[0]
     bench.sender.admit(call, call.items)
     if not ran:
-        bench.sender.finished(call, {call.items[0].number: Result(Outcome.CONNECT_FAILED)})
+        bench.sender.finished(call, {call.items[0].number: AttemptResult(Outcome.CONNECT_FAILED)})
     bench.journal.close()
-    again = Bench(tmp_path, time=50.0, ahead=1_000_052.0, boot="two")  # the wall's clock is what lasts
+    again = Bench(tmp_path, time=50.0, ahead=1_000_052.0, boot="two")  # only the wall clock continues
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.03)
     assert len(bench.calls) + len(again.calls) == calls
-    assert again.ends.get("a", End(Status.DELIVERED)).status is (end or Status.DELIVERED)
+    assert again.outcomes.get("a", MessageOutcome(Status.DELIVERED)).status is (end or Status.DELIVERED)
     if end is None:
-        held = next(iter(again.sender.held.values()))
-        assert held.expires == pytest.approx(again.time + 10 - 2, abs=0.1) and held.issued == 2
+        message = next(iter(again.sender.pending.values()))
+        assert message.expires == pytest.approx(again.time + 10 - 2, abs=0.1) and message.issued == 2
 
 
 @pytest.mark.parametrize("left", [0.5, 3.0])
-def test_restart_tells_at_once_what_is_out_of_time_or_given_up(tmp_path: Path, left: float) -> None:
+def test_a_restart_reports_expired_and_abandoned_messages_at_once(tmp_path: Path, left: float) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.DRAINING))
-    bench.take("a", left=left)
+    bench.submit("a", left=left)
     bench.pass_time(0.01)
     if left > 1:
-        bench.sender.ends.give_up(bench.sender.held[bench.sender.numbers["a"]], End(Status.DEFERRED, 70))
+        bench.sender.outcomes.abandon(
+            bench.sender.pending[bench.sender.numbers_by_id["a"]], MessageOutcome(Status.DEFERRED, 70)
+        )
     bench.journal.close()
     again = Bench(tmp_path, time=101.0)
     again.sender.start(again.hops(Readiness.READY))
     again.pass_time(0.02)
-    assert not again.calls and set(again.ends) == {"a"}
-    assert left < 1 or again.ends["a"] == End(Status.DEFERRED, 70)
+    assert not again.calls and set(again.outcomes) == {"a"}
+    assert left < 1 or again.outcomes["a"] == MessageOutcome(Status.DEFERRED, 70)
 
 
-def test_stop_leaves_the_rest_in_the_journal(bench: Bench) -> None:
-    bench.take("a")
+def test_a_stop_leaves_unfinished_messages_in_the_journal(bench: Bench) -> None:
+    bench.submit("a")
     bench.pass_time(0.01)
-    bench.take("b")
+    bench.submit("b")
     bench.sender.stop()
-    bench.take("c")
+    bench.submit("c")
     bench.pass_time(20.0)
-    assert bench.answers == {"a": Taken(), "b": End(Status.DEFERRED), "c": End(Status.DEFERRED)}
-    assert set(bench.journal.live) == {"a"} and not bench.ends
+    assert bench.answers == {
+        "a": Accepted(),
+        "b": MessageOutcome(Status.DEFERRED),
+        "c": MessageOutcome(Status.DEFERRED),
+    }
+    assert set(bench.journal.live) == {"a"} and not bench.outcomes
 
 
-def test_item_that_expires_before_its_call_is_ended_in_time(tmp_path: Path) -> None:
+def test_a_message_that_expires_before_its_call_is_finished_in_time(tmp_path: Path) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY, kind=1))
     bench.pass_time(0.01)
-    bench.take("long")
-    bench.take("short", left=0.5)
+    bench.submit("long")
+    bench.submit("short", left=0.5)
     bench.pass_time(0.01)
     (call,) = bench.calls
     bench.sender.admit(call, call.items)
     bench.pass_time(0.6)
-    assert set(bench.ends) == {"short"} and "long" in bench.journal.live
-    bench.sender.finished(call, {item.number: Result(Outcome.OK) for item in call.items})
-    assert bench.ends["long"] == End(Status.DELIVERED) and bench.ends["short"] != End(Status.DELIVERED)
+    assert set(bench.outcomes) == {"short"} and "long" in bench.journal.live
+    bench.sender.finished(call, {item.number: AttemptResult(Outcome.OK) for item in call.items})
+    assert bench.outcomes["long"] == MessageOutcome(Status.DELIVERED) and bench.outcomes[
+        "short"
+    ] != MessageOutcome(Status.DELIVERED)
 
 
-def test_a_crowd_is_decided_on_in_parts_and_what_has_ended_wakes_nobody(bench: Bench) -> None:
+def test_a_burst_is_decided_on_in_several_turns_and_finished_messages_cause_no_wakeups(bench: Bench) -> None:
     for n in range(100):
-        bench.take(f"m{n}")
+        bench.submit(f"m{n}")
     bench.pass_time(0.005)
-    assert len(bench.answers) == 64  # what else waits for the loop goes first
+    assert len(bench.answers) == 64  # the event loop does its other work before the rest
     bench.pass_time(0.005)
-    assert len(bench.answers) == 100 and Taken() in bench.answers.values()
+    assert len(bench.answers) == 100 and Accepted() in bench.answers.values()
     done = 0
     while done < len(bench.calls):
         call, done = bench.calls[done], done + 1
-        bench.sender.finished(call, {item.number: Result(Outcome.OK) for item in call.items})
+        bench.sender.finished(call, {item.number: AttemptResult(Outcome.OK) for item in call.items})
         bench.pass_time(0.01)
-    assert not bench.sender.held
+    assert not bench.sender.pending
     turns, turn = [0], bench.sender.turn
 
     def counted() -> None:
@@ -396,10 +434,10 @@
     assert turns[0] <= 3
 
 
-def test_a_fault_in_a_turn_leaves_the_watchdogs_of_all_messages(bench: Bench) -> None:
-    """Without a further event nobody else would wake the sender, and what it holds would never end."""
-    bench.sender.hops.clear()  # nothing can go, so nothing but the timers wakes it
-    bench.take("held", left=1.0)
+def test_a_failed_turn_keeps_the_watchdogs_of_all_messages(bench: Bench) -> None:
+    """Without a further event nothing else wakes the sender, and pending messages would never finish."""
+    bench.sender.hops.clear()  # no message can be sent, so only the timers wake the sender
+    bench.submit("held", left=1.0)
     bench.pass_time(0.01)
 
     def fails(what: Answer) -> None:
@@ -409,21 +447,21 @@
     with pytest.raises(RuntimeError):
         bench.pass_time(0.01)
     bench.pass_time(2.0)
-    assert set(bench.ends) == {"held"}
+    assert set(bench.outcomes) == {"held"}
 
 
-def test_what_waits_by_destination_and_endpoint(bench: Bench) -> None:
-    """Held messages are counted over the smaller of messages and destinations: the same either way."""
+def test_waiting_calls_and_messages_are_counted_by_destination_and_endpoint(bench: Bench) -> None:
+    """Queued messages are counted over the smaller of messages and destinations, with the same result."""
     sender, policy = bench.sender, bench.sender.policy
     setattr(sender, "list_lease", lambda dest: LeaseEnd.EXPIRED)  # noqa: B010
     for n in range(30):
-        bench.take(f"m{n}", left=60.0)
+        bench.submit(f"m{n}", left=60.0)
     bench.pass_time(0.01)
     for others in range(2):
         assert (len(policy.messages) < len(policy.destinations)) is bool(others)
-        held = {(dest.id, ""): len(dest.queued) for dest in policy.destinations.values() if dest.queued}
-        assert sum(held.values()) > 1 and len(sender.attempts.parked) > 1
-        assert sender.waiting == {**held, (7, "h0"): len(sender.attempts.parked)}
+        queued = {(dest.id, ""): len(dest.queued) for dest in policy.destinations.values() if dest.queued}
+        assert sum(queued.values()) > 1 and len(sender.attempts.parked) > 1
+        assert sender.waiting == {**queued, (7, "h0"): len(sender.attempts.parked)}
         for dest in range(100, 200):
             sender.remember(Remembered(dest, 0.0, 1.0))
         bench.pass_time(0.01)
