--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -123,7 +123,7 @@
     """Asks for the list again only long after a call has fallen silent, and believes it meanwhile."""
     believe_silence()
     setattr(watch, "ANSWER_MARGIN_S", _PATIENT_S)  # noqa: B010
-    setattr(watch_bounds.WatchBounds, "limit_s", lambda bounds, calls: _PATIENT_S)  # noqa: B010
+    setattr(watch_bounds.WatchBounds, "hedge_delay_s", lambda bounds, calls: _PATIENT_S)  # noqa: B010
 
 
 MUTANTS: dict[str, tuple[str, Callable[[], None]]] = {
--- a/mountgauge/platform/watch.py
+++ b/mountgauge/platform/watch.py
@@ -178,7 +178,7 @@
             self._next_at = now + call.wait_s + ANSWER_MARGIN_S
         else:
             state.short_calls += 1
-            limit = self.bounds.limit_s(state.short_calls)
+            limit = self.bounds.hedge_delay_s(state.short_calls)
             if state.watch_silent and state.short_calls == 1:
                 limit = min(limit, self.bounds.silent_limit_s)
             self._next_at = now + limit
--- a/mountgauge/platform/watch_bounds.py
+++ b/mountgauge/platform/watch_bounds.py
@@ -169,10 +169,10 @@
         made, at = 0, 0.0
         while at < self.call_life_s:
             made += 1
-            at += self.limit_s(made)
+            at += self.hedge_delay_s(made)
         return made
 
-    def limit_s(self, calls: int) -> float:
+    def hedge_delay_s(self, calls: int) -> float:
         """How long the newest of so many calls without an answer waits alone before another one is made."""
         return min(self.first_limit_s * 2.0 ** (calls - 1), self.limit_most_s)
 
