--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -52,7 +52,7 @@
         if self._lease.ended(self._now()) is not None:
             self._look()
         ended = self._lease.ended(self._now())
-        self._lease_log.note(ended, self._now() - self._lease.evidence_at)
+        self._lease_log.record(ended, self._now() - self._lease.evidence_at)
         self._held_back = self._held_back or ended is not None
         return ended
 
--- a/mountgauge/lease_log.py
+++ b/mountgauge/lease_log.py
@@ -25,7 +25,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()
         self.ended: LeaseEnd | None = LeaseEnd.UNHEARD  # as of the newest look
 
-    def note(self, ended: LeaseEnd | None, age_s: float) -> None:
+    def record(self, ended: LeaseEnd | None, age_s: float) -> None:
         """The state now, and how old the newest evidence is."""
         before, self.ended = self.ended, ended
         if ended is before:
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -120,7 +120,7 @@
         now = self._now()
         unread = self._exchanges_end_it()  # looked at in any case: it shows since when an answer is unwritten
         ended = self._watch.lease_ended(now) or unread
-        self._lease.note(ended, self._watch.list_age_s(now))
+        self._lease.record(ended, self._watch.list_age_s(now))
         return ended
 
     def cut_off(self) -> bool:
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -192,7 +192,7 @@
         """Why no call may go by the list now; None: all may."""
         now = self._loop.time()
         ended = self._evidence.ended(now)
-        self._lease_log.note(ended, now - self._evidence.lease.evidence_at)
+        self._lease_log.record(ended, now - self._evidence.lease.evidence_at)
         return ended
 
     def _failed(self, call: Call, failure: RelayFailure) -> None:
