--- a/mountgauge/core/call_lease.py
+++ b/mountgauge/core/call_lease.py
@@ -35,6 +35,6 @@
         if self.refusal is not None:
             raise LeaseExpiredError(self.refusal)
 
-    def left(self, begun: bool, complete: bool) -> None:
+    def bytes_sent(self, begun: bool, complete: bool) -> None:
         """Bytes have left."""
         self._left(self._call, begun, complete)
--- a/mountgauge/leased_socket.py
+++ b/mountgauge/leased_socket.py
@@ -24,7 +24,7 @@
     def require(self, begun: bool) -> None:
         """LeaseExpiredError where nothing more may be written; `begun`: its first byte has left."""
 
-    def left(self, begun: bool, complete: bool) -> None:
+    def bytes_sent(self, begun: bool, complete: bool) -> None:
         """Bytes have left: the first one with `begun`, the last one with `complete`."""
 
 
@@ -57,7 +57,7 @@
         self._unsent -= min(count, self._unsent)
         if not self._unsent:
             self._lease = None
-        lease.left(began, not self._unsent)
+        lease.bytes_sent(began, not self._unsent)
 
 
 class LeasedSocket(socket.socket):
