--- a/benchmarks/slopes/pages.py
+++ b/benchmarks/slopes/pages.py
@@ -99,7 +99,7 @@
         began = time.process_time()
         await task
         spent = time.process_time() - began
-        assert notices.owed == 0
+        assert notices.unacknowledged == 0
         return spent
 
     return lambda: asyncio.run(tell_all())
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -35,7 +35,7 @@
         self._task: asyncio.Task[None] | None = None
 
     @property
-    def owed(self) -> int:
+    def unacknowledged(self) -> int:
         return len(self._owed)
 
     def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
@@ -47,7 +47,7 @@
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     def move(self, address: Address) -> None:
-        """Another address from now on: what is owed goes there at once, also what was under way."""
+        """Another address from now on: what is unacknowledged goes there at once, also what was under way."""
         self._address = address
         self.close()
         self._client = Client(address.host, address.port)
@@ -77,7 +77,7 @@
                     raise ValueError(f"status {message.status}")
             except (OSError, ValueError) as error:
                 what = f"{type(error).__name__}: {error}"
-                log.warning("notices-failed", extra=kv(owed=len(self._owed), error=what))
+                log.warning("notices-failed", extra=kv(unacknowledged=len(self._owed), error=what))
                 if is_local_shortage(error):  # the platform was not asked: it need not be spared
                     await asyncio.sleep(SHORTAGE_PAUSE)
                     continue
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -83,7 +83,7 @@
 class LoggedEnds:
     """Where no platform is to be told of ends, the log is."""
 
-    owed = 0
+    unacknowledged = 0
 
     def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
         log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.again_ms))
@@ -234,7 +234,7 @@
         ):
             await asyncio.sleep(0.02)
         self.sender.stop()
-        while left(_LEAVE) and (self.next_hops.out or self.notices.owed):
+        while left(_LEAVE) and (self.next_hops.out or self.notices.unacknowledged):
             await asyncio.sleep(0.02)
         for listener, _ in self.listeners:
             listener.close()
--- a/tests/crossings/test_notices.py
+++ b/tests/crossings/test_notices.py
@@ -29,9 +29,9 @@
         await peer.call(sock)
         sock.send(TOLD)  # it lies there unread
         notices.close()
-        assert notices.owed == 1
+        assert notices.unacknowledged == 1
         await asyncio.sleep(0.05)
-        assert not told and notices.owed == 1, "nothing is written to a journal that may be closed"
+        assert not told and notices.unacknowledged == 1, "nothing is written to a journal that may be closed"
         sock.close()
         peer.listener.close()
 
@@ -50,7 +50,7 @@
         other = await new.accept()
         assert b'"a"' in await new.call(other)
         other.send(TOLD)
-        await until(lambda: not notices.owed)
+        await until(lambda: not notices.unacknowledged)
         assert told == ["a"]
         notices.close()
         for one in (sock, other, old.listener, new.listener):
@@ -79,7 +79,7 @@
         other = await peer.accept()
         await peer.call(other)
         other.send(TOLD)
-        await until(lambda: not notices.owed)
+        await until(lambda: not notices.unacknowledged)
         assert told == (["a", "b"] if when == "at rest" else ["a"])
         notices.close()
         for one in (other, peer.listener):
@@ -105,12 +105,12 @@
         body = await peer.call(sock)
         assert b'"a"' not in body and b'"b"' in body and b'"c"' in body
         sock.send(TOLD)
-        await until(lambda: not notices.owed)
+        await until(lambda: not notices.unacknowledged)
         assert told == ["a", "b", "c"]
         notices.tell("d", DEFERRED, lambda: told.append("d"))  # and one after a rest
         await peer.call(sock)
         sock.send(TOLD)
-        await until(lambda: not notices.owed)
+        await until(lambda: not notices.unacknowledged)
         notices.close()
         with contextlib.suppress(OSError):
             sock.close()
@@ -155,7 +155,7 @@
         other = await peer.accept()
         assert b'"f"' in await peer.call(other), "all of them go anew"
         other.send(TOLD)
-        await until(lambda: not notices.owed)
+        await until(lambda: not notices.unacknowledged)
         assert told == list("abcdef") and len(limits) == 3
         assert limits[1] <= 0.15, "half of the 0.3 s in which an end must be known"
         notices.close()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -125,8 +125,8 @@
         notices.tell("a", End(Status.UNDELIVERABLE), lambda: told.append("a"))
         notices.tell("b", End(Status.DEFERRED, 500), lambda: told.append("b"))
         notices.tell("c", End(Status.DELIVERED), lambda: told.append("c"))
-        assert told == ["c"] and notices.owed == 2
-        await until(lambda: not notices.owed)
+        assert told == ["c"] and notices.unacknowledged == 2
+        await until(lambda: not notices.unacknowledged)
         assert told == ["c", "a", "b"] and len(lines) == 3
         assert lines[2] == [
             {"id": "a", "status": "undeliverable"},
@@ -149,7 +149,7 @@
         for name in ("bad", "a", "b"):
             notices.tell(name, End(Status.DEFERRED), lambda name=name: told.append(name))  # type: ignore[misc]
         await until(lambda: len(told) == 2)
-        assert sorted(told) == ["a", "b"] and notices.owed == 1
+        assert sorted(told) == ["a", "b"] and notices.unacknowledged == 1
         notices.close()
         await server.stop()
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -127,7 +127,7 @@
         notices.move(Address(HOST, server.port))
         notices.tell("b", End(Status.UNDELIVERABLE), lambda: told.append("b"))
         await until(lambda: len(told) == 2, 0.5)
-        assert [json.loads(line)["id"] for line in lines] == ["a", "b"] and not notices.owed
+        assert [json.loads(line)["id"] for line in lines] == ["a", "b"] and not notices.unacknowledged
         notices.close()
         for one in (silent, server):
             await one.stop()
