--- a/mountgauge/lease_log.py
+++ b/mountgauge/lease_log.py
@@ -1,4 +1,4 @@
-"""The ends of a sender's lease on its list, and its returns: counted, and logged where they last."""
+"""Counts and logs how the lease on a sender's list ends and is renewed."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 log = logging.getLogger("mountgauge.list")
 
-LEASE = "list-lease"  # the kind of these counts
-# These end as soon as an answer has been read or a request written: counted alone.
+LEASE = "list-lease"  # the kind under which these counts are reported
+# These last until an answer has been read or a request written, so they are counted but not logged.
 _BRIEF = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NOT_ASKED)
 
 
 class LeaseLog:
-    """Hears of the lease's state at each look."""
+    """Counts and logs the changes of the lease's state, which it receives at each check."""
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[str, str]] = Counter()
-        self.ended: LeaseEnd | None = LeaseEnd.UNHEARD  # as of the newest look
+        self.ended: LeaseEnd | None = LeaseEnd.UNHEARD  # at the last check; None while the lease is valid
 
     def record(self, ended: LeaseEnd | None, age_s: float) -> None:
-        """The state now, and how old the newest evidence is."""
+        """Record the current state; `age_s` is the age of the newest evidence that renewed the lease."""
         before, self.ended = self.ended, ended
         if ended is before:
             return
@@ -37,7 +37,7 @@
         log.info("list-lease", extra=kv(state=ended or "valid", before=before or "valid", age_s=_age(age_s)))
 
     def state(self, age_s: float) -> Mapping[str, Any]:
-        """For the state line: whether calls may go by the list, and how old its evidence is."""
+        """Return the fields of the state line: whether the list may be used, and the age of its evidence."""
         return {"list_lease": self.ended or "valid", "list_age_s": _age(age_s)}
 
 
--- a/mountgauge/leased_socket.py
+++ b/mountgauge/leased_socket.py
@@ -1,7 +1,8 @@
-"""Sockets that ask before each write whether what they carry may still leave.
+"""Sockets that check before each write whether the call whose bytes they carry may still be sent.
 
-The event loop keeps what a socket did not take and writes it whenever the socket takes bytes again. A call's
-permission may have ended by then, so the socket itself asks its lease, up to the call's last byte.
+The event loop buffers the bytes that a socket did not accept and writes them once the socket is writable
+again. The permission to send the call may have ended by then, so the socket itself checks the call's lease
+before each write, up to the last byte of the call.
 """
 
 from __future__ import annotations
@@ -12,45 +13,45 @@
 
 
 class LeaseExpiredError(ConnectionAbortedError):
-    """The permission to write this has ended: the connection ends with it, and nothing more leaves."""
+    """The lease has ended: nothing more of the call may be written, and the connection is closed."""
 
     def __init__(self, why: str) -> None:
         super().__init__(errno.ECONNABORTED, why)
 
 
 class SendLease(Protocol):
-    """The permission of one call."""
+    """The permission to send one call."""
 
     def require(self, begun: bool) -> None:
-        """LeaseExpiredError where nothing more may be written; `begun`: its first byte has left."""
+        """Raise LeaseExpiredError if no more may be written; `begun`: the first byte has been sent."""
 
     def bytes_sent(self, begun: bool, complete: bool) -> None:
-        """Bytes have left: the first one with `begun`, the last one with `complete`."""
+        """Report that bytes were sent; `begun`: the first one among them, `complete`: the last one."""
 
 
 class LeaseSlot:
-    """The lease of the bytes that a connection writes next; one that is empty lets all pass."""
+    """Holds the lease of the bytes that a connection writes next; without a lease all writes may pass."""
 
     def __init__(self) -> None:
         self._lease: SendLease | None = None
         self._size = self._unsent = 0
 
     def arm(self, lease: SendLease | None, size: int) -> None:
-        """The next `size` bytes are under this lease."""
+        """Put the next `size` bytes under this lease."""
         self._lease, self._size, self._unsent = lease, size, size
 
     @property
     def pending(self) -> bool:
-        """Whether bytes under a lease are still to leave."""
+        """Whether bytes under a lease are still unsent."""
         return self._lease is not None
 
     def check(self) -> None:
-        """LeaseExpiredError where what comes next may not leave."""
+        """Raise LeaseExpiredError if the next bytes may not be sent."""
         if self._lease is not None:
             self._lease.require(self._unsent < self._size)
 
     def sent(self, count: int) -> None:
-        """So many bytes have left."""
+        """Account for `count` bytes that were sent."""
         if self._lease is None or count <= 0:
             return
         lease, began = self._lease, self._unsent == self._size
@@ -61,7 +62,7 @@
 
 
 class LeasedSocket(socket.socket):
-    """A TCP socket whose writes are under the lease in its slot."""
+    """A non-blocking TCP socket that checks the lease in its slot before each write."""
 
     def __init__(self, slot: LeaseSlot, family: int = socket.AF_INET, fileno: int | None = None) -> None:
         super().__init__(family, socket.SOCK_STREAM, socket.IPPROTO_TCP, fileno)
@@ -69,14 +70,14 @@
         self.setblocking(False)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        """As the system's, under the lease."""
+        """Like `socket.send`, under the lease."""
         self.slot.check()
         count = super().send(data, flags)
         self.slot.sent(count)
         return count
 
     def sendmsg(self, buffers: Any, *options: Any) -> int:
-        """As the system's, under the lease."""
+        """Like `socket.sendmsg`, under the lease."""
         self.slot.check()
         count = super().sendmsg(buffers, *options)
         self.slot.sent(count)
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -1,4 +1,4 @@
-"""Notices: the platform hears of the end of each message that was taken on and not delivered."""
+"""Notices: report the outcome of each message that was accepted and not delivered to the platform."""
 
 from __future__ import annotations
 
@@ -17,77 +17,83 @@
 
 log = logging.getLogger("mountgauge.notices")
 
-_MOST_LINES = 200
-# The answer comes at once, and 0.3 s past a message's time its end must be known: a connection that has
-# fallen silent may cost half of that. Each failure in a row is given twice as long: what is slow answers in
-# the end. The first one says nothing of the platform, so a new connection is tried at once.
-_LIMIT, _LIMIT_MOST = 0.15, 1.0  # s
-_BACK_OFF, _BACK_OFF_MOST = 0.05, 1.0  # s, from the second failure in a row on
+_MAX_BATCH_LINES = 200
+# The platform answers at once, and an outcome must be reported within 0.3 s of the message's deadline: a
+# connection that no longer answers may cost half of that. The timeout doubles with each consecutive failure,
+# so that a slow platform is still received. The first failure says nothing about the platform, as it may be
+# the connection's alone, so a new connection is tried without a pause.
+_TIMEOUT_S, _MAX_TIMEOUT_S = 0.15, 1.0
+_BACK_OFF_S, _MAX_BACK_OFF_S = 0.05, 1.0  # from the second consecutive failure on
+_MAX_FAILURES = 8  # counted, which bounds the exponent of the two
 
 
 class Notices:
-    """Tells each end until the platform has answered 204."""
+    """Reports each outcome to the platform until it is acknowledged with a 204, in batches, one at a time."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._client = Client(address.host, address.port)
-        self._owed: dict[str, tuple[End, Callable[[], None]]] = {}
+        self._unacknowledged: dict[str, tuple[End, Callable[[], None]]] = {}
         self._task: asyncio.Task[None] | None = None
 
     @property
     def unacknowledged(self) -> int:
-        return len(self._owed)
+        """How many outcomes the platform has not acknowledged yet."""
+        return len(self._unacknowledged)
 
     def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
-        if end.status in (Status.DELIVERED, Status.OVER):  # the platform knows that itself
+        """Report the outcome of a message; `told` is called once the platform has acknowledged it."""
+        if end.status in (Status.DELIVERED, Status.OVER):  # the platform knows these itself
             told()
             return
-        self._owed[msg_id] = (end, told)
+        self._unacknowledged[msg_id] = (end, told)
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     def move(self, address: Address) -> None:
-        """Another address from now on: what is unacknowledged goes there at once, also what was under way."""
+        """Send to another address: all unacknowledged notices go there at once, also those in flight."""
         self._address = address
         self.close()
         self._client = Client(address.host, address.port)
-        self._task = asyncio.get_running_loop().create_task(self._run()) if self._owed else None
+        self._task = asyncio.get_running_loop().create_task(self._run()) if self._unacknowledged else None
 
     def close(self) -> None:
+        """Stop sending; what is not acknowledged by then stays so."""
         if self._task is not None:
             self._task.cancel()
         self._client.close()
 
     async def _run(self) -> None:
-        failures, most = 0, _MOST_LINES
-        while self._owed:
-            batch = dict(islice(self._owed.items(), most))
+        failures, max_lines = 0, _MAX_BATCH_LINES
+        while self._unacknowledged:
+            batch = dict(islice(self._unacknowledged.items(), max_lines))
             body = b"".join(_line(msg_id, end) for msg_id, (end, _) in batch.items())
             host = f"{self._address.host}:{self._address.port}"
             try:
-                limit = min(_LIMIT * 2**failures, _LIMIT_MOST)
+                timeout_s = min(_TIMEOUT_S * 2**failures, _MAX_TIMEOUT_S)
                 data = request("POST", "/v1/notices", host, {"Content-Type": "application/json"}, body)
-                message = await self._client.exchange(data, limit, 2 * limit)
+                message = await self._client.exchange(data, timeout_s, 2 * timeout_s)
                 if message.status == 400:
-                    # One line that cannot be read must not hold up the others: singly, and last in turn.
-                    most = 1
+                    # A line that the platform rejects must not hold up the others: send single lines from now
+                    # on, and move this batch to the end of the queue.
+                    max_lines = 1
                     for msg_id in batch:
-                        self._owed[msg_id] = self._owed.pop(msg_id)
+                        self._unacknowledged[msg_id] = self._unacknowledged.pop(msg_id)
                 if message.status != 204:
                     raise ValueError(f"status {message.status}")
             except (OSError, ValueError) as error:
-                what = f"{type(error).__name__}: {error}"
-                log.warning("notices-failed", extra=kv(unacknowledged=len(self._owed), error=what))
-                if is_local_shortage(error):  # the platform was not asked: it need not be spared
+                text = f"{type(error).__name__}: {error}"
+                log.warning("notices-failed", extra=kv(unacknowledged=self.unacknowledged, error=text))
+                if is_local_shortage(error):  # nothing reached the platform: no back-off is needed
                     await asyncio.sleep(SHORTAGE_PAUSE)
                     continue
                 if failures:
-                    await asyncio.sleep(min(_BACK_OFF * 2 ** (failures - 1), _BACK_OFF_MOST))
-                failures = min(failures + 1, 8)
+                    await asyncio.sleep(min(_BACK_OFF_S * 2 ** (failures - 1), _MAX_BACK_OFF_S))
+                failures = min(failures + 1, _MAX_FAILURES)
                 continue
             failures = 0
             for msg_id, (_, told) in batch.items():
-                self._owed.pop(msg_id, None)
+                self._unacknowledged.pop(msg_id, None)
                 told()
         self._task = None
 
--- a/tests/crossings/test_notices.py
+++ b/tests/crossings/test_notices.py
@@ -137,8 +137,8 @@
     """It rests between two notices and is open as ever: nothing tells that nobody is there any more. A rest
     behind that one failure would outlast the test.
     """
-    monkeypatch.setattr("mountgauge.notices._BACK_OFF", 1000.0)
-    monkeypatch.setattr("mountgauge.notices._BACK_OFF_MOST", 1000.0)
+    monkeypatch.setattr("mountgauge.notices._BACK_OFF_S", 1000.0)
+    monkeypatch.setattr("mountgauge.notices._MAX_BACK_OFF_S", 1000.0)
 
     async def main() -> None:
         peer, told = Peer(), list[str]()
