--- a/mountgauge/platform/__init__.py
+++ b/mountgauge/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's own services as a sender uses them: discovery's list of next hops."""
+"""A sender's client of the platform's discovery service, which provides the list of next hops."""
--- a/mountgauge/platform/call_log.py
+++ b/mountgauge/platform/call_log.py
@@ -1,6 +1,7 @@
-"""What becomes of each call to discovery, counted and logged: made, asked, and one end with its reason.
+"""Counts and logs each call to discovery: when it is made, when its request is sent, and how it ends.
 
-The counts go into the state line and the metrics; the lines are bounded (`LineBudget`), the counts are not.
+The counts go into the state line and the metrics. The number of log lines is bounded (`LineBudget`), the
+counts are not.
 """
 
 from __future__ import annotations
@@ -15,22 +16,22 @@
 
 log = logging.getLogger("mountgauge.platform.discovery")
 
-CALL = "list-call"  # the kind of these counts
+CALL = "list-call"  # the kind under which these counts are reported
 
 
 class CallEvent(StrEnum):
-    """A step in the life of a call."""
+    """A step of a call."""
 
-    MADE = "made"  # decided; its connection may still have to come up
-    ASKED = "asked"  # its request has been handed to a connection
-    ANSWERED = "answered"  # with a list
-    FAILED = "failed"  # ended without one
-    GIVEN_UP = "given-up"  # closed, as nothing had come for as long as it is listened to
-    DROPPED = "dropped"  # closed, as it is of no use any more
+    MADE = "made"  # created; its connection may not be established yet
+    ASKED = "asked"  # its request was passed to a connection
+    ANSWERED = "answered"  # ended with a list
+    FAILED = "failed"  # ended without a list
+    TIMED_OUT = "given-up"  # closed after its timeout
+    DROPPED = "dropped"  # closed because its answer is no longer needed
 
 
 class CallLog:
-    """The calls of one sender. `now` is the clock of the calls' own times, in seconds."""
+    """The log of one sender's calls. `now` is the clock that also stamps the calls, in seconds."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.counts: Counter[tuple[str, str]] = Counter()
@@ -39,38 +40,38 @@
         self._asked_at: dict[ListCall, float] = {}
 
     def made(self, call: ListCall, kept: bool) -> None:
-        """A call is begun, on a kept connection or on a new one."""
+        """A call was made, on a kept connection or on a new one."""
         self._count(CallEvent.MADE)
         if self._lines.take():
             index = "whole" if call.index is None else call.index
             log.info("list-call", extra=kv(call=call.number, index=index, wait_s=call.wait_s, kept=kept))
 
     def asked(self, call: ListCall) -> None:
-        """Its request has been handed to a connection."""
+        """Its request was passed to a connection."""
         self._count(CallEvent.ASKED)
         self._asked_at[call] = self._now()
 
     def answered(self, call: ListCall, version: int) -> None:
-        """A list has come."""
+        """It ended with a list of this version."""
         self._count(CallEvent.ANSWERED)
-        self._ended(call, CallEvent.ANSWERED, f"version {version}")
+        self._log_end(call, CallEvent.ANSWERED, f"version {version}")
 
-    def failed(self, call: ListCall, failure: Failure, why: str) -> None:
-        """It has ended without a list."""
+    def failed(self, call: ListCall, failure: Failure, detail: str) -> None:
+        """It ended without a list; `detail` is the text of the error."""
         self._count(CallEvent.FAILED)
         self.counts[CALL, f"{CallEvent.FAILED}.{failure.value}"] += 1
-        self._ended(call, CallEvent.FAILED, f"{failure.value}: {why}")
+        self._log_end(call, CallEvent.FAILED, f"{failure.value}: {detail}")
 
-    def closed(self, call: ListCall, event: CallEvent, why: str) -> None:
-        """It was given up or dropped."""
+    def closed(self, call: ListCall, event: CallEvent, detail: str) -> None:
+        """It was closed without an answer, as timed out or dropped; `detail` is the drop reason."""
         self._count(event)
-        self.counts[CALL, f"{event}.{why}"] += 1
-        self._ended(call, event, why)
+        self.counts[CALL, f"{event}.{detail}"] += 1
+        self._log_end(call, event, detail)
 
     def _count(self, event: CallEvent) -> None:
         self.counts[CALL, event] += 1
 
-    def _ended(self, call: ListCall, how: CallEvent, why: str) -> None:
+    def _log_end(self, call: ListCall, how: CallEvent, detail: str) -> None:
         now, asked_at = self._now(), self._asked_at.pop(call, None)
         if not self._lines.take():
             return
@@ -78,5 +79,5 @@
         ended_ms = round((now - call.made_at) * 1000)
         log.info(
             "list-call-ended",
-            extra=kv(call=call.number, how=how, why=why, asked_ms=asked_ms, ended_ms=ended_ms),
+            extra=kv(call=call.number, how=how, why=detail, asked_ms=asked_ms, ended_ms=ended_ms),
         )
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -1,6 +1,7 @@
-"""Discovery's list of next hops over HTTP/1.1: the sockets round `DiscoveryWatch`, which decides when to ask.
+"""The client of discovery, which fetches and watches the list of next hops over HTTP/1.1.
 
-The calls share one kept connection; while one of them is late, the next goes on a connection of its own.
+This module does the I/O; `DiscoveryWatch` decides when a call is made. The calls share one kept connection.
+While a call on it is late, the next call gets a connection of its own.
 """
 
 from __future__ import annotations
@@ -30,16 +31,16 @@
 
 
 class MapOwner(Protocol):
-    """Who is told of lists: the core."""
+    """Receives the lists: the core."""
 
     version: int
 
     def list_changed(self, update: MapUpdate) -> None:
-        """A whole list, or what has changed, has come."""
+        """A full list, or the changes since the last one, was received."""
 
 
 class TransportMap:
-    """Keeps the owner's list as discovery has it."""
+    """Keeps the owner's list in step with discovery's."""
 
     def __init__(
         self,
@@ -50,20 +51,20 @@
         rng: Random | None = None,
         evidence: ListEvidence | None = None,
     ) -> None:
-        """`evidence`: of the run-time check, which hears what becomes of the calls."""
+        """`evidence`: the run-time check's own record of how the calls end."""
         self._evidence = evidence
         self._owner, self._address, self._names = owner, address, names
         self._watch = DiscoveryWatch(bounds, rng or Random())
         self._exchanges: dict[ListCall, ListExchange] = {}
-        self._kept: Connection | None = None
+        self._kept_connection: Connection | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._calls = CallLog(self._now)
         self._lease = LeaseLog()
 
-    # What the core and the runtime ask for
+    # For the core and the runtime
 
     def watch(self, on: bool) -> None:
-        """Follow the list from now on, or no longer."""
+        """Start or stop watching the list."""
         if on:
             self._watch.start(self._now())
             if self._evidence is not None:
@@ -73,212 +74,216 @@
         self._step()
 
     def snapshot(self) -> None:
-        """Ask for the whole list now: a watch that is out may wait long for news."""
-        self._watch.ask_whole(self._now())
+        """Request the full list now, beside a watch in flight, which may wait long for a change."""
+        self._watch.request_full_list(self._now())
         self.watch(True)
 
     def look_now(self) -> bool:
-        """Ask for the whole list at once, whatever was under way: the answer is still to come."""
+        """Request the full list at once; return False, as its answer is still to come."""
         self.snapshot()
         return False
 
     def move(self, address: Address) -> None:
-        """Another address from now on: its whole list is asked for at once, whatever the old one did."""
+        """Switch to another address, and request its full list at once, beside the calls to the old one."""
         self._address = address
-        self._forget_kept()
+        self._close_kept_connection()
         self._watch.move(self._now())
         self.watch(True)
 
     def retune(self, names: Names, bounds: WatchBounds) -> None:
-        """Heed new settings."""
+        """Apply new settings."""
         self._names = names
         self._watch.retune(bounds, self._now())
         self._step()
 
     def close(self) -> None:
-        """End all calls."""
+        """Close all calls and the kept connection."""
         self.watch(False)
-        self._forget_kept()
+        self._close_kept_connection()
 
     @property
     def counts(self) -> Counter[tuple[str, str]]:
-        """What has become of the calls so far, and what ended the lease on the list."""
+        """How the calls so far have ended, and why the lease on the list has ended."""
         return self._calls.counts + self._lease.counts
 
     def state(self) -> Mapping[str, Any]:
-        """For the state line: how old the list is, and the calls that are out."""
-        now, out = self._now(), self._watch.open_calls
+        """Return the fields of the state line: the age of the list, and the calls in flight."""
+        now, open_calls = self._now(), self._watch.open_calls
         self.lease_ended()
         return {
             **self._lease.state(self._watch.list_age_s(now)),
-            "list_calls_out": len(out),
-            "list_call_oldest_s": round(now - out[0].made_at, 3) if out else 0.0,
+            "list_calls_out": len(open_calls),
+            "list_call_oldest_s": round(now - open_calls[0].made_at, 3) if open_calls else 0.0,
         }
 
     def lease_ended(self) -> LeaseEnd | None:
-        """Why nothing may be sent by the list now; None: it may."""
+        """Return why the list may not be used now, or None if it may be."""
         now = self._now()
-        unread = self._exchanges_end_it()  # looked at in any case: it shows since when an answer is unwritten
-        ended = self._watch.lease_ended(now) or unread
+        # Evaluated in any case, as it also records when a socket was last found empty.
+        exchange_end = self._exchange_lease_end()
+        ended = self._watch.lease_ended(now) or exchange_end
         self._lease.record(ended, self._watch.list_age_s(now))
         return ended
 
     def cut_off(self) -> bool:
-        """Whether what is taken on now could be neither sent nor ended: the way to the platform is cut."""
+        """Whether the network to the platform is cut, so that a message accepted now could neither be sent
+        nor be reported as undelivered.
+        """
         return self._watch.cut_off(self._now())
 
-    def _exchanges_end_it(self) -> LeaseEnd | None:
-        if any([exchange.is_coming for exchange in self._exchanges.values()]):
+    def _exchange_lease_end(self) -> LeaseEnd | None:
+        if any([exchange.answer_pending for exchange in self._exchanges.values()]):
             return LeaseEnd.ANSWER_UNREAD
-        if any(exchange.lies_unsent for exchange in self._exchanges.values()):
+        if any(exchange.request_unsent for exchange in self._exchanges.values()):
             return LeaseEnd.NOT_ASKED
         return None
 
-    # What the exchanges tell
+    # Events of the exchanges
 
     def connected(self, exchange: ListExchange) -> bool:
-        """The connection of a call has come up; whether it is to ask."""
-        asks = self._watch.connected(exchange.call, self._now())
-        if asks:
+        """The connection of a call is established; return whether its request is to be sent."""
+        to_send = self._watch.connected(exchange.call, self._now())
+        if to_send:
             self._calls.asked(exchange.call)
         elif self._exchanges.pop(exchange.call, None) is not None:
             self._calls.closed(exchange.call, CallEvent.DROPPED, DropReason.NEEDLESS.value)
-        self._wake_in_time()
-        return asks
+        self._schedule_poll()
+        return to_send
 
-    def unsent(self, exchange: ListExchange) -> None:
-        """Its request lies in the process, as the socket does not take it."""
-        self._watch.unsent(self._now())
+    def request_blocked(self, exchange: ListExchange) -> None:
+        """Its request is buffered in this process, as the socket does not accept it."""
+        self._watch.request_blocked(self._now())
 
-    def sent(self, exchange: ListExchange) -> None:
-        """Such a request has left in full."""
+    def request_flushed(self, exchange: ListExchange) -> None:
+        """A request that was buffered has been sent in full."""
         if exchange.call in self._exchanges:
-            self._watch.sent(exchange.call, self._now())
+            self._watch.request_flushed(exchange.call, self._now())
             self._step()
 
     def answered(self, exchange: ListExchange, message: Message, connection: Connection) -> None:
-        """A whole answer has come."""
+        """A complete answer was received."""
         if self._exchanges.pop(exchange.call, None) is None:
             return
-        self._keep(exchange.call, connection)
+        self._keep_connection(exchange.call, connection)
         try:
-            update = self._read(message)
+            update = self._parse(message)
         except ValueError as error:
-            failure = Failure.SPOILT if message.status == 200 else Failure.BUSY
-            self._fail(exchange.call, failure, str(error))
+            failure = Failure.CORRUPT if message.status == 200 else Failure.BUSY
+            self._handle_failure(exchange.call, failure, str(error))
             return
         self._calls.answered(exchange.call, update.version)
-        self._show_answer(exchange.call, update)
-        taken = self._watch.answered(
-            exchange.call, update.version, self._now(), update.incomplete, exchange.unwritten_at
+        self._report_answer(exchange.call, update)
+        usable = self._watch.answered(
+            exchange.call, update.version, self._now(), update.incomplete, exchange.socket_empty_at
         )
-        if taken:
-            self._take_in(update)
+        if usable:
+            self._apply(update)
         self._step()
 
-    def failed(self, exchange: ListExchange, failure: Failure, why: str) -> None:
-        """The call has ended without a whole answer."""
+    def failed(self, exchange: ListExchange, failure: Failure, detail: str) -> None:
+        """The call ended without a complete answer."""
         if self._exchanges.pop(exchange.call, None) is not None:
-            self._fail(exchange.call, failure, why)
+            self._handle_failure(exchange.call, failure, detail)
 
     def lost(self, connection: Connection) -> None:
-        """A connection has ended."""
-        if connection is self._kept:
-            self._kept = None
+        """A connection ended."""
+        if connection is self._kept_connection:
+            self._kept_connection = None
 
-    # Within
+    # Internal
 
-    def _show_answer(self, call: ListCall, update: MapUpdate) -> None:
+    def _report_answer(self, call: ListCall, update: MapUpdate) -> None:
         if self._evidence is None or call.address != self._watch.address or update.incomplete:
             return
         newer = call.index is None or update.version > call.index
         self._evidence.answered(AnsweredCall(call.made_at, call.wait_s, newer, self._now()))
 
-    def _show_end(self, call: ListCall, failure: Failure) -> None:
+    def _report_failure(self, call: ListCall, failure: Failure) -> None:
         if self._evidence is None or call.address != self._watch.address:
             return
         now = self._now()
         match failure:
-            case Failure.SPOILT:
+            case Failure.CORRUPT:
                 self._evidence.answer_lost(now)
             case Failure.REFUSED:
                 self._evidence.dial_refused(now)
-            case Failure.UNREACHED:
+            case Failure.NOT_SENT:
                 self._evidence.unanswered()
             case Failure.BUSY | Failure.BROKEN:
-                in_words = failure is Failure.BUSY
-                self._evidence.refused(RefusedCall(call.made_at, call.wait_s, now, in_words))
+                by_status = failure is Failure.BUSY
+                self._evidence.refused(RefusedCall(call.made_at, call.wait_s, now, by_status))
 
     @staticmethod
     def _now() -> float:
         return asyncio.get_running_loop().time()
 
-    def _read(self, message: Message) -> MapUpdate:
+    def _parse(self, message: Message) -> MapUpdate:
         if message.status != 200:
             raise ValueError(f"status {message.status}")
         return self._names.update(orjson.loads(message.body))
 
-    def _take_in(self, update: MapUpdate) -> None:
+    def _apply(self, update: MapUpdate) -> None:
         if update.hops or update.full:
             changed = len(update.hops)
             log.info("map", extra=kv(version=update.version, full=update.full, changed=changed))
         try:
             self._owner.list_changed(update)
-        except Exception:  # whatever a list sets off, the watch does not end with it
+        except Exception:  # the watch must go on, whatever fails in applying a list
             log.exception("list-not-taken-in", extra=kv(version=update.version))
-            self._watch.distrust(self._now())
+            self._watch.invalidate_list(self._now())
 
-    def _fail(self, call: ListCall, failure: Failure, why: str) -> None:
-        self._calls.failed(call, failure, why)
-        self._show_end(call, failure)
+    def _handle_failure(self, call: ListCall, failure: Failure, detail: str) -> None:
+        self._calls.failed(call, failure, detail)
+        self._report_failure(call, failure)
         self._watch.failed(call, failure, self._now())
         failures, lease = self._watch.failures, self._watch.lease_ended(self._now()) or "valid"
-        log.warning("watch-failed", extra=kv(kind=failure.value, error=why, failures=failures, lease=lease))
+        fields = kv(kind=failure.value, error=detail, failures=failures, lease=lease)
+        log.warning("watch-failed", extra=fields)
         self._step()
 
     def _step(self) -> None:
-        """Make and close the calls that are due, and come back when the next ones are."""
+        """Make and close the calls that are due, and schedule the next poll."""
         now = self._now()
-        step = self._watch.poll(now, self._owner.version)
-        for dropped in step.drop:
-            self._close(dropped, now)
-        if step.make and self._exchanges and self._evidence is not None:
+        result = self._watch.poll(now, self._owner.version)
+        for dropped in result.drop:
+            self._close_call(dropped, now)
+        if result.make and self._exchanges and self._evidence is not None:
             self._evidence.unanswered()
-        for call in step.make:
+        for call in result.make:
             exchange = self._exchanges[call] = ListExchange(self, call, self._address)
-            kept = self._take_kept()
+            kept = self._take_kept_connection()
             self._calls.made(call, kept is not None)
             exchange.begin(kept)
-        self._wake_in_time()
+        self._schedule_poll()
 
-    def _close(self, dropped: DroppedCall, now: float) -> None:
+    def _close_call(self, dropped: DroppedCall, now: float) -> None:
         call = dropped.call
         if (exchange := self._exchanges.pop(call, None)) is None:
             return
-        given_up = dropped.reason in (DropReason.NO_ANSWER, DropReason.NO_CONNECTION)
-        event = CallEvent.GIVEN_UP if given_up else CallEvent.DROPPED
+        timed_out = dropped.reason in (DropReason.NO_ANSWER, DropReason.NO_CONNECTION)
+        event = CallEvent.TIMED_OUT if timed_out else CallEvent.DROPPED
         self._calls.closed(call, event, dropped.reason.value)
-        # Of two calls to be answered at once the newer one's answer tells what the older one's does.
+        # A short call that a newer one replaces is no loss: the newer answer contains all of the older one.
         if exchange.answer_arrived and not call.short:
-            self._watch.distrust(now)
+            self._watch.invalidate_list(now)
         exchange.close()
 
-    def _wake_in_time(self) -> None:
+    def _schedule_poll(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if (at := self._watch.wakes_at()) < float("inf"):
             self._timer = asyncio.get_running_loop().call_at(at, self._step)
 
-    def _keep(self, call: ListCall, connection: Connection) -> None:
+    def _keep_connection(self, call: ListCall, connection: Connection) -> None:
         current = connection.state is State.IDLE and call.address == self._watch.address
-        if current and self._kept is None:
-            self._kept = connection
+        if current and self._kept_connection is None:
+            self._kept_connection = connection
         elif connection.state is State.IDLE:
             connection.close()
 
-    def _take_kept(self) -> Connection | None:
-        connection, self._kept = self._kept, None
+    def _take_kept_connection(self) -> Connection | None:
+        connection, self._kept_connection = self._kept_connection, None
         if connection is None:
             return None
         if connection.state is State.IDLE and connection.silent:
@@ -286,6 +291,6 @@
         connection.close()
         return None
 
-    def _forget_kept(self) -> None:
-        if self._kept is not None:
-            self._kept.close()
+    def _close_kept_connection(self) -> None:
+        if self._kept_connection is not None:
+            self._kept_connection.close()
--- a/mountgauge/platform/list_call.py
+++ b/mountgauge/platform/list_call.py
@@ -1,4 +1,4 @@
-"""One call for the list at discovery, how it ends, and what each end shows of the list. Pure data."""
+"""A call to discovery for the list, the ways it ends, and what each end proves about the list. Pure data."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     """How a call failed."""
 
     REFUSED = "refused"  # the connection was refused: discovery is down
-    UNREACHED = "unreached"  # the call has not left in full, for a reason that says nothing of discovery
-    BUSY = "busy"  # another status than 200: discovery is there, and nothing of the list was written
-    BROKEN = "broken"  # asked, and the connection ended: an answer may have been written and lost with it
-    SPOILT = "spoilt"  # bytes of an answer had arrived, and it broke off or could not be read
+    NOT_SENT = "unreached"  # the request was not sent in full, for a reason that says nothing about discovery
+    BUSY = "busy"  # a status other than 200: discovery is up, and it has written nothing of the list
+    BROKEN = "broken"  # the connection ended after the request: a written answer may have been lost
+    CORRUPT = "spoilt"  # a part of an answer arrived, and it was cut off or could not be parsed
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,30 +23,30 @@
     """One call to discovery."""
 
     number: int
-    address: int  # counts the addresses that discovery has had
-    index: int | None  # the version that is known; None: the whole list is asked for
-    wait_s: float  # in which discovery may wait for changes
+    address: int  # the number of the discovery address that it goes to
+    index: int | None  # the version that is known; None: the full list is requested
+    wait_s: float  # for which discovery may hold the call until there is a change
     made_at: float
 
     @property
     def short(self) -> bool:
-        """Whether it is to be answered at once."""
+        """Whether it is to be answered at once, unlike a watch, which waits for a change."""
         return self.wait_s <= SHORT_WAIT_S
 
     def covers(self, other: ListCall) -> bool:
-        """Whether its answer tells all, and as soon, that the other one's would."""
+        """Whether its answer contains all that the other call's would, and comes as soon."""
         same = self.short and self.address == other.address
         return same and (self.index is None or other.index is not None)
 
 
 class DropReason(Enum):
-    """Why a call is closed without an answer."""
+    """Why a call was closed without an answer."""
 
-    NO_ANSWER = "no-answer"  # nothing has come for as long as it is listened to
-    NO_CONNECTION = "no-connection"  # none has come up for as long as it may take
-    NEWER_ANSWERED = "newer-answered"  # a call that was made after it has told all that it would
-    NEEDLESS = "needless"  # another one has been asked meanwhile
-    STOPPED = "stopped"  # discovery is not to be asked any more
+    NO_ANSWER = "no-answer"  # no answer within the call's timeout
+    NO_CONNECTION = "no-connection"  # no connection within the dial timeout
+    NEWER_ANSWERED = "newer-answered"  # a later call was answered, which covers this one
+    NEEDLESS = "needless"  # another call was sent meanwhile
+    STOPPED = "stopped"  # the watch was stopped
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,26 +58,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """What the driver has to do now."""
+class PollResult:
+    """The calls that the driver has to make and to close now."""
 
     make: tuple[ListCall, ...] = ()
     drop: tuple[DroppedCall, ...] = ()
 
 
-def refused_at(call: ListCall, failure: Failure, now: float) -> float:
-    """From when on a refusal counts: one in words was written at its end, and was then on its way for
-    `REFUSAL_TRANSIT_S` at most; one of a connection at any time since it was begun.
+def refusal_evidence_at(call: ListCall, failure: Failure, now: float) -> float:
+    """Return the time for which a refusal is evidence that discovery was down.
+
+    An HTTP error was written at most `REFUSAL_TRANSIT_S` before it was received. A refused connection may
+    have been refused at any time since the call was made.
     """
     if failure is not Failure.BUSY:
         return call.made_at
     return max(call.made_at, now - REFUSAL_TRANSIT_S)
 
 
-def known_at(call: ListCall, version: int, now: float) -> float:
-    """Up to when all that discovery had is known by the answer to this call: a watch that is answered with
-    nothing newer once its wait is over was answered no sooner than that. Of a call to be answered at once
-    nobody knows whether it was let wait at all.
+def answer_evidence_at(call: ListCall, version: int, now: float) -> float:
+    """Return the time up to which the answer to this call shows all changes that discovery had.
+
+    A watch that is answered without changes after its full wait was answered no earlier than at the end of
+    the wait. Any other answer, also one to a short call, which may not have waited at all, only proves the
+    state at the time when the call was made.
     """
     waited = now - call.made_at >= call.wait_s - WAIT_ROUNDING_S
     if call.short or call.index is None or version > call.index or not waited:
--- a/mountgauge/platform/watch.py
+++ b/mountgauge/platform/watch.py
@@ -1,21 +1,23 @@
-"""When to ask discovery, and how long to wait for it: a state machine without I/O or clock.
+"""Decides when to call discovery and how long to wait for it: a state machine without I/O or clock.
 
-It is the only place that decides this. Its driver makes the calls that `poll` returns and closes those that
-it drops, tells when the connection of a call has come up (`connected`), each answer (`answered`) and failure
+No other module decides this. The driver makes the calls that `poll` returns and closes those that it drops,
+reports when the connection of a call is established (`connected`), each answer (`answered`) and each failure
 (`failed`), and polls again at `wakes_at`.
 
-While all goes well one call is out: a watch, which discovery answers once something is newer or the wait is
-over, followed at once by the next. As soon as one has failed or fallen silent, calls ask to be answered at
-once, until one has been: a watch that waits could hide for its whole wait that it is lost as well, and what
-changed meanwhile counts as notified long before (`watch_bounds`).
+In normal operation one call is in flight: a watch, which discovery answers when there is a change or when the
+wait is over, and which the next watch follows at once. After a call has failed or has not been answered in
+time, only short calls are made, which are to be answered at once, until one has been answered. A watch could
+be lost as well without being noticed for its whole wait, while changes count as notified long before its end
+(`watch_bounds`).
 
-A call without an answer gets company before it is given up. Until a newer call is answered, or `call_life_s`
-is over, it is still listened to: what discovery has written counts as notified, and a slow discovery would
-never answer if each call were cut off for the next. The same holds for calls to an address that has been
-moved away from, until the new one has answered.
+A call without an answer is followed by another one before it times out. Its answer is still accepted until a
+newer call is answered or `call_timeout_s` is over: what discovery has written counts as notified, and a slow
+discovery would never get an answer through if each call were closed for the next one. The same holds for
+calls to the previous address after a move, until the new address has answered.
 
-While no connection comes up, others are begun at short intervals, and the first one that does asks: the way
-to discovery may be back at any moment, and what changed before may count as notified just then.
+While no connection is established, further ones are dialled at short intervals, and the first one that is
+established carries the request. The network to discovery may be restored at any time, and changes that were
+made before may count as notified right then.
 """
 
 from __future__ import annotations
@@ -30,13 +32,13 @@
     DropReason,
     Failure,
     ListCall,
-    Step,
-    known_at,
-    refused_at,
+    PollResult,
+    answer_evidence_at,
+    refusal_evidence_at,
 )
 from mountgauge.platform.watch_bounds import (
     ANSWER_MARGIN_S,
-    AT_ONCE_S,
+    IMMEDIATE_ANSWER_S,
     JITTER,
     MOVE_PAUSE_S,
     NOTIFIED_AFTER_MOVE_S,
@@ -48,73 +50,73 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """What has happened since discovery last answered."""
+    """The events since discovery last answered."""
 
-    failures: int = 0  # calls that failed
-    short_calls: int = 0  # calls to be answered at once that were asked
-    unreachable_since: float | None = None  # the first connection was begun that has not come up
-    lost: bool = False  # a call has failed or fallen silent: the next ones are short
-    watch_silent: bool = False  # a watch was asked and not answered in time
-    losses: int = 0  # answers that may have been lost, one after another
-    repeats: int = 0  # watches answered at once with nothing newer
-    down: bool = False  # discovery has ended a watch that was out, and refused each call since
+    failures: int = 0  # failed calls
+    short_calls: int = 0  # short calls whose request was sent
+    unreachable_since: float | None = None  # when the first dial without a connection began
+    short_calls_only: bool = False  # after a call that failed or was not answered in time
+    watch_silent: bool = False  # a watch was not answered in time
+    losses: int = 0  # consecutive answers that may have been lost
+    repeats: int = 0  # consecutive watches that were answered at once without changes
+    down: bool = False  # discovery ended a watch that it had accepted, and has refused all calls since
 
 
 class DiscoveryWatch:
-    """The calls of one sender to discovery. Times are of the caller's monotonic clock, in seconds."""
+    """The calls of one sender to discovery. Times are seconds of the caller's monotonic clock."""
 
     def __init__(self, bounds: WatchBounds, rng: Random) -> None:
         self.bounds = bounds
         self._rng = rng
         self._on = False
-        self._open: list[ListCall] = []  # in the order in which they were made
+        self._open: list[ListCall] = []  # the oldest first
         self._dropped: list[DroppedCall] = []
-        self._connected_at: dict[ListCall, float] = {}  # of the open ones
+        self._connected_at: dict[ListCall, float] = {}  # the open calls with a connection
         self._next_at = inf  # when the next call is to be made
         self._number = 0
         self._address = 0
         self._moved_at = -inf
-        self._whole = False  # the next call asks for the whole list
+        self._full_list_needed = False  # the next call requests the full list
         self._lease = ListLease(bounds.lease)
-        self._since_answer = _Progress(lost=True)  # the first call is short: nothing is known yet
+        self._since_answer = _Progress(short_calls_only=True)  # nothing is known yet
 
     @property
     def on(self) -> bool:
-        """Whether discovery is to be asked at all."""
+        """Whether discovery is watched."""
         return self._on
 
     @property
     def address(self) -> int:
-        """The number of the address that is asked now."""
+        """The number of the current discovery address."""
         return self._address
 
     @property
     def failures(self) -> int:
-        """Calls that have failed since the last answer."""
+        """The failed calls since the last answer."""
         return self._since_answer.failures
 
     @property
     def open_calls(self) -> tuple[ListCall, ...]:
-        """The calls that are out, the newest last."""
+        """The calls in flight, the newest last."""
         return tuple(self._open)
 
     def list_age_s(self, now: float) -> float:
-        """How old the newest evidence for the list is; infinite where there is none."""
+        """The age of the newest evidence for the list; infinite if there is none."""
         return now - self._lease.evidence_at
 
     def lease_ended(self, now: float) -> LeaseEnd | None:
-        """Why nothing may be sent by the list now; None: it may."""
+        """Return why the list may not be used now, or None if it may be."""
         return self._lease.ended(now)
 
     def cut_off(self, now: float) -> bool:
-        """Whether the lease has ended and no connection comes up: nothing may be sent, and the platform can't
-        be told of an end either.
+        """Whether the lease has ended and no connection can be established: then nothing may be sent, and no
+        outcome can be reported to the platform either.
         """
-        hung = self._since_answer.unreachable_since is not None
-        return hung and self._lease.ended(now) is not None
+        unreachable = self._since_answer.unreachable_since is not None
+        return unreachable and self._lease.ended(now) is not None
 
     def start(self, now: float) -> None:
-        """Watch from now on; nothing changes where it does already."""
+        """Start watching; does nothing if the watch is on."""
         if not self._on:
             self._on = True
             self._next_at = now
@@ -122,55 +124,55 @@
             self._lease.begin(now)
 
     def stop(self, now: float) -> None:
-        """End all calls and make no more."""
+        """Close all calls and make no more."""
         self._on = False
         self._next_at = inf
         self._drop(self._open, DropReason.STOPPED, now)
 
     def retune(self, bounds: WatchBounds, now: float) -> None:
-        """Heed new settings; a watch that waits longer than they allow gets company when theirs is over."""
+        """Apply new settings; a watch whose wait is too long for them is followed by another call in time."""
         self.bounds = bounds
         self._lease.terms = bounds.lease
         if self._open and not self._open[-1].short:
             self._next_at = min(self._next_at, now + bounds.wait_s + ANSWER_MARGIN_S)
 
     def move(self, now: float) -> None:
-        """Discovery has another address: ask there for the whole list, and keep asking until it has come."""
+        """Discovery has moved: request the full list from the new address until it has been received."""
         self._address += 1
         self._moved_at = now
         self._lease.moved(now)
-        self.ask_whole(now)
+        self.request_full_list(now)
 
-    def ask_whole(self, now: float) -> None:
-        """Ask for the whole list at once, whatever is out: a watch may wait long for a change."""
-        asking = self._open and self._open[-1].index is None and self._open[-1].address == self._address
-        if asking and self._since_answer.short_calls <= 1:
+    def request_full_list(self, now: float) -> None:
+        """Request the full list at once, beside a watch in flight, which may wait long for a change."""
+        requested = self._open and self._open[-1].index is None and self._open[-1].address == self._address
+        if requested and self._since_answer.short_calls <= 1:
             return
-        self._whole = True
-        self._since_answer = _Progress(lost=True)
+        self._full_list_needed = True
+        self._since_answer = _Progress(short_calls_only=True)
         if self._on:
             self._next_at = now
 
-    def poll(self, now: float, version: int) -> Step:
-        """The calls to make and to close now; `version` is the newest that is known, negative for none."""
-        overdue = [call for call in self._open if now >= self._listened_to_until(call)]
-        self._drop([call for call in overdue if call in self._connected_at], DropReason.NO_ANSWER, now)
-        self._drop([call for call in overdue if call in self._open], DropReason.NO_CONNECTION, now)
+    def poll(self, now: float, version: int) -> PollResult:
+        """Return the calls to make and to close now; `version`: the newest known one, negative for none."""
+        expired = [call for call in self._open if now >= self._timeout_at(call)]
+        self._drop([call for call in expired if call in self._connected_at], DropReason.NO_ANSWER, now)
+        self._drop([call for call in expired if call in self._open], DropReason.NO_CONNECTION, now)
         make = []
         if self._on and now >= self._next_at:
-            self._note_lateness()
-            make.append(self._make(now, version))
+            self._record_overdue_call()
+            make.append(self._create_call(now, version))
         drop, self._dropped = tuple(self._dropped), []
-        return Step(tuple(make), drop)
+        return PollResult(tuple(make), drop)
 
     def connected(self, call: ListCall, now: float) -> bool:
-        """The connection of the call has come up; whether it is to ask."""
+        """The connection of the call is established; return whether its request is to be sent."""
         if call not in self._open:
             return False
         state = self._since_answer
         state.unreachable_since = None
         if self._is_needless(call, now):
-            self._forget(call, now)
+            self._remove(call, now)
             return False
         self._connected_at[call] = now
         self._lease.asked(call.made_at, now)
@@ -178,28 +180,28 @@
             self._next_at = now + call.wait_s + ANSWER_MARGIN_S
         else:
             state.short_calls += 1
-            limit = self.bounds.hedge_delay_s(state.short_calls)
+            delay = self.bounds.hedge_delay_s(state.short_calls)
             if state.watch_silent and state.short_calls == 1:
-                limit = min(limit, self.bounds.silent_limit_s)
-            self._next_at = now + limit
+                delay = min(delay, self.bounds.silent_hedge_delay_s)
+            self._next_at = now + delay
         return True
 
-    def unsent(self, now: float) -> None:
-        """The call that has just been asked lies unsent."""
+    def request_blocked(self, now: float) -> None:
+        """The request of the newest call is buffered, as the socket does not accept it."""
         self._lease.not_asked(now)
 
-    def sent(self, call: ListCall, now: float) -> None:
-        """It has left in full, late."""
+    def request_flushed(self, call: ListCall, now: float) -> None:
+        """The buffered request of this call has been sent in full."""
         if call not in self._connected_at:
             return
         self._lease.asked(call.made_at, now)
-        if self._lease.lacks_answer and not call.short:  # it would wait for a change before it is answered
-            self._since_answer.lost = True
+        if self._lease.lacks_answer and not call.short:  # a watch would be answered only after a change
+            self._since_answer.short_calls_only = True
             self._next_at = now
 
     def wakes_at(self) -> float:
-        """When to poll next, if nothing happens before."""
-        return min([self._next_at, *map(self._listened_to_until, self._open)])
+        """When to poll next unless an event comes first."""
+        return min([self._next_at, *map(self._timeout_at, self._open)])
 
     def answered(
         self,
@@ -207,47 +209,49 @@
         version: int,
         now: float,
         incomplete: bool = False,
-        unwritten_at: float = -inf,
+        socket_empty_at: float = -inf,
     ) -> bool:
-        """A list of this version has come; whether it is to be taken in.
+        """A list of this version was received; return whether it is to be applied.
 
-        `incomplete`: it tells of a change without saying of which next hop. `unwritten_at`: when nothing of
-        it had arrived yet, as far as is known.
+        `incomplete`: it contains a change without naming the next hop. `socket_empty_at`: the last time at
+        which no part of it had arrived.
         """
         if call not in self._open:
             return False
         older = self._open[: self._open.index(call)]
-        self._note_coverage(call, max(unwritten_at, known_at(call, version, now)), now)
-        self._forget(call, now)
-        if call.address != self._address or (self._whole and call.index is not None):
-            return True  # the list that is asked for is still to come
-        self._lease.confirm(known_at(call, version, now))
+        self._check_coverage(call, max(socket_empty_at, answer_evidence_at(call, version, now)), now)
+        self._remove(call, now)
+        if call.address != self._address or (self._full_list_needed and call.index is not None):
+            return True  # the requested full list has not been received yet
+        self._lease.confirm(answer_evidence_at(call, version, now))
         self._drop(older, DropReason.NEWER_ANSWERED, now)
         before, self._since_answer = self._since_answer, _Progress()
-        self._whole = False
+        self._full_list_needed = False
         if call.short:
             self._since_answer.repeats = before.repeats
         if incomplete:
-            self._whole = self._since_answer.lost = True
+            self._full_list_needed = self._since_answer.short_calls_only = True
             self._lease.lose(Loss.CERTAIN, now)
-        if self._lease.lacks_answer:  # the call that answers it is not to wait for a change
-            self._since_answer.lost = True
+        if self._lease.lacks_answer:  # the call that settles this must not wait for a change
+            self._since_answer.short_calls_only = True
         self._drop([one for one in self._open if one not in self._connected_at], DropReason.NEEDLESS, now)
         if self._open and not incomplete:
-            return True  # a newer call is out, and will be answered
+            return True  # a newer call is in flight and will be answered
         self._next_at = now
-        at_once = not call.short and now - call.made_at < AT_ONCE_S
+        at_once = not call.short and now - call.made_at < IMMEDIATE_ANSWER_S
         if at_once and call.index is not None and version <= call.index:
-            # Discovery contradicts itself, or has gone back to an older list: not asked without a rest.
-            # What changes in the rest may count as notified soon after it: the next call is short.
+            # Discovery contradicts itself or serves an older list: pause before the next call. That call is
+            # short, as a change during the pause may count as notified soon after it.
             self._since_answer.repeats = before.repeats + 1
-            self._since_answer.lost = True
-            self._next_at = now + self.bounds.rest_s(self._since_answer.repeats)
+            self._since_answer.short_calls_only = True
+            self._next_at = now + self.bounds.repeat_pause_s(self._since_answer.repeats)
         return True
 
-    def _note_coverage(self, call: ListCall, written_after: float, now: float) -> None:
-        """Where lists are pushed, a call has to be out all the time. This one was answered at an unknown
-        moment after `written_after`, however late it is read, and the next one is out from when it was asked.
+    def _check_coverage(self, call: ListCall, written_after: float, now: float) -> None:
+        """Record a possible loss if no call was in flight for too long; only where an agent pushes lists.
+
+        This call was answered at an unknown time after `written_after`, however late the answer is read. The
+        next call covers the time from when its request was sent.
         """
         if not self.bounds.pushed:
             return
@@ -260,28 +264,28 @@
             self._lease.lose(Loss.POSSIBLE, min((other.made_at for other in newer), default=now))
 
     def failed(self, call: ListCall, failure: Failure, now: float) -> None:
-        """The call has ended without a list."""
+        """The call ended without a list."""
         if call not in self._open:
             return
-        lost = self._note_end(call, failure, now)
-        if failure is Failure.UNREACHED:
-            self._unreached(call, now)
+        lost = self._apply_failure(call, failure, now)
+        if failure is Failure.NOT_SENT:
+            self._handle_not_sent(call, now)
             return
         state = self._since_answer
-        hung = state.unreachable_since is not None and call.address == self._address
-        reachable_again = hung and call not in self._connected_at
-        self._forget(call, now)
+        was_unreachable = state.unreachable_since is not None and call.address == self._address
+        reachable_again = was_unreachable and call not in self._connected_at
+        self._remove(call, now)
         if self._is_replaced(call) and not reachable_again:
             return
-        state.lost = True
+        state.short_calls_only = True
         state.failures += 1
         state.losses = state.losses + 1 if lost else 0
         state.unreachable_since = None
         if reachable_again:
-            self._retry(call, now)  # connections hung, and now one is refused: the cut is over
+            self._retry(call, now)  # dials hung, and now one is refused: the network is restored
         elif lost and state.losses == 1:
-            self._retry(call, now)  # what it told counts as notified already
-        elif now - self._moved_at < NOTIFIED_AFTER_MOVE_S and self._whole:
+            self._retry(call, now)  # its changes count as notified already
+        elif now - self._moved_at < NOTIFIED_AFTER_MOVE_S and self._full_list_needed:
             self._retry(call, now + MOVE_PAUSE_S)
         elif lost:
             self._retry(call, now + self.bounds.lost_retry_s(state.losses, self._rng.random()))
@@ -289,131 +293,135 @@
             busy = failure is Failure.BUSY and not state.down
             self._retry(call, now + self.bounds.back_off_s(state.failures, self._rng.random(), busy))
 
-    def _note_end(self, call: ListCall, failure: Failure, now: float) -> bool:
-        """What the failure says of the list; whether an answer may have been lost with it."""
-        if failure is Failure.SPOILT:
+    def _apply_failure(self, call: ListCall, failure: Failure, now: float) -> bool:
+        """Update the lease by what the failure shows; return whether an answer may have been lost."""
+        if failure is Failure.CORRUPT:
             self._lease.lose(Loss.CERTAIN, now)
             return True
-        if self._was_out(call, now):
+        if self._was_accepted_watch(call, now):
             self._since_answer.down = True
         if failure is Failure.BROKEN:
             alone = not self._connected_at.keys() - {call}
             return self._lease.broke(call.made_at, now, alone and self._since_answer.down)
-        if call.address == self._address and self._shows_an_outage(failure):
-            counts_from = self._refusal_counts_from(call, failure, now)
-            self._lease.unreachable(counts_from, lasting=self._since_answer.down)
+        if call.address == self._address and self._indicates_outage(failure):
+            evidence_at = self._refusal_evidence_at(call, failure, now)
+            self._lease.unreachable(evidence_at, lasting=self._since_answer.down)
         elif failure is Failure.BUSY and not self.bounds.pushed:
             self._lease.refused_at_start()
         return False
 
-    def _was_out(self, call: ListCall, now: float) -> bool:
-        """Whether the call was a watch that discovery let wait, and has now ended: it ends watches as it goes
-        down, while one that has too many calls turns new ones away and leaves open watches alone.
+    def _was_accepted_watch(self, call: ListCall, now: float) -> bool:
+        """Whether the call was a watch that discovery had accepted, and that it has now ended.
+
+        Discovery ends its watches when it goes down. If it has too many calls it rejects new ones and keeps
+        open watches.
         """
-        if call.short or call not in self._connected_at or self._since_answer.lost:
+        if call.short or call not in self._connected_at or self._since_answer.short_calls_only:
             return False
-        return self.bounds.out_after_s <= now - call.made_at < call.wait_s - WAIT_ROUNDING_S
+        return self.bounds.likely_accepted_after_s <= now - call.made_at < call.wait_s - WAIT_ROUNDING_S
 
-    def _refusal_counts_from(self, call: ListCall, failure: Failure, now: float) -> float:
-        """Of a watch that may have been turned away late, as a new call, no later than it was made."""
-        if not call.short and now - call.made_at < self.bounds.taken_after_s:
+    def _refusal_evidence_at(self, call: ListCall, failure: Failure, now: float) -> float:
+        """Return the time for which the refusal is evidence: the time when the call was made for a watch that
+        may have been rejected late, as a new call.
+        """
+        if not call.short and now - call.made_at < self.bounds.surely_accepted_after_s:
             return call.made_at
-        return refused_at(call, failure, now)
+        return refusal_evidence_at(call, failure, now)
 
-    def _shows_an_outage(self, failure: Failure) -> bool:
-        """Whether this end says that nobody could be told anything: a refused connection, or a refusal in
-        words in an outage. An agent is silent while discovery is down, whatever becomes of its connections.
+    def _indicates_outage(self, failure: Failure) -> bool:
+        """Whether the failure shows that discovery could notify nobody: a refused connection, or an HTTP
+        error during an outage. An agent is silent while discovery is down, however its connections end.
         """
         if self.bounds.pushed:
             return False
         return failure is Failure.REFUSED or (failure is Failure.BUSY and self._since_answer.down)
 
     def _is_replaced(self, call: ListCall) -> bool:
-        """Whether another call, made for want of this one's answer, is still out. One that was closed as
-        needless or has failed replaces nothing.
+        """Whether a newer call, made because this one was not answered, is still in flight. A call that was
+        closed as needless or that failed replaces nothing.
         """
         return any(other.number > call.number for other in self._open)
 
     def _retry(self, call: ListCall, at: float) -> None:
-        """After this call has failed: the next one is made then, or when it was to be for a newer one."""
+        """Schedule the next call after this one failed: at `at`, or before if one is due sooner."""
         newest = call.number == self._number
         self._next_at = at if newest else min(self._next_at, at)
 
-    def _unreached(self, call: ListCall, now: float) -> None:
-        """A dial failed for a reason of this machine or the way: like one that hangs it costs discovery
-        nothing, so the next is begun as soon.
+    def _handle_not_sent(self, call: ListCall, now: float) -> None:
+        """A dial failed for a reason of this machine or the network. Like a dial that hangs it costs
+        discovery nothing, so the next one follows at the same interval.
         """
-        self._forget(call, now)
+        self._remove(call, now)
         self._lease.hung()
         self._since_answer.down = False
         if self._is_replaced(call):
             return
         state = self._since_answer
-        state.lost = True
+        state.short_calls_only = True
         state.failures += 1
         if state.unreachable_since is None:
             state.unreachable_since = call.made_at
-        pause = self.bounds.probe_s(now - state.unreachable_since)
+        pause = self.bounds.probe_interval_s(now - state.unreachable_since)
         self._retry(call, now + pause * (1 + JITTER * self._rng.random()))
 
-    def distrust(self, now: float) -> None:
-        """What has been answered could not be taken in, or not all of it: ask for the whole list."""
-        self._whole = True
+    def invalidate_list(self, now: float) -> None:
+        """An answer could not be applied, or not in full: request the full list."""
+        self._full_list_needed = True
         self._lease.lose(Loss.CERTAIN, now)
         state = self._since_answer
-        state.lost = True
+        state.short_calls_only = True
         state.failures += 1
         state.losses += 1
         self._next_at = now + self.bounds.lost_retry_s(state.losses, self._rng.random())
 
-    def _make(self, now: float, version: int) -> ListCall:
+    def _create_call(self, now: float, version: int) -> ListCall:
         state = self._since_answer
         self._number += 1
-        index = None if self._whole or version < 0 else version
-        wait = SHORT_WAIT_S if state.lost or index is None else self._watch_wait_s(now)
+        index = None if self._full_list_needed or version < 0 else version
+        wait = SHORT_WAIT_S if state.short_calls_only or index is None else self._watch_wait_s(now)
         call = ListCall(self._number, self._address, index, wait, now)
         self._open.append(call)
         since = now if state.unreachable_since is None else state.unreachable_since
-        self._next_at = now + self.bounds.probe_s(now - since)
+        self._next_at = now + self.bounds.probe_interval_s(now - since)
         return call
 
     def _watch_wait_s(self, now: float) -> float:
-        """So long that the answer, or a call in the place of a lost one, still renews the lease: a watch that
-        was answered with news at its end has renewed it from its beginning alone.
+        """Return how long the next watch may wait so that its answer, or a call that replaces it, still
+        renews the lease. A watch that is answered with a change at its end only renews it from its start.
         """
-        left_s = self._lease.renewed_by - now - self.bounds.renewal_s
-        return max(SHORT_WAIT_S, min(self.bounds.wait_s, left_s))
+        remaining_s = self._lease.renewed_by - now - self.bounds.renewal_s
+        return max(SHORT_WAIT_S, min(self.bounds.wait_s, remaining_s))
 
-    def _note_lateness(self) -> None:
-        """The newest call has not been answered, or its connection has not come up, in time."""
+    def _record_overdue_call(self) -> None:
+        """The newest call, if any, was not answered or not connected in time."""
         if not self._open:
             return
         self._lease.hung()
         state, newest = self._since_answer, self._open[-1]
-        state.lost, state.down = True, False
+        state.short_calls_only, state.down = True, False
         if newest in self._connected_at:
             state.watch_silent = state.watch_silent or not newest.short
         elif state.unreachable_since is None:
             state.unreachable_since = newest.made_at
 
     def _is_needless(self, call: ListCall, now: float) -> bool:
-        """Whether another call has been asked already that may still be answered in time, or the call would
-        wait for changes though one has been lost.
+        """Whether the request of this call need not be sent: another call was sent that may still be answered
+        in time, or the call is a watch and only short calls are to be made.
         """
         if not call.short:
-            return self._since_answer.lost
+            return self._since_answer.short_calls_only
         return any(
-            other.covers(call) and now - at < self.bounds.first_limit_s / 2
+            other.covers(call) and now - at < self.bounds.first_hedge_delay_s / 2
             for other, at in self._connected_at.items()
         )
 
-    def _listened_to_until(self, call: ListCall) -> float:
+    def _timeout_at(self, call: ListCall) -> float:
         if call not in self._connected_at:
-            return call.made_at + self.bounds.dial_life_s
+            return call.made_at + self.bounds.dial_timeout_s
         wait = 0.0 if call.short else call.wait_s + ANSWER_MARGIN_S
-        return call.made_at + wait + self.bounds.call_life_s
+        return call.made_at + wait + self.bounds.call_timeout_s
 
-    def _forget(self, call: ListCall, now: float) -> None:
+    def _remove(self, call: ListCall, now: float) -> None:
         self._open.remove(call)
         if self._connected_at.pop(call, None) is not None and not self._connected_at:
             self._lease.not_asked(now)
@@ -421,4 +429,4 @@
     def _drop(self, calls: list[ListCall], reason: DropReason, now: float) -> None:
         self._dropped += [DroppedCall(call, reason) for call in calls]
         for call in list(calls):
-            self._forget(call, now)
+            self._remove(call, now)
--- a/tests/crossings/test_list_lease.py
+++ b/tests/crossings/test_list_lease.py
@@ -210,7 +210,7 @@
             discovery = world.discovery
             for place in (0, 1):
                 discovery.standing[place].write(LEAVES[:-REST_BYTES])
-                await until(lambda: any(exchange.is_coming for exchange in world.map._exchanges.values()))
+                await until(lambda: any(one.answer_pending for one in world.map._exchanges.values()))
                 assert await world.looks_until(loop_reaches(loop.time() + 2 * FAULT_S)) == []
                 discovery.standing[place].write(LEAVES[-REST_BYTES:])
                 await discovery.called(place + 2)
--- a/tests/platform/mutants.py
+++ b/tests/platform/mutants.py
@@ -10,7 +10,7 @@
 from mountgauge.platform.list_call import DropReason, Failure, ListCall
 from mountgauge.platform.watch import DiscoveryWatch
 from mountgauge.platform.watch_bounds import WatchBounds
-from tests.platform.simulation import Parts
+from tests.platform.simulation import Components
 
 
 class DoubledBackOff(WatchBounds):
@@ -23,24 +23,24 @@
 class RestWithinWatch(WatchBounds):
     """The rest after a watch that was answered at once is short enough to belong to the watch."""
 
-    def rest_s(self, repeats: int) -> float:
+    def repeat_pause_s(self, repeats: int) -> float:
         return 0.19
 
 
 class LongRestWithAgent(WatchBounds):
     """An agent is asked as seldom after such a watch as discovery is."""
 
-    def rest_s(self, repeats: int) -> float:
+    def repeat_pause_s(self, repeats: int) -> float:
         return 0.3
 
 
 class LongPollAfterSilence(DiscoveryWatch):
     """A watch that has fallen silent is followed by another one."""
 
-    def _make(self, now: float, version: int) -> ListCall:
-        if not self._since_answer.failures and self._open and not self._whole:
-            self._since_answer.lost = False
-        return super()._make(now, version)
+    def _create_call(self, now: float, version: int) -> ListCall:
+        if not self._since_answer.failures and self._open and not self._full_list_needed:
+            self._since_answer.short_calls_only = False
+        return super()._create_call(now, version)
 
     def _watch_wait_s(self, now: float) -> float:
         return self.bounds.wait_s
@@ -57,23 +57,23 @@
 class RefusalInWordsRenews(DiscoveryWatch):
     """Each 503 passes for a discovery that is down."""
 
-    def _shows_an_outage(self, failure: Failure) -> bool:
+    def _indicates_outage(self, failure: Failure) -> bool:
         return failure in (Failure.REFUSED, Failure.BUSY)
 
 
 class ReadTakenForWritten(DiscoveryWatch):
     """The gap behind an agent's answer is counted from when it is read."""
 
-    def _note_coverage(self, call: ListCall, written_after: float, now: float) -> None:
-        super()._note_coverage(call, now, now)
+    def _check_coverage(self, call: ListCall, written_after: float, now: float) -> None:
+        super()._check_coverage(call, now, now)
 
 
 class GivenUpForTheNext(DiscoveryWatch):
     """A call that has got no answer in time is closed when the next one is made."""
 
-    def _make(self, now: float, version: int) -> ListCall:
+    def _create_call(self, now: float, version: int) -> ListCall:
         self._drop(list(self._open), DropReason.NEWER_ANSWERED, now)
-        return super()._make(now, version)
+        return super()._create_call(now, version)
 
 
 class SpoiltAnswerBacksOff(DiscoveryWatch):
@@ -114,16 +114,16 @@
 
 
 MUTANTS = {
-    "silence is believed": Parts(watch=SilenceBelieved),
-    "a refusal in words renews": Parts(watch=RefusalInWordsRenews),
-    "read is taken for written": Parts(watch=ReadTakenForWritten),
-    "back-off and spread doubled": Parts(bounds=DoubledBackOff),
-    "long poll after a silence": Parts(watch=LongPollAfterSilence),
-    "an answer dropped": Parts(table=AnswerDropped),
-    "calls closed for the next one": Parts(watch=GivenUpForTheNext),
-    "no recheck in admit": Parts(attempts=NoLastLook),
-    "a rest within the watch": Parts(bounds=RestWithinWatch),
-    "a rest of 0.3 s where lists are pushed": Parts(bounds=LongRestWithAgent),
-    "a back-off after a spoilt answer": Parts(watch=SpoiltAnswerBacksOff),
-    "a move waits for the watch": Parts(watch=MoveWaitsForTheWatch),
+    "silence is believed": Components(watch=SilenceBelieved),
+    "a refusal in words renews": Components(watch=RefusalInWordsRenews),
+    "read is taken for written": Components(watch=ReadTakenForWritten),
+    "back-off and spread doubled": Components(bounds=DoubledBackOff),
+    "long poll after a silence": Components(watch=LongPollAfterSilence),
+    "an answer dropped": Components(table=AnswerDropped),
+    "calls closed for the next one": Components(watch=GivenUpForTheNext),
+    "no recheck in admit": Components(attempts=NoLastLook),
+    "a rest within the watch": Components(bounds=RestWithinWatch),
+    "a rest of 0.3 s where lists are pushed": Components(bounds=LongRestWithAgent),
+    "a back-off after a spoilt answer": Components(watch=SpoiltAnswerBacksOff),
+    "a move waits for the watch": Components(watch=MoveWaitsForTheWatch),
 }
--- a/tests/platform/reference.py
+++ b/tests/platform/reference.py
@@ -47,7 +47,7 @@
     LEFT = "left"
 
 
-class Trouble(Enum):
+class OutageKind(Enum):
     """What discovery does during an outage."""
 
     REFUSING = "refusing"  # down: open calls end, new connections are refused
@@ -60,8 +60,14 @@
     HASTY = "hasty"  # watches are answered at once, with nothing newer
 
 
-_IS_DOWN = (Trouble.REFUSING, Trouble.DOWN)
-_BLOCKING = (*_IS_DOWN, Trouble.CROWDED, Trouble.CROWDED_OR_SILENT, Trouble.SILENT, Trouble.HOLDING)
+_IS_DOWN = (OutageKind.REFUSING, OutageKind.DOWN)
+_BLOCKING = (
+    *_IS_DOWN,
+    OutageKind.CROWDED,
+    OutageKind.CROWDED_OR_SILENT,
+    OutageKind.SILENT,
+    OutageKind.HOLDING,
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +85,7 @@
 
     at: float
     until: float
-    trouble: Trouble
+    trouble: OutageKind
     delay_s: float = 0.0
 
 
@@ -92,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spoil:
+class CorruptAnswer:
     """The next answer from this moment on breaks off, or cannot be read."""
 
     at: float
@@ -126,7 +132,7 @@
         return self.at + self.for_s
 
 
-Event = Change | Outage | Loss | Spoil | Move | Reload | Pause
+Event = Change | Outage | Loss | CorruptAnswer | Move | Reload | Pause
 
 
 @dataclass(frozen=True, slots=True)
@@ -249,7 +255,7 @@
             return inf
         at = made_at
         for outage in self._schedule.outages:
-            if outage.trouble is Trouble.HOLDING and outage.at <= at < outage.until:
+            if outage.trouble is OutageKind.HOLDING and outage.at <= at < outage.until:
                 at = outage.until
         for moved_at in self._schedule.moves:
             if moved_at <= at < moved_at + AFTER_MOVE_S:
@@ -342,7 +348,7 @@
 
     def _delay(self, since: float, until: float) -> float:
         """The longest time that an answer took."""
-        slow = [o for o in self._schedule.outages if o.trouble is Trouble.SLOW]
+        slow = [o for o in self._schedule.outages if o.trouble is OutageKind.SLOW]
         return max((o.delay_s for o in slow if o.at <= until and o.until >= since), default=0.0)
 
 
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -1,8 +1,9 @@
-"""One sender and its discovery in virtual time: the real state machine, hop table and last look.
+"""One sender and its discovery in virtual time, with the real state machine, hop table and final send check.
 
-The network and discovery follow a `Schedule` (`reference`); what passes is kept in a `Record` for judgement.
-Every `LOOK_S` a call for each endpoint that the sender knows as ready is chosen, and looked at once more
-`connect_s` later, as for a late connect; its first byte leaves `hold_up_s` after that.
+The simulated network and discovery follow a `Schedule` (`reference`); the calls and answers are kept in a
+`Record`, by which the test decides. Every `SEND_INTERVAL_S` a call is chosen for each endpoint that is ready
+as far as the sender knows. `connect_s` later, as after a slow connect, the call is checked again, and its
+first byte is sent `hold_up_s` after that.
 """
 
 from __future__ import annotations
@@ -33,15 +34,15 @@
     LOSS_PAUSE_S,
     CallRecord,
     Change,
+    CorruptAnswer,
     Loss,
     Move,
     Outage,
+    OutageKind,
     Record,
     Reload,
     Schedule,
-    Spoil,
     State,
-    Trouble,
     Written,
 )
 from tests.settings import settings
@@ -50,9 +51,9 @@
 TRAVEL_S = 0.003  # one way between the sender and discovery
 SERVICE_S = 0.002  # that discovery takes for an answer
 READ_FIRST_S = 1e-6  # behind what lies unread, all else that is due as a process goes on
-LOOK_S = 0.01  # between two tries to send to each endpoint
+SEND_INTERVAL_S = 0.01  # between two tries to send to each endpoint
 STAYS = "stays"  # an endpoint that is always ready
-TURNING_AWAY = (Trouble.DOWN, Trouble.CROWDED, Trouble.CROWDED_OR_SILENT)  # new calls, by 503
+TURNING_AWAY = (OutageKind.DOWN, OutageKind.CROWDED, OutageKind.CROWDED_OR_SILENT)  # new calls, by 503
 HOPS = ("a", "b", "c")  # endpoints that change; the last one is added in the course of a schedule
 
 _READINESS = {
@@ -61,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
+class Components:
     """What a sender is made of: the program's own, or a mutant's."""
 
     watch: type[DiscoveryWatch] = DiscoveryWatch
@@ -140,14 +141,14 @@
         now = self._time.time
         return next((o for o in self._schedule.outages if o.at <= now < o.until), None)
 
-    def trouble_is(self, kind: Trouble) -> bool:
+    def outage_is(self, kind: OutageKind) -> bool:
         """Whether there is such an outage at this moment."""
         return (found := self.trouble()) is not None and found.trouble is kind
 
     def delay_s(self) -> float:
         """How long an answer takes now."""
         found = self.trouble()
-        return found.delay_s if found is not None and found.trouble is Trouble.SLOW else SERVICE_S
+        return found.delay_s if found is not None and found.trouble is OutageKind.SLOW else SERVICE_S
 
     # Events
 
@@ -159,13 +160,13 @@
 
     def outage_begins(self, outage: Outage) -> None:
         for exchange in list(self._open):
-            if outage.trouble is Trouble.REFUSING:
+            if outage.trouble is OutageKind.REFUSING:
                 self._refuse(exchange, Failure.REFUSED)
-            elif outage.trouble is Trouble.DOWN:
+            elif outage.trouble is OutageKind.DOWN:
                 self._refuse(exchange, Failure.BUSY)
-            elif outage.trouble is Trouble.SILENT:
+            elif outage.trouble is OutageKind.SILENT:
                 self._silence(exchange)
-            elif outage.trouble is Trouble.HASTY:
+            elif outage.trouble is OutageKind.HASTY:
                 self._look(exchange)
 
     def outage_ends(self, _: Outage) -> None:
@@ -187,15 +188,15 @@
         now = self._time.time
         exchange = Exchange(call, CallRecord(now, call.wait_s if call.index is not None else 0.0))
         self._record.calls.append(exchange.record)
-        if self.trouble_is(Trouble.SILENT):
+        if self.outage_is(OutageKind.SILENT):
             exchange.record.silent_from, exchange.ended = now, True
             exchange.record.connects = False
-        elif self.trouble_is(Trouble.REFUSING):
+        elif self.outage_is(OutageKind.REFUSING):
             self._open.append(exchange)
             self._refuse(exchange, Failure.REFUSED)
-        elif self.trouble_is(Trouble.CROWDED_OR_SILENT) and len(self._record.calls) % 2:
+        elif self.outage_is(OutageKind.CROWDED_OR_SILENT) and len(self._record.calls) % 2:
             exchange.record.silent_from, exchange.ended = now, True
-        elif any(map(self.trouble_is, TURNING_AWAY)):
+        elif any(map(self.outage_is, TURNING_AWAY)):
             self._open.append(exchange)
             self._refuse(exchange, Failure.BUSY)
         elif self._to_lose:
@@ -220,10 +221,10 @@
     def _look(self, exchange: Exchange) -> None:
         """Answer the call if anything is newer, or if it has waited long enough."""
         now, call = self._time.time, exchange.call
-        if exchange.ended or now < exchange.ready_at or self.trouble_is(Trouble.HOLDING):
+        if exchange.ended or now < exchange.ready_at or self.outage_is(OutageKind.HOLDING):
             return
         newer = call.index is None or self.version > call.index
-        if newer or self.trouble_is(Trouble.HASTY) or now >= exchange.answer_at:
+        if newer or self.outage_is(OutageKind.HASTY) or now >= exchange.answer_at:
             self._write(exchange)
 
     def _write(self, exchange: Exchange) -> None:
@@ -281,15 +282,15 @@
 
 
 class Sender:
-    """The parts of a sender that the rule depends on, with the sockets' place taken by `VirtualDiscovery`."""
+    """The components of a sender that the rule depends on; `VirtualDiscovery` replaces the sockets."""
 
     def __init__(
-        self, schedule: Schedule, time: VirtualTime, discovery: VirtualDiscovery, parts: Parts
+        self, schedule: Schedule, time: VirtualTime, discovery: VirtualDiscovery, components: Components
     ) -> None:
         rules = rules_of(schedule, schedule.ask_within_s)
-        self._schedule, self._time, self._discovery, self._parts = schedule, time, discovery, parts
-        self.watch = parts.watch(parts.bounds.of(rules), Random(schedule.seed))
-        self.table = parts.table(rules.balancers)
+        self._schedule, self._time, self._discovery, self._components = schedule, time, discovery, components
+        self.watch = components.watch(components.bounds.of(rules), Random(schedule.seed))
+        self.table = components.table(rules.balancers)
         known = [next_hop(name, state) for name, (state, _) in discovery.hops.items()]
         self.version = 0
         self.table.learn(MapUpdate(0, True, tuple(known)), True, time.now())
@@ -298,7 +299,7 @@
         state = SendState(rules, self.table, journal, held, waits)
         state.list_lease = lambda dest: self.watch.lease_ended(time.now())
         self._message = held.hold(Stored("m", "note", 1e9, 7, "k", "platform", b""), 1e9)
-        self.attempts = parts.attempts(
+        self.attempts = components.attempts(
             state, time, journal, self.table, held, waits,
             Counter(), SendMonitor(rules.drain_grace, _ignore), _ignore, _ignore,
         )  # fmt: skip
@@ -346,10 +347,10 @@
         if self._waits(lambda: self.read(exchange, update)):
             return
         if update is None:
-            self.failed(exchange, Failure.SPOILT)
+            self.failed(exchange, Failure.CORRUPT)
         elif self._exchanges.pop(exchange.call, None) is not None:
             if self.watch.answered(
-                exchange.call, update.version, self._time.now(), unwritten_at=self._looked_at
+                exchange.call, update.version, self._time.now(), socket_empty_at=self._looked_at
             ):
                 self.table.learn(update, update.full, self._time.now())
                 self.version = update.version
@@ -374,7 +375,7 @@
         if self._waits(lambda: self.reload(reload), READ_FIRST_S):
             return
         rules = rules_of(self._schedule, reload.ask_within_s)
-        self.watch.retune(self._parts.bounds.of(rules), self._time.now())
+        self.watch.retune(self._components.bounds.of(rules), self._time.now())
         self.step()
 
     def try_all(self) -> None:
@@ -410,11 +411,11 @@
     sent: Sent
 
 
-def play(schedule: Schedule, parts: Parts | None = None) -> Run:
+def play(schedule: Schedule, components: Components | None = None) -> Run:
     """Let a sender live through a schedule."""
     time, record = VirtualTime(), Record()
     discovery = VirtualDiscovery(schedule, time, record)
-    sender = discovery.sender = Sender(schedule, time, discovery, parts or Parts())
+    sender = discovery.sender = Sender(schedule, time, discovery, components or Components())
     for event in schedule.events:
         match event:
             case Change():
@@ -424,14 +425,14 @@
                 time.call_at(event.until, lambda event=event: discovery.outage_ends(event))  # type: ignore[misc]
             case Loss():
                 time.call_at(event.at, lambda event=event: discovery.lose_next(event))  # type: ignore[misc]
-            case Spoil():
+            case CorruptAnswer():
                 time.call_at(event.at, discovery.spoil_next)
             case Move():
                 time.call_at(event.at, sender.move)
             case Reload():
                 time.call_at(event.at, lambda event=event: sender.reload(event))  # type: ignore[misc]
     time.call_at(0.0, sender.start)  # behind the events of that moment
-    for tick in range(int(schedule.end / LOOK_S)):
-        time.run(tick * LOOK_S)
+    for tick in range(int(schedule.end / SEND_INTERVAL_S)):
+        time.run(tick * SEND_INTERVAL_S)
         sender.try_all()
     return Run(record, sender.sent)
--- a/tests/platform/test_asked_again.py
+++ b/tests/platform/test_asked_again.py
@@ -10,21 +10,21 @@
 
 from mountgauge.platform.list_call import Failure, ListCall
 from mountgauge.platform.watch import DiscoveryWatch
-from mountgauge.platform.watch_bounds import JITTER, MOST_LOST_RETRY, WatchBounds
+from mountgauge.platform.watch_bounds import JITTER, MAX_LOST_RETRY_FACTOR, WatchBounds
 from tests.platform.test_list_lease import bounds
 
-LOST = (Failure.BROKEN, Failure.SPOILT)
+LOST = (Failure.BROKEN, Failure.CORRUPT)
 STEPS = 40
 FAIR = 1e-9  # of two times that are the same
 
 
 def longest_pause_s(limits: WatchBounds, failure: Failure | None) -> float:
     """With no call out, up to the next one, after a call that ended so."""
-    retry = min(MOST_LOST_RETRY * limits.least_probe_s, limits.limit_most_s)
-    if failure is Failure.UNREACHED:
-        retry = limits.limit_most_s
+    retry = min(MAX_LOST_RETRY_FACTOR * limits.min_probe_interval_s, limits.max_hedge_delay_s)
+    if failure is Failure.NOT_SENT:
+        retry = limits.max_hedge_delay_s
     elif failure in (Failure.REFUSED, Failure.BUSY):
-        retry = limits.back_off_most_s
+        retry = limits.max_back_off_s
         return retry * (1 + JITTER) + max(limits.spread_s, limits.busy_spread_s)
     return retry * (1 + JITTER)
 
--- a/tests/platform/test_drain_property.py
+++ b/tests/platform/test_drain_property.py
@@ -12,17 +12,17 @@
 from mountgauge.platform.watch_bounds import PROBE_S
 from tests.platform.reference import (
     Change,
+    CorruptAnswer,
     Event,
     Loss,
     Move,
     Outage,
+    OutageKind,
     Pause,
     Reference,
     Reload,
     Schedule,
-    Spoil,
     State,
-    Trouble,
 )
 from tests.platform.simulation import HOPS, Run, play
 
@@ -76,7 +76,7 @@
     troubles = 1 + len([e for e in schedule.events if not isinstance(e, Change)])
     unanswered = 6 * schedule.end / known_s(schedule) + 5 * troubles
     rest_s = 0.08 if schedule.pushed else 0.3
-    hasty = sum(o.until - o.at for o in schedule.outages if o.trouble is Trouble.HASTY) * 2 / rest_s
+    hasty = sum(o.until - o.at for o in schedule.outages if o.trouble is OutageKind.HASTY) * 2 / rest_s
     moves = len(schedule.moves) * 4.0 / 0.1
     return 1 + watches + unanswered + hasty + moves
 
@@ -86,12 +86,12 @@
     """A fault at this time, or none."""
     kind = draw(
         st.sampled_from(
-            ["none", *Trouble, "loss", "losses", "spoil", "move", "moved", "reload", "pause", "paused"]
+            ["none", *OutageKind, "loss", "losses", "spoil", "move", "moved", "reload", "pause", "paused"]
         )
     )
-    if isinstance(kind, Trouble):
+    if isinstance(kind, OutageKind):
         lasts = draw(st.sampled_from((0.3, 1.0, 2.5, 8.0, 20.0)))
-        slow = slowest_s * draw(st.sampled_from((0.3, 1.0, 2.2, 15.0))) if kind is Trouble.SLOW else 0.0
+        slow = slowest_s * draw(st.sampled_from((0.3, 1.0, 2.2, 15.0))) if kind is OutageKind.SLOW else 0.0
         return [Outage(at, at + lasts, kind, slow)]
     match kind:
         case "loss":
@@ -99,13 +99,13 @@
         case "losses":
             return [Loss(at, draw(st.sampled_from((2, 4, 8))))]
         case "spoil":
-            return [Spoil(at)]
+            return [CorruptAnswer(at)]
         case "move":
             return [Move(at)]
         case "moved":
-            trouble = draw(st.sampled_from([Trouble.REFUSING, Trouble.SILENT, Trouble.SLOW]))
+            trouble = draw(st.sampled_from([OutageKind.REFUSING, OutageKind.SILENT, OutageKind.SLOW]))
             lasts = draw(st.sampled_from((0.5, 2.0, 3.4)))
-            slow = slowest_s if trouble is Trouble.SLOW else 0.0
+            slow = slowest_s if trouble is OutageKind.SLOW else 0.0
             return [Move(at), Outage(at + 0.001, at + lasts, trouble, slow)]
         case "pause":
             return [Pause(at, draw(st.sampled_from((0.2, 0.5, 1.2))))]
--- a/tests/platform/test_list_lease.py
+++ b/tests/platform/test_list_lease.py
@@ -149,7 +149,7 @@
     broke_at = driven.now
     call = driven.asked() if between == "a call hangs" else driven.call()
     if between == "a dial fails here":
-        driven.watch.failed(call, Failure.UNREACHED, driven.now)
+        driven.watch.failed(call, Failure.NOT_SENT, driven.now)
     while driven.now < broke_at + DOWN_AFTER_S:
         call = driven.call()
     assert driven.watch.connected(call, driven.now)
@@ -230,9 +230,9 @@
     assert lease.ended(10.6) is None, "it was written behind the gap"
     driven = Driven(subscribe=False)
     watch = driven.asked()
-    driven.watch.unsent(driven.now)
+    driven.watch.request_blocked(driven.now)
     driven.now += 0.5
-    driven.watch.sent(watch, driven.now)
+    driven.watch.request_flushed(watch, driven.now)
     assert driven.held_back()
     after = driven.asked()
     assert after.short and after.made_at == driven.now
@@ -249,7 +249,7 @@
     driven.now += 0.2
     driven.watch.answered(watch, 5, driven.now)
     assert driven.held_back()
-    driven.watch.answered(company, 5, driven.now, unwritten_at=driven.now)
+    driven.watch.answered(company, 5, driven.now, socket_empty_at=driven.now)
     assert not driven.held_back(), "it was asked behind the gap"
     late = driven.asked()
     driven.now = late.made_at + late.wait_s + 0.2
@@ -274,7 +274,7 @@
         driven = Driven(subscribe=False, heard=False)
         call = driven.asked()
         driven.now += 0.5
-        driven.watch.answered(call, 5, driven.now, unwritten_at=call.made_at + looked_s)
+        driven.watch.answered(call, 5, driven.now, socket_empty_at=call.made_at + looked_s)
         assert driven.held_back() is held
 
 
@@ -285,7 +285,7 @@
     driven = Driven(heard=False)
     lost, short = driven.asked(), driven.asked()
     lost_at = short.made_at + short.wait_s / 2
-    driven.watch.failed(lost, Failure.SPOILT, lost_at)
+    driven.watch.failed(lost, Failure.CORRUPT, lost_at)
     driven.watch.answered(short, 5, short.made_at + 0.3)
     assert driven.watch.lease_ended(short.made_at + 0.3) is LeaseEnd.ANSWER_LOST
 
@@ -357,11 +357,11 @@
         call = driven.call()
         assert driven.held_back(), "nothing has shown anything since"
         retries.append(driven.now - lost_at)
-        driven.watch.failed(call, Failure.UNREACHED, driven.now)
+        driven.watch.failed(call, Failure.NOT_SENT, driven.now)
     assert retries[0] == 0.0, "the first one at once"
     pauses = [later - earlier for earlier, later in itertools.pairwise(retries)]
-    assert min(pauses) >= driven.bounds.least_probe_s
-    assert max(pauses) <= 1.25 * driven.bounds.limit_most_s
+    assert min(pauses) >= driven.bounds.min_probe_interval_s
+    assert max(pauses) <= 1.25 * driven.bounds.max_hedge_delay_s
 
 
 @pytest.mark.parametrize("senders", [1, 8, 200])
@@ -439,7 +439,7 @@
         driven.watch.failed(call, Failure.BUSY, driven.now)
         call = driven.asked()
     elif between == "a dial fails here":
-        driven.watch.failed(call, Failure.UNREACHED, driven.now)
+        driven.watch.failed(call, Failure.NOT_SENT, driven.now)
         call = driven.asked()
     elif between == "an answer":
         driven.watch.answered(call, 5, driven.now)
@@ -544,10 +544,10 @@
     driven = Driven(24)
     first_at = driven.now
     for at, failure in (
-        (0.0, Failure.SPOILT),
+        (0.0, Failure.CORRUPT),
         (0.6, Failure.BROKEN),
-        (2.2, Failure.SPOILT),
-        (4.3, Failure.SPOILT),
+        (2.2, Failure.CORRUPT),
+        (4.3, Failure.CORRUPT),
     ):
         driven.now = max(driven.now, first_at + at)
         driven.watch.failed(driven.asked(), failure, driven.now)
@@ -598,8 +598,8 @@
 
 
 @pytest.mark.parametrize(("failure", "doubted"), [
-    (Failure.REFUSED, False), (Failure.BUSY, True), (Failure.UNREACHED, True), (Failure.BROKEN, True),
-    (Failure.SPOILT, True),
+    (Failure.REFUSED, False), (Failure.BUSY, True), (Failure.NOT_SENT, True), (Failure.BROKEN, True),
+    (Failure.CORRUPT, True),
 ])  # fmt: skip
 def test_what_shows_that_discovery_is_down_ends_the_doubt(failure: Failure, doubted: bool) -> None:
     driven = Driven()
@@ -620,7 +620,8 @@
     assert found.lease == LeaseTerms(known_s, GRACE_S, MOVED_S, pushed=mode == "automatic")
     watch_s = found.wait_s + ANSWER_MARGIN_S
     assert mode == "automatic" or found.wait_s <= ask_within_s
-    assert known_s < 6.0 or watch_s + found.silent_limit_s < found.lease.term_s, "a lost watch has a follower"
+    replaced_s = watch_s + found.silent_hedge_delay_s
+    assert known_s < 6.0 or replaced_s < found.lease.term_s, "a lost watch is replaced in time"
 
 
 @pytest.mark.parametrize("senders", [3, 24, 200])
@@ -634,9 +635,10 @@
     failed = driven.call()
     for _ in range(5):
         driven.now += 0.01
-        driven.watch.failed(failed, Failure.UNREACHED, driven.now)
+        driven.watch.failed(failed, Failure.NOT_SENT, driven.now)
         failed_at, failed = driven.now, driven.call()
-        assert driven.bounds.least_probe_s <= driven.now - failed_at <= 1.25 * driven.bounds.limit_most_s
+        least, most = driven.bounds.min_probe_interval_s, 1.25 * driven.bounds.max_hedge_delay_s
+        assert least <= driven.now - failed_at <= most
 
 
 def test_a_lost_list_is_doubted_through_an_outage_and_a_silence_behind_it() -> None:
@@ -645,7 +647,7 @@
     A list of which a part had arrived was told for certain, unlike one behind a connection that broke.
     """
     driven = Driven(24)
-    driven.watch.failed(driven.asked(), Failure.SPOILT, driven.now)  # a list that was lost
+    driven.watch.failed(driven.asked(), Failure.CORRUPT, driven.now)  # a list that was lost
     lost_at = driven.now
     while driven.now < lost_at + 3.3:
         driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
--- a/tests/platform/test_mutants.py
+++ b/tests/platform/test_mutants.py
@@ -9,15 +9,15 @@
 from tests.platform.mutants import MUTANTS
 from tests.platform.reference import (
     Change,
+    CorruptAnswer,
     Event,
     Loss,
     Move,
     Outage,
+    OutageKind,
     Pause,
     Schedule,
-    Spoil,
     State,
-    Trouble,
 )
 from tests.platform.simulation import play
 from tests.platform.test_drain_property import late_bytes
@@ -39,10 +39,10 @@
     return Change(at, "a", State.LEAVING)
 
 
-HASTY = Outage(0.5, 3.0, Trouble.HASTY)
+HASTY = Outage(0.5, 3.0, OutageKind.HASTY)
 SCHEDULES = {
     "back-off and spread doubled": schedule(
-        Outage(0.5, 12.0, Trouble.REFUSING),
+        Outage(0.5, 12.0, OutageKind.REFUSING),
         leaves(1.0),
         Loss(12.0),
         balancers=30,
@@ -50,21 +50,21 @@
         seed=22,
     ),
     "a refusal in words renews": schedule(
-        Outage(0.5, 20.0, Trouble.CROWDED), Change(0.6, "b", State.LEAVING), leaves(1.0)
+        Outage(0.5, 20.0, OutageKind.CROWDED), Change(0.6, "b", State.LEAVING), leaves(1.0)
     ),
     "read is taken for written": schedule(
         Change(1.0, "b", State.LEAVING), Pause(1.001, 0.6), Loss(1.1), leaves(1.3), pushed=True
     ),
-    "silence is believed": schedule(Outage(0.5, 20.0, Trouble.SILENT), leaves(1.0), balancers=40),
+    "silence is believed": schedule(Outage(0.5, 20.0, OutageKind.SILENT), leaves(1.0), balancers=40),
     "long poll after a silence": schedule(Loss(0.52, 2), leaves(1.012), ask_within_s=4.0),
     "an answer dropped": schedule(Change(0.5, "b", State.LEAVING), leaves(1.0), Change(2.0, "b", State.LEFT)),
     "calls closed for the next one": schedule(
-        Loss(0.3), Outage(0.6, 12.0, Trouble.SLOW, 0.45), leaves(3.0), ask_within_s=0.5
+        Loss(0.3), Outage(0.6, 12.0, OutageKind.SLOW, 0.45), leaves(3.0), ask_within_s=0.5
     ),
     "no recheck in admit": schedule(leaves(0.512), connect_s=0.4),
     "a rest within the watch": schedule(HASTY, leaves(0.72)),
     "a rest of 0.3 s where lists are pushed": schedule(HASTY, leaves(0.83), pushed=True),
-    "a back-off after a spoilt answer": schedule(Spoil(0.51), leaves(0.512)),
+    "a back-off after a spoilt answer": schedule(CorruptAnswer(0.51), leaves(0.512)),
     "a move waits for the watch": schedule(Move(0.05), Loss(3.9), leaves(0.06)),
 }
 
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -12,9 +12,9 @@
 from mountgauge.platform.watch import DiscoveryWatch
 from mountgauge.platform.watch_bounds import (
     ANSWER_MARGIN_S,
-    DIAL_LIFE_S,
+    DIAL_TIMEOUT_S,
     FIRST_BACK_OFF_S,
-    FIRST_REST_S,
+    FIRST_REPEAT_PAUSE_S,
     JITTER,
     MOVE_PAUSE_S,
     NOTIFIED_AFTER_MOVE_S,
@@ -119,12 +119,12 @@
     """Discovery comes back right after a refused call; the next call is lost, the one after it is not."""
     bounds = bounds_of(balancers, ask_within_s)
     refused = max(bounds.back_off_s(failures, 1.0) for failures in range(1, 60))
-    assert refused <= bounds.back_off_most_s * (1 + JITTER) + bounds.spread_s
-    assert refused + bounds.limit_most_s < bounds.known_within_s <= NOTIFIED_AFTER_S
-    assert bounds.limit_most_s < 0.4 * bounds.known_within_s, "three fifths are left for a slow answer"
+    assert refused <= bounds.max_back_off_s * (1 + JITTER) + bounds.spread_s
+    assert refused + bounds.max_hedge_delay_s < bounds.known_within_s <= NOTIFIED_AFTER_S
+    assert bounds.max_hedge_delay_s < 0.4 * bounds.known_within_s, "three fifths are left for a slow answer"
     if balancers <= 5 and ask_within_s >= 1.5:
-        assert bounds.limit_most_s <= bounds.known_within_s / 5, "four fifths in a small fleet"
-    assert bounds.call_life_s == bounds.known_within_s
+        assert bounds.max_hedge_delay_s <= bounds.known_within_s / 5, "four fifths in a small fleet"
+    assert bounds.call_timeout_s == bounds.known_within_s
 
 
 def test_a_silent_discovery_is_asked_again_and_again_by_a_bounded_number_of_calls() -> None:
@@ -133,11 +133,11 @@
     for _ in range(20):
         made.append(driven.call())
         most_open = max(most_open, len(driven.watch.open_calls))
-    assert most_open == driven.bounds.most_open_calls == 6
+    assert most_open == driven.bounds.max_open_calls == 6
     assert all(call.short for call in made)
     gaps = [later.made_at - earlier.made_at for earlier, later in itertools.pairwise(made)]
-    assert max(gaps) <= driven.bounds.limit_most_s + 1e-9
-    assert made[-1].made_at - made[0].made_at >= 18 * driven.bounds.limit_most_s, "five calls in a life"
+    assert max(gaps) <= driven.bounds.max_hedge_delay_s + 1e-9
+    assert made[-1].made_at - made[0].made_at >= 18 * driven.bounds.max_hedge_delay_s, "five calls in a life"
 
 
 @pytest.mark.parametrize("made_before", [0, 1, 5, 12])
@@ -162,13 +162,13 @@
     driven.watching()
     dials = [driven.call(connects=False) for _ in range(30)]
     gaps = [later.made_at - earlier.made_at for earlier, later in itertools.pairwise(dials)]
-    assert max(gaps) <= driven.bounds.least_probe_s + 1e-9 == PROBE_S + 1e-9
+    assert max(gaps) <= driven.bounds.min_probe_interval_s + 1e-9 == PROBE_S + 1e-9
     waiting = [call for call in dials if call in driven.watch.open_calls]
-    assert len(waiting) <= DIAL_LIFE_S / PROBE_S + 1
+    assert len(waiting) <= DIAL_TIMEOUT_S / PROBE_S + 1
     driven.now += 0.1
     assert driven.watch.connected(waiting[0], driven.now), "one that came up late"
     assert not any(driven.watch.connected(call, driven.now) for call in waiting[1:]), "one asks for all"
-    assert driven.watch.wakes_at() == driven.now + driven.bounds.first_limit_s
+    assert driven.watch.wakes_at() == driven.now + driven.bounds.first_hedge_delay_s
     driven.answer(waiting[0], 6)
     assert not driven.call().short
 
@@ -178,7 +178,7 @@
     dials = [driven.call(connects=False)]
     while driven.now < 200.0:
         dials.append(driven.call(connects=False))
-    assert dials[-1].made_at - dials[-2].made_at == pytest.approx(driven.bounds.limit_most_s)
+    assert dials[-1].made_at - dials[-2].made_at == pytest.approx(driven.bounds.max_hedge_delay_s)
 
 
 def test_a_connection_that_is_refused_after_others_hung_says_that_the_cut_is_over() -> None:
@@ -207,7 +207,7 @@
 def test_the_whole_list_is_asked_for_though_changes_have_been() -> None:
     driven = Driven()
     changes = driven.call()
-    driven.watch.ask_whole(driven.now)
+    driven.watch.request_full_list(driven.now)
     whole = driven.call(connects=False)
     assert whole.index is None and whole.made_at == changes.made_at
     assert driven.answer(changes, 6) and driven.watch.connected(whole, driven.now), "still asked for"
@@ -266,7 +266,7 @@
     assert small.back_off_s(60, 1.0, busy=True) < NOTIFIED_AFTER_S / 2
 
 
-@pytest.mark.parametrize("failure", [Failure.SPOILT, Failure.BROKEN])
+@pytest.mark.parametrize("failure", [Failure.CORRUPT, Failure.BROKEN])
 def test_an_answer_that_may_have_been_written_is_asked_for_at_once_and_then_after_a_back_off(
     failure: Failure,
 ) -> None:
@@ -350,7 +350,7 @@
     driven.now += 5.0  # one that waited says that all is well again
     driven.answer(call, 4)
     assert driven.call().made_at == driven.now
-    assert FIRST_REST_S > WATCH_GAP_S
+    assert FIRST_REPEAT_PAUSE_S > WATCH_GAP_S
 
 
 def test_an_agent_is_asked_again_within_the_grace_of_a_drain() -> None:
