--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -237,8 +237,9 @@
         self._report_failure(call, failure)
         self._watch.failed(call, failure, self._now())
         failures, lease = self._watch.failures, self._watch.lease_ended(self._now()) or "valid"
-        fields = kv(kind=failure.value, error=detail, failures=failures, lease=lease)
-        log.warning("watch-failed", extra=fields)
+        log.warning(
+            "watch-failed", extra=kv(kind=failure.value, error=detail, failures=failures, lease=lease)
+        )
         self._step()
 
     def _step(self) -> None:
--- a/mountgauge/platform/watch_bounds.py
+++ b/mountgauge/platform/watch_bounds.py
@@ -1,4 +1,4 @@
-"""How soon discovery has to be asked, derived from the platform's rule on drains and from the settings.
+"""How soon discovery has to be called, derived from the platform's rule on drains and from the settings.
 
 A change of the list counts as notified, whether or not it was received, at the latest `NOTIFIED_AFTER_S`
 after discovery had it and could be reached. For a watch that no longer answers it also counts
@@ -36,9 +36,9 @@
   most `WAIT_SHARE` of `known_within_s`, 4 s: the two rules on silence, 6 s after it and 2 s after the wait,
   then give the same time, and a third of the time is left for the calls that replace a lost one.
 - An answer was lost on its way. Nothing is sent by the list until another answer has been received.
-  Discovery is asked again at once, then after `lost_retry_s`. That is at least `BURST_S`, so that a second
+  Discovery is called again at once, then after `lost_retry_s`. That is at least `BURST_S`, so that a second
   call is not broken by the same fault, 0.15 s in a small fleet and 1.2 s in a large one. It doubles up to
-  four times that and up to `max_hedge_delay_s`. Without doubling, a fleet of eight senders asked 48 times a
+  four times that and up to `max_hedge_delay_s`. Without doubling, a fleet of eight senders made 48 calls a
   second; when it doubled up to `max_hedge_delay_s` alone, one of 24 senders found out 2.1 s late that it
   could send again.
 
@@ -182,8 +182,9 @@
 
     def probe_interval_s(self, unreachable_s: float) -> float:
         """The time between two dials, after so long without a connection."""
-        interval = max(self.min_probe_interval_s, PROBE_INTERVAL_SHARE * unreachable_s)
-        return min(interval, self.max_hedge_delay_s)
+        return min(
+            max(self.min_probe_interval_s, PROBE_INTERVAL_SHARE * unreachable_s), self.max_hedge_delay_s
+        )
 
     def back_off_s(self, failures: int, draw: float, busy: bool = False) -> float:
         """The pause after so many consecutive failures; `draw` is a random number from 0 to 1. `busy`:
--- a/tests/platform/mutants.py
+++ b/tests/platform/mutants.py
@@ -1,4 +1,4 @@
-"""Senders with one fault each, which the property must find."""
+"""Senders with one deliberate fault each, which the tests of the rule must detect."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
         return 2 * super().back_off_s(failures, draw, busy)
 
 
-class RestWithinWatch(WatchBounds):
-    """The rest after a watch that was answered at once is short enough to belong to the watch."""
+class PauseWithinWatchGap(WatchBounds):
+    """The pause after a watch that was answered at once is short enough to count as part of the watch."""
 
     def repeat_pause_s(self, repeats: int) -> float:
         return 0.19
 
 
-class LongRestWithAgent(WatchBounds):
-    """An agent is asked as seldom after such a watch as discovery is."""
+class LongPauseWithAgent(WatchBounds):
+    """The pause after such a watch is as long for an agent as for discovery."""
 
     def repeat_pause_s(self, repeats: int) -> float:
         return 0.3
 
 
-class LongPollAfterSilence(DiscoveryWatch):
-    """A watch that has fallen silent is followed by another one."""
+class WatchAfterSilentWatch(DiscoveryWatch):
+    """A watch without an answer is followed by another watch."""
 
     def _create_call(self, now: float, version: int) -> ListCall:
         if not self._since_answer.failures and self._open and not self._full_list_needed:
@@ -46,45 +46,45 @@
         return self.bounds.wait_s
 
 
-class SilenceBelieved(DiscoveryWatch):
-    """The list is believed as long as no answer is known to be lost."""
+class ExpiredLeaseIgnored(DiscoveryWatch):
+    """The list is used as long as no answer is known to be lost."""
 
     def lease_ended(self, now: float) -> LeaseEnd | None:
         ended = super().lease_ended(now)
         return None if ended in (LeaseEnd.EXPIRED, LeaseEnd.UNHEARD, LeaseEnd.MOVED) else ended
 
 
-class RefusalInWordsRenews(DiscoveryWatch):
-    """Each 503 passes for a discovery that is down."""
+class Every503Renews(DiscoveryWatch):
+    """Every 503 is taken for a discovery that is down."""
 
     def _indicates_outage(self, failure: Failure) -> bool:
         return failure in (Failure.REFUSED, Failure.BUSY)
 
 
-class ReadTakenForWritten(DiscoveryWatch):
-    """The gap behind an agent's answer is counted from when it is read."""
+class GapFromReading(DiscoveryWatch):
+    """The gap after an agent's answer is counted from when the answer is read, not written."""
 
     def _check_coverage(self, call: ListCall, written_after: float, now: float) -> None:
         super()._check_coverage(call, now, now)
 
 
-class GivenUpForTheNext(DiscoveryWatch):
-    """A call that has got no answer in time is closed when the next one is made."""
+class ClosedForNextCall(DiscoveryWatch):
+    """A call that was not answered in time is closed when the next one is made."""
 
     def _create_call(self, now: float, version: int) -> ListCall:
         self._drop(list(self._open), DropReason.NEWER_ANSWERED, now)
         return super()._create_call(now, version)
 
 
-class SpoiltAnswerBacksOff(DiscoveryWatch):
-    """After an answer that cannot be read discovery is left alone for a while."""
+class CorruptAnswerBacksOff(DiscoveryWatch):
+    """After a corrupt answer the next call is made after a back-off."""
 
     def failed(self, call: ListCall, failure: Failure, now: float) -> None:
         super().failed(call, Failure.REFUSED, now)
 
 
-class MoveWaitsForTheWatch(DiscoveryWatch):
-    """A new address is asked once the call that is out has ended."""
+class MoveWaitsForWatch(DiscoveryWatch):
+    """A new address is only called when the call in flight has ended."""
 
     def move(self, now: float) -> None:
         at = self._next_at
@@ -92,8 +92,8 @@
         self._next_at = at
 
 
-class AnswerDropped(HopTable):
-    """Every fourth answer with changes is not taken in, though its version is."""
+class AnswerNotApplied(HopTable):
+    """Every fourth answer with changes is not applied, although its version is stored."""
 
     def __init__(self, balancers: int) -> None:
         super().__init__(balancers)
@@ -106,24 +106,24 @@
         return super().learn(update, whole, now)
 
 
-class NoLastLook(Attempts):
-    """What was chosen goes, whatever has become of the endpoint since."""
+class NoFinalCheck(Attempts):
+    """A chosen call is sent even if the endpoint has drained since."""
 
     def admit(self, call: Call, items: list[Item]) -> list[Item]:
         return items
 
 
 MUTANTS = {
-    "silence is believed": Components(watch=SilenceBelieved),
-    "a refusal in words renews": Components(watch=RefusalInWordsRenews),
-    "read is taken for written": Components(watch=ReadTakenForWritten),
+    "an expired lease is ignored": Components(watch=ExpiredLeaseIgnored),
+    "every 503 renews the lease": Components(watch=Every503Renews),
+    "the gap is counted from reading": Components(watch=GapFromReading),
     "back-off and spread doubled": Components(bounds=DoubledBackOff),
-    "long poll after a silence": Components(watch=LongPollAfterSilence),
-    "an answer dropped": Components(table=AnswerDropped),
-    "calls closed for the next one": Components(watch=GivenUpForTheNext),
-    "no recheck in admit": Components(attempts=NoLastLook),
-    "a rest within the watch": Components(bounds=RestWithinWatch),
-    "a rest of 0.3 s where lists are pushed": Components(bounds=LongRestWithAgent),
-    "a back-off after a spoilt answer": Components(watch=SpoiltAnswerBacksOff),
-    "a move waits for the watch": Components(watch=MoveWaitsForTheWatch),
+    "a watch after a silent watch": Components(watch=WatchAfterSilentWatch),
+    "an answer is not applied": Components(table=AnswerNotApplied),
+    "calls are closed for the next one": Components(watch=ClosedForNextCall),
+    "no final check in admit": Components(attempts=NoFinalCheck),
+    "a pause within the watch gap": Components(bounds=PauseWithinWatchGap),
+    "a pause of 0.3 s where lists are pushed": Components(bounds=LongPauseWithAgent),
+    "a back-off after a corrupt answer": Components(watch=CorruptAnswerBacksOff),
+    "a move waits for the watch in flight": Components(watch=MoveWaitsForWatch),
 }
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -48,13 +48,13 @@
 from tests.settings import settings
 
 DRAIN_GRACE_S = 0.25
-TRAVEL_S = 0.003  # one way between the sender and discovery
-SERVICE_S = 0.002  # that discovery takes for an answer
-READ_FIRST_S = 1e-6  # behind what lies unread, all else that is due as a process goes on
-SEND_INTERVAL_S = 0.01  # between two tries to send to each endpoint
-STAYS = "stays"  # an endpoint that is always ready
-TURNING_AWAY = (OutageKind.DOWN, OutageKind.CROWDED, OutageKind.CROWDED_OR_SILENT)  # new calls, by 503
-HOPS = ("a", "b", "c")  # endpoints that change; the last one is added in the course of a schedule
+TRAVEL_S = 0.003  # in one direction between the sender and discovery
+SERVICE_S = 0.002  # that discovery takes to answer
+READ_FIRST_S = 1e-6  # as a process resumes, it reads first and does all else that is due after this
+SEND_INTERVAL_S = 0.01  # between two attempts to send to each endpoint
+STAYS = "stays"  # the endpoint that is always ready
+REJECTING = (OutageKind.DOWN, OutageKind.OVERLOADED, OutageKind.OVERLOADED_OR_SILENT)  # new calls, with a 503
+HOPS = ("a", "b", "c")  # the endpoints that change; the last one is added during a schedule
 
 _READINESS = {
     State.ACTIVE: Readiness.READY, State.LEAVING: Readiness.DRAINING, State.LEFT: Readiness.GONE
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Components:
-    """What a sender is made of: the program's own, or a mutant's."""
+    """The classes that a sender is built from: the program's own, or a mutant's."""
 
     watch: type[DiscoveryWatch] = DiscoveryWatch
     bounds: type[WatchBounds] = WatchBounds
@@ -72,7 +72,7 @@
 
 
 class VirtualTime:
-    """The clock, and what is to happen when."""
+    """The clock, and the calls that are scheduled on it."""
 
     def __init__(self) -> None:
         self.time = 0.0
@@ -92,7 +92,7 @@
         heapq.heappush(self._due, (max(when, self.time), next(self._order), then))
 
     def run(self, until: float) -> None:
-        """Let everything happen that is due up to a time."""
+        """Run everything that is due up to a time."""
         while self._due and self._due[0][0] <= until:
             self.time, _, then = heapq.heappop(self._due)
             then()
@@ -108,7 +108,7 @@
 
 
 def next_hop(name: str, state: State) -> NextHop:
-    """A line of the list."""
+    """An entry of the list."""
     return NextHop(name, "10.0.0.1", 80, Entry(_READINESS[state], 0.0, 0.0, 0, 7, 0, name.encode()))
 
 
@@ -118,13 +118,13 @@
 
     call: ListCall
     record: CallRecord
-    ready_at: float = 0.0  # from when on discovery can answer
-    answer_at: float = 0.0  # when it does so though nothing is newer
-    ended: bool = False  # answered, failed or silent: discovery is through with it
+    ready_at: float = 0.0  # the earliest time at which discovery can answer
+    answer_at: float = 0.0  # when it answers even without a change
+    ended: bool = False  # answered, failed or silent: discovery does nothing more with it
 
 
 class VirtualDiscovery:
-    """Discovery and the network: answers, holds, refuses or loses calls as the schedule says."""
+    """Discovery and the network, which answer, hold, refuse or lose calls according to the schedule."""
 
     def __init__(self, schedule: Schedule, time: VirtualTime, record: Record) -> None:
         self._schedule, self._time, self._record = schedule, time, record
@@ -132,23 +132,23 @@
         self.hops = {STAYS: (State.ACTIVE, 0), HOPS[0]: (State.ACTIVE, 0), HOPS[1]: (State.ACTIVE, 0)}
         self._open: list[Exchange] = []
         self._to_lose = 0
-        self._spoil = False
-        self._faulty_until = 0.0  # no further spoilt answer up to here
+        self._corrupt_next = False
+        self._faulty_until = 0.0  # no further corrupt answer until then
         self.sender: Sender
 
-    def trouble(self) -> Outage | None:
-        """The outage of this moment."""
+    def current_outage(self) -> Outage | None:
+        """The current outage."""
         now = self._time.time
         return next((o for o in self._schedule.outages if o.at <= now < o.until), None)
 
     def outage_is(self, kind: OutageKind) -> bool:
-        """Whether there is such an outage at this moment."""
-        return (found := self.trouble()) is not None and found.trouble is kind
+        """Whether the current outage is of this kind."""
+        return (found := self.current_outage()) is not None and found.kind is kind
 
     def delay_s(self) -> float:
-        """How long an answer takes now."""
-        found = self.trouble()
-        return found.delay_s if found is not None and found.trouble is OutageKind.SLOW else SERVICE_S
+        """How long an answer takes at present."""
+        found = self.current_outage()
+        return found.delay_s if found is not None and found.kind is OutageKind.SLOW else SERVICE_S
 
     # Events
 
@@ -156,35 +156,36 @@
         self.version += 1
         self.hops[change.hop] = (change.state, self.version)
         for exchange in self._open:
-            self._time.call_at(self._time.time + SERVICE_S, lambda exchange=exchange: self._look(exchange))  # type: ignore[misc]
+            due_at = self._time.time + SERVICE_S
+            self._time.call_at(due_at, lambda exchange=exchange: self._answer_if_due(exchange))  # type: ignore[misc]
 
     def outage_begins(self, outage: Outage) -> None:
         for exchange in list(self._open):
-            if outage.trouble is OutageKind.REFUSING:
+            if outage.kind is OutageKind.REFUSING:
                 self._refuse(exchange, Failure.REFUSED)
-            elif outage.trouble is OutageKind.DOWN:
+            elif outage.kind is OutageKind.DOWN:
                 self._refuse(exchange, Failure.BUSY)
-            elif outage.trouble is OutageKind.SILENT:
+            elif outage.kind is OutageKind.SILENT:
                 self._silence(exchange)
-            elif outage.trouble is OutageKind.HASTY:
-                self._look(exchange)
+            elif outage.kind is OutageKind.IMMEDIATE:
+                self._answer_if_due(exchange)
 
     def outage_ends(self, _: Outage) -> None:
         for exchange in list(self._open):
-            self._look(exchange)
+            self._answer_if_due(exchange)
 
     def lose_next(self, loss: Loss) -> None:
         self._to_lose += loss.calls
 
-    def spoil_next(self) -> None:
+    def corrupt_next_answer(self) -> None:
         if self._time.time >= self._faulty_until:
-            self._spoil = True
+            self._corrupt_next = True
             self._faulty_until = float("inf")
 
     # Calls
 
-    def take(self, call: ListCall) -> Exchange:
-        """The sender makes a call."""
+    def accept(self, call: ListCall) -> Exchange:
+        """The sender has made a call."""
         now = self._time.time
         exchange = Exchange(call, CallRecord(now, call.wait_s if call.index is not None else 0.0))
         self._record.calls.append(exchange.record)
@@ -194,9 +195,9 @@
         elif self.outage_is(OutageKind.REFUSING):
             self._open.append(exchange)
             self._refuse(exchange, Failure.REFUSED)
-        elif self.outage_is(OutageKind.CROWDED_OR_SILENT) and len(self._record.calls) % 2:
+        elif self.outage_is(OutageKind.OVERLOADED_OR_SILENT) and len(self._record.calls) % 2:
             exchange.record.silent_from, exchange.ended = now, True
-        elif any(map(self.outage_is, TURNING_AWAY)):
+        elif any(map(self.outage_is, REJECTING)):
             self._open.append(exchange)
             self._refuse(exchange, Failure.BUSY)
         elif self._to_lose:
@@ -205,12 +206,12 @@
             self._open.append(exchange)
             exchange.ready_at = now + TRAVEL_S + self.delay_s()
             exchange.answer_at = exchange.ready_at + exchange.record.wait_s
-            self._time.call_at(exchange.ready_at, lambda: self._look(exchange))
-            self._time.call_at(exchange.answer_at, lambda: self._look(exchange))
+            self._time.call_at(exchange.ready_at, lambda: self._answer_if_due(exchange))
+            self._time.call_at(exchange.answer_at, lambda: self._answer_if_due(exchange))
         return exchange
 
     def close(self, exchange: Exchange) -> None:
-        """The sender closes a call."""
+        """The sender has closed a call."""
         exchange.record.closed_at = self._time.time
         self._end(exchange)
 
@@ -218,22 +219,22 @@
         exchange.record.silent_from, exchange.ended = self._time.time, True
         self._to_lose -= 1
 
-    def _look(self, exchange: Exchange) -> None:
-        """Answer the call if anything is newer, or if it has waited long enough."""
+    def _answer_if_due(self, exchange: Exchange) -> None:
+        """Answer the call if there is a change, or if its wait is over."""
         now, call = self._time.time, exchange.call
         if exchange.ended or now < exchange.ready_at or self.outage_is(OutageKind.HOLDING):
             return
         newer = call.index is None or self.version > call.index
-        if newer or self.outage_is(OutageKind.HASTY) or now >= exchange.answer_at:
+        if newer or self.outage_is(OutageKind.IMMEDIATE) or now >= exchange.answer_at:
             self._write(exchange)
 
     def _write(self, exchange: Exchange) -> None:
         self._end(exchange)
-        spoilt, self._spoil = self._spoil, False
-        if spoilt:
+        corrupt, self._corrupt_next = self._corrupt_next, False
+        if corrupt:
             self._faulty_until = self._time.time + LOSS_PAUSE_S
         exchange.record.written_at = self._time.time
-        self._record.written.append(Written(self._time.time, self.version, spoilt))
+        self._record.written.append(Written(self._time.time, self.version, corrupt))
         index = exchange.call.index
         named = [
             next_hop(name, state)
@@ -241,7 +242,7 @@
             if (state is not State.LEFT if index is None else version > index)
         ]
         update = MapUpdate(self.version, index is None, tuple(named))
-        self._later(lambda: self.sender.read(exchange, None if spoilt else update))
+        self._later(lambda: self.sender.read(exchange, None if corrupt else update))
 
     def _refuse(self, exchange: Exchange, failure: Failure) -> None:
         self._end(exchange)
@@ -262,7 +263,7 @@
 
 
 class _Journal:
-    """Takes every attempt."""
+    """Accepts every attempt."""
 
     failing = False
     live = frozenset("m")
@@ -275,10 +276,10 @@
 
 @dataclass(slots=True)
 class Sent:
-    """First bytes that left for an endpoint, by the endpoint."""
+    """The first bytes sent, by endpoint."""
 
     at: dict[str, list[float]] = field(default_factory=dict)
-    refused: list[float] = field(default_factory=list)  # looks that kept back a call to the one that stays
+    refused: list[float] = field(default_factory=list)  # checks that held back a call to `STAYS`
 
 
 class Sender:
@@ -305,8 +306,8 @@
         )  # fmt: skip
         self.sent = Sent()
         self._exchanges: dict[ListCall, Exchange] = {}
-        self._woken_at = float("inf")
-        self._looked_at = -float("inf")
+        self._wake_at = float("inf")
+        self._checked_at = -float("inf")
 
     def start(self) -> None:
         if self._waits(self.start, READ_FIRST_S):
@@ -321,43 +322,43 @@
             if (exchange := self._exchanges.pop(dropped.call, None)) is not None:
                 self._discovery.close(exchange)
         for call in found.make:
-            exchange = self._exchanges[call] = self._discovery.take(call)
+            exchange = self._exchanges[call] = self._discovery.accept(call)
             if exchange.record.connects and not self.watch.connected(call, self._time.now()):
                 del self._exchanges[call]
                 self._discovery.close(exchange)
-        at = self._woken_at = self.watch.wakes_at()
+        at = self._wake_at = self.watch.wakes_at()
         if at < float("inf"):
             self._time.call_at(at, lambda: self._wake(at))
 
     def _wake(self, at: float) -> None:
-        if at == self._woken_at and not self._waits(lambda: self._wake(at), READ_FIRST_S):
+        if at == self._wake_at and not self._waits(lambda: self._wake(at), READ_FIRST_S):
             self.step()
 
-    def _waits(self, then: Callable[[], None], behind_s: float = 0.0) -> bool:
-        """Whether the process stands still now: it does this once it goes on, behind what it has to read."""
+    def _waits(self, then: Callable[[], None], after_s: float = 0.0) -> bool:
+        """Whether the process is stopped now; then it calls `then` once it resumes, after its reads."""
         now = self._time.now()
         pause = next((one for one in self._schedule.pauses if one.at <= now < one.until), None)
         if pause is None:
             return False
-        self._time.call_at(pause.until + behind_s, then)
+        self._time.call_at(pause.until + after_s, then)
         return True
 
     def read(self, exchange: Exchange, update: MapUpdate | None) -> None:
-        """An answer has come; None for one that is spoilt."""
+        """An answer has arrived; None for a corrupt one."""
         if self._waits(lambda: self.read(exchange, update)):
             return
         if update is None:
             self.failed(exchange, Failure.CORRUPT)
         elif self._exchanges.pop(exchange.call, None) is not None:
             if self.watch.answered(
-                exchange.call, update.version, self._time.now(), socket_empty_at=self._looked_at
+                exchange.call, update.version, self._time.now(), socket_empty_at=self._checked_at
             ):
                 self.table.learn(update, update.full, self._time.now())
                 self.version = update.version
             self.step()
 
     def failed(self, exchange: Exchange, failure: Failure) -> None:
-        """A call has ended without a whole answer."""
+        """A call ended without a complete answer."""
         if self._waits(lambda: self.failed(exchange, failure)):
             return
         if self._exchanges.pop(exchange.call, None) is not None:
@@ -379,18 +380,18 @@
         self.step()
 
     def try_all(self) -> None:
-        """Choose a call for each endpoint that is ready as far as is known."""
+        """Choose a call for each endpoint that is ready as far as the sender knows."""
         if any(one.at <= self._time.now() < one.until for one in self._schedule.pauses):
             return
-        self._looked_at = self._time.now()  # no answer waits to be read: each is read as it arrives
+        self._checked_at = self._time.now()  # no answer is unread, as each is read as it arrives
         for hop in self.table.hops.values():
             if hop.entry.readiness == Readiness.READY:
                 later = self._time.now() + self._schedule.connect_s
-                self._time.call_at(later, lambda hop=hop: self._look(hop))  # type: ignore[misc]
+                self._time.call_at(later, lambda hop=hop: self._check_and_send(hop))  # type: ignore[misc]
 
-    def _look(self, hop: NextHop) -> None:
-        """The last look before the first byte, and the byte."""
-        if self._waits(lambda: self._look(hop), READ_FIRST_S):
+    def _check_and_send(self, hop: NextHop) -> None:
+        """The final check of a call, and its first byte."""
+        if self._waits(lambda: self._check_and_send(hop), READ_FIRST_S):
             return
         now = self._time.now()
         item = Item(self._message.number, 0, "m", "k", "note", b"", 1e9)
@@ -405,14 +406,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """What came of a schedule."""
+    """The result of a schedule."""
 
     record: Record
     sent: Sent
 
 
 def play(schedule: Schedule, components: Components | None = None) -> Run:
-    """Let a sender live through a schedule."""
+    """Run a sender through a schedule."""
     time, record = VirtualTime(), Record()
     discovery = VirtualDiscovery(schedule, time, record)
     sender = discovery.sender = Sender(schedule, time, discovery, components or Components())
@@ -426,12 +427,12 @@
             case Loss():
                 time.call_at(event.at, lambda event=event: discovery.lose_next(event))  # type: ignore[misc]
             case CorruptAnswer():
-                time.call_at(event.at, discovery.spoil_next)
+                time.call_at(event.at, discovery.corrupt_next_answer)
             case Move():
                 time.call_at(event.at, sender.move)
             case Reload():
                 time.call_at(event.at, lambda event=event: sender.reload(event))  # type: ignore[misc]
-    time.call_at(0.0, sender.start)  # behind the events of that moment
+    time.call_at(0.0, sender.start)  # after the other events of that time
     for tick in range(int(schedule.end / SEND_INTERVAL_S)):
         time.run(tick * SEND_INTERVAL_S)
         sender.try_all()
--- a/tests/platform/test_asked_again.py
+++ b/tests/platform/test_asked_again.py
@@ -1,4 +1,4 @@
-"""Whatever becomes of its calls, a sender that doubts its list asks discovery, and soon."""
+"""A sender whose list may not be used calls discovery soon, however its calls end."""
 
 from __future__ import annotations
 
@@ -15,11 +15,13 @@
 
 LOST = (Failure.BROKEN, Failure.CORRUPT)
 STEPS = 40
-FAIR = 1e-9  # of two times that are the same
+FAIR = 1e-9  # rounding tolerance between equal times, in s
 
 
 def longest_pause_s(limits: WatchBounds, failure: Failure | None) -> float:
-    """With no call out, up to the next one, after a call that ended so."""
+    """The longest time until the next call while none is in flight, after a call that ended with this
+    failure.
+    """
     retry = min(MAX_LOST_RETRY_FACTOR * limits.min_probe_interval_s, limits.max_hedge_delay_s)
     if failure is Failure.NOT_SENT:
         retry = limits.max_hedge_delay_s
--- a/tests/platform/test_drain_property.py
+++ b/tests/platform/test_drain_property.py
@@ -1,6 +1,6 @@
-"""Rule `drain` in virtual time: no first byte leaves later than a change counts as notified, plus the grace.
+"""Rule `drain` in virtual time: no first byte is sent later than a change counts as notified plus the grace.
 
-Hypothesis draws the schedules, the same ones each time; `reference` says when each change counts.
+Hypothesis draws the schedules, the same ones in each run; `reference` computes when each change counts.
 """
 
 from __future__ import annotations
@@ -28,57 +28,57 @@
 
 ASK_WITHIN_S = (0.5, 1.0, 2.0, 4.0, 10.0, 60.0)
 EXAMPLES = 400
-FIRST_ANSWER_S = 0.05  # of a new process, where nothing keeps it away
-RECOVERED_S = 8.0  # after a fault, or for each call that it has lost
+FIRST_ANSWER_S = 0.05  # of a new process, unless a fault delays it
+RECOVERED_S = 8.0  # after a fault, or for each call that a fault has lost
 
 
 def late_bytes(schedule: Schedule, run: Run) -> list[str]:
-    """A line for each endpoint that got a first byte after the grace, with the time by which it was late."""
+    """Return a line for each endpoint that got a first byte after the grace, with its delay."""
     found = []
-    for hop, due, back_at in Reference(schedule, run.record).drains():
-        late = [at for at in run.sent.at.get(hop, ()) if due < at < back_at]
+    for hop, due, active_again_at in Reference(schedule, run.record).drains():
+        late = [at for at in run.sent.at.get(hop, ()) if due < at < active_again_at]
         if late:
             found.append(f"{hop}: until {max(late) - due:.3f} s after {due:.3f}, the end of the grace")
     return found
 
 
 def held_back_in_good_times(schedule: Schedule, run: Run) -> list[float]:
-    """When calls to the endpoint that stays were kept back though no fault had struck for `RECOVERED_S`."""
-    troubled = [(0.0, FIRST_ANSWER_S)]
+    """When calls to `STAYS` were held back although there had been no fault for `RECOVERED_S`."""
+    disturbed = [(0.0, FIRST_ANSWER_S)]
     for event in schedule.events:
         if isinstance(event, Outage):
-            troubled.append((event.at, event.until + event.delay_s + RECOVERED_S))
+            disturbed.append((event.at, event.until + event.delay_s + RECOVERED_S))
         elif isinstance(event, Pause):
-            troubled.append((event.at, event.until + RECOVERED_S))
+            disturbed.append((event.at, event.until + RECOVERED_S))
         elif isinstance(event, Loss):
-            troubled.append((event.at, event.at + (2 * event.calls + 1) * RECOVERED_S))
+            disturbed.append((event.at, event.at + (2 * event.calls + 1) * RECOVERED_S))
         elif not isinstance(event, Change):
-            troubled.append((event.at, event.at + RECOVERED_S))
-    return [at for at in run.sent.refused if not any(begin <= at < end for begin, end in troubled)]
+            disturbed.append((event.at, event.at + RECOVERED_S))
+    return [at for at in run.sent.refused if not any(begin <= at < end for begin, end in disturbed)]
 
 
 def least_ask_within_s(schedule: Schedule) -> float:
-    """The smallest `askWithin` of the schedule's settings."""
+    """The smallest `askWithin` of the schedule."""
     reloads = [event.ask_within_s for event in schedule.events if isinstance(event, Reload)]
     return min([schedule.ask_within_s, *reloads])
 
 
 def known_s(schedule: Schedule) -> float:
-    """In how many seconds a change must be known after discovery can be reached."""
+    """The time within which a change must be known after discovery can be reached."""
     return min(6.0, 4 * least_ask_within_s(schedule))
 
 
 def most_calls(schedule: Schedule, run: Run) -> float:
-    """Calls to discovery that a sender may make: see docs/drains.md."""
+    """The number of calls to discovery that a sender may make: see docs/drains.md."""
     ask = least_ask_within_s(schedule)
     wait_s = 2.0 if schedule.pushed else min(60.0, ask, 2 / 3 * known_s(schedule))
     watches = schedule.end / wait_s + 2 * len(schedule.events)
-    troubles = 1 + len([e for e in schedule.events if not isinstance(e, Change)])
-    unanswered = 6 * schedule.end / known_s(schedule) + 5 * troubles
-    rest_s = 0.08 if schedule.pushed else 0.3
-    hasty = sum(o.until - o.at for o in schedule.outages if o.trouble is OutageKind.HASTY) * 2 / rest_s
+    faults_drawn = 1 + len([e for e in schedule.events if not isinstance(e, Change)])
+    unanswered = 6 * schedule.end / known_s(schedule) + 5 * faults_drawn
+    pause_s = 0.08 if schedule.pushed else 0.3
+    immediate = sum(o.until - o.at for o in schedule.outages if o.kind is OutageKind.IMMEDIATE) * 2 / pause_s
     moves = len(schedule.moves) * 4.0 / 0.1
-    return 1 + watches + unanswered + hasty + moves
+    return 1 + watches + unanswered + immediate + moves
 
 
 @st.composite
@@ -103,13 +103,13 @@
         case "move":
             return [Move(at)]
         case "moved":
-            trouble = draw(st.sampled_from([OutageKind.REFUSING, OutageKind.SILENT, OutageKind.SLOW]))
+            outage = draw(st.sampled_from([OutageKind.REFUSING, OutageKind.SILENT, OutageKind.SLOW]))
             lasts = draw(st.sampled_from((0.5, 2.0, 3.4)))
-            slow = slowest_s if trouble is OutageKind.SLOW else 0.0
-            return [Move(at), Outage(at + 0.001, at + lasts, trouble, slow)]
+            slow = slowest_s if outage is OutageKind.SLOW else 0.0
+            return [Move(at), Outage(at + 0.001, at + lasts, outage, slow)]
         case "pause":
             return [Pause(at, draw(st.sampled_from((0.2, 0.5, 1.2))))]
-        case "paused":  # and the call behind it is lost
+        case "paused":  # and the call after it is lost
             return [Pause(at, 0.6), Loss(at + 0.3)]
         case "reload":
             return [Reload(at, draw(st.sampled_from(ASK_WITHIN_S)))]
--- a/tests/platform/test_list_lease.py
+++ b/tests/platform/test_list_lease.py
@@ -1,4 +1,4 @@
-"""When a sender may go by its list: what renews the lease, what ends it, in virtual time."""
+"""When a sender may use its list: what renews the lease and what ends it, in virtual time."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 PUSHED = LeaseTerms(NOTIFIED_S, GRACE_S, MOVED_S, pushed=True)
 TERM_S = 6.1  # 6.0 + 0.25 - 0.15
 OUTAGE_S = 2.0  # in which discovery breaks each call
-WAS_OUT_S = 1.0  # for which a watch has been out that discovery ends as it goes down
-FAIR = 1e-9  # of two times that are the same
+WAS_OUT_S = 1.0  # that a watch was in flight when discovery ends it as it goes down
+FAIR = 1e-9  # rounding tolerance between equal times, in s
 
 
 def bounds(senders: int, subscribe: bool = True) -> WatchBounds:
@@ -31,22 +31,22 @@
 
 
 def confirmed(at: float, terms: LeaseTerms = TERMS) -> ListLease:
-    """A lease on a list that was confirmed at this time."""
+    """Return a lease on a list that was confirmed at this time."""
     lease = ListLease(terms)
     lease.confirm(at)
     return lease
 
 
-# The lease alone
+# The lease by itself
 
 
-def test_without_evidence_the_list_is_never_gone_by() -> None:
-    """The list that a process is started with has no time."""
+def test_without_evidence_the_list_is_never_used() -> None:
+    """The list that a process is started with has no time of confirmation."""
     lease = ListLease(TERMS)
     assert lease.ended(0.0) is lease.ended(1e9) is LeaseEnd.UNHEARD
 
 
-def test_a_lease_ends_by_itself_and_before_the_rule_does() -> None:
+def test_a_lease_expires_before_the_time_of_the_rule() -> None:
     lease = confirmed(10.0)
     assert lease.until == pytest.approx(10.0 + TERM_S)
     assert lease.ended(lease.until - FAIR) is None and lease.ended(lease.until) is LeaseEnd.EXPIRED
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("evidence", [ListLease.confirm, ListLease.unreachable])
-def test_evidence_moves_the_end_on_and_older_evidence_does_not_move_it_back(evidence) -> None:  # type: ignore[no-untyped-def]
+def test_evidence_extends_the_lease_and_older_evidence_does_not_shorten_it(evidence) -> None:  # type: ignore[no-untyped-def]
     lease = confirmed(10.0)
     evidence(lease, 12.0)
     assert lease.until == pytest.approx(12.0 + TERM_S)
@@ -62,20 +62,20 @@
     assert lease.until == pytest.approx(12.0 + TERM_S)
 
 
-def test_a_refusal_renews_no_lease_that_has_run_out() -> None:
-    """The soak's seed 54: a process whose calls had hung since its start, for 9 s; then discovery went down.
-    What had changed 8 s before counted already.
+def test_a_refusal_does_not_renew_an_expired_lease() -> None:
+    """Found by the soak (seed 54): the calls of a process had hung since its start, for 9 s, when discovery
+    went down. A change that was made 8 s before counted already.
     """
     lease = confirmed(10.0)
     lease.unreachable(10.0 + NOTIFIED_S + FAIR)
     assert lease.ended(17.0) is LeaseEnd.EXPIRED
     lease.confirm(17.0)
-    for at in (23.0, 29.0, 35.0):  # an outage that lasts
+    for at in (23.0, 29.0, 35.0):  # an outage that goes on
         lease.unreachable(at)
         assert lease.ended(at) is None
 
 
-def test_a_new_process_is_refused_within_the_rules_time_or_waits_for_an_answer() -> None:
+def test_a_new_process_uses_its_list_only_if_it_is_refused_within_the_time_of_the_rule() -> None:
     for refused_at, ended in ((16.0, None), (16.1, LeaseEnd.UNHEARD)):
         lease = ListLease(TERMS)
         lease.begin(10.0)
@@ -88,15 +88,15 @@
 def test_a_lost_answer_ends_the_lease_until_a_call_made_after_it_is_answered(loss: Loss) -> None:
     lease = confirmed(9.0)
     lease.lose(loss, 10.0)
-    lease.confirm(9.9)  # made before the loss: what it tells may be older
+    lease.confirm(9.9)  # made before the loss: its list may be older
     assert lease.ended(10.1) is LeaseEnd.ANSWER_LOST and lease.lacks_answer
-    assert lease.ended(1e9) is LeaseEnd.ANSWER_LOST, "it does not come back by itself"
+    assert lease.ended(1e9) is LeaseEnd.ANSWER_LOST, "it is not renewed by time alone"
     lease.confirm(10.0)
     assert lease.ended(10.1) is None and not lease.lacks_answer
 
 
 @pytest.mark.parametrize(("loss", "ends"), [(Loss.POSSIBLE, True), (Loss.CERTAIN, False)])
-def test_a_refusal_makes_good_what_may_never_have_been_written_alone(loss: Loss, ends: bool) -> None:
+def test_a_refusal_settles_a_possible_loss_but_not_a_certain_one(loss: Loss, ends: bool) -> None:
     lease = confirmed(9.0)
     lease.lose(loss, 10.0)
     lease.unreachable(9.9)
@@ -105,7 +105,7 @@
     assert (lease.ended(10.1) is None) is ends
 
 
-def test_of_two_losses_the_newer_time_and_the_graver_kind_count() -> None:
+def test_of_two_losses_the_later_time_and_the_more_severe_kind_count() -> None:
     lease = confirmed(9.0)
     lease.lose(Loss.CERTAIN, 10.0)
     lease.lose(Loss.POSSIBLE, 11.0)
@@ -116,18 +116,20 @@
     assert lease.ended(11.1) is None
 
 
-def test_calls_that_go_on_breaking_show_a_source_that_is_down() -> None:
+def test_calls_that_keep_breaking_show_that_discovery_is_down() -> None:
     lease = confirmed(9.0)
     down_at = 10.0 + DOWN_AFTER_S
     for at in (10.0, 10.0, 10.2, down_at - 0.1):
-        assert lease.broke(at, at), "a fault that strikes each connection may last so long"
+        assert lease.broke(at, at), "a fault that breaks every connection may last so long"
         assert lease.ended(at) is LeaseEnd.ANSWER_LOST
     assert not lease.broke(down_at, down_at + 0.01)
     assert lease.ended(down_at + 0.01) is None and lease.until == pytest.approx(down_at + TERM_S)
 
 
-def test_calls_that_break_after_a_while_or_beside_one_that_is_out_show_no_outage() -> None:
-    """The soak's seed 6204: discovery let calls hang, and the link was reset at 5.87, 6.96 and 12.19 s."""
+def test_calls_that_break_late_or_beside_another_call_show_no_outage() -> None:
+    """Found by the soak (seed 6204): calls hung at discovery, and the link was reset at 5.87, 6.96 and 12.19
+    s.
+    """
     for asked_s, alone in ((0.4, True), (0.0, False)):
         lease = confirmed(9.0)
         for at in (10.0, 11.5, 13.0, 20.0):
@@ -136,13 +138,13 @@
     lease = confirmed(9.0)
     lease.broke(10.0, 10.0)
     lease.broke(10.5, 11.0)
-    assert lease.broke(11.5, 11.5), "the row begins anew behind one that was out for long"
+    assert lease.broke(11.5, 11.5), "the count restarts after a call that was in flight for long"
     assert not lease.broke(12.5, 12.5)
 
 
 @pytest.mark.parametrize("between", ["a dial hangs", "a call hangs", "a dial fails here"])
-def test_breaks_before_and_after_something_that_hung_are_no_row(between: str) -> None:
-    """The soak's seed 7105: a reset, a silence of 4 s, and another reset."""
+def test_breaks_before_and_after_a_call_that_hung_are_not_consecutive(between: str) -> None:
+    """Found by the soak (seed 7105): a reset, a silence of 4 s, and another reset."""
     driven = Driven(40)
     driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
     driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
@@ -157,8 +159,8 @@
     assert driven.held_back()
 
 
-def test_in_an_outage_a_call_that_breaks_is_believed_to_tell_nothing_once_the_next_one_breaks_too() -> None:
-    """Its answer may have been lost as the source came back."""
+def test_in_an_outage_a_broken_call_counts_as_a_lost_answer_until_the_next_call_breaks_too() -> None:
+    """Its answer may have been lost as discovery recovered."""
     lease, at = confirmed(9.0), 10.0 + DOWN_AFTER_S
     lease.broke(10.0, 10.0)
     lease.broke(at, at)
@@ -169,50 +171,50 @@
     assert lease.broke(14.0, 14.0) and lease.broke(14.0 + BURST_S, 14.2), "that was another outage"
 
 
-def test_calls_that_break_without_a_watch_that_was_out_show_no_outage() -> None:
-    """A discovery that has too many calls may reset new ones, and leaves open watches alone."""
-    for heard in (False, True):
-        driven = Driven(12, heard=heard)
+def test_calls_that_break_without_an_accepted_watch_before_show_no_outage() -> None:
+    """An overloaded discovery may reset new calls, and keeps open watches."""
+    for answered in (False, True):
+        driven = Driven(12, answered=answered)
         until = driven.now + 3 * DOWN_AFTER_S
         while driven.now < until:
             driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
             assert driven.held_back()
 
 
-def test_an_agent_that_breaks_its_calls_is_never_taken_to_be_down() -> None:
-    """It is silent while discovery is down; it does not say so by resets."""
+def test_an_agent_that_breaks_its_calls_never_counts_as_down() -> None:
+    """An agent is silent while discovery is down; it does not show that by resets."""
     lease = confirmed(9.0, PUSHED)
     for at in (10.0, 10.5, 20.0):
         assert lease.broke(at, at)
         assert lease.ended(at) is LeaseEnd.ANSWER_LOST
 
 
-def test_after_a_move_the_new_address_has_its_time_and_only_its_answer_ends_that() -> None:
+def test_after_a_move_the_lease_lasts_for_the_time_of_a_move_until_the_new_address_answers() -> None:
     lease = confirmed(10.0)
     lease.moved(11.0)
-    lease.unreachable(14.9)  # it may be back, and owes the list by 15.0 all the same
+    lease.unreachable(14.9)  # it may recover, and still must have sent the list by 15.0
     end = 11.0 + MOVED_S + GRACE_S - HOLD_UP_S
     assert lease.ended(end - FAIR) is None and lease.ended(end + FAIR) is LeaseEnd.MOVED
-    lease.moved(14.0)  # again, before it was heard: the first one counts
+    lease.moved(14.0)  # again, without an answer in between: the first move counts
     assert lease.ended(end + FAIR) is LeaseEnd.MOVED
     lease.confirm(15.2)
     assert lease.until == pytest.approx(15.2 + TERM_S)
 
 
-def test_an_address_that_refuses_past_the_time_of_the_move_is_down() -> None:
+def test_an_address_that_refuses_calls_after_the_time_of_the_move_is_down() -> None:
     lease = confirmed(10.0)
     lease.moved(11.0)
     lease.unreachable(11.0 + MOVED_S)
     assert lease.ended(16.0) is None
 
 
-def test_where_lists_are_pushed_a_call_has_to_be_out() -> None:
+def test_where_lists_are_pushed_a_call_must_be_in_flight() -> None:
     lease = confirmed(10.0, PUSHED)
     lease.not_asked(10.0)
     spare_s = GRACE_S - HOLD_UP_S
     assert lease.ended(10.0 + spare_s - FAIR) is None and lease.ended(10.0 + spare_s) is LeaseEnd.NOT_ASKED
     lease.not_asked(10.05)
-    assert lease.ended(10.0 + spare_s) is LeaseEnd.NOT_ASKED, "since the first moment"
+    assert lease.ended(10.0 + spare_s) is LeaseEnd.NOT_ASKED, "from the first time"
     lease.asked(10.05, 10.0 + spare_s - FAIR)
     assert lease.ended(10.0 + spare_s) is None
     asked_of_discovery = confirmed(10.0)
@@ -220,14 +222,16 @@
     assert asked_of_discovery.ended(12.0) is None
 
 
-def test_what_an_agent_got_while_no_call_was_out_is_known_by_an_answer_alone() -> None:
-    """The soak's seed 7002: a watch lay unsent for 0.47 s, in which a change was made; then it hung."""
+def test_a_change_while_no_call_was_in_flight_to_an_agent_is_known_only_by_an_answer() -> None:
+    """Found by the soak (seed 7002): the request of a watch was buffered for 0.47 s, in which a change was
+    made; then the watch hung.
+    """
     lease = confirmed(10.0, PUSHED)
     lease.not_asked(10.0)
     lease.asked(10.0, 10.5)
     assert lease.ended(10.5) is LeaseEnd.ANSWER_LOST
     lease.confirm(10.0)
-    assert lease.ended(10.6) is None, "it was written behind the gap"
+    assert lease.ended(10.6) is None, "it was written after the gap"
     driven = Driven(subscribe=False)
     watch = driven.asked()
     driven.watch.request_blocked(driven.now)
@@ -240,26 +244,26 @@
     assert not driven.held_back()
 
 
-def test_an_agent_was_not_watched_behind_a_wait_whose_answer_is_read_late() -> None:
-    """The soak's seed 9017: the answer lay unread for 0.7 s; the call made meanwhile hung."""
+def test_an_agent_was_not_watched_after_the_end_of_a_wait_whose_answer_is_read_late() -> None:
+    """Found by the soak (seed 9017): the answer was unread for 0.7 s; the call made meanwhile hung."""
     driven = Driven(subscribe=False)
     watch = driven.asked()
-    company = driven.asked()
-    assert company.made_at - watch.made_at > watch.wait_s + 0.1
+    second = driven.asked()
+    assert second.made_at - watch.made_at > watch.wait_s + 0.1
     driven.now += 0.2
     driven.watch.answered(watch, 5, driven.now)
     assert driven.held_back()
-    driven.watch.answered(company, 5, driven.now, socket_empty_at=driven.now)
-    assert not driven.held_back(), "it was asked behind the gap"
+    driven.watch.answered(second, 5, driven.now, socket_empty_at=driven.now)
+    assert not driven.held_back(), "it was sent after the gap"
     late = driven.asked()
     driven.now = late.made_at + late.wait_s + 0.2
     driven.watch.answered(late, 5, driven.now)
     assert driven.held_back() and driven.asked().short
 
 
-def test_an_agent_was_not_watched_behind_news_that_may_have_been_read_late() -> None:
-    """The soak's seeds 9008 and 10025: a list lay unread for 0.5 s, a change was made meanwhile, and the next
-    call hung. When the list was written is not known.
+def test_an_agent_was_not_watched_after_a_list_that_may_have_been_read_late() -> None:
+    """Found by the soak (seeds 9008 and 10025): a list was unread for 0.5 s, a change was made meanwhile, and
+    the next call hung. It is not known when the list was written.
     """
     driven = Driven(subscribe=False)
     watch = driven.asked()
@@ -269,20 +273,20 @@
 
 
 def test_an_agents_answer_to_a_short_call_may_have_been_read_late_as_well() -> None:
-    """Up to the newest look that found nothing to read, it had not been written."""
-    for looked_s, held in ((0.0, True), (0.45, False)):
-        driven = Driven(subscribe=False, heard=False)
+    """It had not been written by the last check that found nothing to read."""
+    for checked_s, held in ((0.0, True), (0.45, False)):
+        driven = Driven(subscribe=False, answered=False)
         call = driven.asked()
         driven.now += 0.5
-        driven.watch.answered(call, 5, driven.now, socket_empty_at=call.made_at + looked_s)
+        driven.watch.answered(call, 5, driven.now, socket_empty_at=call.made_at + checked_s)
         assert driven.held_back() is held
 
 
-def test_a_short_call_made_before_a_loss_does_not_make_it_good() -> None:
-    """The soak's seed 10206: it was to wait for 1 ms, and was taken for one that had been answered after it;
-    the run-time check counted the calls that went then.
+def test_a_short_call_made_before_a_loss_does_not_settle_it() -> None:
+    """Found by the soak (seed 10206): the call had a wait of 1 ms and was taken for one that was answered
+    after the loss; the run-time check counted the calls that were sent then.
     """
-    driven = Driven(heard=False)
+    driven = Driven(answered=False)
     lost, short = driven.asked(), driven.asked()
     lost_at = short.made_at + short.wait_s / 2
     driven.watch.failed(lost, Failure.CORRUPT, lost_at)
@@ -291,44 +295,45 @@
 
 
 @pytest.mark.parametrize("grace_s", [0.0, 0.1, 0.25, 1.0])
-def test_a_grace_that_is_shorter_than_a_hold_up_is_not_used(grace_s: float) -> None:
+def test_a_grace_that_is_shorter_than_a_hold_up_does_not_extend_the_lease(grace_s: float) -> None:
     terms = LeaseTerms(NOTIFIED_S, grace_s, MOVED_S)
     assert terms.term_s == pytest.approx(NOTIFIED_S + max(0.0, grace_s - HOLD_UP_S))
 
 
-# As the watch drives it
+# The lease as driven by the watch
 
 
 @pytest.mark.parametrize("senders", [1, 24, 200])
-def test_a_silent_agent_is_asked_again_before_its_list_is_believed(senders: int) -> None:
-    """The soak's seed 706: a new process's first call was swallowed on its way; the next one came after 2.2 s
-    to spare a crowded discovery; calls went after 1.5 s. Each machine has an agent of its own.
+def test_a_silent_agent_is_called_again_before_its_list_is_used(senders: int) -> None:
+    """Found by the soak (seed 706): the first call of a new process was lost in transit. The next one
+    followed after 2.2 s, to spare an overloaded discovery, while calls were sent after 1.5 s. Each machine
+    has its own agent, so this is no reason to wait.
     """
-    driven = Driven(senders, subscribe=False, heard=False)
+    driven = Driven(senders, subscribe=False, answered=False)
     driven.asked()
     asked_at = driven.now
     driven.asked()
     assert driven.now < asked_at + 0.75
-    assert driven.held_back(1e9), "and its list is not believed before it has answered"
+    assert driven.held_back(1e9), "and its list is not used before it has answered"
 
 
 class Driven:
-    """A watch whose calls a test ends."""
+    """A watch whose calls are ended by the test."""
 
-    def __init__(self, senders: int = 3, subscribe: bool = True, heard: bool = True) -> None:
-        """`heard`: its first call has been answered."""
+    def __init__(self, senders: int = 3, subscribe: bool = True, answered: bool = True) -> None:
+        """`answered`: the first call has been answered."""
         self.bounds = bounds(senders, subscribe)
         self.watch, self.now = DiscoveryWatch(self.bounds, Random(1)), 100.0
         self.watch.start(self.now)
-        if heard:
+        if answered:
             assert self.watch.answered(self.asked(), 5, self.now) and not self.held_back()
 
     def held_back(self, at: float | None = None) -> bool:
-        """Whether calls wait now, or at that time."""
+        """Whether calls are held back now, or at that time."""
         return self.watch.lease_ended(self.now if at is None else at) is not None
 
     def call(self) -> ListCall:
-        """The next call, made when it is due."""
+        """Advance to the next call."""
         while True:
             self.now = max(self.now, self.watch.wakes_at())
             if made := self.watch.poll(self.now, 5).make:
@@ -336,12 +341,13 @@
                 return call
 
     def asked(self) -> ListCall:
+        """Advance to the next call and connect it."""
         call = self.call()
         assert self.watch.connected(call, self.now)
         return call
 
     def goes_down(self, failure: Failure) -> None:
-        """Discovery ends the watch that is out."""
+        """Discovery goes down and ends the watch in flight."""
         call = self.asked()
         assert not call.short
         self.now = call.made_at + WAS_OUT_S
@@ -349,55 +355,55 @@
 
 
 @pytest.mark.parametrize("senders", [1, 3, 200])
-def test_while_an_answer_is_lost_discovery_is_asked_often_but_no_more_than_by_probes(senders: int) -> None:
+def test_after_a_lost_answer_discovery_is_called_no_more_often_than_by_probes(senders: int) -> None:
     driven = Driven(senders)
     driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
     lost_at, retries = driven.now, []
     for _ in range(8):
         call = driven.call()
-        assert driven.held_back(), "nothing has shown anything since"
+        assert driven.held_back(), "there is no evidence since"
         retries.append(driven.now - lost_at)
         driven.watch.failed(call, Failure.NOT_SENT, driven.now)
-    assert retries[0] == 0.0, "the first one at once"
+    assert retries[0] == 0.0, "the first one is made at once"
     pauses = [later - earlier for earlier, later in itertools.pairwise(retries)]
     assert min(pauses) >= driven.bounds.min_probe_interval_s
     assert max(pauses) <= 1.25 * driven.bounds.max_hedge_delay_s
 
 
 @pytest.mark.parametrize("senders", [1, 8, 200])
-def test_a_discovery_that_breaks_every_call_is_asked_less_and_less_often(senders: int) -> None:
-    """Each of the calls has cost it something: eight senders asked 48 times a second."""
+def test_a_discovery_that_breaks_every_call_is_called_less_and_less_often(senders: int) -> None:
+    """Each call costs discovery work: eight senders made 48 calls a second."""
     driven = Driven(senders)
     driven.goes_down(Failure.BROKEN)
     began = driven.now
-    asked = 1
+    calls = 1
     while driven.now < began + 1.0:
         driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
-        asked += 1
-    assert asked <= 5
+        calls += 1
+    assert calls <= 5
     while driven.held_back():
         driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
-        asked += 1
-    assert asked <= 9
+        calls += 1
+    assert calls <= 9
 
 
-def test_a_sender_is_cut_off_once_its_lease_has_ended_and_no_connection_comes_up() -> None:
+def test_a_sender_is_cut_off_when_its_lease_has_ended_and_no_connection_is_established() -> None:
     driven = Driven()
     silent = driven.asked()
-    assert not driven.watch.cut_off(silent.made_at + 100.0), "the call is out: an end may be told"
+    assert not driven.watch.cut_off(silent.made_at + 100.0), "a connected call: outcomes can be reported"
     for _ in range(3):
         hung = driven.call()
-    assert not driven.watch.cut_off(driven.now), "the list may still be gone by"
-    assert driven.watch.cut_off(driven.now + TERM_S), "beside a call that is out, and silent"
+    assert not driven.watch.cut_off(driven.now), "the list may still be used"
+    assert driven.watch.cut_off(driven.now + TERM_S), "although a silent call is in flight"
     assert driven.watch.connected(hung, driven.now) and not driven.watch.cut_off(driven.now + TERM_S)
     refused = Driven()
     refused.watch.failed(refused.call(), Failure.REFUSED, refused.now)
-    assert not refused.watch.cut_off(refused.now + 100.0), "discovery is down, and says so"
+    assert not refused.watch.cut_off(refused.now + 100.0), "a refusal shows that discovery is down"
 
 
-def test_a_refusal_in_words_counts_from_its_end_less_its_time_on_the_way() -> None:
-    """It was written no sooner, however long discovery had let the call wait; a refused connection may be so
-    at any time since it was begun. Of a 503 that ends a watch which had been taken on: it shows an outage.
+def test_a_503_counts_from_its_arrival_less_its_time_in_transit() -> None:
+    """It was written no earlier, however long discovery had held the call; a connection may have been refused
+    at any time since it was dialled. Here the 503 ends an accepted watch, so it shows an outage.
     """
     for failure, counts_from_s in ((Failure.BUSY, 3.0 - REFUSAL_TRANSIT_S), (Failure.REFUSED, 0.0)):
         driven = Driven()
@@ -410,9 +416,9 @@
 @pytest.mark.parametrize(("ended_s", "was_out"), [
     (0.0, False), (0.1, False), (0.49, False), (0.51, True), (2.49, True), (4.0, False),
 ])  # fmt: skip
-def test_a_watch_that_may_have_been_turned_away_renews_nothing_itself(ended_s: float, was_out: bool) -> None:
-    """A crowded discovery lets a call wait for some time before it answers 503: what the watch shows counts
-    once the call behind it is refused as well.
+def test_a_watch_that_may_have_been_rejected_does_not_renew_the_lease(ended_s: float, was_out: bool) -> None:
+    """An overloaded discovery may hold a call for some time before it answers 503: the end of the watch only
+    counts when the call after it is refused as well.
     """
     driven = Driven()
     call = driven.asked()
@@ -420,14 +426,14 @@
     driven.watch.failed(call, Failure.BUSY, driven.now)
     end = call.made_at + TERM_S
     assert driven.held_back(end + FAIR)
-    behind = driven.asked()
-    driven.watch.failed(behind, Failure.BUSY, driven.now)
-    assert behind.made_at < end and driven.held_back(end + FAIR) is not was_out
+    after = driven.asked()
+    driven.watch.failed(after, Failure.BUSY, driven.now)
+    assert after.made_at < end and driven.held_back(end + FAIR) is not was_out
 
 
 @pytest.mark.parametrize("ended_by", [Failure.BUSY, Failure.BROKEN])
 @pytest.mark.parametrize("between", ["refused", "a call hangs", "a dial fails here", "an answer"])
-def test_an_outage_that_a_watch_has_shown_lasts_while_each_call_is_refused(
+def test_an_outage_shown_by_the_end_of_a_watch_lasts_while_each_call_is_refused(
     ended_by: Failure, between: str
 ) -> None:
     driven = Driven()
@@ -445,7 +451,7 @@
         driven.watch.answered(call, 5, driven.now)
         call = driven.asked()
     else:
-        call = driven.asked()  # the one before has not been answered in time
+        call = driven.asked()  # the call before was not answered in time
     driven.now += 0.2
     renewed_before = driven.now - driven.watch.list_age_s(driven.now)
     driven.watch.failed(call, Failure.BUSY, driven.now)
@@ -453,8 +459,8 @@
     assert renewed is (between == "refused")
 
 
-def test_a_new_process_that_is_refused_in_words_goes_by_its_list_for_the_rules_time_from_its_start() -> None:
-    driven = Driven(heard=False)
+def test_a_new_process_that_is_answered_503_uses_its_list_for_the_time_of_the_rule() -> None:
+    driven = Driven(answered=False)
     began_at = driven.now
     assert driven.held_back()
     for _ in range(3):
@@ -462,22 +468,22 @@
         driven.now += 0.1
         driven.watch.failed(call, Failure.BUSY, driven.now)
         assert not driven.held_back(began_at + TERM_S - FAIR) and driven.held_back(began_at + TERM_S + FAIR)
-    agent = Driven(subscribe=False, heard=False)
+    agent = Driven(subscribe=False, answered=False)
     agent.watch.failed(agent.asked(), Failure.BUSY, agent.now)
     assert agent.held_back()
 
 
 @pytest.mark.parametrize("lasting", [False, True])
-def test_in_an_outage_that_began_while_it_held_a_lease_that_has_run_out_comes_back(lasting: bool) -> None:
-    """What changes in it counts anew from discovery's return, whenever the next call has been refused."""
+def test_an_expired_lease_is_renewed_by_a_refusal_only_in_an_outage_that_began_before(lasting: bool) -> None:
+    """A change during an outage counts from the recovery of discovery, so a refused call renews the lease."""
     lease = confirmed(10.0)
     refused_at = 10.0 + TERM_S + 1.0
     lease.unreachable(refused_at, lasting)
     assert (lease.ended(refused_at) is None) is lasting
 
 
-def test_the_call_behind_a_watch_that_has_shown_an_outage_comes_within_the_lease() -> None:
-    """A discovery that is down is not crowded: 200 senders asked again after up to 4.8 s."""
+def test_the_call_after_a_watch_that_has_shown_an_outage_is_made_within_the_lease() -> None:
+    """A discovery that is down is not overloaded: 200 senders called again only after up to 4.8 s."""
     for seed in range(20):
         driven = Driven(200)
         driven.watch._rng.seed(seed)
@@ -488,8 +494,8 @@
 
 
 @pytest.mark.parametrize("failure", [Failure.REFUSED, Failure.BUSY, Failure.BROKEN])
-def test_no_end_of_a_call_at_an_agent_renews_the_lease(failure: Failure) -> None:
-    """It is silent while discovery is down, and has what it has meanwhile."""
+def test_no_failure_of_a_call_to_an_agent_renews_the_lease(failure: Failure) -> None:
+    """An agent is silent while discovery is down, and its changes count meanwhile."""
     driven = Driven(subscribe=False)
     confirmed_at = driven.now - driven.watch.list_age_s(driven.now)
     call = driven.asked()
@@ -501,7 +507,7 @@
     assert driven.held_back()
 
 
-def test_a_watch_that_waited_in_vain_shows_that_nothing_was_newer_up_to_its_end() -> None:
+def test_a_watch_without_changes_confirms_the_list_up_to_the_end_of_its_wait() -> None:
     for waited_s, version, known_s in ((4.0, 5, 4.0), (4.0, 6, 0.0), (3.0, 5, 0.0)):
         driven = Driven()
         watch = driven.asked()
@@ -511,8 +517,8 @@
         assert driven.watch.list_age_s(driven.now) == pytest.approx(waited_s - known_s)
 
 
-def test_the_call_after_an_answer_that_does_not_settle_the_doubt_is_short() -> None:
-    """A watch that waits for a change would leave the list in doubt for its whole wait."""
+def test_the_call_after_an_answer_that_does_not_settle_a_loss_is_short() -> None:
+    """A watch would leave the loss unsettled for its whole wait."""
     driven = Driven()
     old, new = driven.asked(), driven.asked()
     driven.now += 0.1
@@ -523,11 +529,12 @@
     assert driven.watch.answered(settling, 5, driven.now) and not driven.held_back()
 
 
-def test_an_answer_that_was_lost_is_asked_for_at_once_though_needless_calls_were_begun_beside() -> None:
-    """The soak's seed 515: the call's connection came up late, and those that had been begun for want of it
-    were closed as needless. It broke, and counted as replaced by them: the next call came 2.2 s later.
+def test_a_lost_answer_is_requested_again_at_once_although_needless_calls_were_made() -> None:
+    """Found by the soak (seed 515): the connection of a call was established late, and the calls that had
+    been made meanwhile were closed as needless. When the call broke it counted as replaced by them, and the
+    next call followed 2.2 s later.
     """
-    driven = Driven(24, heard=False)
+    driven = Driven(24, answered=False)
     late, needless = driven.call(), driven.call()
     assert driven.watch.connected(late, driven.now)
     assert not driven.watch.connected(needless, driven.now)
@@ -537,9 +544,9 @@
     assert driven.now == broke_at
 
 
-def test_answers_that_are_lost_one_after_another_are_doubted_up_to_the_next_whole_one() -> None:
-    """The soak's seed 310: lost at 1.7 s, discovery down, and lost again at 3.9 s and 6.0 s: calls went 6.0 s
-    after the first loss, by a list of which the others had told otherwise.
+def test_after_consecutive_lost_answers_the_list_is_not_used_until_a_complete_answer() -> None:
+    """Found by the soak (seed 310): answers were lost at 1.7 s, with discovery down after it, and at 3.9 s
+    and 6.0 s. Calls were sent 6.0 s after the first loss, by a list that the lost answers had changed.
     """
     driven = Driven(24)
     first_at = driven.now
@@ -554,27 +561,28 @@
     assert driven.held_back(first_at + 7.0)
 
 
-def test_the_list_is_not_believed_between_the_newest_loss_and_the_call_that_makes_it_good() -> None:
-    """The soak's seed 726: discovery was down and broke each call; it came back, its first answer was lost
-    too, 0.9 s later. The next call was due 0.07 s after the doubt had ended.
+def test_the_list_is_not_used_between_the_newest_loss_and_the_call_that_settles_it() -> None:
+    """Found by the soak (seed 726): discovery was down and broke each call. It recovered, and its first
+    answer was lost too, 0.9 s later. The list was used again 0.07 s before the next call was due.
     """
     driven = Driven(24)
     driven.goes_down(Failure.BROKEN)
     first_at = driven.now
     while driven.now < first_at + 0.8:
         driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
-    making_good = driven.asked()
+    settling = driven.asked()
     past_the_bound = max(driven.now, first_at + OUTAGE_S + 0.01)
     assert driven.held_back(past_the_bound)
-    driven.watch.failed(making_good, Failure.BROKEN, past_the_bound)
-    assert not driven.held_back(past_the_bound), "it has been asked: discovery is down"
+    driven.watch.failed(settling, Failure.BROKEN, past_the_bound)
+    assert not driven.held_back(past_the_bound), "the call broke as well: discovery is down"
 
 
-def test_an_answer_that_is_lost_as_discovery_comes_back_from_a_long_outage_is_doubted() -> None:
-    """The soak's seed 1114: discovery was down for 1.9 s and broke each call; its first answer after was lost
-    to a reset as well, 2.7 s after the first loss, and so past the bound of a row of them.
+def test_the_list_is_not_used_after_an_answer_that_is_lost_as_discovery_recovers() -> None:
+    """Found by the soak (seed 1114): discovery was down for 1.9 s and broke each call. Its first answer after
+    the outage was lost to a reset as well, 2.7 s after the first loss and so past the bound for consecutive
+    losses.
 
-    To hold calls back for each such loss would hold them back for all of an outage that resets each call.
+    Calls are not held back for every such loss, as that would last for a whole outage that resets each call.
     """
     driven = Driven(24)
     first_at = driven.now
@@ -584,28 +592,28 @@
     assert driven.held_back()
 
 
-def test_an_agent_that_breaks_each_call_is_doubted_for_longer_than_a_discovery() -> None:
-    """The soak's seed 525: what an agent has counts as told, asked for or not, and while discovery is down it
-    is silent; it does not say so by resets.
+def test_an_agent_that_breaks_each_call_holds_calls_back_for_longer_than_discovery() -> None:
+    """Found by the soak (seed 525): the changes of an agent count as notified without a call. While discovery
+    is down an agent is silent; it does not show that by resets.
     """
-    for subscribe, doubted in ((False, True), (True, False)):
+    for subscribe, held_back in ((False, True), (True, False)):
         driven = Driven(24, subscribe)
         driven.goes_down(Failure.BROKEN)
         began = driven.now
         while driven.watch.wakes_at() < began + 2.2:
             driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
-        assert driven.held_back(began + 2.2) is doubted
+        assert driven.held_back(began + 2.2) is held_back
 
 
-@pytest.mark.parametrize(("failure", "doubted"), [
+@pytest.mark.parametrize(("failure", "held_back"), [
     (Failure.REFUSED, False), (Failure.BUSY, True), (Failure.NOT_SENT, True), (Failure.BROKEN, True),
     (Failure.CORRUPT, True),
 ])  # fmt: skip
-def test_what_shows_that_discovery_is_down_ends_the_doubt(failure: Failure, doubted: bool) -> None:
+def test_a_lost_answer_is_settled_when_discovery_is_down(failure: Failure, held_back: bool) -> None:
     driven = Driven()
     driven.watch.failed(driven.asked(), Failure.BROKEN, driven.now)
     driven.watch.failed(driven.asked(), failure, driven.now)
-    assert driven.held_back() is doubted
+    assert driven.held_back() is held_back
 
 
 @pytest.mark.parametrize(("ask_within_s", "known_s"), [(60.0, 6.0), (10.0, 6.0), (0.5, 2.0), (0.25, 1.0)])
@@ -620,14 +628,13 @@
     assert found.lease == LeaseTerms(known_s, GRACE_S, MOVED_S, pushed=mode == "automatic")
     watch_s = found.wait_s + ANSWER_MARGIN_S
     assert mode == "automatic" or found.wait_s <= ask_within_s
-    replaced_s = watch_s + found.silent_hedge_delay_s
-    assert known_s < 6.0 or replaced_s < found.lease.term_s, "a lost watch is replaced in time"
+    assert known_s < 6.0 or watch_s + found.silent_hedge_delay_s < found.lease.term_s, "replaced in time"
 
 
 @pytest.mark.parametrize("senders", [3, 24, 200])
-def test_a_dial_that_fails_on_this_machine_is_made_again_like_a_probe(senders: int) -> None:
-    """It costs discovery nothing, and the watch before it may have fallen silent: found by the soak (seed 1,
-    24 senders), where the next call came 2.6 s after the second failure.
+def test_a_dial_that_fails_on_this_machine_is_repeated_at_the_probe_interval(senders: int) -> None:
+    """Such a dial costs discovery nothing, and the watch before it may be silent. Found by the soak (seed 1,
+    24 senders): the next call was made 2.6 s after the second failure.
     """
     driven = Driven(senders)
     watch = driven.asked()
@@ -637,14 +644,18 @@
         driven.now += 0.01
         driven.watch.failed(failed, Failure.NOT_SENT, driven.now)
         failed_at, failed = driven.now, driven.call()
-        least, most = driven.bounds.min_probe_interval_s, 1.25 * driven.bounds.max_hedge_delay_s
-        assert least <= driven.now - failed_at <= most
+        assert (
+            driven.bounds.min_probe_interval_s
+            <= driven.now - failed_at
+            <= 1.25 * driven.bounds.max_hedge_delay_s
+        )
 
 
-def test_a_lost_list_is_doubted_through_an_outage_and_a_silence_behind_it() -> None:
-    """The soak's seed 136: 4.37 s from the loss to the next answer, in which discovery was down, then silent.
+def test_after_a_lost_list_calls_are_held_back_through_an_outage_and_a_silence() -> None:
+    """Found by the soak (seed 136): from the loss to the next answer 4.37 s passed, in which discovery was
+    down, then silent.
 
-    A list of which a part had arrived was told for certain, unlike one behind a connection that broke.
+    A list that arrived in part was written for certain, unlike one whose connection broke before any byte.
     """
     driven = Driven(24)
     driven.watch.failed(driven.asked(), Failure.CORRUPT, driven.now)  # a list that was lost
--- a/tests/platform/test_slow_discovery.py
+++ b/tests/platform/test_slow_discovery.py
@@ -1,4 +1,4 @@
-"""A slow discovery with a small `askWithin`: each call is closed before it can be answered."""
+"""A slow discovery with a small `askWithin`: calls must not be closed before they can be answered."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from tests.platform.test_drain_property import late_bytes
 
 
-def test_a_slow_discovery_is_heard_though_a_sender_asks_often() -> None:
-    """Answers take 1.2 s, within the 6 s of the rule; a call is listened to for 1.0 s."""
+def test_the_answer_of_a_slow_discovery_is_received_though_calls_are_frequent() -> None:
+    """Answers take 1.2 s, within the 6 s of the rule; a call that was closed after 1.0 s never got one."""
     events = (
         Loss(0.3),
         Outage(0.6, 30.0, OutageKind.SLOW, 1.2),
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -1,4 +1,4 @@
-"""When discovery is asked: the state machine alone, in virtual time."""
+"""When discovery is called: the state machine alone, in virtual time."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Driven:
-    """A watch in virtual time: `until` plays on to the next call that it makes."""
+    """A watch in virtual time, driven from call to call."""
 
     def __init__(self, version: int = 5, **fleet: Any) -> None:
         self.bounds = bounds_of(**fleet)
@@ -54,7 +54,7 @@
         return list(step.make)
 
     def call(self, connects: bool = True) -> ListCall:
-        """The next call, whenever it is made; its connection comes up at once, or not yet."""
+        """Advance to the next call; its connection is established at once, or not yet."""
         for _ in range(100):
             if made := self.poll():
                 assert len(made) == 1
@@ -64,19 +64,19 @@
             self.now = self.watch.wakes_at()
         raise AssertionError("no further call")
 
-    def answer(self, call: ListCall, version: int | None = None, **said: Any) -> bool:
+    def answer(self, call: ListCall, version: int | None = None, **options: Any) -> bool:
         self.version = self.version if version is None else version
-        return self.watch.answered(call, self.version, self.now, **said)
+        return self.watch.answered(call, self.version, self.now, **options)
 
     def watching(self) -> ListCall:
-        """The watch that stands once the first call has been answered."""
+        """Answer the first call and return the watch that follows."""
         self.answer(self.call())
         call = self.call()
         assert not call.short and call.wait_s == self.bounds.wait_s
         return call
 
 
-def test_one_call_is_out_while_all_goes_well() -> None:
+def test_one_call_is_in_flight_in_normal_operation() -> None:
     driven = Driven()
     first = driven.call()
     assert first.short and first.index == 5
@@ -85,21 +85,21 @@
     for version, wait_s in ((6, 4.0), (6, None), (6, 4.0), (9, 4.0)):
         call = driven.call()
         assert driven.watch.open_calls == (call,) and call.made_at == driven.now
-        # Behind one that was answered with news at its end the lease has to be renewed sooner.
+        # After a watch that was answered with a change at its end the lease must be renewed sooner.
         assert call.wait_s == wait_s or (wait_s is None and call.wait_s < 4.0)
         driven.now += call.wait_s
         assert driven.answer(call, version)
     assert not driven.dropped
 
 
-def test_without_a_known_version_the_whole_list_is_asked_for() -> None:
+def test_without_a_known_version_the_full_list_is_requested() -> None:
     driven = Driven(version=-1)
     assert driven.call().index is None
 
 
 @pytest.mark.parametrize("balancers", FLEETS)
 @pytest.mark.parametrize("ask_within_s", ASK_WITHIN_S)
-def test_after_a_silent_watch_calls_come_within_the_time_that_its_wait_leaves(
+def test_after_a_silent_watch_calls_are_made_before_its_changes_count(
     balancers: int, ask_within_s: float
 ) -> None:
     driven = Driven(balancers=balancers, ask_within_s=ask_within_s)
@@ -108,7 +108,7 @@
     calls = [driven.call(), driven.call()]
     assert all(call.short for call in calls) and calls[-1].made_at < due
     assert calls[0].made_at == watch.made_at + watch.wait_s + ANSWER_MARGIN_S
-    assert watch in driven.watch.open_calls, "still listened to"
+    assert watch in driven.watch.open_calls, "its answer is still accepted"
 
 
 @pytest.mark.parametrize("balancers", FLEETS)
@@ -116,18 +116,18 @@
 def test_the_worst_sum_of_back_offs_and_limits_is_below_the_notified_time(
     balancers: int, ask_within_s: float
 ) -> None:
-    """Discovery comes back right after a refused call; the next call is lost, the one after it is not."""
+    """Discovery recovers right after a refused call; the next call is lost, the one after it is not."""
     bounds = bounds_of(balancers, ask_within_s)
     refused = max(bounds.back_off_s(failures, 1.0) for failures in range(1, 60))
     assert refused <= bounds.max_back_off_s * (1 + JITTER) + bounds.spread_s
     assert refused + bounds.max_hedge_delay_s < bounds.known_within_s <= NOTIFIED_AFTER_S
-    assert bounds.max_hedge_delay_s < 0.4 * bounds.known_within_s, "three fifths are left for a slow answer"
+    assert bounds.max_hedge_delay_s < 0.4 * bounds.known_within_s, "three fifths remain for a slow answer"
     if balancers <= 5 and ask_within_s >= 1.5:
         assert bounds.max_hedge_delay_s <= bounds.known_within_s / 5, "four fifths in a small fleet"
     assert bounds.call_timeout_s == bounds.known_within_s
 
 
-def test_a_silent_discovery_is_asked_again_and_again_by_a_bounded_number_of_calls() -> None:
+def test_a_silent_discovery_is_called_repeatedly_with_a_bounded_number_of_open_calls() -> None:
     driven = Driven()
     made, most_open = list[ListCall](), 0
     for _ in range(20):
@@ -137,27 +137,27 @@
     assert all(call.short for call in made)
     gaps = [later.made_at - earlier.made_at for earlier, later in itertools.pairwise(made)]
     assert max(gaps) <= driven.bounds.max_hedge_delay_s + 1e-9
-    assert made[-1].made_at - made[0].made_at >= 18 * driven.bounds.max_hedge_delay_s, "five calls in a life"
+    assert made[-1].made_at - made[0].made_at >= 18 * driven.bounds.max_hedge_delay_s, "five in a timeout"
 
 
 @pytest.mark.parametrize("made_before", [0, 1, 5, 12])
-def test_an_answer_that_takes_most_of_the_time_is_heard_whenever_discovery_comes_back(
+def test_a_slow_answer_is_received_whenever_discovery_recovers(
     made_before: int,
 ) -> None:
-    """Every call is listened to for long, not the first of them alone: those before are lost for good."""
+    """Every call has the full timeout, not only the first one, as the calls before the recovery are lost."""
     driven = Driven()
     for _ in range(made_before):
         driven.call()
-    back_at, slow_s = driven.now, 4.5
+    recovered_at, slow_s = driven.now, 4.5
     call = driven.call()
     while driven.now < call.made_at + slow_s:
         driven.poll()
         driven.now = min(driven.watch.wakes_at(), call.made_at + slow_s)
-    assert driven.answer(call, 9) and driven.now - back_at < driven.bounds.known_within_s
+    assert driven.answer(call, 9) and driven.now - recovered_at < driven.bounds.known_within_s
 
 
-def test_while_no_connection_comes_up_others_are_begun_and_the_first_that_does_asks() -> None:
-    """The way to discovery is cut. A connection costs discovery nothing until something is asked on it."""
+def test_while_no_connection_is_established_others_are_dialled_and_the_first_carries_the_request() -> None:
+    """The network to discovery is cut. A connection costs discovery nothing until a request is sent on it."""
     driven = Driven()
     driven.watching()
     dials = [driven.call(connects=False) for _ in range(30)]
@@ -166,8 +166,8 @@
     waiting = [call for call in dials if call in driven.watch.open_calls]
     assert len(waiting) <= DIAL_TIMEOUT_S / PROBE_S + 1
     driven.now += 0.1
-    assert driven.watch.connected(waiting[0], driven.now), "one that came up late"
-    assert not any(driven.watch.connected(call, driven.now) for call in waiting[1:]), "one asks for all"
+    assert driven.watch.connected(waiting[0], driven.now), "one that was established late"
+    assert not any(driven.watch.connected(call, driven.now) for call in waiting[1:]), "one request is enough"
     assert driven.watch.wakes_at() == driven.now + driven.bounds.first_hedge_delay_s
     driven.answer(waiting[0], 6)
     assert not driven.call().short
@@ -181,8 +181,8 @@
     assert dials[-1].made_at - dials[-2].made_at == pytest.approx(driven.bounds.max_hedge_delay_s)
 
 
-def test_a_connection_that_is_refused_after_others_hung_says_that_the_cut_is_over() -> None:
-    """Connections into a cut are reset once it is over: a back-off would be longer than the grace."""
+def test_a_refused_connection_after_hung_ones_shows_that_the_network_is_restored() -> None:
+    """Connections into a cut are reset when it ends, and a back-off would be longer than the grace."""
     driven = Driven()
     dials = [driven.call(connects=False) for _ in range(4)]
     driven.now += 0.05
@@ -194,7 +194,7 @@
     assert driven.watch.wakes_at() - driven.now >= FIRST_BACK_OFF_S, "discovery is down"
 
 
-def test_a_watch_whose_connection_does_not_come_up_is_not_waited_for() -> None:
+def test_a_watch_whose_connection_is_not_established_is_replaced() -> None:
     driven = Driven()
     driven.answer(driven.call())
     watch = driven.call(connects=False)
@@ -204,30 +204,30 @@
     assert not driven.watch.connected(watch, driven.now), "it would wait for changes"
 
 
-def test_the_whole_list_is_asked_for_though_changes_have_been() -> None:
+def test_the_full_list_is_requested_beside_a_call_for_changes() -> None:
     driven = Driven()
     changes = driven.call()
     driven.watch.request_full_list(driven.now)
-    whole = driven.call(connects=False)
-    assert whole.index is None and whole.made_at == changes.made_at
-    assert driven.answer(changes, 6) and driven.watch.connected(whole, driven.now), "still asked for"
-    driven.answer(whole, 6)
+    full = driven.call(connects=False)
+    assert full.index is None and full.made_at == changes.made_at
+    assert driven.answer(changes, 6) and driven.watch.connected(full, driven.now), "still requested"
+    driven.answer(full, 6)
     assert driven.call().index == 6
 
 
-def test_a_late_answer_is_taken_in_and_ends_the_calls_before_it_alone() -> None:
+def test_a_late_answer_is_applied_and_closes_only_the_calls_before_it() -> None:
     driven = Driven()
     first, second, third = driven.call(), driven.call(), driven.call()
     assert driven.answer(second, 7)
     driven.poll()
     assert driven.dropped == [first] and driven.watch.open_calls == (third,)
-    assert not driven.answer(first, 6), "nobody listens to it any more"
+    assert not driven.answer(first, 6), "the call was closed"
     driven.version = 7
     assert driven.answer(third, 7)
     assert not driven.call().short
 
 
-def test_a_failure_of_a_call_that_has_got_company_changes_nothing() -> None:
+def test_the_failure_of_a_call_with_a_newer_call_in_flight_changes_nothing() -> None:
     driven = Driven()
     first, second = driven.call(), driven.call()
     at = driven.watch.wakes_at()
@@ -249,9 +249,10 @@
     assert not driven.call().short
 
 
-def test_a_crowded_discovery_is_left_alone_for_as_long_as_the_lease_allows() -> None:
-    """It has turned the call away: each that asks again too soon keeps another one out. One that asks past
-    the lease has stopped meanwhile: a spread over `askWithin` let calls go by a list that nothing confirmed.
+def test_an_overloaded_discovery_is_not_called_for_as_long_as_the_lease_allows() -> None:
+    """It has rejected the call, and each sender that calls again too soon keeps another one out. A sender
+    that calls after the end of its lease has stopped sending meanwhile: with a spread over `askWithin`, calls
+    were sent by a list that nothing confirmed.
     """
     bounds = bounds_of(40)
     assert bounds.lease.term_s > bounds.back_off_s(1, 1.0, busy=True) > bounds.back_off_s(1, 1.0) + 1.0
@@ -267,7 +268,7 @@
 
 
 @pytest.mark.parametrize("failure", [Failure.CORRUPT, Failure.BROKEN])
-def test_an_answer_that_may_have_been_written_is_asked_for_at_once_and_then_after_a_back_off(
+def test_after_an_answer_that_may_be_lost_the_next_call_is_made_at_once_then_after_a_back_off(
     failure: Failure,
 ) -> None:
     driven = Driven()
@@ -279,17 +280,17 @@
     assert driven.call().made_at > again.made_at
 
 
-def test_an_incomplete_delta_is_followed_by_the_whole_list_at_once() -> None:
+def test_an_incomplete_delta_is_followed_by_a_request_for_the_full_list_at_once() -> None:
     driven = Driven()
     call = driven.watching()
     driven.answer(call, 6, incomplete=True)
-    whole = driven.call()
-    assert whole.index is None and whole.made_at == driven.now
-    driven.answer(whole, 6)
+    full = driven.call()
+    assert full.index is None and full.made_at == driven.now
+    driven.answer(full, 6)
     assert driven.call().index == 6
 
 
-def test_a_moved_discovery_is_asked_for_the_whole_list_until_it_has_come() -> None:
+def test_after_a_move_the_full_list_is_requested_until_it_is_received() -> None:
     driven = Driven()
     old = driven.watching()
     driven.now += 3.0
@@ -301,13 +302,13 @@
         calls.append(driven.call())
         assert calls[-1].made_at - calls[-2].made_at == pytest.approx(MOVE_PAUSE_S)
     assert all(call.index is None and call.address == 1 for call in calls)
-    assert driven.answer(old, 6) and not driven.dropped, "the old address is heard meanwhile"
+    assert driven.answer(old, 6) and not driven.dropped, "answers of the old address are accepted meanwhile"
     assert driven.answer(calls[-1], 2)
     call = driven.call()
     assert (call.index, call.address, call.short) == (2, 1, False)
 
 
-def test_a_slow_new_address_is_listened_to_for_most_of_the_time_of_a_move() -> None:
+def test_the_answer_of_a_slow_new_address_is_accepted_for_most_of_the_time_of_a_move() -> None:
     driven = Driven()
     driven.watching()
     driven.watch.move(driven.now)
@@ -327,34 +328,34 @@
         driven.watch.move(driven.now)
         calls.append(driven.call())
     driven.answer(calls[2], 7)
-    assert driven.watch.wakes_at() > driven.now, "an answer of an earlier address ends nothing"
+    assert driven.watch.wakes_at() > driven.now, "an answer of an earlier address closes no call"
     driven.answer(calls[-1], 3)
     assert driven.call().address == 5
 
 
-def test_a_rest_after_an_answer_with_nothing_newer_is_not_part_of_the_watch() -> None:
-    """Discovery has gone back to an older list, and answers each watch at once: thousands of calls a second.
-    Each rest is longer than the gap in which a watch goes on, and than the one before, up to a bound.
+def test_the_pause_after_an_immediate_answer_without_changes_is_not_part_of_the_watch() -> None:
+    """Discovery serves an older list and answers each watch at once, which made thousands of calls a second.
+    Each pause is longer than the watch gap and than the pause before, up to a bound.
     """
     driven = Driven()
     call = driven.watching()
-    rests = []
+    pauses = []
     for _ in range(6):
         driven.answer(call, 4)
         before, call = driven.now, driven.call()
-        rests.append(round(call.made_at - before, 3))
-        assert call.short, "what changed in the rest may count as notified soon"
+        pauses.append(round(call.made_at - before, 3))
+        assert call.short, "a change during the pause may count as notified soon"
         driven.answer(call, 4)
         call = driven.call()
-    assert rests == [0.3, 0.6, 1.2, 2.0, 2.0, 2.0] and rests[0] > WATCH_GAP_S
-    driven.now += 5.0  # one that waited says that all is well again
+    assert pauses == [0.3, 0.6, 1.2, 2.0, 2.0, 2.0] and pauses[0] > WATCH_GAP_S
+    driven.now += 5.0  # a watch that waited shows normal operation again
     driven.answer(call, 4)
     assert driven.call().made_at == driven.now
     assert FIRST_REPEAT_PAUSE_S > WATCH_GAP_S
 
 
-def test_an_agent_is_asked_again_within_the_grace_of_a_drain() -> None:
-    """What it has counts as notified at once, also while the sender rests after an answer at once."""
+def test_an_agent_is_called_again_within_the_grace_of_a_drain() -> None:
+    """Its changes count as notified at once, also while the sender pauses after an immediate answer."""
     driven = Driven(discovery="automatic")
     call = driven.watching()
     grace_s, hold_up_s, answer_s = 0.3, 0.15, 0.02
@@ -375,7 +376,7 @@
     assert call.short and call.made_at == driven.now <= watch.made_at + 1.0 + 2.0 + ANSWER_MARGIN_S
 
 
-def test_an_agent_is_asked_often_and_without_regard_to_other_senders() -> None:
+def test_an_agent_is_called_often_and_without_regard_to_other_senders() -> None:
     bounds = bounds_of(200, discovery="automatic")
     assert bounds.spread_s == 0.0 and bounds.wait_s < NOTIFIED_AFTER_WAIT_S + SHORT_WAIT_S
 
