--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -1,7 +1,7 @@
-"""Where a drain crosses something else on its way to the last look: each is forced by what a peer has read,
-or by steps of the loop between which nothing else runs.
+"""Drains that meet another event before the final check of a call. Each pair is forced by what a peer has
+read, or by steps of the loop between which nothing else runs.
 
-A real core with its journal, discovery's map and next hops on loopback sockets.
+The tests use a real core with its journal, the client of discovery and next hops on loopback sockets.
 """
 
 from __future__ import annotations
@@ -44,35 +44,35 @@
 from tests.test_process import Platform
 
 NAMES = Names(("safe",), ("near", "far"), ("one", "many"))
-GRACE = 0.25 + 0.05  # s after which nothing may leave; what is told here is told long before
-MOST_CALLS = 16  # at once to one destination: half of the slots
+GRACE = 0.25 + 0.05  # s from a change to the last byte that may be sent; the answers here arrive long before
+MAX_CALLS = 16  # at the same time to one destination: half of the slots
 NOTHING_KNOWN = MapUpdate(-1, True, ())
 
 
-class HeldBroker(Broker):
-    """Reads nothing more from the first method named `hold_at` on, until it is let go on."""
+class PausingBroker(Broker):
+    """Stops reading after the first method named `pause_at`, until `resume` is set."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.hold_at = ""
-        self.held, self.go_on = asyncio.Event(), asyncio.Event()
+        self.pause_at = ""
+        self.paused, self.resume = asyncio.Event(), asyncio.Event()
 
     async def start(self) -> None:
         await super().start()
         assert self._server is not None
-        for sock in self._server.sockets:  # little of what it does not read is on the way to it
+        for sock in self._server.sockets:  # keeps what is in transit to it small
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        whole = reader.readexactly
+        read = reader.readexactly
 
         async def readexactly(count: int) -> bytes:
-            data = await whole(count)
-            if count != 7 and data[-1] == codec.FRAME_END and self.hold_at:  # 7: a frame's head
+            data = await read(count)
+            if count != 7 and data[-1] == codec.FRAME_END and self.pause_at:  # 7: the header of a frame
                 with contextlib.suppress(codec.AmqpError):
-                    if codec.decode_method(data[:-1]).name == self.hold_at:
-                        self.held.set()
-                        await self.go_on.wait()
+                    if codec.decode_method(data[:-1]).name == self.pause_at:
+                        self.paused.set()
+                        await self.resume.wait()
             return data
 
         setattr(reader, "readexactly", readexactly)  # noqa: B010
@@ -80,13 +80,13 @@
 
 
 class World:
-    """A sender that watches a scripted discovery, and endpoints that note what they are sent."""
+    """A sender that watches a scripted discovery, and endpoints that record what is sent to them."""
 
     next_hops: HttpNextHops | AmqpNextHops
 
     def __init__(self, folder: Path, endpoints: int = 1, protocol: str = "http") -> None:
         self.folder, self.discovery, self.protocol = folder, Discovery(), protocol
-        self.hops = [HttpHop() if protocol == "http" else HeldBroker() for _ in range(endpoints)]
+        self.hops = [HttpHop() if protocol == "http" else PausingBroker() for _ in range(endpoints)]
         self.numbers = itertools.count()
         self.answers: list[Answer] = []
 
@@ -128,16 +128,16 @@
         return {"id": f"e{hop}", "addr": f"{HOST}:{self.hops[hop].port}", "zone": "near", "kind": "one",
                 "cell": 7, "state": state, "weight": 1.0, "started_ms": 0, **fields}  # fmt: skip
 
-    async def told(self, call: int, version: int, full: bool, *lines: dict[str, Any]) -> None:
-        """Discovery answers its call of this number; the answer has been taken in when this returns."""
+    async def answer(self, call: int, version: int, full: bool, *lines: dict[str, Any]) -> None:
+        """Discovery answers the call with this number; the answer has been applied when this returns."""
         writer = await self.discovery.called(call)
         body = orjson.dumps({"version": version, "full": full, "servers": lines})
         writer.write(response(200, "OK", {}, body))
         await until(lambda: len(self.discovery.paths) > call)
 
-    def broker(self, hop: int = 0) -> HeldBroker:
+    def broker(self, hop: int = 0) -> PausingBroker:
         found = self.hops[hop]
-        assert isinstance(found, HeldBroker)
+        assert isinstance(found, PausingBroker)
         return found
 
     def submit(self, body: bytes = b"x") -> str:
@@ -146,15 +146,16 @@
         self.sender.submit(one)
         return name
 
-    async def quiet(self) -> None:
-        """A message is taken on, and none of its bytes leave while the grace passes."""
+    async def sends_nothing(self) -> None:
+        """Submit a message, and check that none of its bytes are sent during the grace."""
         calls, count = [len(hop.calls) for hop in self.hops], len(self.answers)
         self.submit()
         await until(lambda: len(self.answers) > count)
         await asyncio.sleep(GRACE)
         assert [len(hop.calls) for hop in self.hops] == calls, "sent to a draining or removed endpoint"
 
-    async def sent(self, hop: int = 0) -> None:
+    async def sends(self, hop: int = 0) -> None:
+        """Submit a message, and wait until it is sent to this endpoint."""
         count = len(self.hops[hop].calls)
         self.submit()
         await until(lambda: len(self.hops[hop].calls) > count)
@@ -162,55 +163,55 @@
 
 @pytest.mark.parametrize("state", ["leaving", "left", "absent"])
 @pytest.mark.parametrize("full", [True, False])
-def test_an_older_list_does_not_bring_back_what_a_newer_one_took_out(
+def test_an_older_list_does_not_reactivate_an_endpoint_that_a_newer_one_drained(
     tmp_path: Path, state: str, full: bool
 ) -> None:
-    """Discovery's other replica lags behind: its list is of a version from before the drain."""
+    """Another replica of discovery lags behind: the version of its list is from before the drain."""
 
     async def main() -> None:
         async with World(tmp_path, 2) as world:
-            await world.told(1, 40, True, world.line("active"))
-            await world.sent()
+            await world.answer(1, 40, True, world.line("active"))
+            await world.sends()
             if state == "absent":
-                await world.told(2, 50, True, world.line("leaving", 1))
+                await world.answer(2, 50, True, world.line("leaving", 1))
             else:
-                await world.told(2, 50, False, world.line(state))
-            await world.quiet()
-            await world.told(3, 45, full, world.line("active"))
-            await world.quiet()
-            assert world.discovery.paths[3].startswith("/registry/instances?index=45&"), "asked on from there"
-            await world.told(4, 50, False, world.line("active"))  # as new as the drain: it is back
+                await world.answer(2, 50, False, world.line(state))
+            await world.sends_nothing()
+            await world.answer(3, 45, full, world.line("active"))
+            await world.sends_nothing()
+            assert world.discovery.paths[3].startswith("/registry/instances?index=45&"), "goes on from there"
+            await world.answer(4, 50, False, world.line("active"))  # as new as the drain: active again
             await until(lambda: world.hops[0].delivered)
 
     run(main())
 
 
-def test_an_older_list_after_a_move_of_discovery_does_not_bring_back_a_drained_endpoint(
+def test_an_older_list_after_a_move_of_discovery_does_not_reactivate_a_drained_endpoint(
     tmp_path: Path,
 ) -> None:
-    """SIGHUP moves discovery, and the whole list of the new address is of an older version."""
+    """SIGHUP moves discovery, and the full list of the new address has an older version."""
 
     async def main() -> None:
         async with World(tmp_path) as world:
-            await world.told(1, 40, True, world.line("active"))
-            await world.told(2, 50, False, world.line("leaving"))
+            await world.answer(1, 40, True, world.line("active"))
+            await world.answer(2, 50, False, world.line("leaving"))
             other = Discovery()
             await other.start()
             old, world.discovery = world.discovery, other
             world.map.move(Address(HOST, other.port))
-            await world.told(1, 45, True, world.line("active"))
-            await world.quiet()
-            await world.told(2, 51, False, world.line("active"))
+            await world.answer(1, 45, True, world.line("active"))
+            await world.sends_nothing()
+            await world.answer(2, 51, False, world.line("active"))
             await until(lambda: len(world.hops[0].delivered) == 1)
             await old.stop()
 
     run(main())
 
 
-def test_a_drain_that_a_new_process_knows_from_the_last_one_holds_against_an_older_list(
+def test_a_drain_in_the_known_list_of_a_new_process_is_kept_against_an_older_list(
     tmp_path: Path,
 ) -> None:
-    """The `known` list of a restart or a hand-over counts as any other."""
+    """The `known` list of a restart or a handover counts like any other list."""
 
     async def main() -> None:
         world = World(tmp_path)
@@ -218,101 +219,101 @@
         raw = {"version": 50, "full": True, "servers": [world.line("leaving")]}
         world.known = NAMES.update(raw)
         async with world:
-            await world.told(1, 45, True, world.line("active"))
-            await world.quiet()
-            await world.told(2, 50, False, world.line("active"))
+            await world.answer(1, 45, True, world.line("active"))
+            await world.sends_nothing()
+            await world.answer(2, 50, False, world.line("active"))
             await until(lambda: world.hops[0].delivered)
 
     run(main())
 
 
-def test_versions_that_begin_anew_for_good_bring_an_endpoint_back_in_bounded_time(
+def test_an_endpoint_is_reactivated_in_bounded_time_when_versions_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nothing newer contradicts the lower versions any more: after the bound they are believed."""
+    """No newer version contradicts the lower ones any more, so they are applied after the bound."""
     monkeypatch.setattr(drain_memory, "WITHHELD_FOR_S", 2 * GRACE)
 
     async def main() -> None:
         async with World(tmp_path) as world:
-            await world.told(1, 40, True, world.line("active"))
-            await world.told(2, 50, False, world.line("leaving"))
+            await world.answer(1, 40, True, world.line("active"))
+            await world.answer(2, 50, False, world.line("leaving"))
             began = asyncio.get_running_loop().time()
-            await world.told(3, 1, True, world.line("active"))
+            await world.answer(3, 1, True, world.line("active"))
             world.submit()
             await until(lambda: world.hops[0].delivered)
             assert world.hops[0].calls[0][0] >= began + drain_memory.WITHHELD_FOR_S
-            await world.told(4, 2, False, world.line("leaving"))  # the new count's drains hold at once
-            await world.quiet()
+            await world.answer(4, 2, False, world.line("leaving"))  # the drains of the new numbering hold
+            await world.sends_nothing()
 
     run(main())
 
 
 @pytest.mark.parametrize("first", ["leaving", "left", "active"])
-def test_an_id_that_one_update_tells_as_active_and_as_draining_is_draining(
+def test_an_id_that_one_update_lists_as_active_and_as_draining_is_draining(
     tmp_path: Path, first: str
 ) -> None:
-    """Nothing says which of the two entries is the newer one."""
+    """Nothing shows which of the two entries is newer."""
 
     async def main() -> None:
         async with World(tmp_path) as world:
-            await world.told(1, 40, True, world.line("active"))
+            await world.answer(1, 40, True, world.line("active"))
             second = "active" if first != "active" else "leaving"
-            await world.told(2, 41, False, world.line(first), world.line(second))
-            await world.quiet()
-            await world.told(3, 41, True, world.line("active"))  # the whole list has the last word
+            await world.answer(2, 41, False, world.line(first), world.line(second))
+            await world.sends_nothing()
+            await world.answer(3, 41, True, world.line("active"))  # the full list decides
             await until(lambda: world.hops[0].delivered)
 
     run(main())
 
 
-def test_an_id_back_at_a_new_address_is_another_endpoint_and_the_old_place_stays_gone(
+def test_an_id_at_a_new_address_is_another_endpoint_and_the_old_address_stays_removed(
     tmp_path: Path,
 ) -> None:
     async def main() -> None:
         async with World(tmp_path, 2) as world:
             moved = {**world.line("active", 1), "id": "e0"}
-            await world.told(1, 40, True, world.line("active"))
-            await world.sent()
-            await world.told(2, 50, False, world.line("left"), moved)
-            await world.sent(1)
-            await world.told(3, 45, True, world.line("active"))  # where it was
-            await world.quiet()
-            await world.told(4, 51, True, moved)
+            await world.answer(1, 40, True, world.line("active"))
+            await world.sends()
+            await world.answer(2, 50, False, world.line("left"), moved)
+            await world.sends(1)
+            await world.answer(3, 45, True, world.line("active"))  # at the old address
+            await world.sends_nothing()
+            await world.answer(4, 51, True, moved)
             await until(lambda: len(world.hops[1].delivered) == 2)
             assert len(world.hops[0].delivered) == 1
 
     run(main())
 
 
-def test_an_id_back_under_a_new_destination_gets_nothing_of_the_old_ones(tmp_path: Path) -> None:
+def test_an_id_under_a_new_destination_gets_no_messages_of_the_old_one(tmp_path: Path) -> None:
     async def main() -> None:
         async with World(tmp_path) as world:
-            await world.told(1, 40, True, world.line("active"))
-            await world.sent()
-            await world.told(2, 50, False, world.line("active", cell=8))
-            await world.quiet()
-            await world.told(3, 45, True, world.line("active"))
-            await world.quiet()
+            await world.answer(1, 40, True, world.line("active"))
+            await world.sends()
+            await world.answer(2, 50, False, world.line("active", cell=8))
+            await world.sends_nothing()
+            await world.answer(3, 45, True, world.line("active"))
+            await world.sends_nothing()
 
     run(main())
 
 
-def test_an_entry_that_cannot_be_read_stops_what_goes_to_its_endpoint(tmp_path: Path) -> None:
+def test_an_unreadable_entry_stops_all_calls_to_its_endpoint(tmp_path: Path) -> None:
     async def main() -> None:
         async with World(tmp_path) as world:
-            await world.told(1, 40, True, world.line("active"))
-            await world.told(2, 50, False, world.line("odd"))
-            await world.quiet()
-            await world.told(3, 45, True, world.line("active"))
-            await world.quiet()
-            await world.told(4, 50, True, world.line("active"))
+            await world.answer(1, 40, True, world.line("active"))
+            await world.answer(2, 50, False, world.line("odd"))
+            await world.sends_nothing()
+            await world.answer(3, 45, True, world.line("active"))
+            await world.sends_nothing()
+            await world.answer(4, 50, True, world.line("active"))
             await until(lambda: world.hops[0].delivered)
 
     run(main())
 
 
 def drained_at_the_start(world: World, before: bool) -> None:
-    """The step that starts the next call also hears the drain, before or after it."""
+    """Apply the drain in the step that starts the next call, before or after the start."""
     start = world.next_hops.start
     drain = NAMES.update({"version": 50, "full": False, "servers": [world.line("leaving")]})
 
@@ -327,10 +328,12 @@
 
 
 @pytest.mark.parametrize("protocol", ["http", "amqp"])
-def test_a_dial_that_comes_up_after_the_drain_carries_nothing(tmp_path: Path, protocol: str) -> None:
+def test_a_connection_that_is_established_after_the_drain_carries_nothing(
+    tmp_path: Path, protocol: str
+) -> None:
     async def main() -> None:
         async with World(tmp_path, protocol=protocol) as world:
-            await world.told(1, 40, True, world.line("active"))
+            await world.answer(1, 40, True, world.line("active"))
             drained_at_the_start(world, before=False)
             world.submit()
             await until(lambda: world.hops[0].connections == 1)
@@ -341,20 +344,20 @@
 
 
 @pytest.mark.parametrize("protocol", ["http", "amqp"])
-def test_a_connection_that_stands_carries_nothing_after_the_drain(tmp_path: Path, protocol: str) -> None:
+def test_an_open_connection_carries_nothing_after_the_drain(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
         async with World(tmp_path, protocol=protocol) as world:
-            await world.told(1, 40, True, world.line("active"))
-            await world.sent()
+            await world.answer(1, 40, True, world.line("active"))
+            await world.sends()
             await until(lambda: not world.sender.calls)
             drained_at_the_start(world, before=True)
-            await world.quiet()
+            await world.sends_nothing()
 
     run(main())
 
 
-def test_a_batch_that_messages_joined_before_the_drain_is_not_sent(tmp_path: Path) -> None:
-    """They join in one turn, for an endpoint that the module chose before it heard of the drain."""
+def test_a_batch_that_was_formed_before_the_drain_is_not_sent(tmp_path: Path) -> None:
+    """The messages join in one turn, for an endpoint that was chosen before the drain was applied."""
 
     async def main() -> None:
         async with World(tmp_path) as world:
@@ -365,7 +368,7 @@
                 return None
 
             setattr(world.hops[0], "reply", reply)  # noqa: B010
-            await world.told(1, 40, True, world.line("active", kind="many"))
+            await world.answer(1, 40, True, world.line("active", kind="many"))
             drained_at_the_start(world, before=False)
             start = world.next_hops.start
 
@@ -383,15 +386,15 @@
     run(main())
 
 
-def test_a_parked_call_looks_again_when_it_is_released(tmp_path: Path) -> None:
+def test_a_parked_call_is_checked_again_when_it_is_released(tmp_path: Path) -> None:
     async def main() -> None:
         async with World(tmp_path) as world:
-            await world.told(1, 40, True, world.line("active"))
+            await world.answer(1, 40, True, world.line("active"))
             ended: LeaseEnd | None = LeaseEnd.EXPIRED
             world.sender.list_lease = lambda dest: ended
             world.submit()
             await until(lambda: world.sender.attempts.parked)
-            await world.told(2, 50, False, world.line("leaving"))
+            await world.answer(2, 50, False, world.line("leaving"))
             ended = None
             world.sender.release()
             await asyncio.sleep(GRACE)
@@ -405,15 +408,15 @@
     async def main() -> None:
         async with World(tmp_path, protocol="amqp") as world:
             broker = world.broker()
-            broker.hold_at = step
-            await world.told(1, 40, True, world.line("active"))
+            broker.pause_at = step
+            await world.answer(1, 40, True, world.line("active"))
             world.submit()
-            await broker.held.wait()
-            await world.told(2, 50, False, world.line("leaving"))
-            broker.hold_at = ""
-            broker.go_on.set()
+            await broker.paused.wait()
+            await world.answer(2, 50, False, world.line("leaving"))
+            broker.pause_at = ""
+            broker.resume.set()
             await until(lambda: not world.sender.calls)
-            await world.quiet()
+            await world.sends_nothing()
             assert not broker.calls
 
     run(main())
@@ -422,66 +425,66 @@
 def test_a_broker_that_moves_while_its_connection_opens_gets_nothing_at_the_old_address(
     tmp_path: Path,
 ) -> None:
-    """Calls for the new address waited for the connection that was being made to the old one."""
+    """Calls for the new address had waited for the connection that was being opened to the old one."""
 
     async def main() -> None:
         async with World(tmp_path, 2, "amqp") as world:
             old, new = world.broker(0), world.broker(1)
-            old.hold_at = "connection.open"
-            await world.told(1, 40, True, world.line("active"))
+            old.pause_at = "connection.open"
+            await world.answer(1, 40, True, world.line("active"))
             world.submit()
-            await old.held.wait()
-            await world.told(2, 50, False, {**world.line("active", 1), "id": "e0"})
+            await old.paused.wait()
+            await world.answer(2, 50, False, {**world.line("active", 1), "id": "e0"})
             world.submit()
             await until(lambda: world.sender.calls == 2 or new.calls)
-            old.go_on.set()
+            old.resume.set()
             await until(lambda: len(old.calls) + len(new.calls) >= 2)
             assert not old.calls and len(new.calls) == 2
-            await world.sent(1)
+            await world.sends(1)
             assert not old.calls
 
     run(main())
 
 
-@pytest.mark.parametrize("unread", [1, MOST_CALLS - 1])
+@pytest.mark.parametrize("unread", [1, MAX_CALLS - 1])
 def test_a_publish_does_not_wait_behind_bytes_that_a_broker_does_not_read(
     tmp_path: Path, unread: int
 ) -> None:
-    """The late one was written behind what the broker had not taken yet: its first byte left when the broker
-    went on reading, long after the drain. One call fits into what the system keeps, all of them don't.
+    """The late publish had been written behind bytes that the broker had not read: its first byte was sent
+    when the broker read on, long after the drain. One call fits into the socket buffers, all of them do not.
     """
 
     async def main() -> None:
         async with World(tmp_path, protocol="amqp") as world:
             broker = world.broker()
-            await world.told(1, 40, True, world.line("active"))
-            for _ in range(MOST_CALLS):  # at once: so many channels stand from now on
+            await world.answer(1, 40, True, world.line("active"))
+            for _ in range(MAX_CALLS):  # at the same time, so that as many channels are open from now on
                 world.submit()
-            await until(lambda: len(broker.calls) == MOST_CALLS and not world.sender.calls)
-            broker.hold_at = "basic.publish"
+            await until(lambda: len(broker.calls) == MAX_CALLS and not world.sender.calls)
+            broker.pause_at = "basic.publish"
             sent = [world.submit(b"x" * 900_000) for _ in range(unread)]
             await until(lambda: world.sender.calls == len(sent))
             late = world.submit()
             await until(lambda: world.sender.calls == len(sent) + 1)
-            await world.told(2, 50, False, world.line("leaving"))
-            assert len(broker.calls) == MOST_CALLS
-            broker.hold_at = ""
-            broker.go_on.set()
+            await world.answer(2, 50, False, world.line("leaving"))
+            assert len(broker.calls) == MAX_CALLS
+            broker.pause_at = ""
+            broker.resume.set()
             await until(lambda: not world.sender.calls)
             assert late not in [call[1] for call in broker.calls]
-            assert sent[0] in [call[1] for call in broker.calls], "what had begun goes on"
+            assert sent[0] in [call[1] for call in broker.calls], "a call that had begun is completed"
 
     run(main())
 
 
-def take_out(folder: Path, *ids: str) -> None:
-    """As another process of the sender writes down what operators took out."""
+def detach(folder: Path, *ids: str) -> None:
+    """Record detached endpoints as another process of the sender does it."""
     (folder / "detached.new").write_bytes(orjson.dumps(ids))
     os.replace(folder / "detached.new", folder / "detached")
 
 
-def test_an_endpoint_that_another_process_takes_out_is_out_for_one_that_is_ending(tmp_path: Path) -> None:
-    """SIGTERM ended its looks at the file, while its clients were served for 2.2 s more."""
+def test_a_process_that_is_stopping_applies_a_detach_by_another_process(tmp_path: Path) -> None:
+    """SIGTERM had ended its checks of the file, while its clients were served for another 2.2 s."""
 
     async def main() -> None:
         platform, (console,) = Platform(tmp_path), reserve_ports(1)
@@ -491,7 +494,7 @@
         async with asyncio.timeout(2.0):
             while (await console_call(console, "GET", "/_ready"))[0] == 200:
                 await asyncio.sleep(0.005)
-        take_out(tmp_path / "state", "e")
+        detach(tmp_path / "state", "e")
         await asyncio.sleep(GRACE)
         assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
         assert await process.wait() == 0
@@ -501,7 +504,7 @@
     run(main())
 
 
-def test_what_operators_took_out_stays_out_where_the_folder_is_emptied(tmp_path: Path) -> None:
+def test_a_detached_endpoint_stays_detached_when_the_folder_is_emptied(tmp_path: Path) -> None:
     async def main() -> None:
         platform, (console,) = Platform(tmp_path), reserve_ports(1)
         process = await platform.start(GW_CONSOLE=f"{HOST}:{console}")
@@ -530,8 +533,10 @@
     run(main())
 
 
-def test_what_operators_took_out_is_out_before_a_process_sends_what_the_last_one_left(tmp_path: Path) -> None:
-    """Beside another process it waits for that one's waits first, and sent meanwhile."""
+def test_a_restarted_process_applies_a_detach_before_it_sends_its_stored_messages(tmp_path: Path) -> None:
+    """It first waits to receive the required waits of a process beside it, and had sent messages
+    meanwhile.
+    """
 
     async def main() -> None:
         extra = f'[console]\nlisten = "{HOST}:{reserve_ports(1)[0]}"\n'
@@ -543,7 +548,7 @@
             beside = Journal(tmp_path / "state", 1_000_000)  # its slot comes after this process's
             await world.client.close()
             await world.kill()
-            take_out(tmp_path / "state", "h0")
+            detach(tmp_path / "state", "h0")
             hop.script = ["ok"]
             await world.start()
             assert world.runtime.journal.others
@@ -557,7 +562,7 @@
 def test_an_operators_file_that_changes_before_it_is_watched_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The file's stamp was taken after it was read: the change in between was never seen."""
+    """The timestamp of the file had been taken after it was read, so that a change in between was missed."""
 
     async def main() -> None:
         world = helper.World(tmp_path, "http")
@@ -581,7 +586,7 @@
 @pytest.mark.parametrize(
     "content", [b"\xff", b"[[next_hop]]\nid = ", b"next_hop = 7", b"a=" + b"[" * 5000, b"a=" + b"1" * 5000]
 )
-def test_an_operators_file_that_cannot_be_read_is_looked_at_again(
+def test_an_operators_file_that_cannot_be_parsed_is_checked_again(
     tmp_path: Path, content: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
@@ -599,10 +604,10 @@
 
 
 @pytest.mark.parametrize("where", ["file", "detached"])
-def test_a_process_that_is_paused_just_before_the_last_look_sends_nothing_to_what_drained_meanwhile(
+def test_a_process_that_is_stopped_before_the_final_check_sends_nothing_to_an_endpoint_drained_meanwhile(
     tmp_path: Path, where: str
 ) -> None:
-    """The look after a pause is made within the last look, which had seen the endpoint as active before."""
+    """The check after a stop is made within the final check, which had read the endpoint as active before."""
 
     async def main() -> None:
         extra = f'[console]\nlisten = "{HOST}:{reserve_ports(1)[0]}"\n'
@@ -616,8 +621,8 @@
                         world.states = ["leaving"]
                         world.write()
                     else:
-                        take_out(tmp_path / "state", "h0")
-                    time.sleep(0.6)  # as SIGSTOP and SIGCONT would: no other step of the loop comes between
+                        detach(tmp_path / "state", "h0")
+                    time.sleep(0.6)  # as with SIGSTOP and SIGCONT: no other step of the loop runs meanwhile
                 return admit(call, items)
 
             setattr(world.runtime.sender, "admit", late)  # noqa: B010
@@ -629,24 +634,24 @@
     run(main())
 
 
-@pytest.mark.parametrize(("error", "told"), [
+@pytest.mark.parametrize(("error", "event"), [
     (OSError("the folder cannot be read"), "folder-not-read"), (RuntimeError("a fault"), "look-failed"),
 ])  # fmt: skip
-def test_a_look_that_fails_is_not_the_last_one(
-    error: Exception, told: str, caplog: pytest.LogCaptureFixture
+def test_checks_go_on_after_one_that_fails(
+    error: Exception, event: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        looks = itertools.count(1)
-        found = list[int]()
+        numbers = itertools.count(1)
+        checks = list[int]()
 
-        def look() -> None:
-            found.append(next(looks))
-            if len(found) == 1:
+        def check() -> None:
+            checks.append(next(numbers))
+            if len(checks) == 1:
                 raise error
 
-        task = asyncio.get_running_loop().create_task(serve._looking(look))
-        await until(lambda: len(found) == 3)
+        task = asyncio.get_running_loop().create_task(serve._looking(check))
+        await until(lambda: len(checks) == 3)
         task.cancel()
-        assert [record.message for record in caplog.records] == [told]
+        assert [record.message for record in caplog.records] == [event]
 
     run(main())
--- a/tests/crossings/test_list_lease.py
+++ b/tests/crossings/test_list_lease.py
@@ -1,5 +1,5 @@
-"""The list is a lease from the last answer that is known to be complete: while discovery may have written
-news that was lost on its way, nothing is sent by what was known before (issue 40).
+"""The lease on the list runs from the last answer that is known to be complete. While discovery may have
+written a change that was lost in transit, nothing is sent by the old list (issue 40).
 """
 
 from __future__ import annotations
@@ -31,47 +31,49 @@
 
 LEAVES = listing(6, False, state="leaving")
 FAULT_S = 0.6
-GRACE_S = 0.25  # of a drain, from when the news was written
-BOUND_S = 2.0  # of a pause, once: for which a connection may take to come up
-LONG_FAULT_S = 2.5  # past that bound
-REST_BYTES = 20  # of an answer, that come later than the others
+GRACE_S = 0.25  # of a drain, from when the change was written
+BOUND_S = 2.0  # the former bound of a pause in sending, the time that a connection may take
+LONG_FAULT_S = 2.5  # longer than that bound
+TAIL_BYTES = 20  # the end of an answer, which arrives later
 UNREACHED = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ETIMEDOUT)
 
 
-class Telling(Discovery):
-    """Answers each further call with the news once it has been told."""
+class AnsweringDiscovery(Discovery):
+    """Answers each further call with `next_answer` once it is set."""
 
-    told = b""
+    next_answer = b""
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.told:
+        if self.next_answer:
             self.short_calls += 1
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(self.told)
+            writer.write(self.next_answer)
             await asyncio.sleep(3600)
         await super().serve(reader, writer)
 
 
 class Watching:
-    """A map with one watch out on sockets that fail, and every look at whether its list is believed."""
+    """A map with one watch in flight on failing sockets, and the checks of whether its list may be used."""
 
-    def __init__(self, faults: Faults, discovery: Telling, owner: Owner, watched: TransportMap) -> None:
-        self.faults, self.discovery, self.owner, self.map = faults, discovery, owner, watched
+    def __init__(
+        self, faults: Faults, discovery: AnsweringDiscovery, owner: Owner, map_: TransportMap
+    ) -> None:
+        self.faults, self.discovery, self.owner, self.map = faults, discovery, owner, map_
         self.loop = asyncio.get_running_loop()
 
-    async def looks_until(self, done: Callable[[], bool], limit_s: float = 5.0) -> list[float]:
-        """s after now of each look past the grace at which the list was believed."""
-        began, believed = self.loop.time(), list[float]()
+    async def used_until(self, done: Callable[[], bool], limit_s: float = 5.0) -> list[float]:
+        """The times, in s from now, of the checks after the grace at which the list could be used."""
+        began, used = self.loop.time(), list[float]()
         while not done():
             late = self.loop.time() - began
             assert late < limit_s
             if late > GRACE_S and not self.held_back():
-                believed.append(round(late, 3))
+                used.append(round(late, 3))
             await asyncio.sleep(0.005)
-        return believed
+        return used
 
     def held_back(self) -> bool:
-        """Whether calls wait now."""
+        """Whether calls are held back now."""
         return self.map.lease_ended() is not None
 
     def heal_later(self, call: str, after_s: float = FAULT_S) -> None:
@@ -82,7 +84,7 @@
 async def watching(
     faults: Faults, owner: Owner | None = None, bounds_of_watch: WatchBounds | None = None
 ) -> AsyncIterator[Watching]:
-    discovery, owner = Telling(), owner or Owner(5)
+    discovery, owner = AnsweringDiscovery(), owner or Owner(5)
     await discovery.start()
     limits = bounds_of_watch or bounds(30.0)
     watched = TransportMap(owner, Address(HOST, discovery.port), NAMES, limits)
@@ -97,165 +99,166 @@
 
 
 @pytest.mark.parametrize("error", UNREACHED, ids=name_of)
-def test_a_lost_answer_behind_which_no_connection_comes_up(error: int) -> None:
-    """The exchange had ended, and with it the knowledge that something may have been written."""
+def test_after_a_lost_answer_calls_are_held_back_while_no_connection_is_established(error: int) -> None:
+    """The end of the exchange had also discarded the fact that an answer may have been written."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.fail("read", errno.ECONNRESET)
             faults.always("connect", error)
-            world.discovery.told = LEAVES
-            world.discovery.standing[0].write(LEAVES)
+            world.discovery.next_answer = LEAVES
+            world.discovery.open_calls[0].write(LEAVES)
             world.heal_later("connect")
-            assert await world.looks_until(lambda: bool(world.owner.updates)) == []
+            assert await world.used_until(lambda: bool(world.owner.updates)) == []
 
     run_faulty(main)
 
 
-def test_an_answer_that_lies_unread_is_waited_for() -> None:
-    """Calls went again after 0.25 s, though news was known to lie unread."""
+def test_calls_are_held_back_while_an_answer_is_unread() -> None:
+    """Calls were sent again after 0.25 s, although an answer was known to be unread."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.always("read", errno.EAGAIN)
-            world.discovery.standing[0].write(LEAVES)
+            world.discovery.open_calls[0].write(LEAVES)
             world.heal_later("read")
-            assert await world.looks_until(lambda: bool(world.owner.updates)) == []
+            assert await world.used_until(lambda: bool(world.owner.updates)) == []
 
     run_faulty(main)
 
 
-def test_an_answer_whose_bytes_had_arrived_is_waited_for_for_longer() -> None:
-    """Something was told for certain: calls went again after 2.0 s."""
+def test_after_an_answer_that_arrived_in_part_calls_are_held_back_past_the_former_bound() -> None:
+    """The list had certainly changed, but calls were sent again after 2.0 s."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.fail("read", errno.ECONNRESET)
             faults.always("connect", errno.ENETUNREACH)
-            world.discovery.told = LEAVES
-            world.discovery.standing[0].write(LEAVES)
+            world.discovery.next_answer = LEAVES
+            world.discovery.open_calls[0].write(LEAVES)
             world.heal_later("connect", LONG_FAULT_S)
-            assert await world.looks_until(lambda: bool(world.owner.updates)) == []
+            assert await world.used_until(lambda: bool(world.owner.updates)) == []
 
     run_faulty(main)
 
 
-def test_the_rest_of_an_answer_that_has_begun_is_waited_for() -> None:
-    """It was taken for not written yet after 0.25 s."""
+def test_calls_are_held_back_until_an_answer_that_has_begun_is_complete() -> None:
+    """After 0.25 s it had been treated as not yet written."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
-            writer = world.discovery.standing[0]
-            writer.write(LEAVES[:-REST_BYTES])
-            loop.call_later(FAULT_S, writer.write, LEAVES[-REST_BYTES:])
-            assert await world.looks_until(lambda: bool(world.owner.updates)) == []
+            writer = world.discovery.open_calls[0]
+            writer.write(LEAVES[:-TAIL_BYTES])
+            loop.call_later(FAULT_S, writer.write, LEAVES[-TAIL_BYTES:])
+            assert await world.used_until(lambda: bool(world.owner.updates)) == []
 
     run_faulty(main)
 
 
-def test_a_watch_that_could_not_be_asked_for_is_no_watch() -> None:
-    """Found by the soak (seed 149): where lists are pushed, what the agent has counts whether it was asked or
-    not, and the request lay unsent for 0.75 s.
+def test_a_watch_whose_request_is_unsent_does_not_count_as_a_watch() -> None:
+    """Found by the soak (seed 149): where lists are pushed, the agent's changes count without a call, and the
+    request was buffered for 0.75 s.
     """
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.always("write", errno.EAGAIN)
-            world.discovery.standing[0].write(no_changes("GET /?index=5&wait=1 HTTP/1.1"))  # it watches anew
+            # so that the next watch is made
+            world.discovery.open_calls[0].write(no_changes("GET /?index=5&wait=1 HTTP/1.1"))
             await until(lambda: faults.count["write"])
             world.heal_later("write")
-            assert await world.looks_until(lambda: len(world.discovery.paths) == 2) == []
+            assert await world.used_until(lambda: len(world.discovery.paths) == 2) == []
 
     run_faulty(main)
 
 
 def closing(answer: bytes) -> bytes:
-    """The same, on a connection that ends with it."""
+    """Return the answer with a header that closes its connection."""
     return answer.replace(b"\r\n", b"\r\nConnection: close\r\n", 1)
 
 
-def test_lists_that_are_pushed_while_the_agent_cannot_be_asked_count_as_told() -> None:
-    """No answer was lost, so calls went on by the last list."""
+def test_lists_that_are_pushed_while_the_agent_cannot_be_reached_count_as_notified() -> None:
+    """No answer was lost, so calls were still sent by the last list."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults, bounds_of_watch=agent_bounds()) as world:
             faults.always("connect", errno.ENETUNREACH)
             asked = f"GET {world.discovery.paths[0]} HTTP/1.1"
-            world.discovery.standing[0].write(closing(no_changes(asked)))
-            world.discovery.told = LEAVES
+            world.discovery.open_calls[0].write(closing(no_changes(asked)))
+            world.discovery.next_answer = LEAVES
             world.heal_later("connect")
-            assert await world.looks_until(lambda: any(update.hops for update in world.owner.updates)) == []
+            assert await world.used_until(lambda: any(update.hops for update in world.owner.updates)) == []
 
     run_faulty(main)
 
 
-def test_a_change_that_names_no_endpoint_is_in_doubt_until_the_whole_list() -> None:
+def test_after_a_change_without_an_endpoint_calls_are_held_back_until_the_full_list() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.always("connect", errno.ENETUNREACH)
             nameless = {"version": 6, "full": False, "servers": [{"state": "leaving"}]}
-            world.discovery.told = LEAVES
-            world.discovery.standing[0].write(closing(response(200, "OK", {}, orjson.dumps(nameless))))
+            world.discovery.next_answer = LEAVES
+            world.discovery.open_calls[0].write(closing(response(200, "OK", {}, orjson.dumps(nameless))))
             world.heal_later("connect")
-            assert await world.looks_until(lambda: any(update.hops for update in world.owner.updates)) == []
+            assert await world.used_until(lambda: any(update.hops for update in world.owner.updates)) == []
 
     run_faulty(main)
 
 
-def test_an_answer_that_has_begun_is_waited_for_however_long_and_the_next_one_too() -> None:
-    """Nobody looked between the two, so the second one's time was counted from the first one's."""
+def test_calls_are_held_back_during_each_of_two_answers_that_arrive_slowly() -> None:
+    """The state was not checked between the two, so the time of the second was counted from the first."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             discovery = world.discovery
-            for place in (0, 1):
-                discovery.standing[place].write(LEAVES[:-REST_BYTES])
+            for number in (0, 1):
+                discovery.open_calls[number].write(LEAVES[:-TAIL_BYTES])
                 await until(lambda: any(one.answer_pending for one in world.map._exchanges.values()))
-                assert await world.looks_until(loop_reaches(loop.time() + 2 * FAULT_S)) == []
-                discovery.standing[place].write(LEAVES[-REST_BYTES:])
-                await discovery.called(place + 2)
+                assert await world.used_until(loop_reaches(loop.time() + 2 * FAULT_S)) == []
+                discovery.open_calls[number].write(LEAVES[-TAIL_BYTES:])
+                await discovery.called(number + 2)
                 await until(lambda: not world.held_back())
 
     run_faulty(main)
 
 
 def agent_bounds() -> WatchBounds:
-    """The bounds of a sender to which lists are pushed."""
+    """Return the bounds of a sender to which an agent pushes lists."""
     env = settings(discovery="automatic")
     env["obligations"] |= {"drainGrace": GRACE_S}
     return WatchBounds.of(Settings.from_mapping(env))
 
 
 def loop_reaches(when: float) -> Callable[[], bool]:
-    """Whether this time has come."""
+    """Return a condition that is true from this time on."""
     return lambda: asyncio.get_running_loop().time() >= when
 
 
-def test_a_watch_that_is_dropped_with_half_an_answer_is_asked_for_anew() -> None:
-    """Another call's answer, which may be older, took its place."""
+def test_a_watch_that_is_dropped_with_half_an_answer_is_followed_by_a_full_request() -> None:
+    """The answer of another call, which may be older, had replaced it."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             discovery = world.discovery
             world.map.snapshot()
             await until(lambda: len(discovery.paths) == 2)
-            discovery.standing[0].write(LEAVES[:-REST_BYTES])
+            discovery.open_calls[0].write(LEAVES[:-TAIL_BYTES])
             await until(world.held_back)
-            discovery.standing[1].write(listing(5, True))
+            discovery.open_calls[1].write(listing(5, True))
             await until(lambda: world.owner.updates)
             assert world.held_back()
             await until(lambda: discovery.paths[2:].count("/registry/instances") == 1)
-            whole = max(discovery.standing)
-            assert discovery.paths[whole] == "/registry/instances" and world.held_back()
-            discovery.standing[whole].write(listing(6, True, state="leaving"))
+            newest = max(discovery.open_calls)
+            assert discovery.paths[newest] == "/registry/instances" and world.held_back()
+            discovery.open_calls[newest].write(listing(6, True, state="leaving"))
             await until(lambda: not world.held_back())
             assert world.owner.updates[-1].version == 6
 
     run_faulty(main)
 
 
-class Stumbling(Owner):
-    """Fails to take in the first list that tells of a change."""
+class FailingOwner(Owner):
+    """Fails to apply the first list that contains a change."""
 
     failed = False
 
@@ -266,63 +269,65 @@
         super().list_changed(update)
 
 
-@pytest.mark.parametrize("how", ["cannot be read", "is not taken in"])
-def test_an_answer_that_was_thrown_away(how: str) -> None:
+@pytest.mark.parametrize("fault", ["cannot be parsed", "is not applied"])
+def test_calls_are_held_back_after_an_answer_that_was_discarded(fault: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        owner = Owner(5) if how == "cannot be read" else Stumbling(5)
+        owner = Owner(5) if fault == "cannot be parsed" else FailingOwner(5)
         async with watching(faults, owner) as world:
             faults.always("connect", errno.ENETUNREACH)
-            world.discovery.told = LEAVES
-            spoilt = response(200, "OK", {"Connection": "close"}, b'{"version": 6, "servers": [')
-            world.discovery.standing[0].write(spoilt if how == "cannot be read" else closing(LEAVES))
+            world.discovery.next_answer = LEAVES
+            corrupt = response(200, "OK", {"Connection": "close"}, b'{"version": 6, "servers": [')
+            world.discovery.open_calls[0].write(corrupt if fault == "cannot be parsed" else closing(LEAVES))
             world.heal_later("connect")
-            assert await world.looks_until(lambda: bool(world.owner.updates)) == []
+            assert await world.used_until(lambda: bool(world.owner.updates)) == []
 
     run_faulty(main)
 
 
-@pytest.mark.parametrize("sign", ["refused", "busy"])
-def test_a_refusal_shows_that_discovery_is_down_and_the_list_is_believed(sign: str) -> None:
-    """Discovery that is down tells nothing: senders go on by what they know."""
+@pytest.mark.parametrize("refusal", ["refused", "busy"])
+def test_a_refusal_shows_that_discovery_is_down_and_the_list_may_be_used(refusal: str) -> None:
+    """A discovery that is down notifies nobody, so senders continue by the list they have."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
-            if sign == "refused":
+            if refusal == "refused":
                 faults.always("connect", errno.ECONNREFUSED)
-            world.discovery.told = response(503, "down", {}, b"")
-            world.discovery.standing[0].transport.abort()
-            refused = (lambda: faults.count["connect"]) if sign == "refused" else (
+            world.discovery.next_answer = response(503, "down", {}, b"")
+            world.discovery.open_calls[0].transport.abort()
+            refused = (lambda: faults.count["connect"]) if refusal == "refused" else (
                 lambda: world.discovery.short_calls)  # fmt: skip
             await until(refused)
             await until(lambda: not world.held_back())
-            # In doubt it would have been asked ten times and more before the bound.
+            # With a possible loss it would be called ten times and more before the bound.
             assert faults.count["connect"] <= 5 and world.discovery.short_calls <= 5
 
     run_faulty(main)
 
 
-def test_the_pause_lasts_until_there_is_evidence() -> None:
-    """Nothing is heard of discovery at all: calls went again after 2.0 s, by a list nothing confirmed."""
+def test_calls_are_held_back_until_there_is_evidence() -> None:
+    """While discovery was unreachable, calls were sent again after 2.0 s, by a list that nothing
+    confirmed.
+    """
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.always("connect", errno.ENETUNREACH)
-            world.discovery.standing[0].transport.abort()
+            world.discovery.open_calls[0].transport.abort()
             await until(lambda: faults.count["connect"] >= 2)
-            assert await world.looks_until(loop_reaches(loop.time() + 2 * BOUND_S)) == []
+            assert await world.used_until(loop_reaches(loop.time() + 2 * BOUND_S)) == []
             faults.always("connect", None)
-            assert faults.count["connect"] < 200, "it is not asked about in each turn"
+            assert faults.count["connect"] < 200, "it must not dial in each turn of the loop"
             await until(lambda: not world.held_back())
 
     run_faulty(main)
 
 
-def test_a_start_where_lists_are_pushed_waits_for_an_agent_that_no_dial_reaches() -> None:
-    """Calls went by the known list after 1.5 s though the agent had never been heard."""
+def test_at_start_calls_are_held_back_while_the_agent_cannot_be_reached() -> None:
+    """Calls were sent by the known list after 1.5 s although the agent had never answered."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        discovery, owner = Telling(), Owner(5)
-        discovery.told = LEAVES
+        discovery, owner = AnsweringDiscovery(), Owner(5)
+        discovery.next_answer = LEAVES
         await discovery.start()
         faults.always("connect", errno.ENETUNREACH)
         watched = TransportMap(owner, Address(HOST, discovery.port), NAMES, bounds(30.0))
@@ -330,7 +335,7 @@
         try:
             watched.watch(True)
             loop.call_later(2.0, faults.always, "connect", None)
-            assert await world.looks_until(lambda: bool(owner.updates)) == []
+            assert await world.used_until(lambda: bool(owner.updates)) == []
         finally:
             watched.close()
             await discovery.stop()
@@ -339,11 +344,11 @@
     run_faulty(main)
 
 
-def test_an_operators_file_that_cannot_be_read_for_a_moment_is_read_as_soon_as_it_can(
+def test_an_operators_file_that_was_unreadable_is_read_as_soon_as_it_is_readable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was taken for read, and not looked at again until it changed once more; meanwhile what it may say
-    counts.
+    """It had been treated as read and was not checked again until its next change, while its
+    content counts.
     """
     read_text = Path.read_text
 
@@ -370,34 +375,34 @@
     helper.run(main())
 
 
-def test_a_call_that_has_not_left_shows_nothing_of_discovery() -> None:
-    """The soak's seed 6105: each write failed on this machine for 1 s, which passed for a discovery that is
-    down and breaks each call; then its calls hung, and the list was believed for 6 s more.
+def test_a_call_that_was_not_sent_shows_nothing_about_discovery() -> None:
+    """Found by the soak (seed 6105): each write failed on this machine for 1 s, which was taken for a
+    discovery that is down and breaks each call. Then its calls hung, and the list was used for 6 s more.
     """
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.always("write", errno.ECONNRESET)
-            world.discovery.standing[0].transport.abort()
-            assert await world.looks_until(loop_reaches(loop.time() + 2 * DOWN_AFTER_S)) == []
+            world.discovery.open_calls[0].transport.abort()
+            assert await world.used_until(loop_reaches(loop.time() + 2 * DOWN_AFTER_S)) == []
             faults.always("write", None)
             await until(lambda: not world.held_back())
 
     run_faulty(main)
 
 
-def test_a_list_of_an_agent_that_lay_unread_may_hide_a_change_that_no_call_was_out_for() -> None:
-    """The process stood still while the agent wrote twice over: the second change counts as told at once."""
+def test_an_unread_list_of_an_agent_may_hide_a_change_while_no_call_was_in_flight() -> None:
+    """The process was stopped while the agent had two changes: the second one counts as notified at once."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults, bounds_of_watch=agent_bounds()) as world:
             discovery = world.discovery
             await until(lambda: not world.held_back())
-            discovery.standing[0].write(listing(6, False))
-            time.sleep(2 * GRACE_S)  # the loop's, and with it the process's
-            discovery.holds_short = True  # the call behind the list hangs
+            discovery.open_calls[0].write(listing(6, False))
+            time.sleep(2 * GRACE_S)  # stops the loop, as if the process were stopped
+            discovery.holds_short = True  # the call after the list hangs
             await until(lambda: world.owner.updates)
-            assert await world.looks_until(loop_reaches(loop.time() + 2 * FAULT_S)) == []
+            assert await world.used_until(loop_reaches(loop.time() + 2 * FAULT_S)) == []
             assert world.held_back()
             discovery.holds_short = False
             await until(lambda: not world.held_back())
@@ -405,39 +410,41 @@
     run_faulty(main)
 
 
-def test_a_list_of_an_agent_that_is_read_as_it_comes_holds_nothing_back() -> None:
-    """Each look finds whether one has come: between two of them the agent can't have written it."""
+def test_a_list_of_an_agent_that_is_read_at_once_does_not_hold_calls_back() -> None:
+    """Each check finds an answer that has arrived, so the agent can only have written it since
+    the last one.
+    """
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults, bounds_of_watch=agent_bounds()) as world:
             discovery = world.discovery
             await until(lambda: not world.held_back())
-            asked_at_once = discovery.short_calls
-            await world.looks_until(loop_reaches(loop.time() + FAULT_S))
-            discovery.standing[0].write(listing(6, False))
+            short_calls = discovery.short_calls
+            await world.used_until(loop_reaches(loop.time() + FAULT_S))
+            discovery.open_calls[0].write(listing(6, False))
             await until(lambda: world.owner.updates)
             assert not world.held_back()
             await discovery.called(2)
-            assert discovery.short_calls == asked_at_once
+            assert discovery.short_calls == short_calls
 
     run_faulty(main)
 
 
-def test_an_agent_that_is_slow_is_believed_once_a_short_call_is_answered() -> None:
-    """Each look finds the answer unwritten up to then, also while the list may not be gone by."""
+def test_the_list_of_a_slow_agent_may_be_used_once_a_short_call_is_answered() -> None:
+    """Each check shows that the answer was not written before, also while the list may not be used."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults, bounds_of_watch=agent_bounds()) as world:
             discovery = world.discovery
             await until(lambda: not world.held_back())
-            discovery.standing[0].write(listing(6, False))
+            discovery.open_calls[0].write(listing(6, False))
             time.sleep(2 * GRACE_S)
             discovery.holds_short = True
             await until(lambda: discovery.paths[1:] and world.held_back())
             short = len(discovery.paths) - 1
-            await world.looks_until(loop_reaches(loop.time() + 2 * GRACE_S))
+            await world.used_until(loop_reaches(loop.time() + 2 * GRACE_S))
             asked = f"GET {discovery.paths[short]} HTTP/1.1"
-            discovery.standing[short].write(no_changes(asked))
+            discovery.open_calls[short].write(no_changes(asked))
             await until(lambda: not world.held_back(), 2 * GRACE_S)
 
     run_faulty(main)
--- a/tests/crossings/test_notified.py
+++ b/tests/crossings/test_notified.py
@@ -1,9 +1,9 @@
-"""A change of the list that does not arrive counts as notified all the same, some seconds later: from then on
-nothing new goes to the next hop that has left.
+"""A change of the list that does not arrive still counts as notified after some seconds. From then on nothing
+new may be sent to the next hop that has left.
 
-Whole processes against a scripted discovery. The fault is forced by what discovery has read: each call meets
-the next fate of the script. The times asserted are the platform's own: 6 s after discovery could be reached,
-2 s after the wait of a watch that fell silent, 4 s after a move, each with the grace of a drain.
+The tests run real processes against a scripted discovery, which handles each call as the next step of its
+script says. The asserted times are those of the platform: 6 s after discovery could be reached, 2 s after the
+wait of a silent watch, 4 s after a move, each plus the grace of a drain.
 """
 
 from __future__ import annotations
@@ -26,13 +26,13 @@
 
 NOTIFIED_S, AFTER_WAIT_S, AFTER_MOVE_S = 6.0, 2.0, 4.0
 DRAIN_GRACE_S = 0.25
-GRACE_S = DRAIN_GRACE_S + 0.05  # with what every time limit is longer on sockets
+GRACE_S = DRAIN_GRACE_S + 0.05  # with the tolerance of every time limit on sockets
 
-Fate = Callable[[Message], Any]
+Handler = Callable[[Message], Any]
 
 
 class ScriptedDiscovery(HttpServer):
-    """Answers as its list says, after the script of fates has been used up: one for each call."""
+    """Handles each call by the next step of the script, and answers with its list after the last step."""
 
     def __init__(self, lines: list[dict[str, Any]], script: list[str]) -> None:
         super().__init__(self.discover)
@@ -40,13 +40,13 @@
         self.version = 4
         self.changed = asyncio.Event()
         self.delay_s = 0.0
-        self.turn = asyncio.Lock()  # it works through calls one after another
+        self.turn = asyncio.Lock()  # slow calls are handled one after another
         self.calls: list[tuple[float, str]] = []
         self.silent_since: list[float] = []
 
-    def leaves(self, place: int) -> None:
+    def leaves(self, index: int) -> None:
         """The endpoint is removed from the list."""
-        self.lines[place]["state"] = "left"
+        self.lines[index]["state"] = "left"
         self.version += 1
         self.changed.set()
 
@@ -57,13 +57,13 @@
             return response(204, "No Content", {}, b"")
         now = asyncio.get_running_loop().time()
         self.calls.append((now, path))
-        fate = self.script.pop(0) if self.script else "answer"
-        if fate == "silent":
+        step = self.script.pop(0) if self.script else "answer"
+        if step == "silent":
             self.silent_since.append(now)
             await asyncio.sleep(60)
-        if fate == "reset":
+        if step == "reset":
             return None  # the connection is closed
-        if fate == "refuse":
+        if step == "refuse":
             return response(503, "down", {}, b"")
         if self.delay_s:
             async with self.turn:
@@ -89,7 +89,7 @@
 
 
 class World(Platform):
-    """A sender with two endpoints of one destination, and a client that hands in messages all the time."""
+    """A sender with two endpoints of one destination, and a client that submits messages all the time."""
 
     def __init__(
         self,
@@ -100,23 +100,26 @@
         senders: int | None = None,
         answer_s: float = 0.0,
     ) -> None:
-        """`senders`: that share discovery, as the settings count them; `answer_s`: that each answer of
-        discovery takes.
+        """`senders`: the senders that share discovery, by the settings; `answer_s`: the time that each answer
+        of discovery takes.
         """
         super().__init__(folder)
         self.mode, self.ask_s, self.senders, self.answer_s = mode, ask_s, senders, answer_s
-        # The one that leaves is the quicker one, so that it is always wanted.
-        self.stays, self.leaver = HttpServer(self.take("stays", 0.7)), HttpServer(self.take("leaver", 0.0))
-        self.taken: dict[str, list[float]] = {"stays": [], "leaver": []}
+        # The endpoint that leaves is the faster one, so that it is always preferred.
+        self.stays, self.leaver = (
+            HttpServer(self.handler("stays", 0.7)),
+            HttpServer(self.handler("leaver", 0.0)),
+        )
+        self.received: dict[str, list[float]] = {"stays": [], "leaver": []}
         self.script = script
 
-    def take(self, name: str, answer_s: float) -> Fate:
-        async def hook(message: Message) -> bytes:
-            self.taken[name].append(asyncio.get_running_loop().time())
+    def handler(self, name: str, answer_s: float) -> Handler:
+        async def receive(message: Message) -> bytes:
+            self.received[name].append(asyncio.get_running_loop().time())
             await asyncio.sleep(answer_s)
             return response(200, "OK", {}, b"")
 
-        return hook
+        return receive
 
     def line(self, name: str, server: HttpServer) -> dict[str, Any]:
         return {"id": name, "addr": f"{HOST}:{server.port}", "zone": "near", "kind": "one", "cell": 7,
@@ -124,11 +127,11 @@
 
     async def __aenter__(self) -> World:
         await self.begin()
-        await until(lambda: self.taken["leaver"])
+        await until(lambda: self.received["leaver"])
         return self
 
     async def begin(self) -> None:
-        """Start all parts, and wait for none of them."""
+        """Start all servers, the sender and the client, and wait for none of them."""
         await self.stays.start()
         await self.leaver.start()
         self.lines = [self.line("stays", self.stays), self.line("leaver", self.leaver)]
@@ -136,7 +139,7 @@
         self.list.delay_s = self.answer_s
         self.discovery = self.list
         self.process = await self.start()
-        self.client = asyncio.create_task(self.hand_in())
+        self.client = asyncio.create_task(self.submit_messages())
 
     def config(self, discovery: HttpServer) -> dict[str, Any]:
         grades = [grade(name="safe")]
@@ -150,13 +153,13 @@
             "known": {"version": 4, "full": True, "servers": self.lines}, "settings": env,
         }  # fmt: skip
 
-    async def start(self, _fds: int | None = None, **told: str) -> asyncio.subprocess.Process:
+    async def start(self, _fds: int | None = None, **env: str) -> asyncio.subprocess.Process:
         await self.list.start()
         (self.port,) = reserve_ports(1)
         (self.folder / "config.json").write_text(json.dumps(self.config(self.list)))
-        return await self.launch(_fds, **told)
+        return await self.launch(_fds, **env)
 
-    async def hand_in(self) -> None:
+    async def submit_messages(self) -> None:
         number = 0
         while True:
             number += 1
@@ -167,19 +170,19 @@
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
-    async def left_alone_from(self, notified_at: float) -> None:
-        """Nothing new goes to the one that has left from the end of the grace on, while the other serves."""
+    async def leaver_unused_from(self, notified_at: float) -> None:
+        """Check that nothing new is sent to the leaver after the grace, while the other endpoint serves."""
         due = notified_at + GRACE_S
         await asyncio.sleep(max(0.0, due - self.now()) + 1.0)
-        late = [round(at - notified_at, 2) for at in self.taken["leaver"] if at > due]
-        assert not late, f"calls so many seconds after the change counts as notified: {late[:5]}"
-        await until(lambda: self.taken["stays"] and self.taken["stays"][-1] > due)  # served all the time
+        late = [round(at - notified_at, 2) for at in self.received["leaver"] if at > due]
+        assert not late, f"calls after the change counts as notified, in s: {late[:5]}"
+        await until(lambda: self.received["stays"] and self.received["stays"][-1] > due)  # service goes on
 
     async def __aexit__(self, *_: object) -> None:
         await self.end()
 
     async def end(self) -> None:
-        """Stop all parts."""
+        """Stop all servers, the sender and the client."""
         self.client.cancel()
         self.process.kill()
         await self.process.wait()
@@ -187,8 +190,8 @@
             await server.stop()
 
 
-def test_a_watch_that_falls_silent_and_its_successor_too(tmp_path: Path) -> None:
-    """The second call is lost as well: what the first one missed counts as notified by the first one."""
+def test_a_change_that_a_silent_watch_and_the_next_call_miss(tmp_path: Path) -> None:
+    """The second call is lost as well, but a change that the first one missed counts by the first one."""
 
     async def main() -> None:
         wait = 4.0
@@ -196,28 +199,28 @@
             await until(lambda: len(world.list.silent_since) >= 1)
             world.list.leaves(1)
             silent_at = world.list.silent_since[0]
-            await world.left_alone_from(max(silent_at + NOTIFIED_S, silent_at + wait + AFTER_WAIT_S))
+            await world.leaver_unused_from(max(silent_at + NOTIFIED_S, silent_at + wait + AFTER_WAIT_S))
 
     run(main(), 40)
 
 
-def test_a_call_that_is_lost_after_an_outage(tmp_path: Path) -> None:
-    """Discovery refuses for a while; the first call that it takes again is not answered."""
+def test_a_change_that_a_lost_call_after_an_outage_misses(tmp_path: Path) -> None:
+    """Discovery refuses calls for a while, and does not answer the first call that it accepts again."""
 
     async def main() -> None:
         script = ["refuse", "refuse", "silent"]
         async with World(tmp_path, script) as world:
-            await until(lambda: len(world.list.calls) >= 2)  # it can be reached from here on
+            await until(lambda: len(world.list.calls) >= 2)  # discovery can be reached from here on
             reachable_at = world.list.calls[1][0]
             world.list.leaves(1)
             await until(lambda: world.list.silent_since)
-            await world.left_alone_from(max(reachable_at, world.list.silent_since[0]) + NOTIFIED_S)
+            await world.leaver_unused_from(max(reachable_at, world.list.silent_since[0]) + NOTIFIED_S)
 
     run(main(), 40)
 
 
-def test_a_move_to_a_discovery_that_is_slow(tmp_path: Path) -> None:
-    """Each call takes it longer than a call was given: it works through those that were given up, too."""
+def test_a_change_after_a_move_to_a_slow_discovery(tmp_path: Path) -> None:
+    """Each answer takes longer than a call once waited, and discovery works through abandoned calls too."""
 
     async def main() -> None:
         async with World(tmp_path, []) as world:
@@ -228,45 +231,45 @@
             (world.folder / "config.json").write_text(json.dumps(world.config(moved)))
             moved_at = world.now()
             world.process.send_signal(signal.SIGHUP)
-            await world.left_alone_from(moved_at + AFTER_MOVE_S)
+            await world.leaver_unused_from(moved_at + AFTER_MOVE_S)
             await moved.stop()
 
     run(main(), 40)
 
 
-@pytest.mark.parametrize("change", ["while it runs", "before it began"])
-def test_where_lists_are_pushed_the_agent_is_asked(tmp_path: Path, change: str) -> None:
-    """What the agent has counts as notified at once, and from the first moment of a new process."""
+@pytest.mark.parametrize("change", ["while it runs", "before it started"])
+def test_where_lists_are_pushed_the_agent_is_called(tmp_path: Path, change: str) -> None:
+    """The changes of the agent count as notified at once, and from the start of a new process."""
 
     async def main() -> None:
         async with World(tmp_path, [], mode="automatic") as world:
-            if change == "before it began":
+            if change == "before it started":
                 world.process.kill()
                 await world.process.wait()
                 world.list.leaves(1)
                 began_at = world.now()
                 world.process = await world.launch()
-                await world.left_alone_from(began_at)
+                await world.leaver_unused_from(began_at)
             else:
                 world.list.leaves(1)
-                await world.left_alone_from(world.now())
+                await world.leaver_unused_from(world.now())
 
     run(main(), 40)
 
 
-def test_an_answer_that_cannot_be_read_is_asked_for_again_at_once(tmp_path: Path) -> None:
-    """Discovery has written the change: a back-off would be longer than the grace."""
+def test_after_an_answer_that_cannot_be_parsed_the_next_call_is_made_at_once(tmp_path: Path) -> None:
+    """Discovery has written the change, and a back-off would be longer than the grace."""
 
     async def main() -> None:
         async with World(tmp_path, []) as world:
-            whole = world.list.answer
+            answer = world.list.answer
 
             def broken(full: bool, lines: Any = None) -> bytes:
-                world.list.answer = whole  # type: ignore[method-assign]
+                world.list.answer = answer  # type: ignore[method-assign]
                 return response(200, "OK", {}, b'{"version": 5, "full": false, "servers": [')
 
             world.list.answer = broken  # type: ignore[method-assign]
             world.list.leaves(1)
-            await world.left_alone_from(world.now())
+            await world.leaver_unused_from(world.now())
 
     run(main(), 40)
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -1,6 +1,6 @@
-"""Where two events cross at discovery's watch: each is forced by what the stand-in has read.
+"""Pairs of events that meet at the watch of discovery; the stand-in forces each by what it has read.
 
-After each of them one watch stands, and only one.
+After each of them exactly one watch is in flight.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 
 
 class Discovery(HttpServer):
-    """Notes each call and keeps it open until it is told what to write; `standing` counts those it has.
+    """Records each call and keeps it open until the test writes an answer; `open_calls` has those by number.
 
-    Calls that ask for changes at once are answered with none, and counted apart, unless `holds_short` is set.
+    Short calls are answered without changes and counted apart, unless `holds_short` is set.
     """
 
     def __init__(self) -> None:
@@ -31,7 +31,7 @@
         self.holds_short = False
         self.short_calls = 0
         self.paths: list[str] = []
-        self.standing: dict[int, asyncio.StreamWriter] = {}
+        self.open_calls: dict[int, asyncio.StreamWriter] = {}
 
     async def _never(self, message: Message) -> bytes | None:
         return None
@@ -41,33 +41,33 @@
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode()
-                self.standing.pop(number, None)
+                self.open_calls.pop(number, None)
                 if head.split(" ")[1].endswith("wait=1") and not self.holds_short:
                     self.short_calls += 1
                     writer.write(no_changes(head))
                     continue
                 number = len(self.paths)
                 self.paths.append(head.split(" ")[1])
-                self.standing[number] = writer
+                self.open_calls[number] = writer
         finally:
-            self.standing.pop(number, None)
+            self.open_calls.pop(number, None)
 
     async def called(self, count: int) -> asyncio.StreamWriter:
-        """The connection of the last of `count` calls, once it alone stands."""
-        await until(lambda: len(self.paths) >= count and list(self.standing) == [count - 1])
+        """The connection of the last of `count` calls, once it is the only open one."""
+        await until(lambda: len(self.paths) >= count and list(self.open_calls) == [count - 1])
         assert len(self.paths) == count
-        return self.standing[count - 1]
+        return self.open_calls[count - 1]
 
 
 def no_changes(head: str) -> bytes:
-    """The answer to a call for changes that finds none."""
+    """Return the answer to a call for changes that finds none."""
     _, _, index = head.split(" ")[1].partition("index=")
     version = int(index.partition("&")[0])
     return response(200, "OK", {}, orjson.dumps({"version": version, "full": False, "servers": []}))
 
 
 class World:
-    """A discovery, a sender's map that watches it, and what the map has told its owner."""
+    """A discovery, a sender's map that watches it, and the owner with the lists that it received."""
 
     def __init__(self, wait: float = 30.0, version: int = 5) -> None:
         self.discovery, self.owner, self.wait = Discovery(), Owner(version), wait
@@ -82,7 +82,7 @@
         await self.discovery.stop()
 
 
-def test_a_watch_asked_for_in_the_turn_in_which_it_was_ended_stands() -> None:
+def test_a_watch_that_is_stopped_and_started_in_one_turn_of_the_loop_is_in_flight() -> None:
     async def main() -> None:
         async with World() as world:
             world.map.watch(True)
@@ -94,12 +94,12 @@
     run(main())
 
 
-def test_a_watch_ended_and_asked_for_as_its_answer_comes_stands_once() -> None:
+def test_a_watch_that_is_stopped_and_started_as_its_answer_arrives_is_in_flight_once() -> None:
     async def main() -> None:
         async with World() as world:
             world.map.watch(True)
             writer = await world.discovery.called(1)
-            writer.write(listing(6, True))  # on its way: the next turn of the loop reads it
+            writer.write(listing(6, True))  # in transit: the next turn of the loop reads it
             await asyncio.sleep(0)
             for on in (False, True, False, True):
                 world.map.watch(on)
@@ -108,7 +108,7 @@
     run(main())
 
 
-def test_a_snapshot_does_not_wait_for_the_watch_that_is_out() -> None:
+def test_a_snapshot_does_not_wait_for_the_watch_in_flight() -> None:
     async def main() -> None:
         async with World() as world:
             world.map.watch(True)
@@ -116,17 +116,18 @@
             world.map.snapshot()
             await until(lambda: len(world.discovery.paths) == 2)
             assert world.discovery.paths[1] == "/registry/instances"
-            world.map.snapshot()  # it is being asked for already
-            world.discovery.standing[1].write(listing(9, True))
+            world.map.snapshot()  # it is already requested
+            world.discovery.open_calls[1].write(listing(9, True))
             await world.discovery.called(3)
             assert world.discovery.paths[2].startswith("/registry/instances?index=9&")
 
     run(main())
 
 
-def test_an_answer_of_the_old_address_is_heard_until_the_new_one_has_answered() -> None:
-    """What the old address has written counts as notified, and the new one may take its time. (An earlier
-    form of this test wanted the old answer thrown away: calls would have gone on to one that has left.)
+def test_an_answer_of_the_old_address_is_applied_until_the_new_one_has_answered() -> None:
+    """The answers of the old address count as notified, and the new one may be slow. (An earlier form of this
+    test required that the old answer be discarded: calls would still have been sent to an endpoint that
+    left.)
     """
 
     async def main() -> None:
@@ -135,22 +136,22 @@
         async with World() as world:
             world.map.watch(True)
             writer = await world.discovery.called(1)
-            writer.write(listing(6, False, state="left"))  # it has come, and is not read yet
+            writer.write(listing(6, False, state="left"))  # it has arrived and is not read yet
             world.map.move(Address(HOST, other.port))
             await until(lambda: world.owner.updates)
             assert [update.version for update in world.owner.updates] == [6]
             await until(lambda: other.paths)
-            assert set(other.paths) == {"/registry/instances"}, "all of it, whatever the old one said"
-            other.standing[len(other.paths) - 1].write(listing(2, True))
+            assert set(other.paths) == {"/registry/instances"}, "in full, whatever the old one answered"
+            other.open_calls[len(other.paths) - 1].write(listing(2, True))
             await until(lambda: "index=2&" in other.paths[-1])
             assert [update.version for update in world.owner.updates] == [6, 2]
-            await until(lambda: not world.discovery.standing)
+            await until(lambda: not world.discovery.open_calls)
         await other.stop()
 
     run(main())
 
 
-def test_an_answer_of_the_old_address_is_not_heard_after_the_new_one_has_answered() -> None:
+def test_an_answer_of_the_old_address_is_not_applied_after_the_new_one_has_answered() -> None:
     async def main() -> None:
         other = Discovery()
         await other.start()
@@ -159,9 +160,9 @@
             await world.discovery.called(1)
             world.map.move(Address(HOST, other.port))
             await until(lambda: other.paths)
-            other.standing[len(other.paths) - 1].write(listing(2, True))
+            other.open_calls[len(other.paths) - 1].write(listing(2, True))
             await until(lambda: "index=2&" in other.paths[-1])
-            await until(lambda: not world.discovery.standing)  # the call to the old address has been closed
+            await until(lambda: not world.discovery.open_calls)  # the call to the old address has been closed
             assert [update.version for update in world.owner.updates] == [2]
         await other.stop()
 
@@ -177,10 +178,9 @@
 
 
 @pytest.mark.parametrize("stage", STAGES)
-def test_a_watch_that_falls_silent_is_asked_again_until_one_answers(stage: str) -> None:
-    """Half an answer is not waited for as long as a watch may wait for news; further calls come by
-    themselves, to be answered at once, while those before them are still listened to. Each of them may be
-    lost as well.
+def test_a_silent_watch_is_followed_by_short_calls_until_one_is_answered(stage: str) -> None:
+    """The end of a partial answer is not awaited for as long as a watch may wait for a change. Further short
+    calls are made while the ones before are still open, as each of them may be lost as well.
     """
 
     async def main() -> None:
@@ -194,20 +194,20 @@
             writer.write(STAGES[stage])
             await until(lambda: len(world.discovery.paths) == 2)
             assert loop.time() - began < 6 and world.discovery.paths[1].endswith("index=5&wait=1")
-            world.discovery.standing[1].write(STAGES[stage])
+            world.discovery.open_calls[1].write(STAGES[stage])
             await until(lambda: len(world.discovery.paths) == 3)
             assert world.discovery.paths[2].endswith("index=5&wait=1") and not world.owner.updates
             world.discovery.holds_short = False
-            world.discovery.standing[2].write(HALF)
+            world.discovery.open_calls[2].write(HALF)
             await until(lambda: world.owner.updates)
             await until(lambda: "index=6&" in world.discovery.paths[-1])
-            await until(lambda: len(world.discovery.standing) == 1)
+            await until(lambda: len(world.discovery.open_calls) == 1)
 
     run(main())
 
 
-def test_a_change_whose_next_hop_cannot_be_told_is_followed_by_the_whole_list() -> None:
-    """What it took out of use is not known: nothing may go on to be sent there."""
+def test_a_change_without_a_next_hop_is_followed_by_the_full_list() -> None:
+    """It is not known which next hop it took out of use, and nothing new may be sent there."""
 
     async def main() -> None:
         async with World() as world:
@@ -224,22 +224,22 @@
     run(main())
 
 
-def test_an_answer_that_comes_late_is_heard_though_others_have_been_asked() -> None:
-    """A discovery that needs longer than a call waits alone would never be heard if each were cut off."""
+def test_a_late_answer_is_applied_though_further_calls_were_made() -> None:
+    """An answer that takes longer than the hedge delay would never arrive if each call were closed then."""
 
     async def main() -> None:
         async with World() as world:
             world.discovery.holds_short = True
             world.map.watch(True)
             await until(lambda: len(world.discovery.paths) == 2)
-            world.discovery.standing[0].write(listing(6, False, state="left"))
+            world.discovery.open_calls[0].write(listing(6, False, state="left"))
             await until(lambda: world.owner.updates)
             assert world.owner.updates[0].hops[0].id == "s-1"
 
     run(main())
 
 
-def test_a_list_in_pieces_and_indented_is_read() -> None:
+def test_an_indented_list_that_arrives_in_pieces_is_parsed() -> None:
     async def main() -> None:
         async with World() as world:
             world.map.watch(True)
@@ -262,8 +262,8 @@
     b'{"version": 1e400, "full": true, "servers": []}', b'{"version": null, "full": true, "servers": []}',
     b'{"version": 7, "full": true, "servers": 8}', b"[" * 3000, b"\xff\xfe", b"",
 ])  # fmt: skip
-def test_a_list_that_cannot_be_read_is_asked_for_again(body: bytes) -> None:
-    """The last good one stays meanwhile."""
+def test_a_list_that_cannot_be_parsed_is_requested_again(body: bytes) -> None:
+    """The last valid list is kept meanwhile."""
 
     async def main() -> None:
         async with World() as world:
@@ -277,41 +277,41 @@
     run(main())
 
 
-def test_a_list_that_its_owner_fails_on_is_asked_for_as_a_whole() -> None:
-    """Whatever goes wrong with one answer, the watch must not end with it."""
+def test_a_list_that_its_owner_fails_to_apply_is_requested_in_full() -> None:
+    """The watch must go on, whatever fails with one answer."""
 
     async def main() -> None:
         async with World() as world:
-            taken = world.owner.list_changed
+            apply = world.owner.list_changed
 
             def fails(update: MapUpdate) -> None:
-                world.owner.list_changed = taken  # type: ignore[method-assign]
-                raise RuntimeError("a fault in what the list sets off")
+                world.owner.list_changed = apply  # type: ignore[method-assign]
+                raise RuntimeError("a fault in applying the list")
 
             world.map.watch(True)
             writer = await world.discovery.called(1)
             world.owner.list_changed = fails  # type: ignore[method-assign]
             writer.write(listing(6, True))
             writer = await world.discovery.called(2)
-            assert world.discovery.paths[1] == "/registry/instances", "all of it: some may not be taken in"
+            assert world.discovery.paths[1] == "/registry/instances", "in full: a part may be missing"
             writer.write(listing(7, True))
             await until(lambda: world.owner.updates and world.owner.version == 7)
 
     run(main())
 
 
-def test_a_move_set_off_by_the_list_itself_leaves_one_watch() -> None:
+def test_a_snapshot_that_the_list_itself_triggers_leaves_one_watch() -> None:
     async def main() -> None:
         async with World() as world:
-            taken = world.owner.list_changed
+            apply = world.owner.list_changed
 
-            def moves(update: MapUpdate) -> None:
-                world.owner.list_changed = taken  # type: ignore[method-assign]
+            def requests_again(update: MapUpdate) -> None:
+                world.owner.list_changed = apply  # type: ignore[method-assign]
                 world.map.look_now()
 
             world.map.watch(True)
             writer = await world.discovery.called(1)
-            world.owner.list_changed = moves  # type: ignore[method-assign]
+            world.owner.list_changed = requests_again  # type: ignore[method-assign]
             writer.write(listing(6, True))
             (await world.discovery.called(2)).write(listing(7, True))
             assert world.discovery.paths[1] == "/registry/instances"
@@ -320,8 +320,8 @@
     run(main())
 
 
-def test_an_answer_that_comes_in_the_turn_in_which_its_time_is_over_counts() -> None:
-    """The loop is held up until both are due, and hears the socket first."""
+def test_an_answer_that_arrives_in_the_turn_of_its_timeout_counts() -> None:
+    """The loop is blocked until both are due, and then handles the socket first."""
 
     async def main() -> None:
         discovery = Discovery()
@@ -329,11 +329,11 @@
         client, limit = Client(HOST, discovery.port), 0.2
         loop = asyncio.get_running_loop()
         began = loop.time()
-        asking = asyncio.create_task(client.exchange(request("GET", "/x", HOST, {}), limit))
+        exchange = asyncio.create_task(client.exchange(request("GET", "/x", HOST, {}), limit))
         (await discovery.called(1)).write(response(200, "OK", {}, b"news"))
         while loop.time() < began + limit + 0.2:
             pass
-        assert (await asking).body == b"news"
+        assert (await exchange).body == b"news"
         client.close()
         await discovery.stop()
 
