--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -1,4 +1,4 @@
-"""A permission to send has an end: what is late by then never leaves, whatever held it up (issue 40)."""
+"""A permission to send expires: bytes that are late are never sent, whatever delayed them (issue 40)."""
 
 from __future__ import annotations
 
@@ -25,11 +25,13 @@
 from tests.test_sender import Bench
 
 WINDOW_S = 1.0
-KEYED = 1  # the class of `Bench` whose repeats endpoints drop
+KEYED = 1  # the message class of `Bench` whose repeats are deduplicated by endpoints
 
 
 class Repeats(Bench):
-    """A core whose message of the keyed class failed once, so that its repeat is decided in the window."""
+    """A core with a message of the keyed class whose first attempt fails, so that it is repeated in its
+    window.
+    """
 
     def __init__(self, folder: Path, **extra: Any) -> None:
         keyed = grade("deduplicated", repeatWindow=WINDOW_S, **extra.pop("keyed", {}))
@@ -44,14 +46,14 @@
         self.first_at = self.time
 
     def fail_first(self) -> None:
-        """The first attempt ends in an error, so it may have run."""
+        """The first attempt ends with an error, so the message may have been processed."""
         number = self.sender.numbers["a"]
         call = self.sender.held[number].call
         assert call is not None
         self.sender.finished(call, {number: Result(Outcome.ERROR)})
 
     def repeat(self) -> Call:
-        """The repeat, decided within the window."""
+        """Return the repeat, which is decided within the window."""
         self.fail_first()
         while not self.calls:
             self.pass_time(0.01)
@@ -62,18 +64,18 @@
         self.pass_time(self.first_at + WINDOW_S + 0.01 - self.time)
 
 
-def test_a_repeat_that_waits_for_its_connection_does_not_outlive_its_window(tmp_path: Path) -> None:
+def test_a_repeat_that_waits_for_its_connection_is_not_sent_after_its_window(tmp_path: Path) -> None:
     bench = Repeats(tmp_path)
     call = bench.repeat()
     bench.pass_window()
     assert bench.sender.admit(call, call.items) == []
 
 
-def test_a_repeat_that_waits_for_the_journal_does_not_outlive_its_window(tmp_path: Path) -> None:
+def test_a_repeat_that_waits_for_the_journal_is_not_sent_after_its_window(tmp_path: Path) -> None:
     files = FailingFiles()
     bench = Repeats(tmp_path, files=files)
     files.fails = {"write"}
-    bench.take("probe")  # its record shows that the disk fails
+    bench.take("probe")  # the write of its record shows that the disk fails
     bench.pass_time(0.02)
     bench.fail_first()
     bench.pass_window()
@@ -83,7 +85,7 @@
     assert all(bench.sender.admit(call, call.items) == [] for call in late)
 
 
-def test_a_repeat_stays_in_the_zone_that_drops_it(tmp_path: Path) -> None:
+def test_a_repeat_stays_in_the_zone_that_deduplicates_it(tmp_path: Path) -> None:
     """The endpoint is listed in another zone after the repeat was decided."""
     bench = Repeats(tmp_path, keyed={"group": "zone"})
     call = bench.repeat()
@@ -94,7 +96,7 @@
 
 
 class Senders:
-    """A core with its journal and next hops on faulty sockets, whose list a test gives it."""
+    """A core with its journal, and next hops on faulty sockets; the test provides the list."""
 
     names = Names(("keyed",), ("near",), ("one",))
 
@@ -119,7 +121,7 @@
 
     @property
     def arrived(self) -> list[str]:
-        """The messages whose calls the endpoint has in full."""
+        """The messages whose calls the endpoint has received in full."""
         return [name for _, name, _, _ in self.endpoint.calls]
 
     async def start(self) -> None:
@@ -137,7 +139,7 @@
     def tell(self, msg_id: str, end: End, told: Any) -> None:
         told()
 
-    async def hand_in(self, name: str, left: float = 6.0, body: bytes = b"x") -> None:
+    async def submit(self, name: str, left: float = 6.0, body: bytes = b"x") -> None:
         count = len(self.answers)
         self.sender.submit(
             Submission(name, 0, left, 7, "k", body, "platform", self.answers.append, lambda: True)
@@ -146,13 +148,13 @@
         assert self.answers[-1] == Taken()
 
     async def blocked(self, name: str, **extra: Any) -> None:
-        """A message whose call has been let through, and whose bytes the socket does not take."""
+        """Submit a message whose call is admitted, and whose bytes the socket does not accept."""
         self.faults.always("write", errno.EAGAIN)
-        await self.hand_in(name, **extra)
+        await self.submit(name, **extra)
         await until(lambda: self.journal.live[name].attempts)
 
-    async def let_go(self) -> None:
-        """The socket takes bytes again, and what was still to leave has had time to."""
+    async def unblock(self) -> None:
+        """The socket accepts bytes again, with time for all that may be sent."""
         self.faults.always("write", None)
         await asyncio.sleep(0.15)
 
@@ -164,51 +166,51 @@
 
 
 @pytest.mark.parametrize("wire", ["http", "amqp"])
-@pytest.mark.parametrize("why", ["drained", "told to wait", "its time"])
-def test_bytes_that_the_socket_did_not_take_do_not_leave_later(tmp_path: Path, why: str, wire: str) -> None:
+@pytest.mark.parametrize("end", ["drained", "required wait", "deadline"])
+def test_bytes_that_the_socket_did_not_accept_are_not_sent_later(tmp_path: Path, end: str, wire: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         world = Senders(tmp_path, faults, wire=wire)
         await world.start()
-        await world.hand_in("first")  # on the connection that the next call is kept for
+        await world.submit("first")  # opens the connection that the next call uses
         await until(lambda: world.arrived == ["first"] and not world.hops.out)
-        await world.blocked("late", left=2.0 if why == "its time" else 6.0)
-        if why == "drained":
+        await world.blocked("late", left=2.0 if end == "deadline" else 6.0)
+        if end == "drained":
             world.sender.list_changed(world.list(Readiness.DRAINING))
-        elif why == "told to wait":
+        elif end == "required wait":
             world.sender.waits[7] = loop.time() + 5.0
         else:
             await asyncio.sleep(2.05)
-        await world.let_go()
+        await world.unblock()
         assert world.arrived == ["first"]
         await world.stop()
 
     run_faulty(main)
 
 
-def test_the_last_byte_of_a_repeat_does_not_leave_past_the_window(tmp_path: Path) -> None:
-    """The first byte is in time; an endpoint begins a call with its last one."""
+def test_the_last_byte_of_a_repeat_is_not_sent_after_the_window(tmp_path: Path) -> None:
+    """The first byte is in time, but an endpoint only processes a call that is complete."""
     window_s = 2.0
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         world = Senders(tmp_path, faults, window_s)
         await world.start()
         world.endpoint.script = ["error", "ok"]
-        await world.hand_in("a", body=b"x" * 2000)
+        await world.submit("a", body=b"x" * 2000)
         await until(lambda: world.arrived)
         first_at = loop.time()
         faults.always("write", errno.EAGAIN)
         faults.after["write"] = 60
         await until(lambda: world.journal.live["a"].attempts == 2)
         await asyncio.sleep(first_at + window_s + 0.05 - loop.time())
-        await world.let_go()
+        await world.unblock()
         assert world.arrived == ["a"]
         await world.stop()
 
     run_faulty(main)
 
 
-def test_a_message_past_its_window_stays_behind_where_others_of_its_call_go(tmp_path: Path) -> None:
-    bench = Repeats(tmp_path, kind=1)  # of which one call carries several
+def test_a_message_past_its_window_is_removed_from_a_call_with_others(tmp_path: Path) -> None:
+    bench = Repeats(tmp_path, kind=1)  # a transport kind whose calls carry several messages
     call = bench.repeat()
     bench.take("b")
     bench.pass_time(0.01)
