--- a/mountgauge/core/call_lease.py
+++ b/mountgauge/core/call_lease.py
@@ -35,6 +35,6 @@
         if self.refusal is not None:
             raise LeaseExpiredError(self.refusal)
 
-    def left(self, begun: bool, complete: bool) -> None:
+    def bytes_sent(self, begun: bool, complete: bool) -> None:
         """Notify the core that bytes have left."""
         self._bytes_sent(self._call, begun, complete)
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -84,7 +84,7 @@
 class LoggedOutcomes:
     """Logs the outcomes of messages where there is no platform to notify."""
 
-    owed = 0
+    unacknowledged = 0
 
     def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
         log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.retry_after_ms))
@@ -240,7 +240,7 @@
         ):
             await asyncio.sleep(0.02)
         self.sender.stop()
-        while left(_EXIT_AT_S) and (self.next_hops.out or self.notices.owed):
+        while left(_EXIT_AT_S) and (self.next_hops.out or self.notices.unacknowledged):
             await asyncio.sleep(0.02)
         for listener, _ in self.listeners:
             listener.close()
--- a/tests/platform/test_slow_discovery.py
+++ b/tests/platform/test_slow_discovery.py
@@ -1,17 +1,17 @@
-"""A slow discovery with a small `askWithin`: each call is closed before it can be answered."""
+"""A slow discovery with a small `askWithin`: calls must not be closed before they can be answered."""
 
 from __future__ import annotations
 
-from tests.platform.reference import Change, Loss, Outage, Schedule, State, Trouble
+from tests.platform.reference import Change, Loss, Outage, OutageKind, Schedule, State
 from tests.platform.simulation import play
 from tests.platform.test_drain_property import late_bytes
 
 
-def test_a_slow_discovery_is_heard_though_a_sender_asks_often() -> None:
-    """Answers take 1.2 s, within the 6 s of the rule; a call is listened to for 1.0 s."""
+def test_the_answer_of_a_slow_discovery_is_received_though_calls_are_frequent() -> None:
+    """Answers take 1.2 s, within the 6 s of the rule; a call that was closed after 1.0 s never got one."""
     events = (
         Loss(0.3),
-        Outage(0.6, 30.0, Trouble.SLOW, 1.2),
+        Outage(0.6, 30.0, OutageKind.SLOW, 1.2),
         Change(3.0, "a", State.LEAVING),
     )
     schedule = Schedule(1, 0.5, False, 0.15, 0.0, 0, events)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -127,7 +127,7 @@
         notices.move(Address(HOST, server.port))
         notices.report_outcome("b", MessageOutcome(Status.UNDELIVERABLE), lambda: notified.append("b"))
         await until(lambda: len(notified) == 2, 0.5)
-        assert [json.loads(line)["id"] for line in lines] == ["a", "b"] and not notices.owed
+        assert [json.loads(line)["id"] for line in lines] == ["a", "b"] and not notices.unacknowledged
         notices.close()
         for one in (silent, server):
             await one.stop()
