--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -58,7 +58,7 @@
     return NextHop(record.id, address.host, address.port, entry)
 
 
-def gone_hop(record: EndpointRecord) -> NextHop:
+def removed_hop(record: EndpointRecord) -> NextHop:
     """An endpoint that is no more."""
     entry = Entry(Readiness.GONE, 0.0, 0.0, 0, record.destination, 0, record.id.encode())
     return NextHop(record.id, "", 0, entry)
@@ -168,13 +168,13 @@
         return MapUpdate(self._version(), full, self._hops(update), versions=versions)
 
     def _hops(self, update: Update) -> tuple[NextHop, ...]:
-        hops = [gone_hop(record) for record in gone_for_good(update)]
+        hops = [removed_hop(record) for record in gone_for_good(update)]
         for record in update.put:
             try:
                 hops.append(next_hop(record, self._settings.rate_per_weight))
             except ConfigError as error:  # the others still hold
                 log.warning("entry-not-read", extra=kv(id=record.id, error=error))
-                hops.append(gone_hop(record))
+                hops.append(removed_hop(record))
         return tuple(hops)
 
     # The lease on the list
