--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -19,7 +19,7 @@
 from mountgauge.core.config import MapUpdate
 from mountgauge.core.hop_table import HopTable
 from mountgauge.http1 import Parser, request, response
-from mountgauge.relay.shard_map import gone_for_good, next_hop, removed_hop
+from mountgauge.relay.shard_map import next_hop, removed_hop, removed_records
 from mountgauge.relay.wire import (
     MAX_ANSWER_BYTES,
     MAX_ASK_BYTES,
@@ -174,7 +174,7 @@
         if not (update.put or update.gone):
             return
         self._revision += 1
-        hops = [removed_hop(record) for record in gone_for_good(update)]
+        hops = [removed_hop(record) for record in removed_records(update)]
         hops += [next_hop(record, _RATE_PER_WEIGHT) for record in update.put]
         change = self.hops.learn(MapUpdate(self._revision, False, tuple(hops)), False, now)
         self.policy.handle(io.Targets(io.ListKind.DELTA, self._revision, change.entries), now)
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -64,7 +64,7 @@
     return NextHop(record.id, "", 0, entry)
 
 
-def gone_for_good(update: Update) -> Iterator[EndpointRecord]:
+def removed_records(update: Update) -> Iterator[EndpointRecord]:
     """The endpoints of an update that are no more: one that has moved is where it is put."""
     put = {record.id for record in update.put}
     return (record for record in update.gone if record.id not in put)
@@ -168,7 +168,7 @@
         return MapUpdate(self._version(), full, self._hops(update), versions=versions)
 
     def _hops(self, update: Update) -> tuple[NextHop, ...]:
-        hops = [removed_hop(record) for record in gone_for_good(update)]
+        hops = [removed_hop(record) for record in removed_records(update)]
         for record in update.put:
             try:
                 hops.append(next_hop(record, self._settings.rate_per_weight))
