--- a/mountgauge/lab/scale/live_stands.py
+++ b/mountgauge/lab/scale/live_stands.py
@@ -33,7 +33,7 @@
             return
         timer = asyncio.get_running_loop().call_later(wait_s, self._answer, exchange)
         self._held[exchange] = index, timer
-        exchange.on_gone = partial(self._drop, exchange)
+        exchange.on_disconnect = partial(self._drop, exchange)
 
     def _drop(self, exchange: Exchange) -> None:
         self._forget(exchange)
--- a/mountgauge/relay/server.py
+++ b/mountgauge/relay/server.py
@@ -67,12 +67,12 @@
 class Exchange:
     """A request and the one answer that it is owed."""
 
-    __slots__ = ("_connection", "on_gone", "request")
+    __slots__ = ("_connection", "on_disconnect", "request")
 
     def __init__(self, connection: PollConnection, request: Message) -> None:
         self._connection: PollConnection | None = connection
         self.request = request
-        self.on_gone: Callable[[], None] | None = None  # the peer went before the answer
+        self.on_disconnect: Callable[[], None] | None = None  # the peer went before the answer
 
     @property
     def open(self) -> bool:
@@ -92,14 +92,14 @@
     def answer(self, status: int, body: bytes) -> None:
         """Send the one answer; nothing where the peer has gone or has been answered."""
         connection, self._connection = self._connection, None
-        self.on_gone = None
+        self.on_disconnect = None
         if connection is not None:
             connection.write_answer(status, body, self.request.keep_alive)
 
     def abandon(self) -> None:
         """The connection has ended: whoever holds the exchange hears of it once."""
         self._connection = None
-        gone, self.on_gone = self.on_gone, None
+        gone, self.on_disconnect = self.on_disconnect, None
         if gone is not None:
             gone()
 
--- a/mountgauge/relay/service.py
+++ b/mountgauge/relay/service.py
@@ -144,7 +144,7 @@
             self._answer(exchange, reply)
             return
         self._held[reply.number] = exchange
-        exchange.on_gone = partial(self._gone, reply.number)
+        exchange.on_disconnect = partial(self._gone, reply.number)
         self.follower.wake_by(now + ask.wait_s)
 
     def _not_read(self, error: wire.UnreadableMessageError) -> None:
--- a/tests/sharding/test_relay_server.py
+++ b/tests/sharding/test_relay_server.py
@@ -24,7 +24,7 @@
 
     def handle(self, exchange: Exchange) -> None:
         self.open.append(exchange)
-        exchange.on_gone = self._left
+        exchange.on_disconnect = self._left
 
     def _left(self) -> None:
         self.gone += 1
