--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelayPlace:
+class RelayAddress:
     """A relay that can be asked."""
 
     name: str
@@ -41,7 +41,7 @@
 class Relays:
     """The relays that may be asked, in the file's order."""
 
-    places: tuple[RelayPlace, ...]
+    places: tuple[RelayAddress, ...]
 
     @property
     def names(self) -> tuple[RelayName, ...]:
@@ -217,7 +217,7 @@
         address = one.address("at")
         if address is None:
             raise ConfigError(f"{name}: at: missing")
-        places.append(RelayPlace(_name(one, "name"), _name(one, "zone"), address))
+        places.append(RelayAddress(_name(one, "name"), _name(one, "zone"), address))
         one.done()
     if not places:
         raise ConfigError(f"{name}: at least one is needed")
--- a/tests/sharding/test_relay_service.py
+++ b/tests/sharding/test_relay_service.py
@@ -15,7 +15,7 @@
 from mountgauge.relay import wire
 from mountgauge.relay.follower import Follower
 from mountgauge.relay.service import RelayService
-from mountgauge.relay.settings import RelayFile, RelayPlace, Relays, load_relay
+from mountgauge.relay.settings import RelayAddress, RelayFile, Relays, load_relay
 from mountgauge.relay.table import current, lines
 from mountgauge.sharding.messages import Answer, Ask, Position, Reply
 from mountgauge.sharding.picker import Picker, RelayName
@@ -66,7 +66,7 @@
         await discovery.start()
         await discovery.change(*[line(f"e{one}", one) for one in range(30)])
         upper = await started(relay_file(tmp_path, discovery.port, members=False))
-        place = RelayPlace("upper", "a", Address(HOST, upper.server.port))
+        place = RelayAddress("upper", "a", Address(HOST, upper.server.port))
         below = replace(relay_file(tmp_path, 1), discovery=None, relays=Relays((place,)))
         lower = await started(below)
         assert lower.relay.store.as_of == discovery.version
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -13,7 +13,7 @@
 from mountgauge.http1 import Message, response
 from mountgauge.relay import wire
 from mountgauge.relay.kept_list import MAX_BYTES, KeptList, KeptListError, KeptListFile
-from mountgauge.relay.settings import RelayPlace, Relays, SenderSharding, Shards
+from mountgauge.relay.settings import RelayAddress, Relays, SenderSharding, Shards
 from mountgauge.relay.shard_map import ShardMap
 from mountgauge.sharding.messages import Answer, PlacedShard, PlacementNews
 from mountgauge.sharding.shards import (
@@ -58,7 +58,7 @@
 
 
 def sharding(relay_port: int, rate_per_weight: float = 0.0) -> SenderSharding:
-    relays = Relays((RelayPlace("relay", "a", Address(HOST, relay_port)),))
+    relays = Relays((RelayAddress("relay", "a", Address(HOST, relay_port)),))
     return SenderSharding("a", Shards(SHARDS, 2), relays, FAST, rate_per_weight, None)
 
 
