--- a/mountgauge/cli.py
+++ b/mountgauge/cli.py
@@ -191,7 +191,7 @@
         operator = load(file)
         hops = f"{len(operator.hops.update.hops)} next hops"
         if operator.sharding is not None:
-            count, relays = operator.sharding.shards.count, len(operator.sharding.relays.places)
+            count, relays = operator.sharding.shards.count, len(operator.sharding.relays.entries)
             hops = f"next hops of {count} shards from {relays} relays"
         print(f"{file}: {operator.config.name}, {hops}")
         hard = descriptors.limits()[1]
--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -41,17 +41,17 @@
 class Relays:
     """The relays that may be asked, in the file's order."""
 
-    places: tuple[RelayAddress, ...]
+    entries: tuple[RelayAddress, ...]
 
     @property
     def names(self) -> tuple[RelayName, ...]:
         """As the choice among them goes by."""
-        return tuple(RelayName(one.name, one.zone) for one in self.places)
+        return tuple(RelayName(one.name, one.zone) for one in self.entries)
 
     @property
     def addresses(self) -> dict[str, Address]:
         """By name."""
-        return {one.name: one.address for one in self.places}
+        return {one.name: one.address for one in self.entries}
 
 
 @dataclass(frozen=True, slots=True)
@@ -136,7 +136,7 @@
     discovery, relays = _upstream(upstream, name)
     members = _members(path, top)
     if members is not None:
-        check_zones(members, (zone, *(one.zone for one in (relays.places if relays else ()))))
+        check_zones(members, (zone, *(one.zone for one in (relays.entries if relays else ()))))
     placement_table = top.table("placement") or Table({}, "placement")
     step_moves = _whole(placement_table, "step_moves", DEFAULT_STEP_MOVES, 1, 1 << 20)
     step_s = placement_table.positive("step_s", 1.0)
@@ -204,7 +204,7 @@
     if path is not None:
         members = load_members(path)
         _check_member(members, name, zone)
-        check_zones(members, [one.zone for one in relays.places])
+        check_zones(members, [one.zone for one in relays.entries])
     found = SenderSharding(zone, shards, relays, _timing(table, Timing()), rate, path)
     table.done()
     return found
@@ -212,19 +212,19 @@
 
 def read_relays(table: Table, name: str) -> Relays:
     """The tables `relay` of a table, each with name, zone and address."""
-    places = []
+    entries = []
     for one in table.tables("relay"):
         address = one.address("at")
         if address is None:
             raise ConfigError(f"{name}: at: missing")
-        places.append(RelayAddress(_name(one, "name"), _name(one, "zone"), address))
+        entries.append(RelayAddress(_name(one, "name"), _name(one, "zone"), address))
         one.done()
-    if not places:
+    if not entries:
         raise ConfigError(f"{name}: at least one is needed")
-    names = [one.name for one in places]
+    names = [one.name for one in entries]
     if twins := sorted({one for one in names if names.count(one) > 1}):
         raise ConfigError(f"{name}: '{twins[0]}' stands twice")
-    return Relays(tuple(places))
+    return Relays(tuple(entries))
 
 
 def _members(path: Path, top: Table) -> MemberFile | None:
--- a/tests/sharding/test_settings.py
+++ b/tests/sharding/test_settings.py
@@ -64,7 +64,7 @@
     assert (relay.shards.count, relay.shards.replicas, relay.timing.wait_s) == (64, 3, 0.5)
     assert relay.members is not None and len(relay.members.at(1)) == 2
     operator = load(written(tmp_path, SENDER))
-    assert operator.sharding is not None and operator.sharding.relays.places[0].name == "relay-a"
+    assert operator.sharding is not None and operator.sharding.relays.entries[0].name == "relay-a"
     assert operator.config.rules.balancers == 3, "a limit is divided among the replicas"
 
 
