--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -37,7 +37,7 @@
 from mountgauge.run.serve import made
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
-from tests.sharding.stands import SHARDS
+from tests.sharding.harness import SHARDS
 from tests.sharding.test_shard_map import kept
 from tests.test_sender import Bench
 
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -30,7 +30,7 @@
 from mountgauge.sharding.messages import PlacementNews
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
-from tests.sharding.stands import SHARDS
+from tests.sharding.harness import SHARDS
 from tests.sharding.test_shard_map import Core, kept, sharding
 from tests.test_sender import Bench
 
--- a/tests/sharding/test_processes.py
+++ b/tests/sharding/test_processes.py
@@ -10,7 +10,7 @@
 
 from mountgauge.sharding.shards import shard_of
 from tests.helper import HttpHop, run
-from tests.sharding.stands import LIMIT_S, REPLICAS, SHARDS, Fleet, Load, eventually, line
+from tests.sharding.harness import LIMIT_S, REPLICAS, SHARDS, Fleet, Load, eventually, line
 
 DESTINATIONS = range(40)
 RUN_S = 4 * LIMIT_S
--- a/tests/sharding/test_relay_service.py
+++ b/tests/sharding/test_relay_service.py
@@ -25,7 +25,7 @@
 from mountgauge.sharding.timing import Timing
 from mountgauge.sharding.upstream import Call, Update
 from tests.helper import HOST, HttpServer, run, until
-from tests.sharding.stands import Discovery, line
+from tests.sharding.harness import Discovery, line
 
 SHARDS = 16
 FAST = Timing(wait_s=0.2, silence_s=2.0, first_pause_s=0.05, longest_pause_s=0.1)
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -26,7 +26,7 @@
 )
 from rillspindle.interface import Readiness
 from tests.helper import HOST, HttpServer, run, until
-from tests.sharding.stands import Discovery, line
+from tests.sharding.harness import Discovery, line
 from tests.sharding.test_relay_service import FAST, SHARDS, relay_file, started
 
 
