--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -151,7 +151,7 @@
         """Keep what is held, and stop to follow."""
         if self._keeping is not None:
             self._keeping.cancel()
-        self.keep()
+        self.save()
         self.follower.close()
 
     def _tell(self, update: MapUpdate) -> None:
@@ -295,9 +295,9 @@
 
     def _keep_now(self) -> None:
         self._keeping = None
-        self.keep()
+        self.save()
 
-    def keep(self) -> None:
+    def save(self) -> None:
         """Write down what is held."""
         age_s = self.staleness_s
         placement = self.subscription.placement
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -390,7 +390,7 @@
             assert shard_map.staleness_s == math.inf and shard_map.rows()[0]["staleness_s"] is None
             return
         assert expected <= shard_map.staleness_s < expected + 9
-        shard_map.keep()
+        shard_map.save()
         assert (found := file.read()) is not None
         assert age(found.confirmed, read(later)) == pytest.approx(expected, abs=9)
 
