--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -38,7 +38,7 @@
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
 from tests.sharding.harness import SHARDS
-from tests.sharding.test_shard_map import kept
+from tests.sharding.test_shard_map import sample_kept_list
 from tests.test_sender import Bench
 
 DISK = 300_000
@@ -577,7 +577,7 @@
     one, _, _ = folder.arrive("m1", False)
     fact = Fact("pace", "7", 0.5, 1000.0, one.id, 1060.0)
     folder.remember([fact], now, one.id)
-    list_ = KeptList(read(SystemClocks()), kept().placement, kept().snapshots)
+    list_ = KeptList(read(SystemClocks()), sample_kept_list().placement, sample_kept_list().snapshots)
     lists.write(list_)
     files.error, files.fails = error, {call}
     if call == "write":
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -31,7 +31,7 @@
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
 from tests.sharding.harness import SHARDS
-from tests.sharding.test_shard_map import Core, kept, sharding
+from tests.sharding.test_shard_map import Core, sample_kept_list, sharding
 from tests.test_sender import Bench
 
 STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # s
@@ -378,7 +378,7 @@
     tmp_path: Path, boot: str, step: float, expected: float
 ) -> None:
     clock = SteppedClocks()
-    snapshots, placement = kept().snapshots, kept().placement
+    snapshots, placement = sample_kept_list().snapshots, sample_kept_list().placement
     file = KeptListFile(tmp_path, SHARDS)
     file.write(KeptList(read(clock).before(30.0), placement, snapshots))
 
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -106,7 +106,7 @@
     run(main())
 
 
-def kept(records: int = 1) -> KeptList:
+def sample_kept_list(records: int = 1) -> KeptList:
     found = tuple(
         EndpointRecord(f"e{number}", f"{HOST}:1", "a", "http", 7, EndpointState.ACTIVE)
         for number in range(records)
@@ -120,9 +120,9 @@
 def test_a_kept_list_is_used_with_its_age_and_one_too_large_is_not_written(tmp_path: Path) -> None:
     file = KeptListFile(tmp_path, SHARDS)
     assert file.read() is None
-    file.write(kept())
+    file.write(sample_kept_list())
     with pytest.raises(KeptListError, match=f"at most {MAX_BYTES} are kept"):
-        file.write(kept(records=MAX_BYTES // 100))
+        file.write(sample_kept_list(records=MAX_BYTES // 100))
     assert file.read() is not None, "the last good one stays"
 
     async def main() -> None:
