--- a/mountgauge/relay/report.py
+++ b/mountgauge/relay/report.py
@@ -1,4 +1,4 @@
-"""What a relay tells of itself: status pages and metrics."""
+"""Status pages and metrics of a relay."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from mountgauge.sharding.subscription import Subscription
 from mountgauge.snapshot import Measured, Snapshot
 
-_MOST_ROWS = 2048  # of the table of shards
+_MAX_ROWS = 2048  # of the page `/shards`
 
 
 def no_messages() -> Snapshot:
-    """A relay carries none."""
+    """Return an empty message snapshot: a relay carries no messages."""
     return Snapshot(Counter(), 0, 0, 0)
 
 
 class RelayReport:
-    """Reads a relay's parts; `held` are its open polls, `counts` has `unreadable_asks`."""
+    """Builds status pages and metrics from a relay's components."""
 
     def __init__(
         self,
@@ -31,40 +31,42 @@
         relay: Relay,
         server: PollServer,
         follower: Follower,
-        held: Sized,
+        open_polls: Sized,
         counts: Counter[str],
         now: Callable[[], float],
     ) -> None:
+        """`counts` has the key `unreadable_asks`."""
         self._file, self._relay, self._server, self._follower = file, relay, server, follower
-        self._held, self._counts, self._now = held, counts, now
+        self._open_polls, self._counts, self._now = open_polls, counts, now
 
     def status(self) -> Mapping[str, Any]:
-        """The page `/status`."""
+        """Return the page `/status`."""
         relay, server, placement = self._relay, self._server, self._relay.placement
-        found: dict[str, Any] = {
+        page: dict[str, Any] = {
             "name": self._file.name, "zone": self._file.zone, "kind": "relay",
             "ready": relay.upstream.ready, "version": relay.store.as_of,
             "staleness_s": _seconds(relay.upstream.age(self._now())), "shards": len(relay.store),
-            "polls": len(self._held), "connections": len(server.connections),
-            "unread_bytes": server.unread_bytes, "drops": {one.value: n for one, n in server.drops.items()},
+            "polls": len(self._open_polls), "connections": len(server.connections),
+            "unread_bytes": server.unread_bytes,
+            "drops": {reason.value: n for reason, n in server.drops.items()},
             "asks": dict(relay.counts), "unreadable_asks": self._counts["unreadable_asks"],
             "server": dict(server.counts), "upstream": {"source": self._source(), **self._follower.counts},
         }  # fmt: skip
         if placement is not None:
-            found["placement"] = {
+            page["placement"] = {
                 "epoch": placement.epoch, "revision": placement.revision, "pending": placement.pending,
             }  # fmt: skip
-        return found
+        return page
 
     def _source(self) -> str:
         upstream = self._relay.upstream
         return upstream.picker.current.name if isinstance(upstream, Subscription) else "discovery"
 
     def shards(self) -> Mapping[str, Any]:
-        """The page `/shards`: all shards, up to a bound."""
+        """Return the page `/shards`: all shards, up to `_MAX_ROWS`."""
         relay, store = self._relay, self._relay.store
         epoch = relay.placement.epoch if relay.placement is not None else 0
-        rows = [self._row(shard) for shard in sorted(store.shards())[:_MOST_ROWS]]
+        rows = [self._row(shard) for shard in sorted(store.shards())[:_MAX_ROWS]]
         return {
             "name": self._file.name, "zone": self._file.zone, "kind": "relay", "epoch": epoch,
             "shard_count": store.shard_count, "held": len(store), "source": self._source(),
@@ -82,19 +84,19 @@
         }  # fmt: skip
 
     def metrics(self) -> list[Measured]:
-        """What an export has."""
+        """Return the points of one export."""
         relay, server = self._relay, self._server
         calls = self._follower.counts
         points: list[Measured] = [
             ("mountgauge.relay.version", "1", False, [({}, relay.store.as_of)]),
-            ("mountgauge.relay.polls", "{poll}", False, [({}, len(self._held))]),
+            ("mountgauge.relay.polls", "{poll}", False, [({}, len(self._open_polls))]),
             ("mountgauge.relay.connections", "{connection}", False, [({}, len(server.connections))]),
             ("mountgauge.relay.unread", "By", False, [({}, server.unread_bytes)]),
             ("mountgauge.relay.answered", "By", True, [({}, server.counts["answered_bytes"])]),
             ("mountgauge.relay.asks", "{ask}", True,
              [({"mountgauge.ask": name}, n) for name, n in sorted(relay.counts.items())]),
             ("mountgauge.relay.drops", "{connection}", True,
-             [({"mountgauge.reason": one.value}, n) for one, n in sorted(server.drops.items())]),
+             [({"mountgauge.reason": reason.value}, n) for reason, n in sorted(server.drops.items())]),
             ("mountgauge.relay.upstream", "{call}", True,
              [({"mountgauge.call": name}, calls[name]) for name in ("calls", "failures")]),
         ]  # fmt: skip
--- a/mountgauge/relay/table.py
+++ b/mountgauge/relay/table.py
@@ -1,4 +1,4 @@
-"""What `mountgauge shards` shows: the shards that senders and relays hold, from what each one says."""
+"""Table of `mountgauge shards`: the shards that senders and relays hold, from their `/shards` pages."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
 
 
 def rows(answers: Answers) -> list[list[str]]:
-    """A line for each holder and shard; one of dashes for who doesn't answer."""
-    found: list[list[str]] = []
-    for address, said in sorted(answers.items()):
-        if said is None:
-            found.append([address, *["-"] * (len(_COLUMNS) - 1)])
+    """Return a row per holder and shard, and a row of dashes per process that doesn't answer."""
+    table: list[list[str]] = []
+    for address, page in sorted(answers.items()):
+        if page is None:
+            table.append([address, *["-"] * (len(_COLUMNS) - 1)])
             continue
-        found += [_row(said, one) for one in said["shards"]]
-        if not said["shards"]:
-            found.append([said["name"], said["zone"], "none", *["-"] * (len(_COLUMNS) - 3)])
-        if (rest := said["held"] - len(said["shards"])) > 0:
-            found.append([said["name"], said["zone"], f"{rest} more", *["-"] * (len(_COLUMNS) - 3)])
-    return found
-
-
-def _row(said: Mapping[str, Any], one: Mapping[str, Any]) -> list[str]:
-    stale = "never" if one["staleness_s"] is None else f"{one['staleness_s']:.1f}"
-    replicas = ",".join(one["replicas"]) if one["placed"] else "(messages alone)"
-    version = "-" if one["version"] < 0 else str(one["version"])
+        table += [_row(page, shard) for shard in page["shards"]]
+        if not page["shards"]:
+            table.append([page["name"], page["zone"], "none", *["-"] * (len(_COLUMNS) - 3)])
+        if (omitted := page["held"] - len(page["shards"])) > 0:
+            table.append([page["name"], page["zone"], f"{omitted} more", *["-"] * (len(_COLUMNS) - 3)])
+    return table
+
+
+def _row(page: Mapping[str, Any], shard: Mapping[str, Any]) -> list[str]:
+    stale = "never" if shard["staleness_s"] is None else f"{shard['staleness_s']:.1f}"
+    # A shard that is no longer placed here is held only until the outcomes of its messages are final.
+    replicas = ",".join(shard["replicas"]) if shard["placed"] else "(messages only)"
+    version = "-" if shard["version"] < 0 else str(shard["version"])
     return [
-        said["name"], said["zone"], str(one["shard"]), version, str(said["epoch"]), stale,
-        str(one["endpoints"]), str(one["messages"]), replicas or "-",
+        page["name"], page["zone"], str(shard["shard"]), version, str(page["epoch"]), stale,
+        str(shard["endpoints"]), str(shard["messages"]), replicas or "-",
     ]  # fmt: skip
 
 
 def lines(answers: Answers) -> list[str]:
-    """The table as text."""
+    """Return the table as text."""
     return aligned(_COLUMNS, rows(answers))
 
 
 def current(answers: Answers) -> bool:
-    """Whether all answer, and each holds what it follows."""
+    """Whether every process answers, is ready, and has received each shard that it follows."""
     return all(
-        said is not None and said["ready"] and all(one["version"] >= 0 for one in said["shards"])
-        for said in answers.values()
+        page is not None and page["ready"] and all(shard["version"] >= 0 for shard in page["shards"])
+        for page in answers.values()
     )
 
 
