--- a/mountgauge/relay/placement_file.py
+++ b/mountgauge/relay/placement_file.py
@@ -1,7 +1,7 @@
-"""A relay's placement in its state folder, so that a restart goes on where its moves had got to.
+"""File of a relay's placement in its state folder, so that pending moves resume after a restart.
 
-One JSON object, replaced as a whole. A file that can't be used is as none: the placement is worked out from
-the members' file then.
+It holds one JSON object and is replaced atomically. If it can't be used, it is ignored: the placement is then
+computed from the members' file.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from mountgauge.sharding.rebalance import Move
 
 MAX_BYTES = 256 << 20
-_NAME = "placement"
+_FILE_NAME = "placement"
 
 
 class PlacementFileError(ValueError):
@@ -27,31 +27,34 @@
 
 
 def encode(checkpoint: Checkpoint, settings: PlacementSettings) -> bytes:
-    """The file's content."""
+    """Return the file's content."""
     return orjson.dumps({
         "shards": settings.shard_count, "replicas": settings.replicas,
         "epoch": checkpoint.epoch, "revision": checkpoint.revision,
-        "members": [(one.name, one.zone, one.weight, one.since, one.until) for one in checkpoint.members],
+        "members": [(member.name, member.zone, member.weight, member.since, member.until)
+                    for member in checkpoint.members],
         "groups": checkpoint.groups, "table": checkpoint.table,
         "pending": [(move.shard, move.source, move.target) for move in checkpoint.pending],
     })  # fmt: skip
 
 
 def decode(content: bytes, settings: PlacementSettings) -> Checkpoint:
-    """What the content says; PlacementFileError where it can't be used with these settings."""
+    """Return the checkpoint in the content; PlacementFileError if it can't be used with these settings."""
     try:
         raw = orjson.loads(content)
-        said = (raw["shards"], raw["replicas"])
-        found = _checkpoint(raw)
+        stored = (raw["shards"], raw["replicas"])
+        checkpoint = _checkpoint(raw)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise PlacementFileError(f"not a placement: {' '.join(repr(error).split())[:200]}") from None
-    wanted = (settings.shard_count, settings.replicas)
-    if said != wanted or len(found.table) != settings.shard_count:
-        raise PlacementFileError(f"of {said[0]} shards with {said[1]} replicas, wanted {wanted}")
-    known = {one.name for one in found.members}
-    if any(name not in known for name, _ in found.groups) or len(found.groups) != len(known):
+    expected = (settings.shard_count, settings.replicas)
+    if stored != expected or len(checkpoint.table) != settings.shard_count:
+        raise PlacementFileError(
+            f"{stored[0]} shards with {stored[1]} replicas, expected {expected[0]} with {expected[1]}"
+        )
+    members = {member.name for member in checkpoint.members}
+    if any(name not in members for name, _ in checkpoint.groups) or len(checkpoint.groups) != len(members):
         raise PlacementFileError("groups and members differ")
-    return found
+    return checkpoint
 
 
 def _checkpoint(raw: Mapping[str, Any]) -> Checkpoint:
@@ -70,13 +73,13 @@
 
 
 class PlacementFile:
-    """The file in a state folder."""
+    """The placement file of a state folder."""
 
     def __init__(self, folder: Path, settings: PlacementSettings) -> None:
-        self._path, self._settings = folder / _NAME, settings
+        self._path, self._settings = folder / _FILE_NAME, settings
 
     def read(self) -> Placement | None:
-        """The placement that was kept; None where there is none, PlacementFileError where it is of no use."""
+        """Return the stored placement; None if there is no file, PlacementFileError if it can't be used."""
         try:
             if self._path.stat().st_size > MAX_BYTES:
                 raise PlacementFileError(f"more than {MAX_BYTES} bytes")
@@ -88,13 +91,13 @@
         return Placement.restore(decode(content, self._settings), self._settings)
 
     def write(self, placement: Placement) -> None:
-        """Replace the file; OSError where the folder can't be written."""
+        """Replace the file; OSError if the folder can't be written."""
         new = self._path.with_suffix(".new")
         new.write_bytes(encode(placement.checkpoint(), self._settings))
         os.replace(new, self._path)
 
     def make_folder(self) -> None:
-        """ConfigError where the folder can't be made."""
+        """Create the folder; ConfigError if that fails."""
         folder = self._path.parent
         try:
             folder.mkdir(parents=True, exist_ok=True)
--- a/mountgauge/relay/placement_keeper.py
+++ b/mountgauge/relay/placement_keeper.py
@@ -1,4 +1,4 @@
-"""A relay's placement at work: from the kept file or the members' file, moved in steps and kept."""
+"""Loads a relay's placement from its file or the members' file, moves it in steps, and writes each state."""
 
 from __future__ import annotations
 
@@ -15,59 +15,59 @@
 
 
 class PlacementKeeper:
-    """`placement` is None where the relay's file names no members."""
+    """Owns a relay's placement; `placement` is None if the relay's file has no members."""
 
     def __init__(self, file: RelayFile) -> None:
         self._file = file
-        self._kept = PlacementFile(file.state, file.placement) if file.state is not None else None
+        self._placement_file = PlacementFile(file.state, file.placement) if file.state is not None else None
         self.placement = self._load(file.members) if file.members is not None else None
 
     def _load(self, members: MemberFile) -> Placement:
-        """As it was kept, with what has changed in the members' file since; or from that file alone."""
-        found = self._read()
-        if found is None and members.base_epoch > 1:
-            # Worked out from here it would differ from that of relays which have come this far by moves.
+        """Return the stored placement updated to the members' file, or a new one if none is stored."""
+        placement = self._read()
+        if placement is None and members.base_epoch > 1:
+            # A placement computed at this epoch differs from that of relays that reached it by moves.
             raise ConfigError(
-                f"members: base_epoch {members.base_epoch}, and no placement is kept here: "
+                f"members: base_epoch is {members.base_epoch}, but no placement is stored here: "
                 "copy the file 'placement' of another relay's state folder"
             )
-        if found is None:
-            found = Placement(members, self._file.placement)
+        if placement is None:
+            placement = Placement(members, self._file.placement)
         else:
             try:
-                found.adopt(members)
+                placement.adopt(members)
             except ConfigError as error:
-                log.error("members-refused", extra=kv(error=error, kept=f"epoch {found.epoch}"))
-        self._write(found)
-        return found
+                log.error("members-refused", extra=kv(error=error, kept=f"epoch {placement.epoch}"))
+        self._write(placement)
+        return placement
 
     def _read(self) -> Placement | None:
-        if self._kept is None:
+        if self._placement_file is None:
             return None
-        self._kept.make_folder()
+        self._placement_file.make_folder()
         try:
-            return self._kept.read()
+            return self._placement_file.read()
         except PlacementFileError as error:
             log.warning("placement-not-read", extra=kv(error=error))
             return None
 
     def _write(self, placement: Placement) -> None:
-        if self._kept is None:
+        if self._placement_file is None:
             return
         try:
-            self._kept.write(placement)
+            self._placement_file.write(placement)
         except OSError as error:
             log.warning("placement-not-kept", extra=kv(error=error))
 
     def adopt(self, members: MemberFile | None) -> None:
-        """Take a newer members' file; ConfigError where it can't be used, and nothing has changed then."""
+        """Apply a newer members' file; on ConfigError, which means it can't be used, nothing has changed."""
         if self.placement is None or members is None:
             return
         self.placement.adopt(members)
         self._write(self.placement)
 
     def step(self) -> frozenset[str]:
-        """Do the next moves, if any are pending; the members that have news."""
+        """Make the next moves, if any are pending; return the members whose placement changed."""
         placement = self.placement
         if placement is None or not placement.pending:
             return frozenset()
