--- a/mountgauge/relay/kept_list.py
+++ b/mountgauge/relay/kept_list.py
@@ -1,8 +1,8 @@
-"""A sender's last shards in its state folder, for a start at which no relay can be asked.
+"""File of a sender's last known shards in its state folder, used at a start while no relay can be reached.
 
-One file of two lines: when what it holds was the newest for sure (on both clocks; of an older version the
-wall clock alone), and an answer as on the wire, with a snapshot of each shard. It is replaced as a whole. A
-file that can't be used is as none.
+It has two lines: the time at which its content was confirmed as the newest (on both clocks; files of older
+versions have the wall clock alone), and an answer in the wire format with a snapshot of each shard. It is
+replaced atomically, and ignored if it can't be used.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 MAX_BYTES = 1 << 20
 
-_NAME = "shards"
+_FILE_NAME = "shards"
 
 
 class KeptListError(ValueError):
@@ -30,49 +30,49 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptList:
-    """What a sender held."""
+    """The placement and shards that a sender held."""
 
-    confirmed: Stamp  # when it was discovery's newest for sure
+    confirmed: Stamp  # the last time at which they are certain to have been discovery's newest
     placement: PlacementNews
     snapshots: tuple[ShardSnapshot, ...]
 
 
 def encode(kept: KeptList, shard_count: int) -> bytes:
-    """The file's content."""
+    """Return the file's content."""
     boot, wall, monotonic, _ = kept.confirmed
     head = {"confirmed": wall, "monotonic": monotonic, "boot": boot, "shards": shard_count}
-    as_of = max((one.version for one in kept.snapshots), default=-1)
+    as_of = max((snapshot.version for snapshot in kept.snapshots), default=-1)
     answer = Answer(as_of, 0.0, snapshots=kept.snapshots, placement=kept.placement)
     return orjson.dumps(head) + b"\n" + wire.encode_reply(answer)[1]
 
 
 def decode(content: bytes, shard_count: int) -> KeptList:
-    """What the content says; KeptListError where it can't be used."""
-    head, _, body = content.partition(b"\n")
+    """Return the list in the content; KeptListError if it can't be used."""
+    head_line, _, body = content.partition(b"\n")
     try:
-        said = orjson.loads(head)
-        wall, count = float(said["confirmed"]), int(said["shards"])
-        monotonic = float(said.get("monotonic", math.inf))  # ahead of any clock: the wall clock counts
-        confirmed = Stamp(str(said.get("boot", "")), wall, monotonic, wall)
+        head = orjson.loads(head_line)
+        wall, count = float(head["confirmed"]), int(head["shards"])
+        monotonic = float(head.get("monotonic", math.inf))  # ahead of any clock: the wall clock is used
+        confirmed = Stamp(str(head.get("boot", "")), wall, monotonic, wall)
         answer = wire.decode_reply(wire.STATUS_ANSWER, body, shard_count)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise KeptListError(f"not a list of shards: {' '.join(str(error).split())[:200]}") from None
     if count != shard_count:
-        raise KeptListError(f"of {count} shards, the file says {shard_count}")
+        raise KeptListError(f"written for {count} shards, {shard_count} are configured")
     if not isinstance(answer, Answer) or answer.placement is None:
-        raise KeptListError("no placement in it")
+        raise KeptListError("placement: missing")
     return KeptList(confirmed, answer.placement, answer.snapshots)
 
 
 class KeptListFile:
-    """The file in a state folder."""
+    """The kept list of a state folder."""
 
     def __init__(self, folder: Path, shard_count: int, files: Files | None = None) -> None:
-        self._path, self._shard_count = folder / _NAME, shard_count
+        self._path, self._shard_count = folder / _FILE_NAME, shard_count
         self._files = files or SystemFiles()
 
     def read(self) -> KeptList | None:
-        """What an earlier process kept; None where there is no file, KeptListError where it can't be used."""
+        """Return the stored list; None if there is no file, KeptListError if it can't be used."""
         try:
             with self._path.open("rb") as file:
                 content = file.read(MAX_BYTES + 1)
@@ -85,8 +85,8 @@
         return decode(content, self._shard_count)
 
     def write(self, kept: KeptList) -> None:
-        """Replace the file; OSError where the folder can't be written, KeptListError where it is too much."""
+        """Replace the file; OSError if the folder can't be written, KeptListError if the list is too big."""
         content = encode(kept, self._shard_count)
         if len(content) > MAX_BYTES:
-            raise KeptListError(f"{len(content)} bytes, at most {MAX_BYTES} are kept")
+            raise KeptListError(f"{len(content)} bytes, at most {MAX_BYTES} can be stored")
         write_whole(self._files, self._path, content)
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -1,4 +1,4 @@
-"""The sharded sender's map on a real relay: what the core is told, and what is kept for the next start."""
+"""The sharded sender's map on a real relay: updates to the core, and the list stored for the next start."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Core:
-    """Hears what the core would."""
+    """Records the updates that the core receives."""
 
     def __init__(self) -> None:
         self.version = -1
@@ -41,20 +41,20 @@
         self.updates.append(update)
 
     def list_failed(self) -> None:
-        raise AssertionError("the subscription asks again by itself")
+        raise AssertionError("the subscription retries by itself")
 
     @property
     def hops(self) -> dict[str, tuple[str, int, float]]:
-        """By id, as told so far: host, port and scale."""
-        found: dict[str, tuple[str, int, float]] = {}
+        """Host, port and scale by id, after all updates so far."""
+        hops: dict[str, tuple[str, int, float]] = {}
         for update in self.updates:
-            found = {} if update.full else found
+            hops = {} if update.full else hops
             for hop in update.hops:
                 if hop.entry.readiness == Readiness.GONE:
-                    found.pop(hop.id, None)
+                    hops.pop(hop.id, None)
                 else:
-                    found[hop.id] = (hop.host, hop.port, hop.entry.scale)
-        return found
+                    hops[hop.id] = (hop.host, hop.port, hop.entry.scale)
+        return hops
 
 
 def sharding(relay_port: int, rate_per_weight: float = 0.0) -> SenderSharding:
@@ -62,7 +62,7 @@
     return SenderSharding("a", Shards(SHARDS, 2), relays, FAST, rate_per_weight, None)
 
 
-def test_the_core_is_told_changes_and_an_address_that_cannot_be_read_is_none(tmp_path: Path) -> None:
+def test_the_core_gets_deltas_and_an_endpoint_with_an_unreadable_address_is_removed(tmp_path: Path) -> None:
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
@@ -74,7 +74,7 @@
         await until(lambda: core.hops == {"e7": (HOST, 1000, 20.0), "e8": (HOST, 1001, 20.0)})
         await discovery.change({**line("e7", 7), "addr": "nowhere"}, line("e8", 8, state="left"))
         await until(lambda: core.hops == {})
-        assert not any(update.full for update in core.updates), "by changes alone"
+        assert not any(update.full for update in core.updates), "deltas only"
         await discovery.change(line("e7", 9, 1002))
         await until(lambda: core.hops == {"e7": (HOST, 1002, 20.0)})
         shard_map.snapshot()
@@ -86,7 +86,9 @@
     run(main())
 
 
-def test_after_a_pause_the_next_answer_to_a_new_call_is_told_though_nothing_changed(tmp_path: Path) -> None:
+def test_the_first_answer_to_a_new_call_after_a_pause_is_reported_even_without_changes(
+    tmp_path: Path,
+) -> None:
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
@@ -107,23 +109,23 @@
 
 
 def sample_kept_list(records: int = 1) -> KeptList:
-    found = tuple(
+    endpoints = tuple(
         EndpointRecord(f"e{number}", f"{HOST}:1", "a", "http", 7, EndpointState.ACTIVE)
         for number in range(records)
     )
     shard = shard_of(7, SHARDS)
-    snapshot = ShardSnapshot(shard, 41, found, digest_of(found))
+    snapshot = ShardSnapshot(shard, 41, endpoints, digest_of(endpoints))
     confirmed = read(SystemClocks()).before(30)
     return KeptList(confirmed, PlacementNews(3, 1, (PlacedShard(shard, ("s1",)),)), (snapshot,))
 
 
-def test_a_kept_list_is_used_with_its_age_and_one_too_large_is_not_written(tmp_path: Path) -> None:
+def test_a_kept_list_is_used_with_its_age_and_a_list_that_is_too_large_is_not_written(tmp_path: Path) -> None:
     file = KeptListFile(tmp_path, SHARDS)
     assert file.read() is None
     file.write(sample_kept_list())
-    with pytest.raises(KeptListError, match=f"at most {MAX_BYTES} are kept"):
+    with pytest.raises(KeptListError, match=f"at most {MAX_BYTES} can be stored"):
         file.write(sample_kept_list(records=MAX_BYTES // 100))
-    assert file.read() is not None, "the last good one stays"
+    assert file.read() is not None, "the last valid list stays"
 
     async def main() -> None:
         shard_map = ShardMap(Core(), sharding(1), "s1", tmp_path, seed=1)
@@ -136,30 +138,30 @@
 
 
 @pytest.mark.parametrize(
-    ("content", "says"),
+    ("content", "error"),
     [
         (b"", "not a list of shards: "),
-        (b'{"confirmed":1,"shards":16}\n{"version":1}', "no placement in it"),
-        (b'{"confirmed":1,"shards":64}\n{"version":1}', "of 64 shards, the file says 16"),
+        (b'{"confirmed":1,"shards":16}\n{"version":1}', "placement: missing"),
+        (b'{"confirmed":1,"shards":64}\n{"version":1}', "written for 64 shards, 16 are configured"),
         (b'{"confirmed":1}\n{}', "not a list of shards: 'shards'"),
         (b"x" * (MAX_BYTES + 1), f"more than {MAX_BYTES} bytes"),
     ],
 )
-def test_a_kept_list_that_cannot_be_read_is_as_none(
-    tmp_path: Path, content: bytes, says: str, caplog: pytest.LogCaptureFixture
+def test_an_unreadable_kept_list_is_ignored(
+    tmp_path: Path, content: bytes, error: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     (tmp_path / "shards").write_bytes(content)
 
     async def main() -> None:
         assert ShardMap(Core(), sharding(1), "s1", tmp_path, seed=1).known([]) == MapUpdate(-1, True, ())
-        said = str(caplog.records[0].__dict__["kv"]["error"])
-        assert says in said and "\n" not in said
+        logged = str(caplog.records[0].__dict__["kv"]["error"])
+        assert error in logged and "\n" not in logged
 
     run(main())
 
 
 class ScriptedRelay(HttpServer):
-    """Tells one endpoint of destination 7, in the state and as of the version that are set."""
+    """Answers with one endpoint of destination 7, in `state` and as of version `as_of`."""
 
     def __init__(self) -> None:
         super().__init__(self._reply)
@@ -175,10 +177,13 @@
         return response(status, "OK", {}, body)
 
 
-def test_a_shard_that_comes_back_from_a_relay_that_lags_behind_brings_no_drained_endpoint_back(
+def test_a_shard_fetched_again_from_a_lagging_relay_does_not_undo_a_drain(
     tmp_path: Path,
 ) -> None:
-    """The shard is let go with its last message, so nobody knows any more as of which version it was held."""
+    """The shard is released with its last message, and the version it was held at is forgotten with it.
+
+    A relay that is behind then answers with an older version, in which the endpoint was still active.
+    """
 
     async def main() -> None:
         relay = ScriptedRelay()
@@ -202,7 +207,7 @@
             shard_map.held(7)
             await until(lambda: "e7" in table.hops)
             if as_of == 95:
-                shard_map.snapshot()  # the whole list, as SIGHUP asks for it
+                shard_map.snapshot()  # the full list, as SIGHUP requests it
             states.append(table.hops["e7"].entry.readiness)
             shard_map.dropped(7)
             await until(lambda: "e7" not in table.hops)
