--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -1,8 +1,8 @@
-"""The transport map of a sender that holds a part of the destinations: shards that are followed at relays.
+"""The transport map of a sender that serves some of the destinations: shards that it follows at relays.
 
-What the subscription tells becomes next hops for the core. It says which destinations are this sender's to
-take on, and keeps the shards of held messages until their last end. The last list is kept in the state
-folder.
+Updates of the subscription become next hops for the core. The map decides for which destinations this sender
+accepts messages, and follows the shards of pending messages until the last of them has its outcome. The last
+list is stored in the state folder.
 """
 
 from __future__ import annotations
@@ -38,13 +38,14 @@
 
 log = logging.getLogger("mountgauge.sharding")
 
-DRAIN_GRACE_S = 0.25  # of the rules, where nothing else is said
-_KEEP_AFTER_S = 0.5  # from a change to its being written: what comes together is written once
+DRAIN_GRACE_S = 0.25  # default of the rules
+_SAVE_DELAY_S = 0.5  # from a change to the write, so that changes in a burst are written once
+_MAX_LOGGED_SHARDS = 32  # of a placement
 _READINESS = {EndpointState.ACTIVE: Readiness.READY, EndpointState.LEAVING: Readiness.DRAINING}
 
 
 def next_hop(record: EndpointRecord, rate_per_weight: float) -> NextHop:
-    """An endpoint as the core knows it; ConfigError where its address can't be read."""
+    """Return the core's form of an endpoint; ConfigError if its address can't be parsed."""
     address = Address.parse(record.address, "addr")
     entry = Entry(
         readiness=_READINESS[record.state],
@@ -59,19 +60,19 @@
 
 
 def removed_hop(record: EndpointRecord) -> NextHop:
-    """An endpoint that is no more."""
+    """Return the core's form of a removed endpoint."""
     entry = Entry(Readiness.GONE, 0.0, 0.0, 0, record.destination, 0, record.id.encode())
     return NextHop(record.id, "", 0, entry)
 
 
 def removed_records(update: Update) -> Iterator[EndpointRecord]:
-    """The endpoints of an update that are no more: one that has moved is where it is put."""
+    """Return the endpoints that an update removes, without those that it moves to another destination."""
     put = {record.id for record in update.put}
     return (record for record in update.gone if record.id not in put)
 
 
 class ShardMap:
-    """The core's map and the scope of what it takes on, over a subscription."""
+    """Transport map of the core, and the destinations for which it accepts messages, from a subscription."""
 
     def __init__(
         self,
@@ -91,27 +92,27 @@
         picker = Picker(settings.relays.names, settings.zone, settings.timing, rng)
         self.subscription = Subscription(name, self.store, picker, settings.timing, rng)
         self.follower = Follower(
-            self.subscription, settings.relays.addresses, None, settings.shards.count, self._answered,
-            on_failure=self._failed,
+            self.subscription, settings.relays.addresses, None, settings.shards.count, self._on_answer,
+            on_failure=self._on_failure,
         )  # fmt: skip
         terms = LeaseTerms(NOTIFIED_AFTER_S, drain_grace_s, resumes=True)
         self._evidence = RelayEvidence(terms, settings.relays.addresses)
         self._lease_log = LeaseLog()
-        self.on_renewed: Callable[[], None] = lambda: None  # told that calls may go again
+        self.on_renewed: Callable[[], None] = lambda: None  # called when calls are allowed again
         self.rejections = 0
         self.last_rejection = ""
-        self._messages: dict[int, int] = {}  # by shard: messages that the core holds
-        self._ended: list[int] = []  # shards of messages that have ended, not told to the subscription yet
-        self._looking_since: float | None = None
-        self._warned = False
+        self._messages: dict[int, int] = {}  # by shard: pending messages of the core
+        self._finished: list[int] = []  # shards of finished messages that the subscription is not notified of
+        self._check_since: float | None = None  # when `look_now` was called; None: no check is pending
+        self._no_placement_logged = False
         self._file = KeptListFile(folder, settings.shards.count)
-        self._keeping: asyncio.TimerHandle | None = None
+        self._save_timer: asyncio.TimerHandle | None = None
 
     # Start
 
     def known(self, destinations: Iterable[int]) -> MapUpdate:
-        """The list that an earlier process kept: of the shards that are placed here, and of those of the
-        messages for these destinations.
+        """Restore the list that a previous process stored: the shards that are placed here, and the shards of
+        `destinations`, for which there are messages.
         """
         try:
             kept = self._file.read()
@@ -120,8 +121,8 @@
             kept = None
         if kept is None:
             return MapUpdate(NOTHING, True, ())
-        wanted = {one.shard for one in kept.placement.shards} | set(map(self.shard, destinations))
-        snapshots = [one for one in kept.snapshots if one.shard in wanted]
+        needed = {placed.shard for placed in kept.placement.shards} | set(map(self.shard, destinations))
+        snapshots = [snapshot for snapshot in kept.snapshots if snapshot.shard in needed]
         age_s = age(kept.confirmed, read(self._clocks))
         update = self.subscription.restore(snapshots, kept.placement, self._loop.time() - age_s)
         log.info("kept-list", extra=kv(shards=len(snapshots), epoch=kept.placement.epoch,
@@ -129,32 +130,32 @@
         return self._map_update(True, update)
 
     def start(self) -> None:
-        """Begin to ask relays."""
+        """Start to follow the shards at the relays."""
         self.follower.start()
 
     # The core's map
 
     def watch(self, on: bool) -> None:
-        """The subscription watches by itself, and asks again by itself."""
+        """Do nothing: the subscription watches and retries by itself."""
 
     def snapshot(self) -> None:
-        """Tell the core the whole list, as it is held."""
-        records = [one for shard in self.store.shards() for one in self.store.records(shard).values()]
-        self._tell(self._map_update(True, Update(put=tuple(records))))
+        """Pass the core the full list in its current state."""
+        records = [record for shard in self.store.shards() for record in self.store.records(shard).values()]
+        self._notify_core(self._map_update(True, Update(put=tuple(records))))
 
     def look_now(self) -> bool:
-        """The next answer to a call that is made from now on counts: it is still to come."""
-        self._looking_since = self._loop.time()
+        """Request a check of the list: it is done with the first answer to a watch call made from now on."""
+        self._check_since = self._loop.time()
         return False
 
     def close(self) -> None:
-        """Keep what is held, and stop to follow."""
-        if self._keeping is not None:
-            self._keeping.cancel()
+        """Store the list, and stop to follow the shards."""
+        if self._save_timer is not None:
+            self._save_timer.cancel()
         self.save()
         self.follower.close()
 
-    def _tell(self, update: MapUpdate) -> None:
+    def _notify_core(self, update: MapUpdate) -> None:
         self._owner.list_changed(update)
 
     def _version(self) -> int:
@@ -162,9 +163,9 @@
         return max(versions, default=NOTHING)
 
     def _map_update(self, full: bool, update: Update) -> MapUpdate:
-        """Each entry is as of its shard's version: a shard that was let go may come back at an older one."""
-        named = [*update.gone, *update.put]
-        versions = {one.id: self.store.version(self.shard(one.destination)) for one in named}
+        """Give each entry the version of its shard: a released shard may be fetched again at an older one."""
+        records = [*update.gone, *update.put]
+        versions = {record.id: self.store.version(self.shard(record.destination)) for record in records}
         return MapUpdate(self._version(), full, self._hops(update), versions=versions)
 
     def _hops(self, update: Update) -> tuple[NextHop, ...]:
@@ -172,7 +173,7 @@
         for record in update.put:
             try:
                 hops.append(next_hop(record, self._settings.rate_per_weight))
-            except ConfigError as error:  # the others still hold
+            except ConfigError as error:  # the other entries stay valid
                 log.warning("entry-not-read", extra=kv(id=record.id, error=error))
                 hops.append(removed_hop(record))
         return tuple(hops)
@@ -181,124 +182,124 @@
 
     @property
     def counts(self) -> Counter[tuple[str, str]]:
-        """What ended the lease on the list."""
+        """How often the lease on the list ended, by reason."""
         return self._lease_log.counts
 
     def state(self) -> Mapping[str, Any]:
-        """For the state line: whether calls may go by the list, and how old the newest evidence is."""
+        """Fields of the state line: whether calls may use the list, and the age of the newest evidence."""
         return self._lease_log.state(self._loop.time() - self._evidence.lease.evidence_at)
 
     def lease_ended(self, dest: int) -> LeaseEnd | None:
-        """Why no call may go by the list now; None: all may."""
+        """Return why no call may use the list now; None if calls may use it."""
         now = self._loop.time()
         ended = self._evidence.ended(now)
         self._lease_log.note(ended, now - self._evidence.lease.evidence_at)
         return ended
 
-    def _failed(self, call: Call, failure: RelayFailure) -> None:
+    def _on_failure(self, call: Call, failure: RelayFailure) -> None:
         if isinstance(call, RelayCall):
             self._evidence.failed(call, failure, self._loop.time())
-            self._look_again()
+            self._check_renewal()
 
-    def _look_again(self) -> None:
-        held_back = self._lease_log.ended is not None
-        if held_back and self.lease_ended(NOTHING) is None:
+    def _check_renewal(self) -> None:
+        was_ended = self._lease_log.ended is not None
+        if was_ended and self.lease_ended(NOTHING) is None:
             self.on_renewed()
 
     # From the subscription
 
-    def _answered(self, call: Call, update: Update) -> None:
-        self._take_in(call, update)
+    def _on_answer(self, call: Call, update: Update) -> None:
+        self._apply(call, update)
         if isinstance(call, RelayCall) and not update.rejections:
             self._evidence.answered(call)
-            self._look_again()
+            self._check_renewal()
 
-    def _take_in(self, call: Call, update: Update) -> None:
+    def _apply(self, call: Call, update: Update) -> None:
         if update.rejections:
             self.rejections += len(update.rejections)
             self.last_rejection = f"{update.rejections[-1].source}: {update.rejections[-1].reason}"
         if update.placement is not None:
-            self._placed(update.placement)
+            self._on_placement(update.placement)
         elif self.subscription.placement.revision == NOTHING:
-            self._warn_of_no_placement(call)
-        looked = self._looked(call)
-        if update.put or update.gone or looked:
-            self._changed(update)
-
-    def _warn_of_no_placement(self, call: Call) -> None:
-        if not self._warned and isinstance(call, RelayCall) and call.lane is Lane.WATCH:
-            self._warned = True
+            self._log_no_placement(call)
+        check_done = self._completes_check(call)
+        if update.put or update.gone or check_done:
+            self._on_change(update)
+
+    def _log_no_placement(self, call: Call) -> None:
+        if not self._no_placement_logged and isinstance(call, RelayCall) and call.lane is Lane.WATCH:
+            self._no_placement_logged = True
             log.warning("no-placement", extra=kv(relay=call.relay, why="its file names no members"))
 
-    def _changed(self, update: Update) -> None:
-        changed = self._map_update(False, update)
-        if changed.hops:
-            log.info("map", extra=kv(version=changed.version, changed=len(changed.hops)))
-            self._keep_later()
-        self._tell(changed)
+    def _on_change(self, update: Update) -> None:
+        map_update = self._map_update(False, update)
+        if map_update.hops:
+            log.info("map", extra=kv(version=map_update.version, changed=len(map_update.hops)))
+            self._save_later()
+        self._notify_core(map_update)
 
-    def _placed(self, news: PlacementNews) -> None:
-        shards = ",".join(str(one.shard) for one in news.shards[:32])
+    def _on_placement(self, news: PlacementNews) -> None:
+        shards = ",".join(str(placed.shard) for placed in news.shards[:_MAX_LOGGED_SHARDS])
         log.info("placement", extra=kv(epoch=news.epoch, revision=news.revision, shards=shards))
-        self._keep_later()
+        self._save_later()
 
-    def _looked(self, call: Call) -> bool:
-        """Whether this answer is the one that was waited for after a pause."""
-        since = self._looking_since
+    def _completes_check(self, call: Call) -> bool:
+        """Whether the answer to this call is the one that a check after a pause waits for."""
+        since = self._check_since
         if since is None or call.made_at < since:
             return False
         if not isinstance(call, RelayCall) or call.lane is not Lane.WATCH:
             return False
-        self._looking_since = None
+        self._check_since = None
         return True
 
-    # The scope of what is taken on
+    # Destinations for which messages are accepted
 
     def shard(self, destination: int) -> int:
-        """The shard of a destination."""
+        """Return the shard of a destination."""
         return shard_of(destination, self._settings.shards.count)
 
     def accepts(self, destination: int) -> bool:
-        """Whether its shard is placed here, and its endpoints are known."""
+        """Whether the destination's shard is placed here and its endpoints are known."""
         shard = self.shard(destination)
         return shard in self.store and bool(self.subscription.replicas(shard))
 
     def held(self, destination: int) -> None:
-        """The core holds one message more for it."""
+        """Count one more pending message of the core for this destination."""
         shard, now = self.shard(destination), self._loop.time()
         self._messages[shard] = self._messages.get(shard, 0) + 1
         self.subscription.hold(shard, now)
         self.follower.wake_by(now)
 
     def dropped(self, destination: int) -> None:
-        """The core holds one message less: the subscription hears of it once this turn is over."""
+        """Count one pending message less; the subscription is notified after this turn of the event loop."""
         shard = self.shard(destination)
         self._messages[shard] -= 1
         if not self._messages[shard]:
             del self._messages[shard]
-        if not self._ended:
-            self._loop.call_soon(self._tell_ends)
-        self._ended.append(shard)
+        if not self._finished:
+            self._loop.call_soon(self._notify_finished)
+        self._finished.append(shard)
 
-    def _tell_ends(self) -> None:
-        ended, self._ended = self._ended, []
-        for shard in ended:
+    def _notify_finished(self) -> None:
+        finished, self._finished = self._finished, []
+        for shard in finished:
             update = self.subscription.ended(shard)
             if update.put or update.gone:
-                self._changed(update)
+                self._on_change(update)
 
     # The kept list
 
-    def _keep_later(self) -> None:
-        if self._keeping is None:
-            self._keeping = self._loop.call_later(_KEEP_AFTER_S, self._keep_now)
+    def _save_later(self) -> None:
+        if self._save_timer is None:
+            self._save_timer = self._loop.call_later(_SAVE_DELAY_S, self._on_save_timer)
 
-    def _keep_now(self) -> None:
-        self._keeping = None
+    def _on_save_timer(self) -> None:
+        self._save_timer = None
         self.save()
 
     def save(self) -> None:
-        """Write down what is held."""
+        """Store the list, unless it has no placement or was never confirmed."""
         age_s = self.staleness_s
         placement = self.subscription.placement
         if placement.revision == NOTHING or not math.isfinite(age_s):
@@ -309,23 +310,23 @@
         except (OSError, KeptListError) as error:
             log.warning("list-not-kept", extra=kv(error=error))
 
-    # What others are told
+    # For status pages and metrics
 
     @property
     def staleness_s(self) -> float:
-        """Seconds since discovery confirmed what is held, of the shard that is worst off; may be infinite."""
+        """Seconds since discovery confirmed the stalest shard that is followed; may be infinite."""
         return self.subscription.age(self._loop.time())
 
     def rows(self) -> list[Mapping[str, Any]]:
-        """A line for each shard that is followed."""
+        """Return a row for each shard that is followed."""
         now, subscription = self._loop.time(), self.subscription
-        found: list[Mapping[str, Any]] = []
+        rows: list[Mapping[str, Any]] = []
         for shard in sorted(subscription.shards()):
             replicas, stale = subscription.replicas(shard), subscription.staleness(shard, now)
-            found.append({
+            rows.append({
                 "shard": shard, "version": self.store.version(shard),
                 "staleness_s": round(stale, 3) if math.isfinite(stale) else None,
                 "endpoints": len(self.store.records(shard)), "replicas": list(replicas),
                 "placed": bool(replicas), "messages": self._messages.get(shard, 0),
             })  # fmt: skip
-        return found
+        return rows
