--- a/mountgauge/relay/service.py
+++ b/mountgauge/relay/service.py
@@ -1,4 +1,4 @@
-"""A relay process: the state machine of `mountgauge.sharding.relay` with server, upstream and status."""
+"""A relay process: the state machine of `mountgauge.sharding.relay` with its server, upstream and status."""
 
 from __future__ import annotations
 
@@ -35,21 +35,21 @@
 
 log = logging.getLogger("mountgauge.relay")
 
-_STATE_EVERY_S = 5.0
-_LOG_EVERY_S = 1.0  # of asks that can't be read, and of changes
-_RUN_BITS = 53  # of the number of a run: exact in each JSON reader
-_FIXED = (
+_STATE_INTERVAL_S = 5.0
+_LOG_INTERVAL_S = 1.0  # between log lines for unreadable asks, and for changes
+_RUN_BITS = 53  # of the number of a process run: JSON readers with doubles parse it exactly
+_FIXED_SETTINGS = (
     "name", "zone", "listen", "shards", "discovery", "relays", "timing", "limits", "relay", "log_limit",
     "placement", "placement_step_s", "state", "status", "otlp",
-)  # fmt: skip  # of the file: what a running relay can't change
-_CLOSE_S = 0.05  # in which the last answers leave
+)  # fmt: skip  # settings whose change needs a restart
+_CLOSE_DELAY_S = 0.05  # for the last answers to be sent
 
 
 class RelayService:
-    """One relay in the running loop."""
+    """One relay in the running event loop."""
 
     def __init__(self, file: RelayFile, seed: int | None = None) -> None:
-        """`seed` settles what is drawn at random; None: by the system."""
+        """`seed` seeds all random choices; None: the operating system does."""
         self.file = file
         self._loop = asyncio.get_running_loop()
         self._rng = Random(seed)
@@ -58,21 +58,21 @@
         self.server = PollServer(self._handle, file.limits)
         addresses = file.relays.addresses if file.relays is not None else {}
         self.follower = Follower(
-            self.relay, addresses, file.discovery, file.shards.count, self._news, self._turn
+            self.relay, addresses, file.discovery, file.shards.count, self._on_update, self._on_turn
         )
         self.counts: Counter[str] = Counter()  # unreadable_asks
-        self._held: dict[int, Exchange] = {}
+        self._open_polls: dict[int, Exchange] = {}  # by number of the held ask
         self.report = RelayReport(
-            file, self.relay, self.server, self.follower, self._held, self.counts, self._loop.time
+            file, self.relay, self.server, self.follower, self._open_polls, self.counts, self._loop.time
         )
         self.status = StatusServer(self.report.status, {"/shards": self.report.shards})
         self.exporter = self._make_exporter()
         self._step_timer: asyncio.TimerHandle | None = None
         self._unreadable_logged_at = self._changes_logged_at = -math.inf
-        self._unlogged = 0  # changes of shards
+        self._unlogged_changes = 0  # of shards
         self._was_ready = False
         self.reload_retry = ReloadRetry(self.reload, "the old settings", log)
-        self.on_whole: Callable[[], None] = _nothing  # the first whole picture has come
+        self.on_first_sync: Callable[[], None] = _ignore  # called once the full list is first received
 
     def _make_relay(self) -> Relay:
         file = self.file
@@ -95,28 +95,28 @@
             measured=self.report.metrics,
         )  # fmt: skip
 
-    # Start and end
+    # Start and stop
 
     async def start(self) -> None:
-        """Listen, and begin to follow."""
+        """Listen, and start to follow the upstream."""
         await self.server.listen(self.file.listen)
         if self.file.status is not None:
             await self.status.listen(self.file.status)
         if self.exporter is not None:
             self.exporter.start()
         self.follower.start()
-        self._step_later()
+        self._schedule_step()
 
     async def stop(self) -> None:
-        """Send those who wait to another relay, then end."""
-        for number, exchange in list(self._held.items()):
+        """Refuse the open polls, so that their askers go to another relay, then close."""
+        for number, exchange in list(self._open_polls.items()):
             self.relay.drop(number)
             self._answer(exchange, Refusal(RefusalReason.NOT_READY, 0.0))
-        await asyncio.sleep(_CLOSE_S)
+        await asyncio.sleep(_CLOSE_DELAY_S)
         self.close()
 
     def close(self) -> None:
-        """Give everything back."""
+        """Cancel all timers and close all sockets."""
         self.reload_retry.cancel()
         if self._step_timer is not None:
             self._step_timer.cancel()
@@ -135,7 +135,7 @@
         try:
             ask = wire.decode_ask(exchange.request.body, self.file.shards.count)
         except wire.UnreadableMessageError as error:
-            self._not_read(error)
+            self._count_unreadable(error)
             exchange.answer(*wire.encode_error(error))
             return
         now = self._loop.time()
@@ -143,14 +143,14 @@
         if not isinstance(reply, HeldAsk):
             self._answer(exchange, reply)
             return
-        self._held[reply.number] = exchange
-        exchange.on_disconnect = partial(self._gone, reply.number)
+        self._open_polls[reply.number] = exchange
+        exchange.on_disconnect = partial(self._on_disconnect, reply.number)
         self.follower.wake_by(now + ask.wait_s)
 
-    def _not_read(self, error: wire.UnreadableMessageError) -> None:
+    def _count_unreadable(self, error: wire.UnreadableMessageError) -> None:
         self.counts["unreadable_asks"] += 1
         now = self._loop.time()
-        if now - self._unreadable_logged_at >= _LOG_EVERY_S:
+        if now - self._unreadable_logged_at >= _LOG_INTERVAL_S:
             self._unreadable_logged_at = now
             log.warning("ask-not-read", extra=kv(error=error, times=self.counts["unreadable_asks"]))
 
@@ -158,91 +158,91 @@
     def _answer(exchange: Exchange, reply: Reply) -> None:
         exchange.answer(*wire.encode_reply(reply))
 
-    def _gone(self, number: int) -> None:
-        self._held.pop(number, None)
+    def _on_disconnect(self, number: int) -> None:
+        self._open_polls.pop(number, None)
         self.relay.drop(number)
 
-    def _turn(self, now: float) -> None:
+    def _on_turn(self, now: float) -> None:
         for number, reply in self.relay.take_ready(now):
-            if (exchange := self._held.pop(number, None)) is not None:
+            if (exchange := self._open_polls.pop(number, None)) is not None:
                 self._answer(exchange, reply)
 
-    def _news(self, call: Call, update: Update) -> None:
+    def _on_update(self, call: Call, update: Update) -> None:
         if not self.relay.upstream.ready:
             return
         if not self._was_ready:
             self._was_ready = True
             log.info("whole", extra=kv(version=self.relay.store.as_of, shards=len(self.relay.store)))
-            self.on_whole()
+            self.on_first_sync()
         elif update.shards:
             self._log_changes(len(update.shards))
 
     def _log_changes(self, shards: int) -> None:
-        """In a burst one line a while stands for all."""
-        self._unlogged += shards
+        """Log at most one line per interval, with the changes since the last one."""
+        self._unlogged_changes += shards
         now = self._loop.time()
-        if now - self._changes_logged_at >= _LOG_EVERY_S:
-            log.info("changed", extra=kv(version=self.relay.store.as_of, shards=self._unlogged))
-            self._changes_logged_at, self._unlogged = now, 0
+        if now - self._changes_logged_at >= _LOG_INTERVAL_S:
+            log.info("changed", extra=kv(version=self.relay.store.as_of, shards=self._unlogged_changes))
+            self._changes_logged_at, self._unlogged_changes = now, 0
 
     # Placement
 
-    def _step_later(self) -> None:
+    def _schedule_step(self) -> None:
         self._step_timer = self._loop.call_later(self.file.placement_step_s, self._step)
 
     def _step(self) -> None:
-        """Do the next moves of the placement, while there are any."""
-        self._step_later()
+        """Make the next moves of the placement, if any are pending."""
+        self._schedule_step()
         if changed := self.placement.step():
             self.relay.placed(changed)
             self.follower.turn()
 
     def reload(self) -> None:
-        """SIGHUP: the members' file is read again; what else has changed needs a restart."""
+        """Reload the members' file on SIGHUP, and log which other changed settings need a restart."""
         try:
             file = load_relay(self.file.path)
             self.placement.adopt(file.members)
         except ConfigError as error:
             self.reload_retry.failed(error)
             return
-        needs = [name for name in _FIXED if getattr(file, name) != getattr(self.file, name)]
+        changed = [name for name in _FIXED_SETTINGS if getattr(file, name) != getattr(self.file, name)]
         if (file.members is None) != (self.file.members is None):
-            needs.append("members")
+            changed.append("members")
         epoch = file.members.epoch if file.members is not None else 0
-        log.info("reloaded", extra=kv(epoch=epoch, needs_restart=",".join(needs) or "nothing"))
+        log.info("reloaded", extra=kv(epoch=epoch, needs_restart=",".join(changed) or "nothing"))
 
 
-def _nothing() -> None:
-    """Nobody is to hear of it."""
+def _ignore() -> None:
+    """Do nothing."""
 
 
 async def serve(file: RelayFile) -> None:
-    """Run a relay until SIGTERM."""
-    loop, asked = asyncio.get_running_loop(), asyncio.Event()
+    """Run a relay until SIGTERM or SIGINT."""
+    loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     service = RelayService(file, seed=time.time_ns())
     await service.start()
     loop.add_signal_handler(signal.SIGHUP, service.reload)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # what came before is heard now
-    # What is held has no cycles and lasts: it isn't walked again, so that pauses stay short.
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)  # signals received earlier are handled now
+    # The store is long-lived and has no reference cycles: it is frozen, which keeps collections short.
     gc.set_threshold(20_000, 20, 50)
-    service.on_whole = gc.freeze
+    service.on_first_sync = gc.freeze
     listen = f"{file.listen.host}:{service.server.port}"
     log.info("ready", extra=kv(name=file.name, zone=file.zone, listen=listen, shards=file.shards.count,
                                connections=file.limits.connections))  # fmt: skip
-    stating = loop.create_task(_state_lines(service))
-    await asked.wait()
-    stating.cancel()
+    state_task = loop.create_task(_log_state(service))
+    await stop_requested.wait()
+    state_task.cancel()
     await service.stop()
     hear_no_more_signals()
     log.info("stopped", extra=kv(version=service.relay.store.as_of))
 
 
-async def _state_lines(service: RelayService) -> None:
+async def _log_state(service: RelayService) -> None:
     while True:
-        await asyncio.sleep(_STATE_EVERY_S)
-        said = service.report.status()
-        log.info("state", extra=kv(version=said["version"], staleness_s=said["staleness_s"],
-                                   polls=said["polls"], connections=said["connections"],
-                                   source=said["upstream"]["source"]))  # fmt: skip
+        await asyncio.sleep(_STATE_INTERVAL_S)
+        page = service.report.status()
+        log.info("state", extra=kv(version=page["version"], staleness_s=page["staleness_s"],
+                                   polls=page["polls"], connections=page["connections"],
+                                   source=page["upstream"]["source"]))  # fmt: skip
