--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a relay's own file and of `[sharding]` in an operator's file, checked."""
+"""Reads and validates a relay's file and the table `[sharding]` of an operator's file."""
 
 from __future__ import annotations
 
@@ -25,12 +25,14 @@
 
 log = logging.getLogger("mountgauge.relay")
 
-_MOST_SHARDS = 1 << 20
+_MAX_SHARDS = 1 << 20
+_MAX_COUNT = 1 << 20  # of changes, moves, snapshots and polls
+_MAX_CONNECTIONS = 1 << 16
 
 
 @dataclass(frozen=True, slots=True)
 class RelayAddress:
-    """A relay that can be asked."""
+    """Name, zone and address of a relay."""
 
     name: str
     zone: str
@@ -39,24 +41,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Relays:
-    """The relays that may be asked, in the file's order."""
+    """The configured relays, in file order."""
 
     entries: tuple[RelayAddress, ...]
 
     @property
     def names(self) -> tuple[RelayName, ...]:
-        """As the choice among them goes by."""
-        return tuple(RelayName(one.name, one.zone) for one in self.entries)
+        """Names and zones, from which a relay is chosen."""
+        return tuple(RelayName(relay.name, relay.zone) for relay in self.entries)
 
     @property
     def addresses(self) -> dict[str, Address]:
-        """By name."""
-        return {one.name: one.address for one in self.entries}
+        """Addresses by name."""
+        return {relay.name: relay.address for relay in self.entries}
 
 
 @dataclass(frozen=True, slots=True)
 class Shards:
-    """What is the same in the whole fleet."""
+    """Settings that must be the same in all relays and senders of a fleet."""
 
     count: int
     replicas: int
@@ -64,13 +66,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SenderSharding:
-    """`[sharding]` of an operator's file."""
+    """The table `[sharding]` of an operator's file."""
 
     zone: str
     shards: Shards
     relays: Relays
     timing: Timing
-    rate_per_weight: float  # calls/s that a listed weight of 1 stands for; 0: weights say nothing
+    rate_per_weight: float  # calls/s of an endpoint with a listed weight of 1; 0: weights are ignored
     members: Path | None
 
 
@@ -83,39 +85,39 @@
     zone: str
     listen: Address
     shards: Shards
-    discovery: Address | None  # what it follows: discovery, or else relays
+    discovery: Address | None  # the upstream; None: it is one of `relays`
     relays: Relays | None
     timing: Timing
     limits: ServerLimits
     relay: RelaySettings
-    log_limit: int  # changes that are kept of a shard
+    log_limit: int  # changes stored per shard
     members: MemberFile | None
     placement: PlacementSettings
     placement_step_s: float
-    state: Path | None  # the folder where the placement is kept
+    state: Path | None  # folder in which the placement is stored
     status: Address | None
     otlp: Otlp | None
 
 
 def load_relay(path: Path) -> RelayFile:
-    """A relay's file; ConfigError of one line where it can't be used."""
+    """Read a relay's file; ConfigError with one line if it can't be used."""
     with faults_of(path):
         return _relay_file(path, Table(read(path), ""))
 
 
 def descriptor_shortfall(file: RelayFile) -> str | None:
-    """One line on what to raise where the hard limit of descriptors is too low, else None."""
-    wanted, hard = file.limits.connections + SPARE, limits()[1]
-    if hard == RLIM_INFINITY or wanted <= hard:
+    """Return one line on how to resolve a hard limit of descriptors that is too low, else None."""
+    needed, hard = file.limits.connections + SPARE, limits()[1]
+    if hard == RLIM_INFINITY or needed <= hard:
         return None
     return (
-        f"limits.connections: {wanted} descriptors are wanted, this process may have {hard}: "
-        f"raise the hard limit (ulimit -Hn, LimitNOFILE=) or lower it"
+        f"limits.connections: {needed} descriptors are needed, but the hard limit is {hard}: "
+        f"raise the hard limit (ulimit -Hn, LimitNOFILE=) or lower limits.connections"
     )
 
 
 def raise_descriptors(file: RelayFile) -> None:
-    """Raise the soft limit for as many connections as the file asks for, as far as the hard one allows."""
+    """Raise the soft limit of descriptors to what the configured connections need, up to the hard limit."""
     wanted = file.limits.connections + SPARE
     if (had := raise_soft(wanted)) < wanted:
         log.warning("descriptors", extra=kv(wanted=wanted, had=had))
@@ -128,7 +130,7 @@
         raise ConfigError("listen: missing")
     shards_table = top.table("shards") or Table({}, "shards")
     shards = _shards(shards_table, "count")
-    log_limit = _whole(shards_table, "changes_kept", DEFAULT_LOG_LIMIT, 1, 1 << 20)
+    log_limit = _integer(shards_table, "changes_kept", DEFAULT_LOG_LIMIT, 1, _MAX_COUNT)
     shards_table.done()
     upstream = top.table("upstream")
     if upstream is None:
@@ -136,9 +138,9 @@
     discovery, relays = _upstream(upstream, name)
     members = _members(path, top)
     if members is not None:
-        check_zones(members, (zone, *(one.zone for one in (relays.entries if relays else ()))))
+        check_zones(members, (zone, *(relay.zone for relay in (relays.entries if relays else ()))))
     placement_table = top.table("placement") or Table({}, "placement")
-    step_moves = _whole(placement_table, "step_moves", DEFAULT_STEP_MOVES, 1, 1 << 20)
+    step_moves = _integer(placement_table, "step_moves", DEFAULT_STEP_MOVES, 1, _MAX_COUNT)
     step_s = placement_table.positive("step_s", 1.0)
     placement_table.done()
     server_limits, relay = _limits(top.table("limits") or Table({}, "limits"))
@@ -146,8 +148,8 @@
     status, otlp = top.table("status"), top.table("otlp")
     status_listen = status.address("listen") if status is not None else None
     if status_listen is not None and not status_listen.host.startswith("127."):
-        raise ConfigError("status.listen: only on loopback")
-    found = RelayFile(
+        raise ConfigError("status.listen: must be a loopback address")
+    file = RelayFile(
         path, name, zone, listen, shards, discovery, relays, _timing(top, RELAY_TIMING), server_limits,
         relay, log_limit, members,
         PlacementSettings(shards.count, shards.replicas, step_moves), step_s, state, status_listen,
@@ -156,7 +158,7 @@
     for table in (top, status):
         if table is not None:
             table.done()
-    return found
+    return file
 
 
 def _upstream(table: Table, own_name: str) -> tuple[Address | None, Relays | None]:
@@ -168,7 +170,7 @@
         table.done()
         return None, relays
     if "relay" in table.raw:
-        raise ConfigError("upstream: discovery and relay: only one of them can be followed")
+        raise ConfigError("upstream: discovery and relay can't both be set")
     table.done()
     return discovery, None
 
@@ -176,7 +178,7 @@
 def _limits(table: Table) -> tuple[ServerLimits, RelaySettings]:
     server, relay = ServerLimits(), RelaySettings()
     server_limits = ServerLimits(
-        connections=_whole(table, "connections", server.connections, 1, 1 << 16),
+        connections=_integer(table, "connections", server.connections, 1, _MAX_CONNECTIONS),
         request_bytes=int(table.positive("request_kb", server.request_bytes / 1024) * 1024),
         unread_bytes=int(table.positive("unread_mb", server.unread_bytes / 2**20) * 2**20),
         all_unread_bytes=int(table.positive("all_unread_mb", server.all_unread_bytes / 2**20) * 2**20),
@@ -186,15 +188,15 @@
     )
     settings = RelaySettings(
         snapshots_per_s=table.positive("snapshots_per_s", relay.snapshots_per_s),
-        snapshot_burst=_whole(table, "snapshot_burst", relay.snapshot_burst, 1, 1 << 20),
-        most_held=_whole(table, "polls", relay.most_held, 1, 1 << 20),
+        snapshot_burst=_integer(table, "snapshot_burst", relay.snapshot_burst, 1, _MAX_COUNT),
+        most_held=_integer(table, "polls", relay.most_held, 1, _MAX_COUNT),
     )
     table.done()
     return server_limits, settings
 
 
 def read_sharding(table: Table, folder: Path, name: str) -> SenderSharding:
-    """`[sharding]` of the file of the sender with this name."""
+    """Read `[sharding]` of the file of the sender with this name."""
     zone, shards = _name(table, "zone"), _shards(table, "shards")
     relays = read_relays(table, "sharding.relay")
     rate = float(table.get("rate_per_weight", int, float, default=0))
@@ -204,26 +206,26 @@
     if path is not None:
         members = load_members(path)
         _check_member(members, name, zone)
-        check_zones(members, [one.zone for one in relays.entries])
-    found = SenderSharding(zone, shards, relays, _timing(table, Timing()), rate, path)
+        check_zones(members, [relay.zone for relay in relays.entries])
+    sharding = SenderSharding(zone, shards, relays, _timing(table, Timing()), rate, path)
     table.done()
-    return found
+    return sharding
 
 
 def read_relays(table: Table, name: str) -> Relays:
-    """The tables `relay` of a table, each with name, zone and address."""
+    """Read the array of tables `relay`, each with name, zone and address."""
     entries = []
-    for one in table.tables("relay"):
-        address = one.address("at")
+    for relay_table in table.tables("relay"):
+        address = relay_table.address("at")
         if address is None:
             raise ConfigError(f"{name}: at: missing")
-        entries.append(RelayAddress(_name(one, "name"), _name(one, "zone"), address))
-        one.done()
+        entries.append(RelayAddress(_name(relay_table, "name"), _name(relay_table, "zone"), address))
+        relay_table.done()
     if not entries:
         raise ConfigError(f"{name}: at least one is needed")
-    names = [one.name for one in entries]
-    if twins := sorted({one for one in names if names.count(one) > 1}):
-        raise ConfigError(f"{name}: '{twins[0]}' stands twice")
+    names = [entry.name for entry in entries]
+    if duplicates := sorted({one for one in names if names.count(one) > 1}):
+        raise ConfigError(f"{name}: '{duplicates[0]}' is listed twice")
     return Relays(tuple(entries))
 
 
@@ -234,7 +236,7 @@
 
 
 def load_members(path: Path) -> MemberFile:
-    """The members' file (TOML)."""
+    """Read a members' file (TOML)."""
     try:
         return MemberFile.from_mapping(read(path))
     except MemberFileError as error:
@@ -242,34 +244,34 @@
 
 
 def check_zones(members: MemberFile, zones: Sequence[str]) -> None:
-    """ConfigError where a zone has no member in any line of the file."""
-    known = {one.zone for one in members.members}
+    """ConfigError if no member of the file is in one of these zones."""
+    known = {member.zone for member in members.members}
     for zone in zones:
         if zone not in known:
-            raise ConfigError(f"zone: '{zone}' is no member's zone: {', '.join(sorted(known))}")
+            raise ConfigError(f"zone: '{zone}' has no members, only these have: {', '.join(sorted(known))}")
 
 
 def _check_member(members: MemberFile, name: str, zone: str) -> None:
-    own: list[Member] = [one for one in members.members if one.name == name]
+    own: list[Member] = [member for member in members.members if member.name == name]
     if not own:
-        raise ConfigError(f"sharding.members: '{name}' is not among them")
-    current = [one for one in own if one.belongs(members.epoch)]
+        raise ConfigError(f"sharding.members: '{name}' is not listed")
+    current = [member for member in own if member.belongs(members.epoch)]
     if current and current[0].zone != zone:
-        raise ConfigError(f"sharding.zone: '{zone}', but '{current[0].zone}' in the members' file")
+        raise ConfigError(f"sharding.zone: '{zone}' here, but '{current[0].zone}' in the members' file")
 
 
 def _shards(table: Table, count_key: str) -> Shards:
-    count = _whole(table, count_key, DEFAULT_SHARD_COUNT, 1, _MOST_SHARDS)
-    return Shards(count, _whole(table, "replicas", DEFAULT_REPLICAS, 1, MAX_REPLICAS))
+    count = _integer(table, count_key, DEFAULT_SHARD_COUNT, 1, _MAX_SHARDS)
+    return Shards(count, _integer(table, "replicas", DEFAULT_REPLICAS, 1, MAX_REPLICAS))
 
 
 def _timing(table: Table, default: Timing) -> Timing:
-    """`wait_s` and `silence_s`: how long an ask is held, and how long past it an answer may take;
-    `home_after_s`: how long, in the mean, a relay of another zone is kept to.
+    """Read `wait_s` (how long an ask is held), `silence_s` (how much longer its answer may take) and
+    `home_after_s` (mean time for which a relay of another zone is used).
     """
     wait_s = table.positive("wait_s", default.wait_s)
     if wait_s > MAX_WAIT_S:
-        raise ConfigError(f"{table.name + '.' if table.name else ''}wait_s: at most {MAX_WAIT_S:g}")
+        raise ConfigError(f"{table.name + '.' if table.name else ''}wait_s: must be at most {MAX_WAIT_S:g}")
     return replace(
         default,
         wait_s=wait_s,
@@ -278,10 +280,10 @@
     )
 
 
-def _whole(table: Table, key: str, default: int, least: int, most: int) -> int:
+def _integer(table: Table, key: str, default: int, minimum: int, maximum: int) -> int:
     value = int(table.get(key, int, default=default))
-    if not least <= value <= most:
-        raise ConfigError(f"{table.name}.{key}: from {least} to {most}")
+    if not minimum <= value <= maximum:
+        raise ConfigError(f"{table.name}.{key}: must be from {minimum} to {maximum}")
     return value
 
 
@@ -289,5 +291,5 @@
     value = str(table.get(key, str))
     if not 0 < len(value.encode()) <= MAX_NAME_BYTES:
         where = f"{table.name}.{key}" if table.name else key
-        raise ConfigError(f"{where}: from 1 to {MAX_NAME_BYTES} bytes")
+        raise ConfigError(f"{where}: must have 1 to {MAX_NAME_BYTES} bytes")
     return value
