--- a/mountgauge/relay/wire.py
+++ b/mountgauge/relay/wire.py
@@ -1,22 +1,21 @@
-"""JSON forms of asks and answers: the protocol of discovery's list (index and wait), by shard.
+"""JSON encoding of asks and answers: the protocol of discovery's list (index and wait), applied per shard.
 
 An ask is the body of `POST /registry/shards`:
 
     {"asker":"sender-1","shard_count":64,"wait_s":1.0,"placement":3,"shards":[[17,41],[90,43,1181783497276652981]]}
     {"asker":"relay-a","wait_s":1.0,"index":41}
 
-A position is a shard, the version that the asker holds it as of, and, where it says so, the digest of what
-it holds. `index` stands for all shards, and with `verify` the answer has the digest of all. An answer has one
-list for each shard that changed, in the form of discovery's own: `full` is a snapshot, else a delta from the
-version `from`, in which an endpoint that is no more stands as `{"id":"…","state":"left"}`.
+A position is a shard, the version at which the asker holds it, and optionally the digest of its content.
+`index` is the version of all shards; with `verify`, the answer has the digest of all of them. An answer has
+one list per changed shard, in the format of discovery's list: with `full` it is a snapshot, otherwise a delta
+from the version `from`, in which a removed endpoint is listed as `{"id":"…","state":"left"}`.
 
     {"version":43,"age_s":0.2,"held_s":0.7,"lists":[
       {"shard":17,"version":43,"full":false,"from":41,"digest":5,"servers":[{"id":"s-1",…}]}]}
 
-`run` is another number at each start of the relay.
-A refusal has status 503 and `{"refused":"busy","retry_after_s":0.4}`. What is left out has its default. No
-sockets here: bytes come in, messages go out. Whatever can't be read is one `UnreadableMessageError` of one
-line.
+`run` is a different number for each process run of the relay. A refusal has status 503 and the body
+`{"refused":"busy","retry_after_s":0.4}`. Omitted fields have their defaults. This module does no I/O. Input
+that can't be decoded raises `UnreadableMessageError` with a text of one line.
 """
 
 from __future__ import annotations
@@ -50,7 +49,7 @@
 STATUS_ANSWER, STATUS_UNREADABLE, STATUS_REFUSAL = 200, 400, 503
 MAX_ASK_BYTES = 4 << 20  # 65,536 positions with digests take 2.5 MB
 MAX_ANSWER_BYTES = 64 << 20
-MAX_WAIT_S = 60.0  # as at discovery
+MAX_WAIT_S = 60.0  # the same as discovery's
 MAX_NAME_BYTES = 128  # of an asker or a member
 MAX_REPLICAS = 16
 MAX_VERSION = (1 << 63) - 1
@@ -58,14 +57,14 @@
 
 
 class UnreadableMessageError(ValueError):
-    """It is not an ask or an answer; the text is one line for the operator."""
+    """The input is not a valid ask or answer; the text is one line for the operator."""
 
 
 # Asks
 
 
 def encode_ask(ask: Ask, shard_count: int | None = None) -> bytes:
-    """The body of an ask. `shard_count` is said, so that a relay with another one refuses it."""
+    """Return the body of an ask. With `shard_count`, a relay that has another shard count rejects the ask."""
     raw: dict[str, Any] = {"asker": ask.asker, "wait_s": ask.wait_s}
     if shard_count is not None:
         raw["shard_count"] = shard_count
@@ -76,48 +75,49 @@
         if ask.verify:
             raw["verify"] = True
     else:
-        raw["shards"] = [_position_form(one) for one in ask.positions]
+        raw["shards"] = [_position_form(position) for position in ask.positions]
     return orjson.dumps(raw)
 
 
-def _position_form(one: Position) -> tuple[int, ...]:
-    if one.digest is None:
-        return (one.shard, one.version)
-    return (one.shard, one.version, one.digest)
+def _position_form(position: Position) -> tuple[int, ...]:
+    if position.digest is None:
+        return (position.shard, position.version)
+    return (position.shard, position.version, position.digest)
 
 
 def decode_ask(body: bytes | bytearray, shard_count: int) -> Ask:
-    """An ask of a fleet with so many shards; UnreadableMessageError where it is none."""
+    """Decode an ask of a fleet with this shard count; UnreadableMessageError if it is not a valid one."""
     raw = _object(body, MAX_ASK_BYTES, "ask")
     if raw.get("shard_count", shard_count) != shard_count:
         raise UnreadableMessageError(
-            f"shard_count: {str(raw['shard_count'])[:20]} asked by, {shard_count} here"
+            f"shard_count: {str(raw['shard_count'])[:20]} in the ask, {shard_count} here"
         )
     asker = _name(raw.get("asker"), "asker")
     wait_s = _seconds(raw.get("wait_s", 0.0), "wait_s")
     if wait_s > MAX_WAIT_S:
-        raise UnreadableMessageError(f"wait_s: above {MAX_WAIT_S:g}")
+        raise UnreadableMessageError(f"wait_s: more than {MAX_WAIT_S:g}")
     placement = _version(raw.get("placement", NOTHING), "placement")
     if "index" in raw:
         if "shards" in raw:
-            raise UnreadableMessageError("index and shards: only one of them can be asked by")
+            raise UnreadableMessageError("index and shards can't both be set")
         verify = raw.get("verify", False) is True
         return Ask(asker, (), _version(raw["index"], "index"), wait_s, placement, verify)
     positions = tuple(_position(one, shard_count) for one in _array(raw.get("shards", []), "shards"))
-    if len({one.shard for one in positions}) < len(positions):
-        raise UnreadableMessageError("shards: one stands twice")
+    if len({position.shard for position in positions}) < len(positions):
+        raise UnreadableMessageError("shards: a shard is listed twice")
     return Ask(asker, positions, None, wait_s, placement)
 
 
 def _position(raw: object, shard_count: int) -> Position:
-    if type(raw) is list and len(raw) == 2:  # nearly all are: a relay reads tens of thousands a second
+    # Fast path for nearly all positions: a relay decodes tens of thousands per second.
+    if type(raw) is list and len(raw) == 2:
         shard, version = raw
-        whole = type(shard) is int and type(version) is int
-        if whole and 0 <= shard < shard_count and NOTHING <= version <= MAX_VERSION:
+        integers = type(shard) is int and type(version) is int
+        if integers and 0 <= shard < shard_count and NOTHING <= version <= MAX_VERSION:
             return Position(shard, version)
     if not isinstance(raw, list) or len(raw) not in (2, 3):
-        raise UnreadableMessageError("shards: a position is a shard, a version and maybe a digest")
-    digest = _whole(raw[2], "digest", 0, _MAX_DIGEST) if len(raw) == 3 else None
+        raise UnreadableMessageError("shards: a position is a shard, a version and an optional digest")
+    digest = _integer(raw[2], "digest", 0, _MAX_DIGEST) if len(raw) == 3 else None
     return Position(_shard(raw[0], shard_count), _version(raw[1], "version"), digest)
 
 
@@ -125,7 +125,7 @@
 
 
 def encode_reply(reply: Reply) -> tuple[int, bytes]:
-    """The status and body of an answer or a refusal."""
+    """Return the status and body of an answer or a refusal."""
     if isinstance(reply, Refusal):
         refused = {"refused": reply.reason.value, "retry_after_s": reply.retry_after_s}
         return STATUS_REFUSAL, orjson.dumps(refused)
@@ -133,12 +133,12 @@
 
 
 def encode_error(error: UnreadableMessageError) -> tuple[int, bytes]:
-    """The status and body for an ask that can't be read."""
+    """Return the status and body of the reply to an unreadable ask."""
     return STATUS_UNREADABLE, orjson.dumps({"error": str(error)})
 
 
 def _answer_form(answer: Answer) -> dict[str, Any]:
-    age_s = answer.age_s if math.isfinite(answer.age_s) else None  # never confirmed
+    age_s = answer.age_s if math.isfinite(answer.age_s) else None  # None: never confirmed
     raw: dict[str, Any] = {"version": answer.as_of, "age_s": age_s}
     optional: tuple[tuple[str, Any], ...] = (
         ("held_s", answer.held_s),
@@ -155,38 +155,38 @@
     return raw
 
 
-def _snapshot_form(one: ShardSnapshot) -> dict[str, Any]:
-    servers = [record.line() for record in one.records]
-    return {"shard": one.shard, "version": one.version, "full": True, "digest": one.digest,
+def _snapshot_form(snapshot: ShardSnapshot) -> dict[str, Any]:
+    servers = [record.line() for record in snapshot.records]
+    return {"shard": snapshot.shard, "version": snapshot.version, "full": True, "digest": snapshot.digest,
             "servers": servers}  # fmt: skip
 
 
-def _delta_form(one: ShardDelta) -> dict[str, Any]:
-    servers = [record.line() for record in one.put]
-    servers += [{"id": name, "state": EndpointState.LEFT.value} for name in one.gone]
-    return {"shard": one.shard, "version": one.version, "full": False, "from": one.base,
-            "digest": one.digest, "servers": servers}  # fmt: skip
+def _delta_form(delta: ShardDelta) -> dict[str, Any]:
+    servers = [record.line() for record in delta.put]
+    servers += [{"id": name, "state": EndpointState.LEFT.value} for name in delta.gone]
+    return {"shard": delta.shard, "version": delta.version, "full": False, "from": delta.base,
+            "digest": delta.digest, "servers": servers}  # fmt: skip
 
 
 def _placement_form(news: PlacementNews | None) -> dict[str, Any] | None:
     if news is None:
         return None
-    shards = [(one.shard, one.replicas) for one in news.shards]
+    shards = [(placed.shard, placed.replicas) for placed in news.shards]
     return {"revision": news.revision, "epoch": news.epoch, "shards": shards}
 
 
 def decode_reply(status: int, body: bytes | bytearray, shard_count: int) -> Reply:
-    """An answer or a refusal; UnreadableMessageError where it is neither."""
+    """Decode an answer or a refusal; UnreadableMessageError if it is neither."""
     if status == STATUS_REFUSAL:
         return _refusal(_object(body, MAX_ANSWER_BYTES, "refusal"))
     if status != STATUS_ANSWER:
-        said = " ".join(bytes(body[:120]).decode(errors="replace").split())
-        raise UnreadableMessageError(f"status {status}: {said}")
+        excerpt = " ".join(bytes(body[:120]).decode(errors="replace").split())
+        raise UnreadableMessageError(f"status {status}: {excerpt}")
     raw = _object(body, MAX_ANSWER_BYTES, "answer")
     snapshots: list[ShardSnapshot] = []
     deltas: list[ShardDelta] = []
-    for one in _array(raw.get("lists", []), "lists"):
-        _list(one, shard_count, snapshots, deltas)
+    for shard_list in _array(raw.get("lists", []), "lists"):
+        _add_list(shard_list, shard_count, snapshots, deltas)
     uncovered = _array(raw.get("uncovered", []), "uncovered")
     return Answer(
         as_of=_version(raw.get("version"), "version"),
@@ -195,9 +195,9 @@
         deltas=tuple(deltas),
         snapshots=tuple(snapshots),
         uncovered=tuple(_shard(one, shard_count) for one in uncovered),
-        digest=_whole(raw["digest"], "digest", 0, _MAX_DIGEST) if "digest" in raw else None,
-        run=_whole(raw.get("run", 0), "run", 0, MAX_VERSION),
-        behind=_whole(raw.get("behind", 0), "behind", 0, MAX_VERSION),
+        digest=_integer(raw["digest"], "digest", 0, _MAX_DIGEST) if "digest" in raw else None,
+        run=_integer(raw.get("run", 0), "run", 0, MAX_VERSION),
+        behind=_integer(raw.get("behind", 0), "behind", 0, MAX_VERSION),
         retry_after_s=_seconds(raw.get("retry_after_s", 0.0), "retry_after_s"),
         placement=_placement(raw.get("placement"), shard_count),
     )
@@ -211,25 +211,27 @@
     return Refusal(reason, _seconds(raw.get("retry_after_s", 0.0), "retry_after_s"))
 
 
-def _list(raw: object, shard_count: int, snapshots: list[ShardSnapshot], deltas: list[ShardDelta]) -> None:
-    """One shard's list, added to the snapshots or the deltas."""
+def _add_list(
+    raw: object, shard_count: int, snapshots: list[ShardSnapshot], deltas: list[ShardDelta]
+) -> None:
+    """Decode the list of one shard, and add it to the snapshots or the deltas."""
     if not isinstance(raw, dict):
         raise UnreadableMessageError("lists: not an object")
     shard = _shard(raw.get("shard"), shard_count)
     version = _version(raw.get("version"), "version")
-    digest = _whole(raw.get("digest"), "digest", 0, _MAX_DIGEST)
+    digest = _integer(raw.get("digest"), "digest", 0, _MAX_DIGEST)
     put: list[EndpointRecord] = []
-    gone: list[str] = []
+    removed: list[str] = []
     for line in _array(raw.get("servers"), "servers"):
         if isinstance(line, dict) and line.get("state") == EndpointState.LEFT.value:
-            gone.append(_endpoint_id(line.get("id")))
+            removed.append(_endpoint_id(line.get("id")))
         else:
             put.append(_record(line))
     if raw.get("full") is not True:
         base = _version(raw.get("from"), "from")
-        deltas.append(ShardDelta(shard, base, version, tuple(put), tuple(gone), digest))
-    elif gone:
-        raise UnreadableMessageError(f"shard {shard}: a snapshot with an endpoint that has left")
+        deltas.append(ShardDelta(shard, base, version, tuple(put), tuple(removed), digest))
+    elif removed:
+        raise UnreadableMessageError(f"shard {shard}: a snapshot must not list a removed endpoint")
     else:
         snapshots.append(ShardSnapshot(shard, version, tuple(put), digest))
 
@@ -243,7 +245,7 @@
 
 def _endpoint_id(raw: object) -> str:
     if not isinstance(raw, str) or not raw:
-        raise UnreadableMessageError("id: not a text")
+        raise UnreadableMessageError("id: not a non-empty string")
     return raw
 
 
@@ -259,7 +261,7 @@
 
 def _placed(raw: object, shard_count: int) -> PlacedShard:
     if not isinstance(raw, list) or len(raw) != 2:
-        raise UnreadableMessageError("placement.shards: a shard and its replicas")
+        raise UnreadableMessageError("placement.shards: each item must be a shard and its replicas")
     replicas = _array(raw[1], "replicas")
     if len(replicas) > MAX_REPLICAS:
         raise UnreadableMessageError(f"replicas: more than {MAX_REPLICAS}")
@@ -269,15 +271,15 @@
 # Values
 
 
-def _object(body: bytes | bytearray, most: int, what: str) -> dict[str, Any]:
-    if len(body) > most:
-        raise UnreadableMessageError(f"{what}: {len(body)} bytes, at most {most}")
+def _object(body: bytes | bytearray, max_bytes: int, kind: str) -> dict[str, Any]:
+    if len(body) > max_bytes:
+        raise UnreadableMessageError(f"{kind}: {len(body)} bytes, at most {max_bytes}")
     try:
         raw = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise UnreadableMessageError(f"{what}: {error}") from None
+        raise UnreadableMessageError(f"{kind}: {error}") from None
     if not isinstance(raw, dict):
-        raise UnreadableMessageError(f"{what}: not an object")
+        raise UnreadableMessageError(f"{kind}: not an object")
     return raw
 
 
@@ -287,18 +289,18 @@
     return raw
 
 
-def _whole(raw: object, name: str, least: int, most: int) -> int:
-    if not isinstance(raw, int) or isinstance(raw, bool) or not least <= raw <= most:
-        raise UnreadableMessageError(f"{name}: not a whole number from {least} to {most}")
+def _integer(raw: object, name: str, minimum: int, maximum: int) -> int:
+    if not isinstance(raw, int) or isinstance(raw, bool) or not minimum <= raw <= maximum:
+        raise UnreadableMessageError(f"{name}: not a whole number from {minimum} to {maximum}")
     return raw
 
 
 def _version(raw: object, name: str) -> int:
-    return _whole(raw, name, NOTHING, MAX_VERSION)
+    return _integer(raw, name, NOTHING, MAX_VERSION)
 
 
 def _shard(raw: object, shard_count: int) -> int:
-    return _whole(raw, "shard", 0, shard_count - 1)
+    return _integer(raw, "shard", 0, shard_count - 1)
 
 
 def _seconds(raw: object, name: str) -> float:
--- a/tests/sharding/test_relay_service.py
+++ b/tests/sharding/test_relay_service.py
@@ -1,4 +1,4 @@
-"""Relays with their sockets in one process: a tree of two levels, what they refuse, and what they tell."""
+"""Relays with real sockets in one process: a tree of two levels, refusals, reloads and status pages."""
 
 from __future__ import annotations
 
@@ -60,28 +60,28 @@
     return wire.decode_reply(answer.status, answer.body, SHARDS)
 
 
-def test_a_change_goes_down_a_tree_of_two_levels(tmp_path: Path) -> None:
+def test_a_change_is_propagated_through_a_tree_of_two_levels(tmp_path: Path) -> None:
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
         await discovery.change(*[line(f"e{one}", one) for one in range(30)])
         upper = await started(relay_file(tmp_path, discovery.port, members=False))
-        place = RelayAddress("upper", "a", Address(HOST, upper.server.port))
-        below = replace(relay_file(tmp_path, 1), discovery=None, relays=Relays((place,)))
-        lower = await started(below)
+        upper_address = RelayAddress("upper", "a", Address(HOST, upper.server.port))
+        lower_file = replace(relay_file(tmp_path, 1), discovery=None, relays=Relays((upper_address,)))
+        lower = await started(lower_file)
         assert lower.relay.store.as_of == discovery.version
         shard = shard_of(7, SHARDS)
         first = await asked(lower.server.port, Ask("s1", (Position(shard),)))
         assert isinstance(first, Answer) and first.snapshots[0].version == discovery.version
-        held = asyncio.ensure_future(
+        poll = asyncio.ensure_future(
             asked(lower.server.port, Ask("s1", (Position(shard, first.as_of),), wait_s=30))
         )
-        held_whole = discovery.calls["whole"]
+        full_lists = discovery.calls["whole"]
         version = await discovery.change(line("e7", 7, 1000))
-        news = await held
+        news = await poll
         assert isinstance(news, Answer) and news.as_of == version
         assert [one.address for delta in news.deltas for one in delta.put] == [f"{HOST}:1000"]
-        assert discovery.calls["whole"] == held_whole == 1, "the lower one never asks discovery"
+        assert discovery.calls["whole"] == full_lists == 1, "the lower relay never calls discovery"
         for service in (lower, upper):
             await service.stop()
         await discovery.stop()
@@ -96,7 +96,7 @@
     return answer
 
 
-def test_an_ask_that_cannot_be_read_is_answered_with_one_clear_line(tmp_path: Path) -> None:
+def test_an_unreadable_ask_is_answered_with_an_error_of_one_line(tmp_path: Path) -> None:
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
@@ -106,7 +106,7 @@
         assert answer.status == 400
         assert bytes(answer.body) == b'{"error":"shard: not a whole number from 0 to 15"}'
         other = await posted(port, b'{"asker":"s1","shard_count":64}')
-        assert bytes(other.body) == b'{"error":"shard_count: 64 asked by, 16 here"}'
+        assert bytes(other.body) == b'{"error":"shard_count: 64 in the ask, 16 here"}'
         assert (await posted(port, b"", "/registry/instances", "GET")).status == 404
         assert service.report.status()["unreadable_asks"] == 2
         await service.stop()
@@ -115,7 +115,7 @@
     run(main())
 
 
-def test_a_relay_that_is_not_ready_refuses_and_one_that_leaves_sends_its_askers_away(tmp_path: Path) -> None:
+def test_a_relay_refuses_asks_before_it_is_ready_and_open_polls_when_it_stops(tmp_path: Path) -> None:
     async def main() -> None:
         service = RelayService(relay_file(tmp_path, 1), seed=1)
         await service.start()
@@ -142,25 +142,25 @@
         (MEMBERS.format(epoch=1).replace("s2", "s3"), "epoch 1: member 's3' is not as it was"),
     ],
 )
-def test_a_members_file_that_cannot_be_used_changes_nothing(
+def test_an_invalid_members_file_changes_nothing(
     tmp_path: Path, text: str, error: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
         service = RelayService(relay_file(tmp_path, 1), seed=1)
         before = service.relay.placement
         assert before is not None
-        kept = before.checkpoint()
+        checkpoint = before.checkpoint()
         (tmp_path / "members.toml").write_text(text)
         service.reload()
-        assert service.relay.placement is before and before.checkpoint() == kept
-        said = [one for one in caplog.records if one.getMessage() == "reload-failed"]
-        assert len(said) == 1 and error in str(said[0].__dict__["kv"]["error"])
+        assert service.relay.placement is before and before.checkpoint() == checkpoint
+        logged = [record for record in caplog.records if record.getMessage() == "reload-failed"]
+        assert len(logged) == 1 and error in str(logged[0].__dict__["kv"]["error"])
 
     run(main())
 
 
-class Liar(HttpServer):
-    """A relay that says what the test wants."""
+class ScriptedRelay(HttpServer):
+    """A stand-in for a relay that sends the replies of the test."""
 
     def __init__(self, replies: Callable[[Ask], tuple[int, bytes]]) -> None:
         super().__init__(self._reply)
@@ -171,53 +171,53 @@
         self.asks += 1
         status, body = self.replies(wire.decode_ask(message.body, SHARDS))
         await asyncio.sleep(0.01)
-        return response(status, "Said", {}, body)
+        return response(status, "Scripted", {}, body)
 
 
-def test_a_relay_that_lies_or_cannot_be_read_is_left_and_the_last_list_kept(
+def test_a_sender_leaves_a_relay_with_wrong_or_unreadable_answers_and_keeps_its_list(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """It tells a snapshot whose content isn't the one that it names, then what is no answer at all."""
+    """The relay sends snapshots whose content doesn't match their digest, then bodies that are no answers."""
     caplog.set_level("WARNING")
 
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
         await discovery.change(line("e7", 7))
-        honest = await started(relay_file(tmp_path, discovery.port))
+        healthy = await started(relay_file(tmp_path, discovery.port))
         shard = shard_of(7, SHARDS)
         wrong = Answer(
             discovery.version + 5, 0.0, snapshots=(ShardSnapshot(shard, discovery.version + 5, (), 1),)
         )
         bodies = [wire.encode_reply(wrong), wire.encode_reply(wrong), (200, b"[]"), (200, b"{")]
-        liar = Liar(lambda ask: bodies.pop(0) if len(bodies) > 1 else bodies[0])
-        await liar.start()
+        faulty = ScriptedRelay(lambda ask: bodies.pop(0) if len(bodies) > 1 else bodies[0])
+        await faulty.start()
         store = ShardStore(SHARDS, log_limit=0)
-        names = [RelayName("liar", "a"), RelayName("honest", "b")]
+        names = [RelayName("faulty", "a"), RelayName("healthy", "b")]
         subscription = Subscription("s1", store, Picker(names, "a", FAST, Random(1)), FAST, Random(1))
         updates: list[Update] = []
 
-        def hear(call: Call, update: Update) -> None:
+        def on_answer(call: Call, update: Update) -> None:
             updates.append(update)
 
-        places = {"liar": Address(HOST, liar.port), "honest": Address(HOST, honest.server.port)}
-        follower = Follower(subscription, places, None, SHARDS, hear)
+        addresses = {"faulty": Address(HOST, faulty.port), "healthy": Address(HOST, healthy.server.port)}
+        follower = Follower(subscription, addresses, None, SHARDS, on_answer)
         subscription.hold(shard, 0.0)
         follower.start()
         await until(lambda: shard in store and store.version(shard) == discovery.version)
-        assert liar.asks >= 2 and [one.id for one in store.records(shard).values()] == ["e7"]
+        assert faulty.asks >= 2 and [one.id for one in store.records(shard).values()] == ["e7"]
         rejected = [one.reason for update in updates for one in update.rejections]
         assert rejected and all("\n" not in one for one in rejected)
         assert "has another content" in rejected[0]
         follower.close()
-        await honest.stop()
-        await liar.stop()
+        await healthy.stop()
+        await faulty.stop()
         await discovery.stop()
 
     run(main())
 
 
-def test_what_a_relay_tells_of_itself_and_its_shards(tmp_path: Path) -> None:
+def test_status_page_shard_table_and_metrics_of_a_relay(tmp_path: Path) -> None:
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
@@ -238,7 +238,7 @@
     run(main())
 
 
-def test_a_restart_goes_on_where_the_moves_had_got_to(tmp_path: Path) -> None:
+def test_pending_moves_resume_after_a_restart(tmp_path: Path) -> None:
     async def main() -> None:
         file = replace(relay_file(tmp_path, 1), state=tmp_path / "state")
         file = replace(file, placement=replace(file.placement, step_moves=1))
@@ -249,10 +249,10 @@
         placement = service.relay.placement
         assert placement is not None and placement.pending > 2
         service._step()
-        kept = placement.checkpoint()
+        checkpoint = placement.checkpoint()
         service.close()
-        again = RelayService(replace(file, members=load_relay(file.path).members), seed=1).relay.placement
-        assert again is not None and again.checkpoint() == kept and again.revision == 1
+        restored = RelayService(replace(file, members=load_relay(file.path).members), seed=1).relay.placement
+        assert restored is not None and restored.checkpoint() == checkpoint and restored.revision == 1
 
     run(main())
 
@@ -260,7 +260,7 @@
 @pytest.mark.parametrize(
     "content", [b"", b"[]", b"{", b'{"shards":16,"replicas":2}', b'{"shards":1,"replicas":2}']
 )
-def test_a_kept_placement_that_cannot_be_read_is_as_none(
+def test_an_unreadable_placement_file_is_ignored(
     tmp_path: Path, content: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
@@ -273,7 +273,7 @@
     run(main())
 
 
-def test_a_relay_without_its_placement_does_not_start_from_a_later_base(tmp_path: Path) -> None:
+def test_a_relay_without_a_stored_placement_does_not_start_from_a_later_base_epoch(tmp_path: Path) -> None:
     async def main() -> None:
         file = relay_file(tmp_path, 1)
         (tmp_path / "members.toml").write_text("base_epoch = 2\n" + MEMBERS.format(epoch=2))
--- a/tests/sharding/test_wire.py
+++ b/tests/sharding/test_wire.py
@@ -1,4 +1,4 @@
-"""The JSON forms of asks and answers: each message comes back as it was, what is none is one clear line."""
+"""JSON encoding of asks and answers: messages survive a round trip, invalid input is reported in one line."""
 
 from __future__ import annotations
 
@@ -56,13 +56,13 @@
 
 @given(asks)
 @settings(max_examples=60, deadline=None)
-def test_an_ask_comes_back_as_it_was(ask: Ask) -> None:
+def test_an_ask_survives_a_round_trip(ask: Ask) -> None:
     assert wire.decode_ask(wire.encode_ask(ask, SHARDS), SHARDS) == ask
 
 
 @given(answers | refusals)
 @settings(max_examples=60, deadline=None)
-def test_a_reply_comes_back_as_it_was(reply: Reply) -> None:
+def test_a_reply_survives_a_round_trip(reply: Reply) -> None:
     assert wire.decode_reply(*wire.encode_reply(reply), SHARDS) == reply
 
 
@@ -70,27 +70,27 @@
 
 
 @pytest.mark.parametrize(
-    ("changed", "says"),
+    ("changed", "error"),
     [
         ({"asker": ""}, "asker: not a name of at most 128 bytes"),
         ({"asker": "x" * 129}, "asker: not a name of at most 128 bytes"),
         ({"wait_s": -1}, "wait_s: not a number of seconds"),
-        ({"wait_s": 61}, "wait_s: above 60"),
+        ({"wait_s": 61}, "wait_s: more than 60"),
         ({"wait_s": None}, "wait_s: not a number of seconds"),
         ({"shards": {}}, "shards: not an array"),
         ({"shards": [[64, 1]]}, "shard: not a whole number from 0 to 63"),
         ({"shards": [[True, 1]]}, "shard: not a whole number from 0 to 63"),
-        ({"shards": [[1, 2], [1, 3]]}, "shards: one stands twice"),
-        ({"shards": [[1, 2, 3, 4]]}, "shards: a position is a shard, a version and maybe a digest"),
-        ({"shard_count": 63}, "shard_count: 63 asked by, 64 here"),
-        ({"index": 3}, "index and shards: only one of them can be asked by"),
+        ({"shards": [[1, 2], [1, 3]]}, "shards: a shard is listed twice"),
+        ({"shards": [[1, 2, 3, 4]]}, "shards: a position is a shard, a version and an optional digest"),
+        ({"shard_count": 63}, "shard_count: 63 in the ask, 64 here"),
+        ({"index": 3}, "index and shards can't both be set"),
         ({"placement": "new"}, f"placement: not a whole number from -1 to {wire.MAX_VERSION}"),
     ],
 )
-def test_an_ask_that_cannot_be_read_is_one_clear_line(changed: dict[str, object], says: str) -> None:
+def test_an_unreadable_ask_is_reported_in_one_line(changed: dict[str, object], error: str) -> None:
     with pytest.raises(wire.UnreadableMessageError) as caught:
         wire.decode_ask(orjson.dumps({**ASK, **changed}), SHARDS)
-    assert str(caught.value) == says
+    assert str(caught.value) == error
 
 
 RECORD = {"id": "s", "addr": "127.0.0.1:1", "zone": "a", "kind": "http", "cell": 7, "state": "active"}
@@ -98,24 +98,24 @@
 
 
 @pytest.mark.parametrize(
-    ("changed", "says"),
+    ("changed", "error"),
     [
         ({"servers": [{**RECORD, "state": "asleep"}]}, "endpoint 's': 'asleep' is not a valid EndpointState"),
         ({"servers": [{**RECORD, "cell": "7"}]}, "endpoint 's': cell: not a whole number"),
-        ({"servers": [{"id": "s", "state": "left"}]}, "shard 1: a snapshot with an endpoint that has left"),
+        ({"servers": [{"id": "s", "state": "left"}]}, "shard 1: a snapshot must not list a removed endpoint"),
         ({"servers": None}, "servers: not an array"),
         ({"full": False}, "from: not a whole number from -1 to 9223372036854775807"),
         ({"digest": -1}, "digest: not a whole number from 0 to 18446744073709551615"),
         ({"version": 1.5}, "version: not a whole number from -1 to 9223372036854775807"),
     ],
 )
-def test_an_answer_with_a_list_that_cannot_be_read_is_one_clear_line(
-    changed: dict[str, object], says: str
+def test_an_unreadable_list_in_an_answer_is_reported_in_one_line(
+    changed: dict[str, object], error: str
 ) -> None:
     body = orjson.dumps({"version": 4, "age_s": 0, "lists": [{**LIST, **changed}]})
     with pytest.raises(wire.UnreadableMessageError) as caught:
         wire.decode_reply(wire.STATUS_ANSWER, body, SHARDS)
-    assert str(caught.value) == says
+    assert str(caught.value) == error
 
 
 @given(st.binary(max_size=60) | st.recursive(
@@ -126,10 +126,10 @@
     ), max_leaves=12,
 ))  # fmt: skip
 @settings(max_examples=150, deadline=None)
-def test_whatever_comes_is_a_message_or_unreadable(raw: object) -> None:
+def test_any_input_is_decoded_or_reported_as_unreadable(raw: object) -> None:
     try:
         body = raw if isinstance(raw, bytes) else orjson.dumps(raw)
-    except TypeError:  # an integer past 64 bits
+    except TypeError:  # an integer of more than 64 bits
         return
     for read in (
         lambda: wire.decode_ask(body, SHARDS),
@@ -143,6 +143,6 @@
             assert "\n" not in str(error) and len(str(error)) < 400
 
 
-def test_too_large_a_body_is_refused_before_it_is_read() -> None:
+def test_a_body_that_is_too_large_is_rejected_before_it_is_parsed() -> None:
     with pytest.raises(wire.UnreadableMessageError, match="bytes, at most"):
         wire.decode_ask(b" " * (wire.MAX_ASK_BYTES + 1), SHARDS)
