--- a/tests/sharding/test_relay_server.py
+++ b/tests/sharding/test_relay_server.py
@@ -1,4 +1,4 @@
-"""The relay's HTTP server on real sockets: one request at a time, bounds, and what happens past them."""
+"""The relay's HTTP server on real sockets: one request at a time, and its limits."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 
 class Polls:
-    """Holds what is asked until the test answers it."""
+    """Holds each exchange until the test answers it."""
 
     def __init__(self) -> None:
         self.open: list[Exchange] = []
-        self.gone = 0
+        self.disconnected = 0
 
     def handle(self, exchange: Exchange) -> None:
         self.open.append(exchange)
-        exchange.on_disconnect = self._left
+        exchange.on_disconnect = self._on_disconnect
 
-    def _left(self) -> None:
-        self.gone += 1
+    def _on_disconnect(self) -> None:
+        self.disconnected += 1
 
 
 async def started(limits: ServerLimits) -> tuple[PollServer, Polls]:
@@ -37,13 +37,13 @@
     return server, polls
 
 
-async def asked(port: int, data: bytes = GET) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def send_request(port: int, data: bytes = GET) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     reader, writer = await asyncio.open_connection(HOST, port)
     writer.write(data)
     return reader, writer
 
 
-def test_an_exchange_is_answered_once_and_the_connection_serves_the_next() -> None:
+def test_an_exchange_is_answered_once_and_its_connection_serves_the_next_one() -> None:
     async def main() -> None:
         server, polls = await started(ServerLimits())
         client = Client(HOST, server.port)
@@ -62,16 +62,16 @@
     run(main())
 
 
-def test_whoever_holds_an_exchange_hears_once_that_its_peer_has_gone() -> None:
+def test_a_disconnect_before_the_answer_is_reported_once() -> None:
     async def main() -> None:
         server, polls = await started(ServerLimits())
-        _, writer = await asked(server.port)
+        _, writer = await send_request(server.port)
         await until(lambda: polls.open)
         writer.transport.abort()
-        await until(lambda: polls.gone)
+        await until(lambda: polls.disconnected)
         assert not polls.open[0].open
         polls.open[0].answer(200, b"nobody reads this")
-        assert (polls.gone, server.counts["answers"]) == (1, 0)
+        assert (polls.disconnected, server.counts["answers"]) == (1, 0)
         server.close()
 
     run(main())
@@ -88,12 +88,12 @@
         (b"", ServerLimits(connections=0), Drop.TOO_MANY_CONNECTIONS),
     ],
 )
-def test_what_passes_a_bound_ends_the_connection_with_its_reason(
+def test_exceeding_a_limit_closes_the_connection_with_its_reason(
     data: bytes, limits: ServerLimits, reason: Drop
 ) -> None:
     async def main() -> None:
         server, polls = await started(limits)
-        _, writer = await asked(server.port, data)
+        _, writer = await send_request(server.port, data)
         await until(lambda: server.drops)
         assert dict(server.drops) == {reason: 1} and polls.open == []
         await until(lambda: not server.connections)
@@ -103,45 +103,45 @@
     run(main())
 
 
-async def deaf(port: int) -> socket.socket:
-    """A peer that asks and never reads, with little room for what it is sent."""
-    one = socket.socket()
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-    one.setblocking(False)
+async def non_reading_peer(port: int) -> socket.socket:
+    """Return a socket with a small receive buffer, on which a request was sent and nothing is read."""
+    peer = socket.socket()
+    peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    peer.setblocking(False)
     loop = asyncio.get_running_loop()
-    await loop.sock_connect(one, (HOST, port))
-    await loop.sock_sendall(one, GET)
-    return one
+    await loop.sock_connect(peer, (HOST, port))
+    await loop.sock_sendall(peer, GET)
+    return peer
 
 
 @pytest.mark.parametrize("limits", [ServerLimits(unread_bytes=1000), ServerLimits(read_s=0.1)])
 def test_a_peer_that_does_not_read_its_answer_is_dropped(limits: ServerLimits) -> None:
     async def main() -> None:
         server, polls = await started(limits)
-        one = await deaf(server.port)
+        peer = await non_reading_peer(server.port)
         await until(lambda: polls.open)
         polls.open[0].answer(200, b"x" * (8 << 20))
         await until(lambda: server.drops)
         assert dict(server.drops) == {Drop.SLOW_READER: 1} and server.unread_bytes == 0
-        one.close()
+        peer.close()
         server.close()
 
     run(main())
 
 
-def test_where_too_much_waits_in_all_the_largest_goes_first() -> None:
+def test_the_peer_with_the_most_unread_bytes_is_dropped_when_the_total_limit_is_exceeded() -> None:
     async def main() -> None:
         server, polls = await started(ServerLimits(all_unread_bytes=40 << 20))
-        ones = []
-        for size in (16, 32, 17):  # MB; the system takes a few of each
-            ones.append(await deaf(server.port))
+        peers = []
+        for size in (16, 32, 17):  # MB, of which the sockets' buffers hold a few
+            peers.append(await non_reading_peer(server.port))
             await until(lambda: polls.open)
             polls.open.pop().answer(200, b"x" * (size << 20))
         assert dict(server.drops) == {Drop.SLOW_READER: 1}
-        left = sorted(one.unread_bytes >> 20 for one in server.connections)
-        assert left[0] <= 16 and left[1] <= 17 and server.unread_bytes < 34 << 20, "that of 32 MB has gone"
-        for one in ones:
-            one.close()
+        mb = sorted(connection.unread_bytes >> 20 for connection in server.connections)
+        assert mb[0] <= 16 and mb[1] <= 17 and server.unread_bytes < 34 << 20, "the peer of 32 MB is dropped"
+        for peer in peers:
+            peer.close()
         server.close()
 
     run(main())
