--- a/tests/sharding/test_relay_service.py
+++ b/tests/sharding/test_relay_service.py
@@ -25,7 +25,7 @@
 from mountgauge.sharding.timing import Timing
 from mountgauge.sharding.upstream import Call, Update
 from tests.helper import HOST, HttpServer, run, until
-from tests.sharding.harness import Discovery, line
+from tests.sharding.harness import Discovery, endpoint_line
 
 SHARDS = 16
 FAST = Timing(wait_s=0.2, silence_s=2.0, first_pause_s=0.05, longest_pause_s=0.1)
@@ -64,7 +64,7 @@
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
-        await discovery.change(*[line(f"e{one}", one) for one in range(30)])
+        await discovery.change(*[endpoint_line(f"e{one}", one) for one in range(30)])
         upper = await started(relay_file(tmp_path, discovery.port, members=False))
         upper_address = RelayAddress("upper", "a", Address(HOST, upper.server.port))
         lower_file = replace(relay_file(tmp_path, 1), discovery=None, relays=Relays((upper_address,)))
@@ -77,7 +77,7 @@
             asked(lower.server.port, Ask("s1", (Position(shard, first.as_of),), wait_s=30))
         )
         full_lists = discovery.calls["whole"]
-        version = await discovery.change(line("e7", 7, 1000))
+        version = await discovery.change(endpoint_line("e7", 7, 1000))
         news = await poll
         assert isinstance(news, Answer) and news.as_of == version
         assert [one.address for delta in news.deltas for one in delta.put] == [f"{HOST}:1000"]
@@ -183,7 +183,7 @@
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
-        await discovery.change(line("e7", 7))
+        await discovery.change(endpoint_line("e7", 7))
         healthy = await started(relay_file(tmp_path, discovery.port))
         shard = shard_of(7, SHARDS)
         wrong = Answer(
@@ -221,7 +221,7 @@
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
-        await discovery.change(line("e7", 7))
+        await discovery.change(endpoint_line("e7", 7))
         service = await started(relay_file(tmp_path, discovery.port))
         page = service.report.shards()
         assert len(page["shards"]) == SHARDS and sum(row["endpoints"] for row in page["shards"]) == 1
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -26,7 +26,7 @@
 )
 from rillspindle.interface import Readiness
 from tests.helper import HOST, HttpServer, run, until
-from tests.sharding.harness import Discovery, line
+from tests.sharding.harness import Discovery, endpoint_line
 from tests.sharding.test_relay_service import FAST, SHARDS, relay_file, started
 
 
@@ -66,16 +66,18 @@
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
-        await discovery.change(line("e7", 7, 1000), line("e8", 8, 1001))
+        await discovery.change(endpoint_line("e7", 7, 1000), endpoint_line("e8", 8, 1001))
         relay = await started(relay_file(tmp_path, discovery.port))
         core = Core()
         shard_map = ShardMap(core, sharding(relay.server.port, rate_per_weight=20.0), "s1", tmp_path, seed=1)
         shard_map.start()
         await until(lambda: core.hops == {"e7": (HOST, 1000, 20.0), "e8": (HOST, 1001, 20.0)})
-        await discovery.change({**line("e7", 7), "addr": "nowhere"}, line("e8", 8, state="left"))
+        await discovery.change(
+            {**endpoint_line("e7", 7), "addr": "nowhere"}, endpoint_line("e8", 8, state="left")
+        )
         await until(lambda: core.hops == {})
         assert not any(update.full for update in core.updates), "deltas only"
-        await discovery.change(line("e7", 9, 1002))
+        await discovery.change(endpoint_line("e7", 9, 1002))
         await until(lambda: core.hops == {"e7": (HOST, 1002, 20.0)})
         shard_map.snapshot()
         assert core.updates[-1].full and core.hops == {"e7": (HOST, 1002, 20.0)}
