--- a/tests/sharding/test_relay_server.py
+++ b/tests/sharding/test_relay_server.py
@@ -30,7 +30,7 @@
         self.disconnected += 1
 
 
-async def started(limits: ServerLimits) -> tuple[PollServer, Polls]:
+async def start_server(limits: ServerLimits) -> tuple[PollServer, Polls]:
     polls = Polls()
     server = PollServer(polls.handle, limits)
     await server.listen(Address(HOST, 0))
@@ -45,7 +45,7 @@
 
 def test_an_exchange_is_answered_once_and_its_connection_serves_the_next_one() -> None:
     async def main() -> None:
-        server, polls = await started(ServerLimits())
+        server, polls = await start_server(ServerLimits())
         client = Client(HOST, server.port)
         for number in range(3):
             answer = asyncio.ensure_future(client.exchange(GET, 5.0))
@@ -64,7 +64,7 @@
 
 def test_a_disconnect_before_the_answer_is_reported_once() -> None:
     async def main() -> None:
-        server, polls = await started(ServerLimits())
+        server, polls = await start_server(ServerLimits())
         _, writer = await send_request(server.port)
         await until(lambda: polls.open)
         writer.transport.abort()
@@ -92,7 +92,7 @@
     data: bytes, limits: ServerLimits, reason: Drop
 ) -> None:
     async def main() -> None:
-        server, polls = await started(limits)
+        server, polls = await start_server(limits)
         _, writer = await send_request(server.port, data)
         await until(lambda: server.drops)
         assert dict(server.drops) == {reason: 1} and polls.open == []
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("limits", [ServerLimits(unread_bytes=1000), ServerLimits(read_s=0.1)])
 def test_a_peer_that_does_not_read_its_answer_is_dropped(limits: ServerLimits) -> None:
     async def main() -> None:
-        server, polls = await started(limits)
+        server, polls = await start_server(limits)
         peer = await non_reading_peer(server.port)
         await until(lambda: polls.open)
         polls.open[0].answer(200, b"x" * (8 << 20))
@@ -131,7 +131,7 @@
 
 def test_the_peer_with_the_most_unread_bytes_is_dropped_when_the_total_limit_is_exceeded() -> None:
     async def main() -> None:
-        server, polls = await started(ServerLimits(all_unread_bytes=40 << 20))
+        server, polls = await start_server(ServerLimits(all_unread_bytes=40 << 20))
         peers = []
         for size in (16, 32, 17):  # MB, of which the sockets' buffers hold a few
             peers.append(await non_reading_peer(server.port))
--- a/tests/sharding/test_relay_service.py
+++ b/tests/sharding/test_relay_service.py
@@ -46,14 +46,14 @@
     return replace(load_relay(path), timing=FAST)
 
 
-async def started(file: RelayFile) -> RelayService:
+async def start_relay(file: RelayFile) -> RelayService:
     service = RelayService(file, seed=1)
     await service.start()
     await until(lambda: service.relay.upstream.ready)
     return service
 
 
-async def asked(port: int, ask: Ask) -> Reply:
+async def send_ask(port: int, ask: Ask) -> Reply:
     client = Client(HOST, port, wire.MAX_ANSWER_BYTES)
     answer = await client.exchange(request("POST", wire.PATH, HOST, {}, wire.encode_ask(ask, SHARDS)), 10.0)
     client.close()
@@ -65,16 +65,16 @@
         discovery = Discovery()
         await discovery.start()
         await discovery.change(*[endpoint_line(f"e{one}", one) for one in range(30)])
-        upper = await started(relay_file(tmp_path, discovery.port, members=False))
+        upper = await start_relay(relay_file(tmp_path, discovery.port, members=False))
         upper_address = RelayAddress("upper", "a", Address(HOST, upper.server.port))
         lower_file = replace(relay_file(tmp_path, 1), discovery=None, relays=Relays((upper_address,)))
-        lower = await started(lower_file)
+        lower = await start_relay(lower_file)
         assert lower.relay.store.as_of == discovery.version
         shard = shard_of(7, SHARDS)
-        first = await asked(lower.server.port, Ask("s1", (Position(shard),)))
+        first = await send_ask(lower.server.port, Ask("s1", (Position(shard),)))
         assert isinstance(first, Answer) and first.snapshots[0].version == discovery.version
         poll = asyncio.ensure_future(
-            asked(lower.server.port, Ask("s1", (Position(shard, first.as_of),), wait_s=30))
+            send_ask(lower.server.port, Ask("s1", (Position(shard, first.as_of),), wait_s=30))
         )
         full_lists = discovery.calls["whole"]
         version = await discovery.change(endpoint_line("e7", 7, 1000))
@@ -89,7 +89,7 @@
     run(main())
 
 
-async def posted(port: int, body: bytes, path: str = wire.PATH, method: str = "POST") -> Message:
+async def post(port: int, body: bytes, path: str = wire.PATH, method: str = "POST") -> Message:
     client = Client(HOST, port)
     answer = await client.exchange(request(method, path, HOST, {}, body), 10.0)
     client.close()
@@ -100,14 +100,14 @@
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
-        service = await started(relay_file(tmp_path, discovery.port))
+        service = await start_relay(relay_file(tmp_path, discovery.port))
         port = service.server.port
-        answer = await posted(port, b'{"asker":"s1","shards":[[99,0]]}')
+        answer = await post(port, b'{"asker":"s1","shards":[[99,0]]}')
         assert answer.status == 400
         assert bytes(answer.body) == b'{"error":"shard: not a whole number from 0 to 15"}'
-        other = await posted(port, b'{"asker":"s1","shard_count":64}')
+        other = await post(port, b'{"asker":"s1","shard_count":64}')
         assert bytes(other.body) == b'{"error":"shard_count: 64 in the ask, 16 here"}'
-        assert (await posted(port, b"", "/registry/instances", "GET")).status == 404
+        assert (await post(port, b"", "/registry/instances", "GET")).status == 404
         assert service.report.status()["unreadable_asks"] == 2
         await service.stop()
         await discovery.stop()
@@ -119,13 +119,13 @@
     async def main() -> None:
         service = RelayService(relay_file(tmp_path, 1), seed=1)
         await service.start()
-        early = await asked(service.server.port, Ask("s1", wait_s=5))
+        early = await send_ask(service.server.port, Ask("s1", wait_s=5))
         assert early == wire.decode_reply(503, b'{"refused":"not_ready","retry_after_s":1.0}', SHARDS)
         service.close()
         discovery = Discovery()
         await discovery.start()
-        service = await started(relay_file(tmp_path, discovery.port))
-        waiting = asyncio.ensure_future(asked(service.server.port, Ask("s1", wait_s=30, placement=0)))
+        service = await start_relay(relay_file(tmp_path, discovery.port))
+        waiting = asyncio.ensure_future(send_ask(service.server.port, Ask("s1", wait_s=30, placement=0)))
         await until(lambda: service.report.status()["polls"])
         await service.stop()
         assert await waiting == wire.decode_reply(503, b'{"refused":"not_ready"}', SHARDS)
@@ -184,7 +184,7 @@
         discovery = Discovery()
         await discovery.start()
         await discovery.change(endpoint_line("e7", 7))
-        healthy = await started(relay_file(tmp_path, discovery.port))
+        healthy = await start_relay(relay_file(tmp_path, discovery.port))
         shard = shard_of(7, SHARDS)
         wrong = Answer(
             discovery.version + 5, 0.0, snapshots=(ShardSnapshot(shard, discovery.version + 5, (), 1),)
@@ -222,7 +222,7 @@
         discovery = Discovery()
         await discovery.start()
         await discovery.change(endpoint_line("e7", 7))
-        service = await started(relay_file(tmp_path, discovery.port))
+        service = await start_relay(relay_file(tmp_path, discovery.port))
         page = service.report.shards()
         assert len(page["shards"]) == SHARDS and sum(row["endpoints"] for row in page["shards"]) == 1
         table = lines({"one": page, "two": None})
--- a/tests/sharding/test_settings.py
+++ b/tests/sharding/test_settings.py
@@ -52,7 +52,7 @@
 DUPLICATE = MEMBERS + '[[members]]\nname = "s2"\nzone = "a"\n'
 
 
-def written(folder: Path, text: str, members: str = MEMBERS) -> Path:
+def write_files(folder: Path, text: str, members: str = MEMBERS) -> Path:
     file = folder / "file.toml"
     file.write_text(text)
     (folder / "members.toml").write_text(members)
@@ -60,10 +60,10 @@
 
 
 def test_files_are_read_with_their_defaults(tmp_path: Path) -> None:
-    relay = load_relay(written(tmp_path, RELAY))
+    relay = load_relay(write_files(tmp_path, RELAY))
     assert (relay.shards.count, relay.shards.replicas, relay.timing.wait_s) == (64, 3, 0.5)
     assert relay.members is not None and len(relay.members.at(1)) == 2
-    operator = load(written(tmp_path, SENDER))
+    operator = load(write_files(tmp_path, SENDER))
     assert operator.sharding is not None and operator.sharding.relays.entries[0].name == "relay-a"
     assert operator.config.rules.balancers == 3, "limits are divided among the replicas"
 
@@ -87,7 +87,7 @@
 def test_a_mistake_in_a_relay_file_is_reported_in_one_line(
     tmp_path: Path, old: str, new: str, members: str, error: str
 ) -> None:
-    file = written(tmp_path, RELAY.replace(old, new, 1), members)
+    file = write_files(tmp_path, RELAY.replace(old, new, 1), members)
     assert cli.main(["check", str(file)]) == 2
     with pytest.raises(ConfigError) as caught:
         load_relay(file)
@@ -120,14 +120,14 @@
 def test_a_mistake_in_a_sender_file_is_reported_in_one_line(
     tmp_path: Path, old: str, new: str, members: str, error: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    file = written(tmp_path, SENDER.replace(old, new, 1), members)
+    file = write_files(tmp_path, SENDER.replace(old, new, 1), members)
     assert cli.main(["check", str(file)]) == 2
     printed = capsys.readouterr().err.strip()
     assert printed.endswith(error) and "\n" not in printed and printed.startswith("mountgauge: ")
 
 
 def test_check_summarizes_a_valid_relay_file(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert cli.main(["check", str(written(tmp_path, RELAY))]) == 0
+    assert cli.main(["check", str(write_files(tmp_path, RELAY))]) == 0
     assert capsys.readouterr().out.endswith("relay relay-a, 64 shards, 2 members\n")
 
 
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -27,7 +27,7 @@
 from rillspindle.interface import Readiness
 from tests.helper import HOST, HttpServer, run, until
 from tests.sharding.harness import Discovery, endpoint_line
-from tests.sharding.test_relay_service import FAST, SHARDS, relay_file, started
+from tests.sharding.test_relay_service import FAST, SHARDS, relay_file, start_relay
 
 
 class Core:
@@ -67,7 +67,7 @@
         discovery = Discovery()
         await discovery.start()
         await discovery.change(endpoint_line("e7", 7, 1000), endpoint_line("e8", 8, 1001))
-        relay = await started(relay_file(tmp_path, discovery.port))
+        relay = await start_relay(relay_file(tmp_path, discovery.port))
         core = Core()
         shard_map = ShardMap(core, sharding(relay.server.port, rate_per_weight=20.0), "s1", tmp_path, seed=1)
         shard_map.start()
@@ -94,7 +94,7 @@
     async def main() -> None:
         discovery = Discovery()
         await discovery.start()
-        relay = await started(relay_file(tmp_path, discovery.port))
+        relay = await start_relay(relay_file(tmp_path, discovery.port))
         core = Core()
         shard_map = ShardMap(core, sharding(relay.server.port), "s1", tmp_path, seed=1)
         shard_map.start()
