--- a/mountgauge/relay/follower.py
+++ b/mountgauge/relay/follower.py
@@ -79,7 +79,7 @@
     # Turns
 
     def start(self) -> None:
-        """Start to follow the upstream."""
+        """Start following the upstream."""
         self.wake_by(self._loop.time())
 
     def wake_by(self, when: float) -> None:
--- a/mountgauge/relay/service.py
+++ b/mountgauge/relay/service.py
@@ -98,7 +98,7 @@
     # Start and stop
 
     async def start(self) -> None:
-        """Listen, and start to follow the upstream."""
+        """Listen, and start following the upstream."""
         await self.server.listen(self.file.listen)
         if self.file.status is not None:
             await self.status.listen(self.file.status)
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -102,7 +102,7 @@
         self.rejections = 0
         self.last_rejection = ""
         self._messages: dict[int, int] = {}  # by shard: pending messages of the core
-        self._finished: list[int] = []  # shards of finished messages that the subscription is not notified of
+        self._finished: list[int] = []  # shards of finished messages, to be reported to the subscription
         self._check_since: float | None = None  # when `look_now` was called; None: no check is pending
         self._no_placement_logged = False
         self._file = KeptListFile(folder, settings.shards.count)
@@ -130,7 +130,7 @@
         return self._map_update(True, update)
 
     def start(self) -> None:
-        """Start to follow the shards at the relays."""
+        """Start following the shards at the relays."""
         self.follower.start()
 
     # The core's map
@@ -149,7 +149,7 @@
         return False
 
     def close(self) -> None:
-        """Store the list, and stop to follow the shards."""
+        """Store the list, and stop following the shards."""
         if self._save_timer is not None:
             self._save_timer.cancel()
         self.save()
--- a/tests/sharding/harness.py
+++ b/tests/sharding/harness.py
@@ -131,7 +131,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> Address:
-        """Start to listen; return the address at which the link forwards to its target."""
+        """Start listening; return the address at which the link forwards to its target."""
         self._server = await asyncio.start_server(self._accept, HOST, 0)
         self.port = self._server.sockets[0].getsockname()[1]
         return Address(HOST, self.port)
@@ -169,7 +169,7 @@
         self._writers.clear()
 
     async def stop(self) -> None:
-        """Stop to listen, and reset the open connections."""
+        """Stop listening, and reset the open connections."""
         if self._server is not None:
             self._server.close()
         self._reset()
@@ -324,7 +324,7 @@
         self._began = asyncio.get_running_loop().time()
 
     async def begin(self) -> LoadCheck:
-        """Start to count."""
+        """Start counting, and return this check."""
         self._asks = {name: await self._count(name) for name in self._fleet.relays}
         self._calls = self._fleet.discovery.calls.total()
         self._began = asyncio.get_running_loop().time()
