--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -37,8 +37,8 @@
 from mountgauge.run.serve import make_with_retries
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
-from tests.sharding.stands import SHARDS
-from tests.sharding.test_shard_map import kept
+from tests.sharding.harness import SHARDS
+from tests.sharding.test_shard_map import sample_kept_list
 from tests.test_sender import Bench
 
 DISK = 300_000
@@ -580,7 +580,7 @@
     one, _, _ = folder.start_run("m1", False)
     fact = Fact("pace", "7", 0.5, 1000.0, one.id, 1060.0)
     folder.save_facts([fact], now, one.id)
-    list_ = KeptList(read_clocks(SystemClocks()), kept().placement, kept().snapshots)
+    list_ = KeptList(read_clocks(SystemClocks()), sample_kept_list().placement, sample_kept_list().snapshots)
     lists.write(list_)
     files.error, files.fails = error, {call}
     if call == "write":
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -31,8 +31,8 @@
 from mountgauge.sharding.messages import PlacementUpdate
 from rillspindle.interface import Outcome, Readiness
 from tests.clocks import SteppedClocks
-from tests.sharding.stands import SHARDS
-from tests.sharding.test_shard_map import Core, kept, sharding
+from tests.sharding.harness import SHARDS
+from tests.sharding.test_shard_map import Core, sample_kept_list, sharding
 from tests.test_sender import Bench
 
 STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # s
@@ -390,7 +390,7 @@
     tmp_path: Path, boot: str, step: float, expected: float
 ) -> None:
     clock = SteppedClocks()
-    snapshots, placement = kept().snapshots, kept().placement
+    snapshots, placement = sample_kept_list().snapshots, sample_kept_list().placement
     file = KeptListFile(tmp_path, SHARDS)
     file.write(KeptList(read_clocks(clock).before(30.0), placement, snapshots))
 
@@ -402,7 +402,7 @@
             assert shard_map.staleness_s == math.inf and shard_map.rows()[0]["staleness_s"] is None
             return
         assert expected <= shard_map.staleness_s < expected + 9
-        shard_map.keep()
+        shard_map.save()
         assert (found := file.read()) is not None
         assert age(found.confirmed, read_clocks(later)) == pytest.approx(expected, abs=9)
 
