--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from mountgauge.budgets.grants import Written
-from mountgauge.budgets.member import Member, Use
+from mountgauge.budgets.member import Member, Usage
 from mountgauge.budgets.membership import Listed, Lists, Membership
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget
@@ -206,7 +206,7 @@
         if node.paused_until > self.time:
             heapq.heappush(self._ticks, (node.paused_until, next(self._count), name))
             return
-        uses = {one.name: Use(self.demand(name, one.name, self.time)) for one in self.budgets}
+        uses = {one.name: Usage(self.demand(name, one.name, self.time)) for one in self.budgets}
         self._send(name, node.member.tick(self.clock(name), uses))
         node.epoch = max(node.epoch, node.member.membership.adopted)
         heapq.heappush(self._ticks, (self.time + TICK_S, next(self._count), name))
--- a/mountgauge/budgets/gate.py
+++ b/mountgauge/budgets/gate.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass, field
 
 from mountgauge.budgets import shares
-from mountgauge.budgets.member import Part, Use
+from mountgauge.budgets.member import Part, Usage
 from mountgauge.budgets.shares import Budget, Kind
 
 DEMAND_S = 2.0  # over which what is asked for is averaged
@@ -215,11 +215,11 @@
         book.wanted *= math.exp((book.wanted_at - now) / DEMAND_S)
         book.wanted_at = now
 
-    def uses(self, waiting: Mapping[tuple[int, str], int], now: float) -> dict[str, Use]:
+    def uses(self, waiting: Mapping[tuple[int, str], int], now: float) -> dict[str, Usage]:
         """What each budget could use, and what may be given back. `waiting`: by destination and endpoint the
         calls without a place, and messages that are held before there is a call.
         """
-        found: dict[str, Use] = {}
+        found: dict[str, Usage] = {}
         for book in self.books.values():
             book.waiting = 0
         for (dest, hop), count in waiting.items():
@@ -229,10 +229,10 @@
             self._decay(book, now)
             self._fill(book, now)
             if book.budget.kind is Kind.RATE:
-                found[name] = Use(book.wanted + book.waiting / DEMAND_S)
+                found[name] = Usage(book.wanted + book.waiting / DEMAND_S)
             else:
                 used = book.used(now) + book.kept
-                found[name] = Use(used + book.waiting, max(0.0, book.part.whole - used))
+                found[name] = Usage(used + book.waiting, max(0.0, book.part.whole - used))
         return found
 
     def report(self, now: float) -> dict[str, dict[str, float]]:
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -43,14 +43,14 @@
         return self.reserve + self.leased
 
 
-class Use(NamedTuple):
+class Usage(NamedTuple):
     """What the gate says of a budget."""
 
     demand: float = 0.0  # in the budget's own unit
     spare: float = float("inf")  # that may be given back now: the rest is in use
 
 
-_NO_USE = Use()
+_NO_USE = Usage()
 
 
 class _Word(NamedTuple):
@@ -75,7 +75,7 @@
     reserve_from: float = 0.0  # an earlier run may still have calls out, or have spent it
     wanted: list[tuple[float, int]] = field(default_factory=list)  # when which slices were claimed
     rest: int = 0  # asks in which nothing new is claimed
-    use: Use = _NO_USE
+    use: Usage = _NO_USE
     asked_at: float = float("-inf")
     asked_wants: float = 0.0
     moved: bool = False  # claims have changed since the last ask
@@ -138,12 +138,12 @@
 
     # Asking
 
-    def tick(self, now: float, uses: Mapping[str, Use]) -> list[tuple[str, Ask]]:
+    def tick(self, now: float, uses: Mapping[str, Usage]) -> list[tuple[str, Ask]]:
         """Now and then (every `timing.FLUX_S` or sooner): whom to ask what."""
         self.membership.step(now)
         lines = []
         for name, state in self.states.items():
-            state.use = uses.get(name, Use())
+            state.use = uses.get(name, Usage())
             if not self.membership.listed or self.leaving:
                 self._let_go(state, now, 0)
             elif self.membership.adopted:
@@ -275,11 +275,11 @@
         state.leases.drop(mask)
         state.moved = True
 
-    def goodbye(self, now: float, uses: Mapping[str, Use]) -> list[tuple[str, Ask]]:
+    def goodbye(self, now: float, uses: Mapping[str, Usage]) -> list[tuple[str, Ask]]:
         """This process ends: what is not in use goes back at once, the rest when its lease is over."""
         self.leaving = True
         for name, state in self.states.items():
-            state.use = uses.get(name, Use())
+            state.use = uses.get(name, Usage())
             self._let_go(state, now, 0)
         return self._asks([self._line(state, now) for state in self.states.values()])
 
