--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from mountgauge.budgets.grants import Written
+from mountgauge.budgets.grants import GrantRecord
 from mountgauge.budgets.member import Member, Usage
 from mountgauge.budgets.membership import Listed, Lists, Membership
 from mountgauge.budgets.messages import Answer, Ask
@@ -44,7 +44,7 @@
     member: Member | None = None
     paused_until: float = 0.0
     run: int = 0
-    disk: list[tuple[str, Written]] = field(default_factory=list)
+    disk: list[tuple[str, GrantRecord]] = field(default_factory=list)
     epoch: int = 0  # on disk
     kept: bool = False  # the folder is surely whole
     left_at: float | None = None
@@ -87,7 +87,7 @@
         lists, now = lists or self.lists, self.clock(name)
         longest = max([one.lease_s for one in self.budgets], default=1.0)
         membership = Membership(name, lists, longest, self.drift, node.epoch if node.kept else 0)
-        written: dict[str, list[Written]] = {}
+        written: dict[str, list[GrantRecord]] = {}
         for budget, one in node.disk:
             written.setdefault(budget, []).append(one)
         node.member = Member(
--- a/benchmarks/budget_model.py
+++ b/benchmarks/budget_model.py
@@ -25,7 +25,7 @@
 from unittest import mock
 
 from mountgauge.budgets import timing
-from mountgauge.budgets.grants import Grants, Holder, Written
+from mountgauge.budgets.grants import GrantRecord, Grants, Holder
 from mountgauge.budgets.leases import Leases, at_least
 
 NAMES = ("a", "b", "c")
@@ -81,7 +81,7 @@
 
     __slots__ = ("disk", "grants", "keys", "leases", "run")
 
-    def __init__(self, run: int, grants: Grants, leases: Leases, disk: tuple[Written, ...]) -> None:
+    def __init__(self, run: int, grants: Grants, leases: Leases, disk: tuple[GrantRecord, ...]) -> None:
         self.run, self.grants, self.leases, self.disk = run, grants, leases, disk
         self.keys: dict[Any, Any] = {}  # of its state, by time and names
 
@@ -253,7 +253,7 @@
 ]  # fmt: skip
 
 
-def write(node: Node, one: Written) -> None:
+def write(node: Node, one: GrantRecord) -> None:
     """What the voter's caller does before an answer leaves."""
     node.disk = (*node.disk, one)
 
@@ -321,7 +321,7 @@
 # One rule left out in each: what it would have kept from happening must be found.
 
 
-def _no_write(node: Node, one: Written) -> None:
+def _no_write(node: Node, one: GrantRecord) -> None:
     pass
 
 
--- a/mountgauge/budgets/files.py
+++ b/mountgauge/budgets/files.py
@@ -24,7 +24,7 @@
 
 import orjson
 
-from mountgauge.budgets.grants import Holder, Written
+from mountgauge.budgets.grants import GrantRecord, Holder
 
 MOST_BYTES = 256 * 1024  # past it the file is written anew with what still binds
 ROOM_BYTES = 2 * MOST_BYTES
@@ -83,7 +83,7 @@
         self.id, self.serial, self.epoch = secrets.token_hex(8), 0, 0
         self.kept = False
         self.why = "nothing was there"
-        self.written: dict[str, list[Written]] = {}
+        self.written: dict[str, list[GrantRecord]] = {}
         self._file: int | None = None
         self._size = 0
         self._load()
@@ -118,7 +118,7 @@
             case ["e", int(), int(epoch)]:
                 self.epoch = max(self.epoch, epoch)
             case ["p", int(), str(budget), str(name), int(run), str(mask), float() | int() as hold]:
-                found = Written(Holder(name, run), int(mask, 16), float(hold))
+                found = GrantRecord(Holder(name, run), int(mask, 16), float(hold))
                 self.written.setdefault(budget, []).append(found)
             case _:
                 raise ValueError(one)
@@ -148,7 +148,7 @@
             self.serial = 0
         self.rewrite((b, one) for b, ones in self.written.items() for one in ones)
 
-    def rewrite(self, binding: Iterable[tuple[str, Written]]) -> None:
+    def rewrite(self, binding: Iterable[tuple[str, GrantRecord]]) -> None:
         """The file with this alone, in one piece."""
         self.serial += 1
         lines = [_line(["id", self.id, self.name, self.serial])]
@@ -165,10 +165,10 @@
         self._size = len(content)
         self._say()
 
-    def _record(self, budget: str, one: Written) -> list[object]:
+    def _record(self, budget: str, one: GrantRecord) -> list[object]:
         return ["p", self.serial, budget, one.holder.name, one.holder.run, f"{one.mask:x}", one.hold]
 
-    def grant(self, written: Sequence[tuple[str, Written]]) -> None:
+    def grant(self, written: Sequence[tuple[str, GrantRecord]]) -> None:
         """On disk once this returns."""
         if written:
             self.serial += 1
--- a/mountgauge/budgets/grants.py
+++ b/mountgauge/budgets/grants.py
@@ -6,8 +6,8 @@
 Invariant: at no moment has a voter granted a slice to two holders. A grant that was answered lasts `hold`
 of real time from the ask's answer on, whatever happens to this process, unless its holder gave it back.
 Proof: `ask` gives a slice only where its grant is the same holder's, or is over by the own clock, which
-counts `held_for(hold)`, so `hold` of real time at least. `Written` is on disk before the answer leaves (the
-caller's duty); a process that comes back with it counts each grant anew from its start, so for longer.
+counts `held_for(hold)`, so `hold` of real time at least. `GrantRecord` is on disk before the answer leaves
+(the caller's duty); a process that comes back with it counts each grant anew from its start, so for longer.
 One that can't know what it granted (`kept=False`) gives nothing for `silence(longest hold)`, by when all of
 it is over. A holder that leaves a slice out of an ask has stopped acting on it before; asks are numbered,
 and one that was overtaken by a later one is not heard.
@@ -31,7 +31,7 @@
     run: int
 
 
-class Written(NamedTuple):
+class GrantRecord(NamedTuple):
     """What has to be on disk before the answer leaves: these slices are this holder's from now on, and
     nobody else's.
     """
@@ -46,7 +46,7 @@
 
     granted: int  # to the asker now
     taken: int  # granted to others
-    written: Written | None
+    written: GrantRecord | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
     @classmethod
     def restored(
-        cls, slices: int, drift: float, now: float, kept: bool, written: Iterable[Written], longest: float
+        cls, slices: int, drift: float, now: float, kept: bool, written: Iterable[GrantRecord], longest: float
     ) -> Grants:
         """After a start. `kept`: `written`, in order, is surely all that was granted and may still hold."""
         found = cls(slices, drift)
@@ -117,7 +117,7 @@
             return Given(0, taken, None)
         hold, until = max(hold, had.hold), max(had.until, now + timing.held_for(hold, self.drift))
         new = bool(granted & ~had.on_disk) or hold > had.hold
-        written = Written(holder, granted, hold) if new else None
+        written = GrantRecord(holder, granted, hold) if new else None
         if written is not None:
             self._take_from_others(holder, granted)
         self.given[holder] = Grant(granted, hold, until, granted if new else had.on_disk)
@@ -132,10 +132,10 @@
         for holder in [one for one in self.newest if one not in self.given][: len(self.newest) - MOST_RUNS]:
             del self.newest[holder]
 
-    def records(self, now: float) -> list[Written]:
+    def records(self, now: float) -> list[GrantRecord]:
         """All that still binds: what a rewritten file has to say."""
         return [
-            Written(holder, had.mask, had.hold) for holder, had in self.given.items()
+            GrantRecord(holder, had.mask, had.hold) for holder, had in self.given.items()
             if had.mask and had.until > now
         ]  # fmt: skip
 
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -19,7 +19,7 @@
 
 from mountgauge.budgets import shares, timing
 from mountgauge.budgets.fair_shares import Wants, divide
-from mountgauge.budgets.grants import Grants, Holder, Written
+from mountgauge.budgets.grants import GrantRecord, Grants, Holder
 from mountgauge.budgets.leases import Leases, at_least
 from mountgauge.budgets.membership import Lists, Membership
 from mountgauge.budgets.messages import Answer, AnswerLine, Ask, AskLine
@@ -91,7 +91,7 @@
 
     def __init__(
         self, name: str, run: int, membership: Membership, budgets: Collection[Budget], now: float,
-        rng: Random, kept: bool, written: Mapping[str, Sequence[Written]],
+        rng: Random, kept: bool, written: Mapping[str, Sequence[GrantRecord]],
     ) -> None:  # fmt: skip
         """`kept`: what is `written` of earlier runs is surely all of it."""
         self.name, self.run, self.membership, self.rng = name, run, membership, rng
@@ -102,7 +102,7 @@
         self.refused: dict[str, str] = {}  # by voter: why it grants nothing
         self.disagree: dict[str, frozenset[float]] = {}  # by budget: wholes of other files
 
-    def _state(self, budget: Budget, now: float, kept: bool, written: Sequence[Written]) -> _State:
+    def _state(self, budget: Budget, now: float, kept: bool, written: Sequence[GrantRecord]) -> _State:
         longest = max([budget.hold_s, *(one.hold for one in written)])
         grants = Grants.restored(budget.slices, self.drift, now, kept, written, longest)
         since = now + timing.held_for(budget.hold_s - budget.lease_s, self.drift)
@@ -285,7 +285,7 @@
 
     # Answering
 
-    def hear_ask(self, ask: Ask, now: float) -> tuple[Answer, list[tuple[str, Written]]]:
+    def hear_ask(self, ask: Ask, now: float) -> tuple[Answer, list[tuple[str, GrantRecord]]]:
         """The answer, and what must be on disk before it leaves."""
         membership = self.membership
         self._hear(ask.name, ask.file_epoch, ask.lists, ask.ended, now)
@@ -371,7 +371,7 @@
 
     # Files
 
-    def records(self, now: float) -> list[tuple[str, Written]]:
+    def records(self, now: float) -> list[tuple[str, GrantRecord]]:
         """All grants that still bind."""
         return [(name, one) for name, state in self.states.items() for one in state.grants.records(now)]
 
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -16,7 +16,7 @@
 from mountgauge.budgets import wire
 from mountgauge.budgets.files import Votes
 from mountgauge.budgets.gate import Gate
-from mountgauge.budgets.grants import Holder, Written
+from mountgauge.budgets.grants import GrantRecord, Holder
 from mountgauge.budgets.member import Part
 from mountgauge.budgets.messages import Answer, AnswerLine, Ask, AskLine
 from mountgauge.budgets.service import Budgets
@@ -161,7 +161,10 @@
     assert one.admit("rossi", 0.5) == 0 and one.uses({}, 0.5)["t"].demand > 1
 
 
-GRANTS = [("calls", Written(Holder("m1", 5), 0b1011, 4.0)), ("out", Written(Holder("m2", 6), 1 << 90, 6.0))]
+GRANTS = [
+    ("calls", GrantRecord(Holder("m1", 5), 0b1011, 4.0)),
+    ("out", GrantRecord(Holder("m2", 6), 1 << 90, 6.0)),
+]
 
 
 def _old(votes: Votes) -> None:
