--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -15,7 +15,7 @@
 
 from mountgauge.budgets.grants import GrantRecord
 from mountgauge.budgets.member import Member, Usage
-from mountgauge.budgets.membership import Listed, Lists, Membership
+from mountgauge.budgets.membership import Lists, MemberEntry, Membership
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget
 
@@ -63,7 +63,7 @@
         self.weather = weather or Weather()
         self.time = 0.0
         self.nodes: dict[str, Node] = {}
-        self.lists = Lists(1, tuple(Listed(name, (name, 0)) for name in names))
+        self.lists = Lists(1, tuple(MemberEntry(name, (name, 0)) for name in names))
         self.demand: Callable[[str, str, float], float] = lambda name, budget, at: 0.0
         self.over: list[tuple[float, str, float]] = []
         self.sent = self.bytes = 0
@@ -127,7 +127,7 @@
         for name in sorted(wanted ^ set(lists.at(lists.epoch))):
             epoch = lists.epoch + 1
             if name in wanted:
-                members = (*lists.members, Listed(name, (name, 0), since=epoch))
+                members = (*lists.members, MemberEntry(name, (name, 0), since=epoch))
             else:
                 members = tuple(
                     one._replace(until=epoch) if one.name == name else one for one in lists.members
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -13,7 +13,7 @@
 
 from benchmarks import budget_fleet, fleet_model
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, allocated
-from mountgauge.budgets.membership import Listed, Lists
+from mountgauge.budgets.membership import Lists, MemberEntry
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget, Kind
 
@@ -34,7 +34,7 @@
         self.spent_ns: Counter[str] = Counter()  # by member
         self.sent_bytes: Counter[str] = Counter()
         self.lists = Lists(
-            1, tuple(Listed(name, (name, 0), voter=place < voters) for place, name in enumerate(names))
+            1, tuple(MemberEntry(name, (name, 0), voter=place < voters) for place, name in enumerate(names))
         )
         for name in names:
             self.add(name)
--- a/mountgauge/budgets/membership.py
+++ b/mountgauge/budgets/membership.py
@@ -31,7 +31,7 @@
 FOREVER = 1 << 40
 
 
-class Listed(NamedTuple):
+class MemberEntry(NamedTuple):
     """A member as the operator's file lists it."""
 
     name: str
@@ -47,7 +47,7 @@
     """What a file says of the members."""
 
     epoch: int
-    members: tuple[Listed, ...]
+    members: tuple[MemberEntry, ...]
     settled: int = 1  # an epoch that every member that may still run is at, or past
 
     @lru_cache(maxsize=64)  # noqa: B019 (small, frozen and few)
--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from mountgauge.budgets import shares
-from mountgauge.budgets.membership import FOREVER, Listed, Lists
+from mountgauge.budgets.membership import FOREVER, Lists, MemberEntry
 from mountgauge.budgets.shares import Budget, Kind, Of
 from mountgauge.core.config import ConfigError
 from mountgauge.settings_table import Table
@@ -80,11 +80,11 @@
     return name
 
 
-def _member(table: Table) -> Listed:
+def _member(table: Table) -> MemberEntry:
     place = table.address("at")
     if place is None or not place.port:
         raise ConfigError(f"{table.name}.at: an address with a port is needed")
-    found = Listed(
+    found = MemberEntry(
         _name(table), (place.host, place.port), int(table.get("since", int, default=1)),
         int(table.get("until", int, default=FOREVER)), bool(table.get("ended", bool, default=False)),
         bool(table.get("voter", bool, default=True)),
