--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -15,7 +15,7 @@
 
 from mountgauge.budgets.grants import GrantRecord
 from mountgauge.budgets.member import Member, Usage
-from mountgauge.budgets.membership import Lists, MemberEntry, Membership
+from mountgauge.budgets.membership import MemberEntry, MemberList, Membership
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget
 
@@ -63,7 +63,7 @@
         self.weather = weather or Weather()
         self.time = 0.0
         self.nodes: dict[str, Node] = {}
-        self.lists = Lists(1, tuple(MemberEntry(name, (name, 0)) for name in names))
+        self.lists = MemberList(1, tuple(MemberEntry(name, (name, 0)) for name in names))
         self.demand: Callable[[str, str, float], float] = lambda name, budget, at: 0.0
         self.over: list[tuple[float, str, float]] = []
         self.sent = self.bytes = 0
@@ -81,7 +81,9 @@
         self.nodes[name] = Node(name, rate)
         self.start(name)
 
-    def start(self, name: str, lists: Lists | None = None, budgets: Iterable[Budget] | None = None) -> None:
+    def start(
+        self, name: str, lists: MemberList | None = None, budgets: Iterable[Budget] | None = None
+    ) -> None:
         node = self.nodes[name]
         node.run += 1
         lists, now = lists or self.lists, self.clock(name)
@@ -132,7 +134,7 @@
                 members = tuple(
                     one._replace(until=epoch) if one.name == name else one for one in lists.members
                 )
-            lists = Lists(epoch, members)
+            lists = MemberList(epoch, members)
             assert not lists.fault(), lists.fault()
         self.lists = lists
         if budgets is not None:
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -13,7 +13,7 @@
 
 from benchmarks import budget_fleet, fleet_model
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, allocated
-from mountgauge.budgets.membership import Lists, MemberEntry
+from mountgauge.budgets.membership import MemberEntry, MemberList
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget, Kind
 
@@ -33,7 +33,7 @@
         super().__init__(budgets, (), 1, weather=budget_fleet.Weather(loss=0.01, delay_s=0.005))
         self.spent_ns: Counter[str] = Counter()  # by member
         self.sent_bytes: Counter[str] = Counter()
-        self.lists = Lists(
+        self.lists = MemberList(
             1, tuple(MemberEntry(name, (name, 0), voter=place < voters) for place, name in enumerate(names))
         )
         for name in names:
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -21,7 +21,7 @@
 from mountgauge.budgets.fair_shares import Wants, divide
 from mountgauge.budgets.grants import GrantRecord, Grants, Holder
 from mountgauge.budgets.leases import Leases, at_least
-from mountgauge.budgets.membership import Lists, Membership
+from mountgauge.budgets.membership import MemberList, Membership
 from mountgauge.budgets.messages import Answer, AnswerLine, Ask, AskLine
 from mountgauge.budgets.shares import Budget
 
@@ -81,7 +81,7 @@
     moved: bool = False  # claims have changed since the last ask
 
 
-def lists_hash(lists: Lists) -> int:
+def lists_hash(lists: MemberList) -> int:
     """Two files that name an epoch alike must name its members and voters alike."""
     return crc32("\n".join([*lists.at(lists.epoch), "", *lists.voters(lists.epoch)]).encode())
 
@@ -375,7 +375,7 @@
         """All grants that still bind."""
         return [(name, one) for name, state in self.states.items() for one in state.grants.records(now)]
 
-    def learn(self, lists: Lists, budgets: Collection[Budget], now: float) -> str:
+    def learn(self, lists: MemberList, budgets: Collection[Budget], now: float) -> str:
         """A new file while this runs; why its members are not taken, or empty. Its budgets are taken all the
         same: a new one knows nothing of what was granted of an earlier one of its name.
         """
--- a/mountgauge/budgets/membership.py
+++ b/mountgauge/budgets/membership.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lists:
+class MemberList:
     """What a file says of the members."""
 
     epoch: int
@@ -90,7 +90,7 @@
     """The epoch that this member is at, and what it knows of the others' epochs."""
 
     me: str
-    lists: Lists
+    lists: MemberList
     lease: float  # s, the longest of any budget
     drift: float
     sure: int  # the epoch that this member surely was at, from a folder that is kept; 0: not known
@@ -159,7 +159,7 @@
         before = [one for one in self.lists.members if one.since < mine.since and one.name != self.me]
         return all(one.name in self.ended or mine.since in self.heard.get(one.name, {}) for one in before)
 
-    def learn(self, lists: Lists) -> str:
+    def learn(self, lists: MemberList) -> str:
         """A new file; why it is not taken, or empty."""
         if lists.epoch < self.lists.epoch:
             return f"epoch {lists.epoch} is behind {self.lists.epoch}"
--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from mountgauge.budgets import shares
-from mountgauge.budgets.membership import FOREVER, Lists, MemberEntry
+from mountgauge.budgets.membership import FOREVER, MemberEntry, MemberList
 from mountgauge.budgets.shares import Budget, Kind, Of
 from mountgauge.core.config import ConfigError
 from mountgauge.settings_table import Table
@@ -23,7 +23,7 @@
 class BudgetFile:
     """`[[member]]` and `[[budget]]` of an operator's file, checked."""
 
-    lists: Lists
+    lists: MemberList
     budgets: tuple[Budget, ...]
     drift: float
 
@@ -53,7 +53,7 @@
         raise ConfigError("member: budgets need the fleet's members, [[member]] each")
     if len(listed) > MOST_MEMBERS:
         raise ConfigError(f"member: {len(listed)} are more than {MOST_MEMBERS}")
-    lists = Lists(epoch, listed, settled)
+    lists = MemberList(epoch, listed, settled)
     if why := lists.fault():
         raise ConfigError(f"member: {why}")
     if me not in {one.name for one in listed}:
--- a/tests/budgets/test_pure.py
+++ b/tests/budgets/test_pure.py
@@ -13,7 +13,7 @@
 from mountgauge.budgets.fair_shares import HEADROOM, Wants, divide, max_min
 from mountgauge.budgets.grants import Grants, Holder
 from mountgauge.budgets.leases import Leases, at_least
-from mountgauge.budgets.membership import Lists, MemberEntry, Membership
+from mountgauge.budgets.membership import MemberEntry, MemberList, Membership
 from mountgauge.budgets.shares import Budget, Kind
 
 PURE = settings(derandomize=True, deadline=None, max_examples=150)
@@ -101,8 +101,8 @@
     assert mine.held(5.0, voters) == 0b10, "an answer to an ask before the break counts no more"
 
 
-def lists(epoch: int, *members: Any, settled: int = 1) -> Lists:
-    return Lists(epoch, tuple(MemberEntry(one[0], (one[0], 1), *one[1:]) for one in members), settled)
+def lists(epoch: int, *members: Any, settled: int = 1) -> MemberList:
+    return MemberList(epoch, tuple(MemberEntry(one[0], (one[0], 1), *one[1:]) for one in members), settled)
 
 
 def test_lists_change_by_one_member_an_epoch() -> None:
