--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -174,7 +174,7 @@
             return
         now = self.clock(target)
         if isinstance(message, Ask):
-            answer, written = node.member.hear_ask(message, now)
+            answer, written = node.member.receive_ask(message, now)
             node.disk += written
             self._send(target, [(message.name, answer)])
         else:
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -179,8 +179,8 @@
 
 _TENANT_COUNTS = (100, 200, 400, 800, 1_600)
 _GOSSIP_SOURCE = "mountgauge.tenants.gossip.node.Gossip.tick, receive"
-_ALL_VOTE = "mountgauge.budgets.member.Member.hear_ask, _asks (all members vote: the default)"
-_VOTER = "mountgauge.budgets.member.Member.hear_ask (five voters answer all members)"
+_ALL_VOTE = "mountgauge.budgets.member.Member.receive_ask, _asks (all members vote: the default)"
+_VOTER = "mountgauge.budgets.member.Member.receive_ask (five voters answer all members)"
 _MEMBER = "mountgauge.budgets.member.Member.tick (five voters)"
 
 
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -285,7 +285,7 @@
 
     # Answering
 
-    def hear_ask(self, ask: Ask, now: float) -> tuple[Answer, list[tuple[str, GrantRecord]]]:
+    def receive_ask(self, ask: Ask, now: float) -> tuple[Answer, list[tuple[str, GrantRecord]]]:
         """The answer, and what must be on disk before it leaves."""
         membership = self.membership
         self._hear(ask.name, ask.file_epoch, ask.lists, ask.ended, now)
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -185,7 +185,7 @@
         if isinstance(message, Answer):
             self.member.hear_answer(message, now)
         else:
-            answer, written = self.member.hear_ask(message, now)
+            answer, written = self.member.receive_ask(message, now)
             if not self._write(lambda: self.votes.grant(written)):
                 return []  # what could not be written must not be heard of
             if source is None:
