--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -178,7 +178,7 @@
             node.disk += written
             self._send(target, [(message.name, answer)])
         else:
-            node.member.hear_answer(message, now)
+            node.member.receive_answer(message, now)
 
     # Running
 
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -350,7 +350,7 @@
         short = sorted(one for one in here if has[one] + 1 < due[one])
         return due.get(name, 0), (short.index(name) if name in short else 0, max(1, len(short)))
 
-    def hear_answer(self, answer: Answer, now: float) -> None:
+    def receive_answer(self, answer: Answer, now: float) -> None:
         if answer.to != self.name or answer.to_run != self.run:
             return
         self._hear(answer.name, answer.file_epoch, answer.lists, answer.ended, now)
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -183,13 +183,13 @@
         now = self._loop.time()
         self.gate.settle(now)  # up to here by the part that held
         if isinstance(message, Answer):
-            self.member.hear_answer(message, now)
+            self.member.receive_answer(message, now)
         else:
             answer, written = self.member.receive_ask(message, now)
             if not self._write(lambda: self.votes.grant(written)):
                 return []  # what could not be written must not be heard of
             if source is None:
-                self.member.hear_answer(answer, now)
+                self.member.receive_answer(answer, now)
         self.gate.settle(now)
         if isinstance(message, Ask) and source is not None:
             out = [(sealed, source) for sealed in wire.close(self._seal(), answer)]
