--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -143,7 +143,7 @@
     def reload(self, name: str) -> None:
         """SIGHUP: this member reads the newest file."""
         if (member := self.nodes[name].member) is not None:
-            member.learn(self.lists, self.budgets, self.clock(name))
+            member.reload(self.lists, self.budgets, self.clock(name))
 
     def clock(self, name: str) -> float:
         return 1000.0 + self.time * self.nodes[name].rate
--- a/mountgauge/budgets/gate.py
+++ b/mountgauge/budgets/gate.py
@@ -69,7 +69,7 @@
         self.books = {one.name: _Book(one, now, wanted_at=now) for one in budgets}
         self._index()
 
-    def learn(self, budgets: Collection[Budget], now: float) -> None:
+    def reload(self, budgets: Collection[Budget], now: float) -> None:
         """A new file: what is out stays counted."""
         old = self.books
         self.books = {}
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -375,11 +375,11 @@
         """All grants that still bind."""
         return [(name, one) for name, state in self.states.items() for one in state.grants.records(now)]
 
-    def learn(self, lists: MemberList, budgets: Collection[Budget], now: float) -> str:
+    def reload(self, lists: MemberList, budgets: Collection[Budget], now: float) -> str:
         """A new file while this runs; why its members are not taken, or empty. Its budgets are taken all the
         same: a new one knows nothing of what was granted of an earlier one of its name.
         """
-        refused = self.membership.learn(lists)
+        refused = self.membership.reload(lists)
         named = {one.name: one for one in budgets}
         for name in list(self.states):
             if name not in named:
--- a/mountgauge/budgets/membership.py
+++ b/mountgauge/budgets/membership.py
@@ -159,7 +159,7 @@
         before = [one for one in self.lists.members if one.since < mine.since and one.name != self.me]
         return all(one.name in self.ended or mine.since in self.heard.get(one.name, {}) for one in before)
 
-    def learn(self, lists: MemberList) -> str:
+    def reload(self, lists: MemberList) -> str:
         """A new file; why it is not taken, or empty."""
         if lists.epoch < self.lists.epoch:
             return f"epoch {lists.epoch} is behind {self.lists.epoch}"
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -245,11 +245,11 @@
     def reload(self, file: BudgetFile) -> None:
         """SIGHUP: members and budgets as the file has them now."""
         now = self._loop.time()
-        refused = self.member.learn(file.lists, file.budgets, now)
+        refused = self.member.reload(file.lists, file.budgets, now)
         if refused:
             log.error("budget-members-refused", extra=kv(why=refused, kept="the old members"))
         self.file = file
-        self.gate.learn(file.budgets, now)
+        self.gate.reload(file.budgets, now)
 
     async def leave(self) -> None:
         """Say goodbye: what is not in use goes back at once."""
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -104,7 +104,7 @@
         for dest, hop in waiting:
             plain = sorted(name for name, book in one.books.items() if binds(book.budget.of, dest, hop))
             assert [book.budget.name for book in one.binding(dest, hop)] == plain
-        one.learn(drawn(), 0.0)
+        one.reload(drawn(), 0.0)
 
 
 def test_a_call_passes_over_the_budgets_of_other_destinations() -> None:
--- a/tests/budgets/test_pure.py
+++ b/tests/budgets/test_pure.py
@@ -120,13 +120,13 @@
 def test_an_epoch_is_adopted_once_a_majority_has_left_the_one_before_last() -> None:
     member = Membership("a", lists(1, ("a",), ("b",), ("c",)), 10.0, 0.0, sure=0)
     assert member.step(0.0) and member.adopted == 1, "there is none before the first"
-    assert member.learn(lists(2, ("a",), ("b",), ("c",), ("d", 2))) == ""
+    assert member.reload(lists(2, ("a",), ("b",), ("c",), ("d", 2))) == ""
     member.hear("b", 1, 1.0)
     assert not member.step(20.0), "b is still at 1 and would serve whoever counts by it"
     member.hear("b", 2, 20.0)
     assert not member.step(29.9) and member.step(30.1) and member.voters == ("a", "b", "c", "d")
-    assert member.learn(lists(1, ("a",), ("b",), ("c",))) == "epoch 1 is behind 2"
-    assert member.learn(lists(2, ("a",), ("b",), ("c",))) == "epoch 2 had other members"
+    assert member.reload(lists(1, ("a",), ("b",), ("c",))) == "epoch 1 is behind 2"
+    assert member.reload(lists(2, ("a",), ("b",), ("c",))) == "epoch 2 had other members"
 
 
 def test_a_reserve_is_divided_by_all_who_may_act_on_one() -> None:
