--- a/benchmarks/budget_model.py
+++ b/benchmarks/budget_model.py
@@ -157,7 +157,7 @@
         after = self.copy()
         node = after.change(name)
         node.leases.drop(node.leases.mask & ~mask)
-        node.leases.want(mask)
+        node.leases.claim(mask)
         number, claimed = node.leases.ask(after.clock(name))
         after.sent |= {Ask(Holder(name, node.run), number, claimed)}
         return after
--- a/mountgauge/budgets/leases.py
+++ b/mountgauge/budgets/leases.py
@@ -55,7 +55,7 @@
     voted: dict[str, dict[int, int]] = field(default_factory=dict)  # by voter and ask: what was granted
     _known: tuple[Collection[str], int, float, float] | None = None  # voters, held, until when, since when
 
-    def want(self, mask: int) -> None:
+    def claim(self, mask: int) -> None:
         """Claim these from the next ask on."""
         self.mask |= mask
 
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -251,7 +251,7 @@
         free = sorted(free) if of > 1 else free
         free = free[place % of :: of]
         if mask := sum(free[:count]):
-            state.leases.want(mask)
+            state.leases.claim(mask)
             state.wanted.append((now, mask))
             state.moved = True
 
--- a/tests/budgets/test_pure.py
+++ b/tests/budgets/test_pure.py
@@ -88,7 +88,7 @@
 
 def test_a_holder_counts_from_its_ask_and_never_what_it_gave_back() -> None:
     mine, voters = Leases(10.0, drift=0.1), ("x", "y", "z")
-    mine.want(0b11)
+    mine.claim(0b11)
     number, mask = mine.ask(0.0)
     mine.answered("x", number, mask)
     assert mine.held(5.0, voters) == 0
@@ -96,7 +96,7 @@
     assert mine.held(8.9, voters) == 0b11 and mine.held(9.1, voters) == 0, "nine of ten seconds, from the ask"
     assert mine.shrinks_at(1.0, voters) == pytest.approx(9.0)
     mine.drop(0b01)
-    mine.want(0b01)
+    mine.claim(0b01)
     mine.answered("z", number, mask)
     assert mine.held(5.0, voters) == 0b10, "an answer to an ask before the break counts no more"
 
