--- a/benchmarks/budget_model.py
+++ b/benchmarks/budget_model.py
@@ -90,7 +90,7 @@
         grants = Grants(old.slices, old.drift, old.silent_until, dict(old.given), dict(old.newest))
         voted = {voter: dict(one) for voter, one in mine.voted.items()}
         leases = Leases(
-            mine.lease, mine.drift, mine.number, mine.mask, dict(mine.asked), dict(mine.kept), voted
+            mine.lease, mine.drift, mine.number, mine.mask, dict(mine.asked), dict(mine.still_claimed), voted
         )
         return Node(self.run, grants, leases, self.disk)
 
@@ -240,7 +240,7 @@
         found = node.keys[where] = (
             name[who], node.run, tuple(given), round(max(0.0, node.grants.silent_until - now), 3),
             tuple(sorted((name[one.name], one.run, number) for one, number in node.grants.newest.items())),
-            mine.number, mask(mine.mask), tuple((n, mask(one)) for n, one in mine.kept.items()),
+            mine.number, mask(mine.mask), tuple((n, mask(one)) for n, one in mine.still_claimed.items()),
             tuple(sorted((n, round(at - now, 3)) for n, at in mine.asked.items() if at > now)), tuple(voted),
             tuple((name[one.holder.name], one.holder.run, mask(one.mask)) for one in node.disk),
         )  # fmt: skip
--- a/mountgauge/budgets/leases.py
+++ b/mountgauge/budgets/leases.py
@@ -5,7 +5,8 @@
 time. Proof: an answer to ask `n` counts `used_for(lease)` by the own clock from the moment ask `n` was made,
 which is no later than the answer was given and, in real time, `lease` at most; the voter keeps its grant
 for `hold >= lease` of real time from then on. An answer counts only for slices that have been claimed
-without a break since ask `n`: a slice that is dropped goes out of `kept` of every ask so far, and the next
+without a break since ask `n`: a slice that is dropped goes out of `still_claimed` of every ask so far,
+and the next
 ask, which leaves it out, is made after that. So where two runs hold one slice at one moment two majorities
 have granted it, and have a voter in common that has granted it to both, against the invariant of
 `grants`.
@@ -51,7 +52,9 @@
     number: int = 0  # of the newest ask
     mask: int = 0  # what is held or wanted
     asked: dict[int, float] = field(default_factory=dict)  # by ask: until when its answers count, own clock
-    kept: dict[int, int] = field(default_factory=dict)  # by ask: what it claimed and was not dropped since
+    still_claimed: dict[int, int] = field(
+        default_factory=dict
+    )  # by ask: what it claimed and was not dropped since
     voted: dict[str, dict[int, int]] = field(default_factory=dict)  # by voter and ask: what was granted
     _known: tuple[Collection[str], int, float, float] | None = None  # voters, held, until when, since when
 
@@ -63,17 +66,17 @@
         """Stop acting on these, now; the next ask gives them back."""
         self.mask &= ~mask
         self._known = None
-        for number in self.kept:
-            self.kept[number] &= ~mask
+        for number in self.still_claimed:
+            self.still_claimed[number] &= ~mask
 
     def ask(self, now: float) -> tuple[int, int]:
         """The next ask's number, and all that it claims; the same for all voters."""
         self.number += 1
         self.asked[self.number] = now + timing.used_for(self.lease, self.drift)
-        self.kept[self.number] = self.mask
+        self.still_claimed[self.number] = self.mask
         over = [one for one, end in self.asked.items() if end <= now or one <= self.number - ASKS_KEPT]
         for number in over:
-            del self.asked[number], self.kept[number]
+            del self.asked[number], self.still_claimed[number]
             for votes in self.voted.values():
                 votes.pop(number, None)
         return self.number, self.mask
@@ -109,6 +112,6 @@
             mask = 0
             for number, granted in self.voted.get(voter, {}).items():
                 if self.asked[number] > now:
-                    mask |= granted & self.kept[number]
+                    mask |= granted & self.still_claimed[number]
             masks.append(mask)
         return at_least(masks, timing.majority(len(masks)))
