--- a/benchmarks/budget_model.py
+++ b/benchmarks/budget_model.py
@@ -87,7 +87,7 @@
 
     def copy(self) -> Node:
         old, mine = self.grants, self.leases
-        grants = Grants(old.slices, old.drift, old.silent_until, dict(old.given), dict(old.newest))
+        grants = Grants(old.slices, old.drift, old.silent_until, dict(old.grants_by_holder), dict(old.newest))
         voted = {voter: dict(one) for voter, one in mine.voted.items()}
         leases = Leases(
             mine.lease, mine.drift, mine.number, mine.mask, dict(mine.asked), dict(mine.still_claimed), voted
@@ -230,7 +230,7 @@
 
         given = sorted(
             (name[one.name], one.run, mask(p.mask), mask(p.on_disk), round(p.until - now, 3))
-            for one, p in node.grants.given.items() if p.until > now
+            for one, p in node.grants.grants_by_holder.items() if p.until > now
         )  # fmt: skip
         voted = sorted(
             (name[voter], number, mask(granted))
--- a/mountgauge/budgets/grants.py
+++ b/mountgauge/budgets/grants.py
@@ -66,7 +66,7 @@
     slices: int
     drift: float
     silent_until: float = 0.0
-    given: dict[Holder, Grant] = field(default_factory=dict)
+    grants_by_holder: dict[Holder, Grant] = field(default_factory=dict)
     newest: dict[Holder, int] = field(default_factory=dict)  # number of the newest ask of each, oldest first
 
     @classmethod
@@ -81,13 +81,17 @@
         for one in written:
             found._take_from_others(one.holder, one.mask)
             mask = one.mask & every
-            found.given[one.holder] = Grant(mask, one.hold, now + timing.held_for(one.hold, drift), mask)
+            found.grants_by_holder[one.holder] = Grant(
+                mask, one.hold, now + timing.held_for(one.hold, drift), mask
+            )
         return found
 
     def _take_from_others(self, holder: Holder, mask: int) -> None:
-        for other, had in list(self.given.items()):
+        for other, had in list(self.grants_by_holder.items()):
             if other != holder and (had.mask | had.on_disk) & mask:
-                self.given[other] = Grant(had.mask & ~mask, had.hold, had.until, had.on_disk & ~mask)
+                self.grants_by_holder[other] = Grant(
+                    had.mask & ~mask, had.hold, had.until, had.on_disk & ~mask
+                )
 
     def silent(self, now: float) -> bool:
         return now < self.silent_until
@@ -95,7 +99,7 @@
     def taken(self, holder: Holder, now: float) -> int:
         """What others have been granted."""
         mask = 0
-        for other, had in self.given.items():
+        for other, had in self.grants_by_holder.items():
             if other != holder and had.until > now:
                 mask |= had.mask
         return mask
@@ -108,34 +112,36 @@
         self.newest[holder] = number
         self._forget(now)
         taken = self.taken(holder, now)
-        had = self.given.get(holder, _NOTHING)
+        had = self.grants_by_holder.get(holder, _NOTHING)
         still = had.mask if had.until > now else 0
         granted = still & claims if self.silent(now) else claims & ~taken & ((1 << self.slices) - 1)
         if not granted:
-            if holder in self.given:
-                self.given[holder] = Grant(0, had.hold, had.until, had.on_disk)
+            if holder in self.grants_by_holder:
+                self.grants_by_holder[holder] = Grant(0, had.hold, had.until, had.on_disk)
             return Given(0, taken, None)
         hold, until = max(hold, had.hold), max(had.until, now + timing.held_for(hold, self.drift))
         new = bool(granted & ~had.on_disk) or hold > had.hold
         written = GrantRecord(holder, granted, hold) if new else None
         if written is not None:
             self._take_from_others(holder, granted)
-        self.given[holder] = Grant(granted, hold, until, granted if new else had.on_disk)
+        self.grants_by_holder[holder] = Grant(granted, hold, until, granted if new else had.on_disk)
         return Given(0 if self.silent(now) else granted, taken, written)
 
     def _forget(self, now: float) -> None:
         """Grants that are over; of runs without any, the oldest: hearing an old ask of one again would only
         grant to nobody.
         """
-        for holder in [holder for holder, had in self.given.items() if had.until <= now]:
-            del self.given[holder]
-        for holder in [one for one in self.newest if one not in self.given][: len(self.newest) - MOST_RUNS]:
+        for holder in [holder for holder, had in self.grants_by_holder.items() if had.until <= now]:
+            del self.grants_by_holder[holder]
+        for holder in [one for one in self.newest if one not in self.grants_by_holder][
+            : len(self.newest) - MOST_RUNS
+        ]:
             del self.newest[holder]
 
     def records(self, now: float) -> list[GrantRecord]:
         """All that still binds: what a rewritten file has to say."""
         return [
-            GrantRecord(holder, had.mask, had.hold) for holder, had in self.given.items()
+            GrantRecord(holder, had.mask, had.hold) for holder, had in self.grants_by_holder.items()
             if had.mask and had.until > now
         ]  # fmt: skip
 
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -344,7 +344,7 @@
             return 0, (0, 1)
         due = divide(self._useful(state, now), here)
         has = dict.fromkeys(here, 0)
-        for holder, had in state.grants.given.items():
+        for holder, had in state.grants.grants_by_holder.items():
             if holder.name in has and had.until > now:
                 has[holder.name] += had.mask.bit_count()
         short = sorted(one for one in here if has[one] + 1 < due[one])
@@ -405,7 +405,7 @@
             whole = self.whole(state, now)
             held = state.leases.held(now, voters).bit_count()
             by_holder: dict[str, int] = {}
-            for holder, had in state.grants.given.items():
+            for holder, had in state.grants.grants_by_holder.items():
                 if had.until > now:
                     by_holder[holder.name] = by_holder.get(holder.name, 0) + had.mask.bit_count()
             found["budgets"][name] = {
