--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -216,7 +216,7 @@
     def parts(self, budget: str) -> dict[str, float]:
         """What each process would act on at this moment, a paused one too."""
         return {
-            name: node.member.part(budget, self.clock(name)).whole
+            name: node.member.part(budget, self.clock(name)).total
             for name, node in self.nodes.items()
             if node.member is not None and budget in node.member.states
         }
@@ -224,7 +224,7 @@
     def check(self) -> None:
         for budget in self.budgets:
             most = max(
-                [one.budget.whole for node in self.nodes.values() if node.member is not None
+                [one.budget.total for node in self.nodes.values() if node.member is not None
                  for name, one in node.member.states.items() if name == budget.name], default=0.0
             )  # fmt: skip
             total = sum(self.parts(budget.name).values())
@@ -236,7 +236,7 @@
         parts = self.parts(budget.name)
         wanted = {name: self.demand(name, budget.name, self.time) for name in parts}
         served = sum(min(parts[name], wanted[name]) for name in parts)
-        return served / max(1e-9, min(budget.whole, sum(wanted.values())))
+        return served / max(1e-9, min(budget.total, sum(wanted.values())))
 
 
 def mean_use(world: World, budget: Budget, begin: float, end: float, step: float = 0.25) -> float:
--- a/mountgauge/budgets/gate.py
+++ b/mountgauge/budgets/gate.py
@@ -36,7 +36,7 @@
     budget: Budget
     at: float  # when `level` was right
     part: Part = _NO_PART
-    whole: float = 0.0
+    total: float = 0.0
     members: int = 1
     level: float = 0.0  # calls that may begin now; a new process has none
     out: int = 0  # calls that are out
@@ -106,21 +106,21 @@
             self._look(book, now)
 
     def _look(self, book: _Book, now: float) -> None:
-        book.part, book.whole, book.members = self._part(book.budget.name, now)
-        most = shares.burst_of(book.budget, book.part.whole, book.whole, book.members)
-        book.level = min(book.level, most if book.part.whole > 0 else 0.0)
+        book.part, book.total, book.members = self._part(book.budget.name, now)
+        most = shares.burst_of(book.budget, book.part.total, book.total, book.members)
+        book.level = min(book.level, most if book.part.total > 0 else 0.0)
 
     def _fill(self, book: _Book, now: float) -> None:
         """Bring the level up to now, by the part that held meanwhile; a lease that is over is no part."""
         span = max(0.0, min(now, book.part.until) - book.at)
-        book.level += book.part.whole * span
+        book.level += book.part.total * span
         if now >= book.part.until:  # what its lease left; the reserve went on
             book.level += book.part.reserve * max(0.0, now - max(book.at, book.part.until))
         book.at = max(book.at, now)
         if now >= book.part.until:
             self._look(book, now)
-        most = shares.burst_of(book.budget, book.part.whole, book.whole, book.members)
-        book.level = min(book.level, most if book.part.whole > 0 else 0.0)
+        most = shares.burst_of(book.budget, book.part.total, book.total, book.members)
+        book.level = min(book.level, most if book.part.total > 0 else 0.0)
 
     def _free(self, book: _Book, now: float, keep: int) -> float:
         """s until a call may begin beside `keep` others; infinite where only word of others can tell."""
@@ -129,8 +129,8 @@
             lacking = 1.0 + keep - book.level
             if lacking <= 1e-9:
                 return 0.0
-            return lacking / book.part.whole if book.part.whole > 0 else math.inf
-        if book.used(now) + keep < book.part.whole:
+            return lacking / book.part.total if book.part.total > 0 else math.inf
+        if book.used(now) + keep < book.part.total:
             return 0.0
         ends = book.running[0] - now if book.running else math.inf
         return max(0.001, ends)
@@ -232,7 +232,7 @@
                 found[name] = Usage(book.wanted + book.waiting / DEMAND_S)
             else:
                 used = book.used(now) + book.kept
-                found[name] = Usage(used + book.waiting, max(0.0, book.part.whole - used))
+                found[name] = Usage(used + book.waiting, max(0.0, book.part.total - used))
         return found
 
     def report(self, now: float) -> dict[str, dict[str, float]]:
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -39,7 +39,7 @@
     until: float  # own clock, s: up to here it does not shrink unless this member gives something back
 
     @property
-    def whole(self) -> float:
+    def total(self) -> float:
         return self.reserve + self.leased
 
 
@@ -59,7 +59,7 @@
     at: float
     wants: float
     weight: float
-    whole: float
+    total: float
 
 
 @dataclass(slots=True)
@@ -112,7 +112,7 @@
 
     # What may be acted on
 
-    def whole(self, state: _State, now: float) -> float:
+    def total(self, state: _State, now: float) -> float:
         """The smallest whole that is known: of the own file, and of what was heard within two leases."""
         most = 2 * state.budget.lease_s
         said = [whole for at, whole in state.wholes.values() if now - at <= most]
@@ -123,13 +123,13 @@
         they were passed, or it would never be forgotten.
         """
         most = 2 * state.budget.lease_s
-        return min([state.budget.whole, *(w.whole for w in state.words.values() if now - w.at <= most)])
+        return min([state.budget.total, *(w.total for w in state.words.values() if now - w.at <= most)])
 
     def part(self, name: str, now: float) -> Part:
         """What may be acted on now; ask again after `until`."""
         state = self.states[name]
         budget, members = state.budget, self.membership.counted
-        whole, voters = self.whole(state, now), self.membership.voters
+        whole, voters = self.total(state, now), self.membership.voters
         kept = 0.0
         if self.membership.may_use_reserve() and now >= state.reserve_from:
             kept = shares.reserve(budget, whole, members)
@@ -179,7 +179,7 @@
 
     def _wants(self, state: _State, now: float) -> float:
         """Slices that the demand could use beyond the reserve."""
-        budget, members, whole = state.budget, self.membership.counted, self.whole(state, now)
+        budget, members, whole = state.budget, self.membership.counted, self.total(state, now)
         pool = shares.pool(budget, whole, members)
         useful = self._useful(state, now)
         if pool <= 0 or not useful:
@@ -188,7 +188,7 @@
 
     def _useful(self, state: _State, now: float) -> int:
         """Slices that are worth something: the first ones."""
-        pool = shares.pool(state.budget, self.whole(state, now), self.membership.counted)
+        pool = shares.pool(state.budget, self.total(state, now), self.membership.counted)
         if state.budget.whole_units:
             return min(state.budget.slices, int(pool))
         return state.budget.slices if pool > 0 else 0
@@ -199,7 +199,7 @@
         state.rest = max(0, state.rest - 1)
         budget = state.budget
         return AskLine(
-            budget.name, number, claims, budget.hold_s, budget.whole, state.asked_wants, budget.weight
+            budget.name, number, claims, budget.hold_s, budget.total, state.asked_wants, budget.weight
         )
 
     def _target(self, state: _State, now: float) -> int | None:
@@ -257,7 +257,7 @@
 
     def _let_go(self, state: _State, now: float, keep: int) -> None:
         """Give back all but so many slices, unproven ones first, as far as they are not in use."""
-        voters, members, whole = self.membership.voters, self.membership.counted, self.whole(state, now)
+        voters, members, whole = self.membership.voters, self.membership.counted, self.total(state, now)
         leases, spare = state.leases, state.use.spare
         held = leases.held(now, voters)
         bits = [1 << place for place in range(state.budget.slices - 1, -1, -1) if leases.mask >> place & 1]
@@ -402,16 +402,16 @@
         }  # fmt: skip
         for name, state in self.states.items():
             part, voters = self.part(name, now), self.membership.voters
-            whole = self.whole(state, now)
+            whole = self.total(state, now)
             held = state.leases.held(now, voters).bit_count()
             by_holder: dict[str, int] = {}
             for holder, had in state.grants.grants_by_holder.items():
                 if had.until > now:
                     by_holder[holder.name] = by_holder.get(holder.name, 0) + had.mask.bit_count()
             found["budgets"][name] = {
-                "kind": state.budget.kind.value, "whole": whole, "file_whole": state.budget.whole,
+                "kind": state.budget.kind.value, "whole": whole, "file_whole": state.budget.total,
                 "reserve": round(part.reserve, 4), "leased": round(part.leased, 4),
-                "part": round(part.whole, 4), "slices": held, "of": state.budget.slices,
+                "part": round(part.total, 4), "slices": held, "of": state.budget.slices,
                 "claimed": state.leases.mask.bit_count() - held, "target": self._target(state, now),
                 "lasts_s": None if part.until == float("inf") else round(part.until - now, 3),
                 "demand": round(state.use.demand, 3), "promised": dict(sorted(by_holder.items())),
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -72,7 +72,7 @@
 
     def _part(self, name: str, now: float) -> tuple[Part, float, int]:
         state = self.member.states[name]
-        return self.member.part(name, now), self.member.whole(state, now), self.member.membership.counted
+        return self.member.part(name, now), self.member.total(state, now), self.member.membership.counted
 
     # The core's gate
 
@@ -216,7 +216,7 @@
             if book.budget.kind is Kind.RATE and of.dest is not None and of.endpoint is None:
                 part = self.member.part(name, now)
                 if part.leased or of.dest in self._told:  # until then what is listed holds for the pace
-                    most = max(0.01, part.whole)
+                    most = max(0.01, part.total)
                     parts[of.dest] = min(most, parts.get(of.dest, most))
         moved = {
             dest for dest, part in parts.items()
@@ -232,7 +232,7 @@
         """Say once what an operator must know."""
         seen: dict[str, Any] = {f"refused-by-{who}": why for who, why in self.member.refused.items()}
         for name, state in self.member.states.items():
-            if (whole := self.member.whole(state, now)) != state.budget.whole:
+            if (whole := self.member.total(state, now)) != state.budget.total:
                 seen[f"whole-{name}"] = whole
         for key in seen.keys() - self._said.keys():
             if key.startswith("refused-by-"):
--- a/mountgauge/budgets/shares.py
+++ b/mountgauge/budgets/shares.py
@@ -42,7 +42,7 @@
 
     name: str
     kind: Kind
-    whole: float
+    total: float
     burst: float = 0.0  # of a rate; at least one call for each member
     of: Of = Of()
     reserve: float = 0.1  # share of the whole, split evenly over the listed members
@@ -102,13 +102,13 @@
     """What is wrong with it for so many members, in a few words; empty: nothing."""
     if not 0 <= budget.reserve <= 1:
         return "reserve: 0 to 1"
-    if budget.whole < 0 or not math.isfinite(budget.whole):
+    if budget.total < 0 or not math.isfinite(budget.total):
         return "whole: 0 or more"
-    if budget.whole_units and budget.whole != math.floor(budget.whole):
+    if budget.whole_units and budget.total != math.floor(budget.total):
         return f"whole: a whole number for kind '{budget.kind}'"
     least = math.ceil(budget.least) if budget.whole_units else budget.least
-    if least * members > budget.whole:
-        return f"least: {budget.least:g} for each of {members} members is more than {budget.whole:g}"
+    if least * members > budget.total:
+        return f"least: {budget.least:g} for each of {members} members is more than {budget.total:g}"
     if budget.of.tenant is not None and budget.kind is Kind.CONCURRENT:
         return "of.tenant: for what is taken on, which is not out: kind 'rate' or 'allowance'"
     if budget.kind is Kind.RATE and budget.burst < members:
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -55,11 +55,11 @@
     for gap, what, amount in moves:
         had = parts["a-rate"]
         lasts = max(0.0, min(gap, had.until - now))
-        level += had.whole * lasts + had.reserve * (gap - lasts)
+        level += had.total * lasts + had.reserve * (gap - lasts)
         now += gap
         if now >= had.until:
             parts["a-rate"] = had = Part(had.reserve, 0.0, INF)
-        level = min(level, 1 + 4 * had.whole / 20)
+        level = min(level, 1 + 4 * had.total / 20)
         if what == "call":
             if one.start(7, "x", now) == 0 and one.take(7, "x", now):
                 level -= 1
@@ -72,7 +72,7 @@
             "lapse": Part(1.0, had.leased, now + 0.3),
         }[what]  # fmt: skip
         one.settle(now)
-        level = min(level, 1 + 4 * parts["a-rate"].whole / 20)
+        level = min(level, 1 + 4 * parts["a-rate"].total / 20)
 
 
 def binds(of: Of, dest: int, endpoint: str) -> bool:
