--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -43,7 +43,7 @@
         self.gate = Gate(file.budgets, self._part, self._loop.time())
         self.waiting: Callable[[], Mapping[tuple[int, str], int]] = dict
         self.release: Callable[[], None] = lambda: None
-        self.tell: Callable[[Mapping[int, float]], None] = lambda parts: None
+        self.on_shares_changed: Callable[[Mapping[int, float]], None] = lambda parts: None
         self.send: Callable[[Out], None] = lambda out: None
         self.refused: dict[str, int] = {}  # datagrams, by reason
         self.sent_bytes = 0
@@ -226,7 +226,7 @@
             self._told = {
                 dest: part if dest in moved else self._told.get(dest, part) for dest, part in parts.items()
             }
-            self.tell(self._told)
+            self.on_shares_changed(self._told)
 
     def _look(self, now: float) -> None:
         """Say once what an operator must know."""
--- a/mountgauge/run/budgets.py
+++ b/mountgauge/run/budgets.py
@@ -28,7 +28,7 @@
         self.budgets = Budgets(file, name, folder, lambda: fleet.seal)
         self.budgets.waiting = lambda: sender.waiting
         self.budgets.release = sender.release
-        self.budgets.tell = sender.divide
+        self.budgets.on_shares_changed = sender.divide
         sender.call_gate = self.budgets
         tenants.heads[wire.HEAD] = self.budgets.received
 
