--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -216,7 +216,7 @@
     def parts(self, budget: str) -> dict[str, float]:
         """What each process would act on at this moment, a paused one too."""
         return {
-            name: node.member.part(budget, self.clock(name)).total
+            name: node.member.share(budget, self.clock(name)).total
             for name, node in self.nodes.items()
             if node.member is not None and budget in node.member.states
         }
--- a/mountgauge/budgets/gate.py
+++ b/mountgauge/budgets/gate.py
@@ -35,7 +35,7 @@
 
     budget: Budget
     at: float  # when `level` was right
-    part: Part = _NO_PART
+    share: Part = _NO_PART
     total: float = 0.0
     members: int = 1
     level: float = 0.0  # calls that may begin now; a new process has none
@@ -106,21 +106,21 @@
             self._look(book, now)
 
     def _look(self, book: _Book, now: float) -> None:
-        book.part, book.total, book.members = self._part(book.budget.name, now)
-        most = shares.burst_of(book.budget, book.part.total, book.total, book.members)
-        book.level = min(book.level, most if book.part.total > 0 else 0.0)
+        book.share, book.total, book.members = self._part(book.budget.name, now)
+        most = shares.burst_of(book.budget, book.share.total, book.total, book.members)
+        book.level = min(book.level, most if book.share.total > 0 else 0.0)
 
     def _fill(self, book: _Book, now: float) -> None:
         """Bring the level up to now, by the part that held meanwhile; a lease that is over is no part."""
-        span = max(0.0, min(now, book.part.until) - book.at)
-        book.level += book.part.total * span
-        if now >= book.part.until:  # what its lease left; the reserve went on
-            book.level += book.part.reserve * max(0.0, now - max(book.at, book.part.until))
+        span = max(0.0, min(now, book.share.until) - book.at)
+        book.level += book.share.total * span
+        if now >= book.share.until:  # what its lease left; the reserve went on
+            book.level += book.share.reserve * max(0.0, now - max(book.at, book.share.until))
         book.at = max(book.at, now)
-        if now >= book.part.until:
+        if now >= book.share.until:
             self._look(book, now)
-        most = shares.burst_of(book.budget, book.part.total, book.total, book.members)
-        book.level = min(book.level, most if book.part.total > 0 else 0.0)
+        most = shares.burst_of(book.budget, book.share.total, book.total, book.members)
+        book.level = min(book.level, most if book.share.total > 0 else 0.0)
 
     def _free(self, book: _Book, now: float, keep: int) -> float:
         """s until a call may begin beside `keep` others; infinite where only word of others can tell."""
@@ -129,8 +129,8 @@
             lacking = 1.0 + keep - book.level
             if lacking <= 1e-9:
                 return 0.0
-            return lacking / book.part.total if book.part.total > 0 else math.inf
-        if book.used(now) + keep < book.part.total:
+            return lacking / book.share.total if book.share.total > 0 else math.inf
+        if book.used(now) + keep < book.share.total:
             return 0.0
         ends = book.running[0] - now if book.running else math.inf
         return max(0.001, ends)
@@ -164,7 +164,7 @@
 
     def until(self, dest: int, endpoint: str, now: float) -> float:
         """Until when a place that was just taken may be used: while the parts hold; the reserve goes on."""
-        ends = [book.part.until for book in self.binding(dest, endpoint)]
+        ends = [book.share.until for book in self.binding(dest, endpoint)]
         return min((end for end in ends if end > now), default=math.inf)
 
     def admit(self, tenant: str, now: float) -> float:
@@ -232,7 +232,7 @@
                 found[name] = Usage(book.wanted + book.waiting / DEMAND_S)
             else:
                 used = book.used(now) + book.kept
-                found[name] = Usage(used + book.waiting, max(0.0, book.part.total - used))
+                found[name] = Usage(used + book.waiting, max(0.0, book.share.total - used))
         return found
 
     def report(self, now: float) -> dict[str, dict[str, float]]:
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -125,7 +125,7 @@
         most = 2 * state.budget.lease_s
         return min([state.budget.total, *(w.total for w in state.words.values() if now - w.at <= most)])
 
-    def part(self, name: str, now: float) -> Part:
+    def share(self, name: str, now: float) -> Part:
         """What may be acted on now; ask again after `until`."""
         state = self.states[name]
         budget, members = state.budget, self.membership.counted
@@ -401,7 +401,7 @@
             "refused_by": dict(sorted(self.refused.items())), "budgets": {},
         }  # fmt: skip
         for name, state in self.states.items():
-            part, voters = self.part(name, now), self.membership.voters
+            part, voters = self.share(name, now), self.membership.voters
             whole = self.total(state, now)
             held = state.leases.held(now, voters).bit_count()
             by_holder: dict[str, int] = {}
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -72,7 +72,7 @@
 
     def _part(self, name: str, now: float) -> tuple[Part, float, int]:
         state = self.member.states[name]
-        return self.member.part(name, now), self.member.total(state, now), self.member.membership.counted
+        return self.member.share(name, now), self.member.total(state, now), self.member.membership.counted
 
     # The core's gate
 
@@ -214,7 +214,7 @@
         for name, book in self.gate.books.items():
             of = book.budget.of
             if book.budget.kind is Kind.RATE and of.dest is not None and of.endpoint is None:
-                part = self.member.part(name, now)
+                part = self.member.share(name, now)
                 if part.leased or of.dest in self._told:  # until then what is listed holds for the pace
                     most = max(0.01, part.total)
                     parts[of.dest] = min(most, parts.get(of.dest, most))
