--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -135,7 +135,7 @@
                     one._replace(until=epoch) if one.name == name else one for one in lists.members
                 )
             lists = MemberList(epoch, members)
-            assert not lists.fault(), lists.fault()
+            assert not lists.validation_error(), lists.validation_error()
         self.lists = lists
         if budgets is not None:
             self.budgets = list(budgets)
--- a/mountgauge/budgets/membership.py
+++ b/mountgauge/budgets/membership.py
@@ -60,7 +60,7 @@
         """Those of them that grant slices: two epochs that follow each other differ by one at most."""
         return tuple(sorted(one.name for one in self.members if one.since <= epoch < one.until and one.voter))
 
-    def fault(self) -> str:
+    def validation_error(self) -> str:
         """What is wrong with it, in a few words; empty: nothing."""
         names = [one.name for one in self.members]
         places = [one.place for one in self.members]
--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -54,7 +54,7 @@
     if len(listed) > MOST_MEMBERS:
         raise ConfigError(f"member: {len(listed)} are more than {MOST_MEMBERS}")
     lists = MemberList(epoch, listed, settled)
-    if why := lists.fault():
+    if why := lists.validation_error():
         raise ConfigError(f"member: {why}")
     if me not in {one.name for one in listed}:
         raise ConfigError(f"member: '{me}', this file's name, is not among them")
@@ -67,7 +67,7 @@
     for place, one in enumerate(budgets):
         if any(one.name == other.name for other in budgets[:place]):
             raise ConfigError(f"budget[{place}].name: '{one.name}' stands twice")
-        if why := shares.fault(one, count):
+        if why := shares.validation_error(one, count):
             where = f"budget[{place}]" if place < len(tables) else f"tenant '{one.of.tenant}'"
             raise ConfigError(f"{where}.{why}")
     return BudgetFile(lists, budgets, drift)
--- a/mountgauge/budgets/shares.py
+++ b/mountgauge/budgets/shares.py
@@ -98,7 +98,7 @@
     return 1.0 + (rest * min(1.0, part / whole) if whole > 0 else 0.0)
 
 
-def fault(budget: Budget, members: int) -> str:
+def validation_error(budget: Budget, members: int) -> str:
     """What is wrong with it for so many members, in a few words; empty: nothing."""
     if not 0 <= budget.reserve <= 1:
         return "reserve: 0 to 1"
--- a/tests/budgets/test_pure.py
+++ b/tests/budgets/test_pure.py
@@ -107,12 +107,12 @@
 
 def test_lists_change_by_one_member_an_epoch() -> None:
     base = [("a",), ("b",), ("c",)]
-    assert lists(2, *base, ("d", 2)).fault() == ""
-    assert lists(2, *base, ("d", 2), ("e", 2)).fault() == "epoch 2: one member at a time, not d, e"
-    assert lists(3, *base, ("d", 2), ("e", 2), settled=2).fault() == ""
-    assert lists(1, ("a",), ("a",)).fault() == "'a' stands twice"
-    assert lists(1, ("a", 2)).fault() == "since: past the epoch"
-    assert lists(2, ("a", 1, 2)).fault() == "nobody is listed"
+    assert lists(2, *base, ("d", 2)).validation_error() == ""
+    assert lists(2, *base, ("d", 2), ("e", 2)).validation_error() == "epoch 2: one member at a time, not d, e"
+    assert lists(3, *base, ("d", 2), ("e", 2), settled=2).validation_error() == ""
+    assert lists(1, ("a",), ("a",)).validation_error() == "'a' stands twice"
+    assert lists(1, ("a", 2)).validation_error() == "since: past the epoch"
+    assert lists(2, ("a", 1, 2)).validation_error() == "nobody is listed"
     few = lists(1, ("a",), ("b",), ("c",), ("d", 1, 9, False, False))
     assert few.voters(1) == ("a", "b", "c") and few.at(1) == ("a", "b", "c", "d")
 
