--- a/mountgauge/budgets/files.py
+++ b/mountgauge/budgets/files.py
@@ -26,8 +26,8 @@
 
 from mountgauge.budgets.grants import GrantRecord, Holder
 
-MOST_BYTES = 256 * 1024  # past it the file is written anew with what still binds
-ROOM_BYTES = 2 * MOST_BYTES
+REWRITE_ABOVE_BYTES = 256 * 1024  # past it the file is written anew with what still binds
+ROOM_BYTES = 2 * REWRITE_ABOVE_BYTES
 _BOOT = Path("/proc/sys/kernel/random/boot_id")
 
 
@@ -90,7 +90,7 @@
 
     def _load(self) -> None:
         try:
-            content = self.path.read_bytes()[: 4 * MOST_BYTES]
+            content = self.path.read_bytes()[: 4 * REWRITE_ABOVE_BYTES]
         except FileNotFoundError:
             return
         lines, whole = _read(content)
@@ -203,7 +203,7 @@
 
     @property
     def full(self) -> bool:
-        return self._size > MOST_BYTES
+        return self._size > REWRITE_ABOVE_BYTES
 
     def close(self) -> None:
         if self._file is not None:
--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -32,7 +32,7 @@
 _STATES = {"active": Readiness.READY, "leaving": Readiness.DRAINING}
 _PROTOCOLS = ("http", "amqp")
 _KIND = "next-hop"
-BUDGETS_ROOM = 512 * 1024  # bytes of disk for what was promised: twice `budgets.files.MOST_BYTES`
+BUDGETS_ROOM = 512 * 1024  # bytes of disk for what was promised: twice `budgets.files.REWRITE_ABOVE_BYTES`
 SHARDS_ROOM = 2 * 1024 * 1024  # bytes of disk for the last shards: twice `relay.kept_list.MAX_BYTES`
 _SHARDED_SLOTS = 64  # where how many next hops there are is not known beforehand
 _LEAST_JOURNAL = 512 * 1024  # bytes of disk that the journal keeps beside the counts of tenants
