--- a/mountgauge/budgets/fair_shares.py
+++ b/mountgauge/budgets/fair_shares.py
@@ -12,14 +12,14 @@
 HEADROOM = 1.15  # of what is wanted: demand must be able to show that it grows
 
 
-class Wants(NamedTuple):
+class Demand(NamedTuple):
     """What a member could use of the pool, in slices (need not be whole), and its weight."""
 
     slices: float
     weight: float = 1.0
 
 
-def max_min(total: float, wants: Mapping[str, Wants]) -> dict[str, float]:
+def max_min(total: float, wants: Mapping[str, Demand]) -> dict[str, float]:
     """Shares of `total` in real numbers: none above what it wants, and none could have more without one that
     has less for its weight having less still.
     """
@@ -38,14 +38,14 @@
     return found
 
 
-def divide(slices: int, wants: Mapping[str, Wants]) -> dict[str, int]:
+def divide(slices: int, wants: Mapping[str, Demand]) -> dict[str, int]:
     """Whole slices for each; together `slices` at most, by largest remainder, ties by name.
 
     What nobody wants is spread by weight, so that a member that begins to ask has something at once; one that
     wants a part of a slice gets all of it where there is one.
     """
     wanted = {
-        name: Wants(min(float(slices), max(0.0, want.slices * HEADROOM)), want.weight)
+        name: Demand(min(float(slices), max(0.0, want.slices * HEADROOM)), want.weight)
         for name, want in wants.items()
     }
     real = max_min(slices, wanted)
--- a/mountgauge/budgets/files.py
+++ b/mountgauge/budgets/files.py
@@ -58,7 +58,7 @@
     """An operator's word that nothing was ever granted here: the first start need not be silent. OSError
     where something was, or where the folder cannot be written.
     """
-    votes = Votes(folder, name)
+    votes = GrantFile(folder, name)
     if votes.path.exists():
         raise OSError(f"{votes.path}: something was promised here before")
     votes.begin(0)
@@ -72,7 +72,7 @@
         return "unknown"
 
 
-class Votes:
+class GrantFile:
     """OSError where the file cannot be written; nothing may be answered then."""
 
     def __init__(self, folder: Path, name: str, witnesses: Path | None = None) -> None:
--- a/mountgauge/budgets/grants.py
+++ b/mountgauge/budgets/grants.py
@@ -21,7 +21,7 @@
 
 from mountgauge.budgets import timing
 
-MOST_RUNS = 256  # holders whose newest ask is remembered
+MAX_REMEMBERED_RUNS = 256  # holders whose newest ask is remembered
 
 
 class Holder(NamedTuple):
@@ -41,7 +41,7 @@
     hold: float  # s
 
 
-class Given(NamedTuple):
+class GrantReply(NamedTuple):
     """The answer to one ask."""
 
     granted: int  # to the asker now
@@ -104,7 +104,7 @@
                 mask |= had.mask
         return mask
 
-    def ask(self, holder: Holder, number: int, claims: int, hold: float, now: float) -> Given | None:
+    def ask(self, holder: Holder, number: int, claims: int, hold: float, now: float) -> GrantReply | None:
         """A holder says all that it holds or wants; what it left out is free. None: not heard."""
         if number <= self.newest.get(holder, 0):
             return None
@@ -118,14 +118,14 @@
         if not granted:
             if holder in self.grants_by_holder:
                 self.grants_by_holder[holder] = Grant(0, had.hold, had.until, had.on_disk)
-            return Given(0, taken, None)
+            return GrantReply(0, taken, None)
         hold, until = max(hold, had.hold), max(had.until, now + timing.held_for(hold, self.drift))
         new = bool(granted & ~had.on_disk) or hold > had.hold
         written = GrantRecord(holder, granted, hold) if new else None
         if written is not None:
             self._take_from_others(holder, granted)
         self.grants_by_holder[holder] = Grant(granted, hold, until, granted if new else had.on_disk)
-        return Given(0 if self.silent(now) else granted, taken, written)
+        return GrantReply(0 if self.silent(now) else granted, taken, written)
 
     def _forget(self, now: float) -> None:
         """Grants that are over; of runs without any, the oldest: hearing an old ask of one again would only
@@ -134,7 +134,7 @@
         for holder in [holder for holder, had in self.grants_by_holder.items() if had.until <= now]:
             del self.grants_by_holder[holder]
         for holder in [one for one in self.newest if one not in self.grants_by_holder][
-            : len(self.newest) - MOST_RUNS
+            : len(self.newest) - MAX_REMEMBERED_RUNS
         ]:
             del self.newest[holder]
 
--- a/mountgauge/budgets/member.py
+++ b/mountgauge/budgets/member.py
@@ -18,20 +18,22 @@
 from zlib import crc32
 
 from mountgauge.budgets import shares, timing
-from mountgauge.budgets.fair_shares import Wants, divide
+from mountgauge.budgets.fair_shares import Demand, divide
 from mountgauge.budgets.grants import GrantRecord, Grants, Holder
 from mountgauge.budgets.leases import Leases, at_least
 from mountgauge.budgets.membership import MemberList, Membership
 from mountgauge.budgets.messages import Answer, AnswerLine, Ask, AskLine
 from mountgauge.budgets.shares import Budget
 
-_VAIN_SHARE = 0.75  # of a lease, after which a slice without a majority is let go: others may want it
-_REST_ASKS = 6  # most asks, drawn, before the next slices are claimed then
-_SLACK = 0.03  # share of what is held by which a target may be off before parts move
-_STEP = 0.5  # share of what is too much that goes in one ask: steps that do not swing
+_UNGRANTED_LEASE_SHARE = (
+    0.75  # of a lease, after which a slice without a majority is let go: others may want it
+)
+_MAX_BACKOFF_ASKS = 6  # most asks, drawn, before the next slices are claimed then
+_TARGET_TOLERANCE = 0.03  # share of what is held by which a target may be off before parts move
+_RETURN_SHARE = 0.5  # share of what is too much that goes in one ask: steps that do not swing
 
 
-class Part(NamedTuple):
+class Share(NamedTuple):
     """What a member may act on at a moment."""
 
     reserve: float
@@ -53,7 +55,7 @@
 _NO_USE = Usage()
 
 
-class _Word(NamedTuple):
+class _DemandReport(NamedTuple):
     """What a member said of a budget last."""
 
     at: float
@@ -67,7 +69,9 @@
     budget: Budget
     grants: Grants
     leases: Leases
-    words: dict[str, _Word] = field(default_factory=dict)  # by member: the voter's view of demand
+    demand_reports: dict[str, _DemandReport] = field(
+        default_factory=dict
+    )  # by member: the voter's view of demand
     wholes: dict[str, tuple[float, float]] = field(default_factory=dict)  # by voter: when, and what it said
     targets: dict[str, tuple[float, int, tuple[int, int]]] = field(default_factory=dict)  # by voter
     taken: dict[str, int] = field(default_factory=dict)  # by voter
@@ -123,9 +127,11 @@
         they were passed, or it would never be forgotten.
         """
         most = 2 * state.budget.lease_s
-        return min([state.budget.total, *(w.total for w in state.words.values() if now - w.at <= most)])
+        return min(
+            [state.budget.total, *(w.total for w in state.demand_reports.values() if now - w.at <= most)]
+        )
 
-    def share(self, name: str, now: float) -> Part:
+    def share(self, name: str, now: float) -> Share:
         """What may be acted on now; ask again after `until`."""
         state = self.states[name]
         budget, members = state.budget, self.membership.counted
@@ -133,13 +139,13 @@
         kept = 0.0
         if self.membership.may_use_reserve() and now >= state.reserve_from:
             kept = shares.reserve(budget, whole, members)
-        leased = shares.masked_worth(budget, whole, members, state.leases.held(now, voters))
-        return Part(kept, leased, state.leases.shrinks_at(now, voters))
+        leased = shares.mask_value(budget, whole, members, state.leases.held(now, voters))
+        return Share(kept, leased, state.leases.shrinks_at(now, voters))
 
     # Asking
 
     def tick(self, now: float, uses: Mapping[str, Usage]) -> list[tuple[str, Ask]]:
-        """Now and then (every `timing.FLUX_S` or sooner): whom to ask what."""
+        """Now and then (every `timing.MIN_ASK_INTERVAL_S` or sooner): whom to ask what."""
         self.membership.step(now)
         lines = []
         for name, state in self.states.items():
@@ -167,7 +173,7 @@
         since = now - state.asked_at
         if since >= timing.renew_every(state.budget.lease_s) - 1e-9:
             return True
-        if since < timing.FLUX_S - 1e-9:
+        if since < timing.MIN_ASK_INTERVAL_S - 1e-9:
             return False
         wants = self._wants(state, now)
         changed = abs(wants - state.asked_wants) > max(1.0, 0.1 * state.asked_wants)
@@ -220,19 +226,19 @@
         blocked = at_least([mask for voter, mask in state.taken.items() if voter in voters], spare + 1)
         late = 0
         for at, mask in state.wanted:
-            if now - at > _VAIN_SHARE * state.budget.lease_s:
+            if now - at > _UNGRANTED_LEASE_SHARE * state.budget.lease_s:
                 late |= mask & open_
         if lost := open_ & blocked | late:
             self._drop(state, lost)
         if late & ~blocked:  # granted to nobody as a whole: others may have asked for the same
-            state.rest = self.rng.randint(1, _REST_ASKS)
+            state.rest = self.rng.randint(1, _MAX_BACKOFF_ASKS)
         state.wanted = [(at, left) for at, mask in state.wanted if (left := mask & leases.mask & ~held)]
         if not state.targets:  # no voter has answered yet: ask for nothing, but be heard
             return
         target, have = self._target(state, now) or 0, leases.mask.bit_count()
-        slack = max(1, int(_SLACK * have))
+        slack = max(1, int(_TARGET_TOLERANCE * have))
         if have > target + (slack if target else 0):
-            self._let_go(state, now, have - max(1, int((have - target) * _STEP + 0.5)))
+            self._let_go(state, now, have - max(1, int((have - target) * _RETURN_SHARE + 0.5)))
         elif have < target and not state.rest and (have < target - slack or self._wants(state, now) > have):
             self._claim(state, now, target - have, useful)
 
@@ -263,7 +269,7 @@
         bits = [1 << place for place in range(state.budget.slices - 1, -1, -1) if leases.mask >> place & 1]
         going = 0
         for bit in sorted(bits, key=lambda bit: bit & held != 0)[: max(0, len(bits) - keep)]:
-            if bit & held and (worth := shares.masked_worth(state.budget, whole, members, bit)) > spare:
+            if bit & held and (worth := shares.mask_value(state.budget, whole, members, bit)) > spare:
                 continue
             elif bit & held:
                 spare -= worth
@@ -296,9 +302,9 @@
             if state is None:
                 continue
             if ask.leaving:
-                state.words.pop(ask.name, None)
+                state.demand_reports.pop(ask.name, None)
             else:
-                state.words[ask.name] = _Word(now, line.wants, line.weight, line.whole)
+                state.demand_reports[ask.name] = _DemandReport(now, line.wants, line.weight, line.whole)
             if refused:  # what it holds is left alone: it may act on that to the end of its lease
                 continue
             holder = Holder(ask.name, ask.run)
@@ -336,8 +342,8 @@
     def _fair(self, state: _State, name: str, now: float) -> tuple[int, tuple[int, int]]:
         """How many slices a member should hold, and its place among those that hold too few."""
         here = {
-            one: Wants(word.wants, word.weight)
-            for one, word in state.words.items()
+            one: Demand(word.wants, word.weight)
+            for one, word in state.demand_reports.items()
             if now - word.at <= state.budget.lease_s
         }
         if not here:
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from mountgauge.budgets import wire
-from mountgauge.budgets.files import Votes
+from mountgauge.budgets.files import GrantFile
 from mountgauge.budgets.gate import Gate
-from mountgauge.budgets.member import Member, Part
+from mountgauge.budgets.member import Member, Share
 from mountgauge.budgets.membership import Membership
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.settings import BudgetFile
@@ -28,8 +28,8 @@
 log = logging.getLogger("mountgauge.budgets")
 
 TICK_S = 0.05  # between two looks at parts, demand and calls that wait
-_GOODBYES = 3  # times that one that ends says so
-_TOLD_SHARE = 0.03  # of a part by which it must have moved for the module to be told
+_GOODBYE_COUNT = 3  # times that one that ends says so
+_REPORTED_CHANGE_SHARE = 0.03  # of a part by which it must have moved for the module to be told
 
 
 class Budgets:
@@ -61,16 +61,18 @@
     def _arrive(self) -> None:
         """What the folder says. ConfigError where the file lags behind what this folder has seen."""
         file = self.file
-        self.votes = Votes(self.folder, self.name)
-        if file.lists.epoch < self.votes.epoch:
-            raise ConfigError(f"fleet.epoch: {file.lists.epoch} is behind {self.votes.epoch}, seen before")
-        membership = Membership(self.name, file.lists, file.lease, file.drift, self.votes.epoch)
+        self.grant_file = GrantFile(self.folder, self.name)
+        if file.lists.epoch < self.grant_file.epoch:
+            raise ConfigError(
+                f"fleet.epoch: {file.lists.epoch} is behind {self.grant_file.epoch}, seen before"
+            )
+        membership = Membership(self.name, file.lists, file.lease, file.drift, self.grant_file.epoch)
         self.member = Member(
             self.name, self.run, membership, file.budgets, self._loop.time(), random.Random(self.run),
-            self.votes.kept, self.votes.written,
+            self.grant_file.kept, self.grant_file.written,
         )  # fmt: skip
 
-    def _part(self, name: str, now: float) -> tuple[Part, float, int]:
+    def _part(self, name: str, now: float) -> tuple[Share, float, int]:
         state = self.member.states[name]
         return self.member.share(name, now), self.member.total(state, now), self.member.membership.counted
 
@@ -131,10 +133,11 @@
         while this one started has gone by now. OSError where the folder cannot be written.
         """
         self._arrive()
-        self.votes.begin(self.member.membership.adopted)
+        self.grant_file.begin(self.member.membership.adopted)
         log.info("budgets", extra=kv(budgets=len(self.file.budgets), epoch=self.file.lists.epoch,
                                      members=len(self.file.lists.at(self.file.lists.epoch)),
-                                     votes="kept" if self.votes.kept else "silent", why=self.votes.why or "-",
+                                     votes="kept" if self.grant_file.kept else "silent",
+                                     why=self.grant_file.why or "-",
                                      run=f"{self.member.run:016x}"))  # fmt: skip
         self._tick()
 
@@ -147,10 +150,10 @@
         self.gate.settle(now)
         if self.member.membership.adopted != epoch:
             log.info("budget-epoch", extra=kv(epoch=self.member.membership.adopted))
-            self._write(lambda: self.votes.adopted(self.member.membership.adopted))
+            self._write(lambda: self.grant_file.adopted(self.member.membership.adopted))
         self._send(asks)
-        if self.votes.full:
-            self._write(lambda: self.votes.rewrite(self.member.records(now)))
+        if self.grant_file.full:
+            self._write(lambda: self.grant_file.rewrite(self.member.records(now)))
         self._tell(now)
         self._look(now)
         self.busy_s += time.perf_counter() - began
@@ -186,7 +189,7 @@
             self.member.receive_answer(message, now)
         else:
             answer, written = self.member.receive_ask(message, now)
-            if not self._write(lambda: self.votes.grant(written)):
+            if not self._write(lambda: self.grant_file.grant(written)):
                 return []  # what could not be written must not be heard of
             if source is None:
                 self.member.receive_answer(answer, now)
@@ -211,16 +214,17 @@
     def _tell(self, now: float) -> None:
         """The module paces by its part, as by a listed limit; it hears of moves, not of each slice."""
         parts: dict[int, float] = {}
-        for name, book in self.gate.books.items():
-            of = book.budget.of
-            if book.budget.kind is Kind.RATE and of.dest is not None and of.endpoint is None:
+        for name, account in self.gate.accounts.items():
+            of = account.budget.scope
+            if account.budget.kind is Kind.RATE and of.dest is not None and of.endpoint is None:
                 part = self.member.share(name, now)
                 if part.leased or of.dest in self._told:  # until then what is listed holds for the pace
                     most = max(0.01, part.total)
                     parts[of.dest] = min(most, parts.get(of.dest, most))
         moved = {
             dest for dest, part in parts.items()
-            if abs(part - self._told.get(dest, -1.0)) > _TOLD_SHARE * max(part, self._told.get(dest, 0.0))
+            if abs(part - self._told.get(dest, -1.0))
+            > _REPORTED_CHANGE_SHARE * max(part, self._told.get(dest, 0.0))
         }  # fmt: skip
         if moved or set(parts) != set(self._told):
             self._told = {
@@ -253,7 +257,7 @@
 
     async def leave(self) -> None:
         """Say goodbye: what is not in use goes back at once."""
-        for _ in range(_GOODBYES):
+        for _ in range(_GOODBYE_COUNT):
             now = self._loop.time()
             self._send(self.member.goodbye(now, self.gate.uses({}, now)))
             self.gate.settle(now)
@@ -263,7 +267,7 @@
         for timer in (self._timer, self._wake):
             if timer is not None:
                 timer.cancel()
-        self.votes.close()
+        self.grant_file.close()
 
     # What others are told
 
@@ -274,6 +278,6 @@
         used = self.gate.report(now)
         for name, one in found["budgets"].items():
             one |= used.get(name, {})
-        found |= {"name": self.name, "votes": self.votes.why or "kept"}
+        found |= {"name": self.name, "votes": self.grant_file.why or "kept"}
         return found | {"datagrams_refused": dict(self.refused), "sent_bytes": self.sent_bytes,
                         "busy_s": round(self.busy_s, 4)}  # fmt: skip
--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -8,14 +8,14 @@
 
 from mountgauge.budgets import shares
 from mountgauge.budgets.membership import FOREVER, MemberEntry, MemberList
-from mountgauge.budgets.shares import Budget, Kind, Of
+from mountgauge.budgets.shares import Budget, Kind, Scope
 from mountgauge.core.config import ConfigError
 from mountgauge.settings_table import Table
 from mountgauge.tenants.settings import TenantSettings
 from mountgauge.tenants.wire import MOST_NAME
 
-MOST_BUDGETS = 200
-MOST_MEMBERS = 64
+MAX_BUDGETS = 200
+MAX_MEMBERS = 64
 DRIFT = 0.01  # clocks of one fleet keep time to a second in a hundred, and far better, unless told otherwise
 
 
@@ -51,8 +51,8 @@
     listed = tuple(_member(table) for table in members)
     if not listed:
         raise ConfigError("member: budgets need the fleet's members, [[member]] each")
-    if len(listed) > MOST_MEMBERS:
-        raise ConfigError(f"member: {len(listed)} are more than {MOST_MEMBERS}")
+    if len(listed) > MAX_MEMBERS:
+        raise ConfigError(f"member: {len(listed)} are more than {MAX_MEMBERS}")
     lists = MemberList(epoch, listed, settled)
     if why := lists.validation_error():
         raise ConfigError(f"member: {why}")
@@ -61,14 +61,14 @@
     names = {one.name for one in tenants}
     budgets = tuple(_budget(table, dests, hops, names) for table in tables)
     budgets += tuple(_of_tenant(one) for one in strict)
-    if len(budgets) > MOST_BUDGETS:
-        raise ConfigError(f"budget: {len(budgets)} are more than {MOST_BUDGETS}")
+    if len(budgets) > MAX_BUDGETS:
+        raise ConfigError(f"budget: {len(budgets)} are more than {MAX_BUDGETS}")
     count = len(lists.at(epoch))
     for place, one in enumerate(budgets):
         if any(one.name == other.name for other in budgets[:place]):
             raise ConfigError(f"budget[{place}].name: '{one.name}' stands twice")
         if why := shares.validation_error(one, count):
-            where = f"budget[{place}]" if place < len(tables) else f"tenant '{one.of.tenant}'"
+            where = f"budget[{place}]" if place < len(tables) else f"tenant '{one.scope.tenant}'"
             raise ConfigError(f"{where}.{why}")
     return BudgetFile(lists, budgets, drift)
 
@@ -106,7 +106,7 @@
     name = f"tenant:{one.name}"
     if len(name) > MOST_NAME:
         raise ConfigError(f"tenant '{one.name}': strict is for names of {MOST_NAME - 7} characters at most")
-    return Budget(name, Kind.RATE, one.strict.rate, one.strict.burst, Of(tenant=one.name))
+    return Budget(name, Kind.RATE, one.strict.rate, one.strict.burst, Scope(tenant=one.name))
 
 
 def _budget(table: Table, dests: Collection[int], hops: Collection[str], tenants: Collection[str]) -> Budget:
@@ -135,7 +135,7 @@
         raise ConfigError(f"{table.name}.lease: 0.5 to 86400 s")
     found = Budget(
         name, Kind(kind), whole, _number(table, "burst", max(1.0, whole)) if kind == Kind.RATE else 0.0,
-        Of(dest, endpoint, tenant), _number(table, "reserve", 0.1), _number(table, "least", 0.0),
+        Scope(dest, endpoint, tenant), _number(table, "reserve", 0.1), _number(table, "least", 0.0),
         table.positive("weight", 1.0), lease, _number(table, "ends_within", 0.0),
         table.positive("period", 86_400.0),
     )  # fmt: skip
--- a/mountgauge/budgets/shares.py
+++ b/mountgauge/budgets/shares.py
@@ -6,8 +6,9 @@
 Invariant: with `members` counted alike, the reserves and all slices of a budget are worth the whole at most,
 even where each member works with a whole of its own: then they are worth the largest of those at most.
 Proof: `reserve` and a slice's worth do not fall as the whole rises, so each is at most what it is at the
-largest whole W; there `members * reserve <= kept(W)` and the slices sum to `pool(W) <= W - kept(W)`: for a
-rate evenly, for units because slice `s` has one for each n with `s + n * slices < pool`.
+largest whole W; there `members * reserve <= reserved_total(W)` and the slices sum to
+`pool(W) <= W - reserved_total(W)`: for a rate evenly, for units because slice `s`
+has one for each n with `s + n * slices < pool`.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Of:
+class Scope:
     """Which calls a budget binds; what is None is not looked at."""
 
     dest: int | None = None
@@ -44,7 +45,7 @@
     kind: Kind
     total: float
     burst: float = 0.0  # of a rate; at least one call for each member
-    of: Of = Of()
+    scope: Scope = Scope()
     reserve: float = 0.1  # share of the whole, split evenly over the listed members
     least: float = 0.0  # of each member, at least
     weight: float = 1.0  # of this member in the division
@@ -63,7 +64,7 @@
         return self.lease_s + (self.period_s if self.kind is Kind.ALLOWANCE else self.ends_within_s)
 
 
-def kept(budget: Budget, whole: float, members: int) -> float:
+def reserved_total(budget: Budget, whole: float, members: int) -> float:
     """Of the whole, for the reserves."""
     least = math.ceil(budget.least) if budget.whole_units else budget.least
     return min(whole, max(budget.reserve * whole, members * least))
@@ -71,17 +72,17 @@
 
 def reserve(budget: Budget, whole: float, members: int) -> float:
     """One member's reserve."""
-    share = kept(budget, whole, members) / max(1, members)
+    share = reserved_total(budget, whole, members) / max(1, members)
     return math.floor(share + 1e-9) if budget.whole_units else share
 
 
 def pool(budget: Budget, whole: float, members: int) -> float:
     """What is leased, over all slices."""
-    rest = whole - kept(budget, whole, members)
+    rest = whole - reserved_total(budget, whole, members)
     return math.floor(rest + 1e-9) if budget.whole_units else rest
 
 
-def masked_worth(budget: Budget, whole: float, members: int, mask: int) -> float:
+def mask_value(budget: Budget, whole: float, members: int, mask: int) -> float:
     """What a set of slices is worth."""
     if not budget.whole_units:
         return pool(budget, whole, members) / budget.slices * mask.bit_count()
@@ -89,7 +90,7 @@
     return units * mask.bit_count() + (mask & ((1 << rest) - 1)).bit_count()
 
 
-def burst_of(budget: Budget, part: float, whole: float, members: int) -> float:
+def member_burst(budget: Budget, part: float, whole: float, members: int) -> float:
     """Calls that a member's part may bring at once: one for each member, the rest by part.
 
     These sum to the burst at most, where the parts sum to the whole at most and `burst >= members`.
@@ -109,7 +110,7 @@
     least = math.ceil(budget.least) if budget.whole_units else budget.least
     if least * members > budget.total:
         return f"least: {budget.least:g} for each of {members} members is more than {budget.total:g}"
-    if budget.of.tenant is not None and budget.kind is Kind.CONCURRENT:
+    if budget.scope.tenant is not None and budget.kind is Kind.CONCURRENT:
         return "of.tenant: for what is taken on, which is not out: kind 'rate' or 'allowance'"
     if budget.kind is Kind.RATE and budget.burst < members:
         return f"burst: {budget.burst:g} is less than one call for each of {members} members"
--- a/mountgauge/budgets/timing.py
+++ b/mountgauge/budgets/timing.py
@@ -8,8 +8,8 @@
 from __future__ import annotations
 
 SLICES = 128  # that a budget's pool is divided into; the same on all members, whatever their number
-ROUNDS_A_LEASE = 4  # asks by which a holder renews within a lease: two may be lost
-FLUX_S = 0.25  # between two asks while parts move
+ASKS_PER_LEASE = 4  # asks by which a holder renews within a lease: two may be lost
+MIN_ASK_INTERVAL_S = 0.25  # between two asks while parts move
 
 
 def used_for(lease: float, drift: float) -> float:
@@ -40,17 +40,17 @@
 
 def renew_every(lease: float) -> float:
     """Seconds between two asks by which a holder keeps its lease."""
-    return lease / ROUNDS_A_LEASE
+    return lease / ASKS_PER_LEASE
 
 
 def reuse_after_crash(lease: float, ends_within: float, drift: float) -> float:
     """From a holder's crash until its part is in use elsewhere: the grant, and two rounds of asking."""
-    return held_for(hold(lease, ends_within), drift) / (1 - drift) + 2 * FLUX_S
+    return held_for(hold(lease, ends_within), drift) / (1 - drift) + 2 * MIN_ASK_INTERVAL_S
 
 
 def reuse_after_goodbye() -> float:
     """From a holder's goodbye until its part is in use elsewhere: two rounds."""
-    return 2 * FLUX_S
+    return 2 * MIN_ASK_INTERVAL_S
 
 
 def lowered_within(lease: float) -> float:
--- a/mountgauge/budgets/wire.py
+++ b/mountgauge/budgets/wire.py
@@ -15,8 +15,8 @@
 from mountgauge.tenants.wire import MOST_NAME, RefusedDatagramError, Seal
 
 HEAD = b"B1"
-LINES = 10  # of a datagram, so that it stays under 1,200 bytes
-_MOST_ENDED = 16
+MAX_LINES = 10  # of a datagram, so that it stays under 1,200 bytes
+_MAX_ENDED = 16
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
@@ -77,8 +77,8 @@
 
 def close(seal: Seal, message: Ask | Answer) -> Iterator[bytes]:
     """The datagrams of a message."""
-    for begin in range(0, max(1, len(message.lines)), LINES):
-        lines = message.lines[begin : begin + LINES]
+    for begin in range(0, max(1, len(message.lines)), MAX_LINES):
+        lines = message.lines[begin : begin + MAX_LINES]
         if isinstance(message, Ask):
             asked = [
                 _AskLine(one.budget, one.number, _bytes(one.claims), *one[3:]) for one in lines
@@ -86,7 +86,7 @@
             ]  # fmt: skip
             found: _Ask | _Answer = _Ask(
                 message.name, message.run, message.epoch, message.file_epoch, message.lists, asked,
-                list(message.ended[:_MOST_ENDED]), message.leaving,
+                list(message.ended[:_MAX_ENDED]), message.leaving,
             )  # fmt: skip
         else:
             said = [
@@ -95,7 +95,7 @@
             ]  # fmt: skip
             found = _Answer(
                 message.name, message.to, message.to_run, message.file_epoch, message.lists, said,
-                list(message.ended[:_MOST_ENDED]), message.refused,
+                list(message.ended[:_MAX_ENDED]), message.refused,
             )  # fmt: skip
         yield seal.lock(_ENCODER.encode(found), HEAD)
 
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -14,13 +14,13 @@
 from hypothesis import strategies as st
 
 from mountgauge.budgets import wire
-from mountgauge.budgets.files import Votes
+from mountgauge.budgets.files import GrantFile
 from mountgauge.budgets.gate import Gate
 from mountgauge.budgets.grants import GrantRecord, Holder
-from mountgauge.budgets.member import Part
+from mountgauge.budgets.member import Share
 from mountgauge.budgets.messages import Answer, AnswerLine, Ask, AskLine
 from mountgauge.budgets.service import Budgets
-from mountgauge.budgets.shares import Budget, Kind, Of
+from mountgauge.budgets.shares import Budget, Kind, Scope
 from mountgauge.budgets.table import rows, sound
 from mountgauge.cli import main
 from mountgauge.core.config import ConfigError
@@ -31,11 +31,11 @@
 
 INF = math.inf
 RATE = Budget("a-rate", Kind.RATE, 20, burst=6)
-OUT = Budget("b-out", Kind.CONCURRENT, 8, of=Of(dest=7), ends_within_s=3.0)
-DAY = Budget("c-day", Kind.ALLOWANCE, 5, of=Of(endpoint="x"), period_s=100.0)
+OUT = Budget("b-out", Kind.CONCURRENT, 8, scope=Scope(dest=7), ends_within_s=3.0)
+DAY = Budget("c-day", Kind.ALLOWANCE, 5, scope=Scope(endpoint="x"), period_s=100.0)
 
 
-def gate(parts: dict[str, Part], *budgets: Budget) -> Gate:
+def gate(parts: dict[str, Share], *budgets: Budget) -> Gate:
     return Gate(budgets, lambda name, now: (parts[name], 20.0, 2), 0.0)
 
 
@@ -50,7 +50,7 @@
     moves: list[tuple[float, str, float]],
 ) -> None:
     """Parts that grow, shrink and lapse; what was let through is held against what the parts allowed."""
-    parts = {"a-rate": Part(1.0, 5.0, INF)}
+    parts = {"a-rate": Share(1.0, 5.0, INF)}
     one, now, level = gate(parts, RATE), 0.0, 0.0
     for gap, what, amount in moves:
         had = parts["a-rate"]
@@ -58,7 +58,7 @@
         level += had.total * lasts + had.reserve * (gap - lasts)
         now += gap
         if now >= had.until:
-            parts["a-rate"] = had = Part(had.reserve, 0.0, INF)
+            parts["a-rate"] = had = Share(had.reserve, 0.0, INF)
         level = min(level, 1 + 4 * had.total / 20)
         if what == "call":
             if one.start(7, "x", now) == 0 and one.take(7, "x", now):
@@ -67,15 +67,15 @@
             continue
         one.settle(now)
         parts["a-rate"] = {
-            "grow": Part(1.0, max(had.leased, amount), had.until),
-            "shrink": Part(1.0, min(had.leased, amount), INF),
-            "lapse": Part(1.0, had.leased, now + 0.3),
+            "grow": Share(1.0, max(had.leased, amount), had.until),
+            "shrink": Share(1.0, min(had.leased, amount), INF),
+            "lapse": Share(1.0, had.leased, now + 0.3),
         }[what]  # fmt: skip
         one.settle(now)
         level = min(level, 1 + 4 * parts["a-rate"].total / 20)
 
 
-def binds(of: Of, dest: int, endpoint: str) -> bool:
+def binds(of: Scope, dest: int, endpoint: str) -> bool:
     same_dest = of.dest is None or of.dest == dest
     return same_dest and of.tenant is None and (of.endpoint is None or of.endpoint == endpoint)
 
@@ -88,28 +88,30 @@
         found = []
         for n in rng.sample(range(60), 40):
             dest, endpoint = rng.choice([None, 1, 2, 3]), rng.choice([None, "x", "y"])
-            of = Of(tenant=rng.choice("ab")) if rng.random() < 0.2 else Of(dest, endpoint)
-            found.append(Budget(f"b{n}", Kind.RATE, 20, burst=6, of=of))
+            of = Scope(tenant=rng.choice("ab")) if rng.random() < 0.2 else Scope(dest, endpoint)
+            found.append(Budget(f"b{n}", Kind.RATE, 20, burst=6, scope=of))
         return found
 
-    parts = {f"b{n}": Part(20, 0, INF) for n in range(60)}
+    parts = {f"b{n}": Share(20, 0, INF) for n in range(60)}
     one = gate(parts, *drawn())
     for _ in range(3):
         waiting = {(dest, hop): rng.randint(0, 9) for dest in range(5) for hop in ("x", "y", "z", "")}
         uses = one.uses(waiting, 0.0)
-        for name, book in one.books.items():
-            of = book.budget.of
-            assert book.waiting == sum(n for at, n in waiting.items() if binds(of, *at))
-            assert uses[name].demand == pytest.approx(book.waiting / 2.0)
+        for name, account in one.accounts.items():
+            of = account.budget.scope
+            assert account.waiting == sum(n for at, n in waiting.items() if binds(of, *at))
+            assert uses[name].demand == pytest.approx(account.waiting / 2.0)
         for dest, hop in waiting:
-            plain = sorted(name for name, book in one.books.items() if binds(book.budget.of, dest, hop))
-            assert [book.budget.name for book in one.binding(dest, hop)] == plain
+            plain = sorted(
+                name for name, account in one.accounts.items() if binds(account.budget.scope, dest, hop)
+            )
+            assert [account.budget.name for account in one.binding(dest, hop)] == plain
         one.reload(drawn(), 0.0)
 
 
 def test_a_call_passes_over_the_budgets_of_other_destinations() -> None:
-    parts = {f"b{n}": Part(20, 0, INF) for n in range(2_000)}
-    one = gate(parts, *(Budget(name, Kind.RATE, 20, burst=6, of=Of(n)) for n, name in enumerate(parts)))
+    parts = {f"b{n}": Share(20, 0, INF) for n in range(2_000)}
+    one = gate(parts, *(Budget(name, Kind.RATE, 20, burst=6, scope=Scope(n)) for n, name in enumerate(parts)))
     one.settle(0.0)
     visits: list[object] = []
     watch(one, visits)
@@ -122,14 +124,14 @@
 
 
 def test_all_budgets_of_a_call_hold_and_none_leaks_when_one_says_no() -> None:
-    parts = {"a-rate": Part(20, 0, INF), "b-out": Part(2, 0, INF), "c-day": Part(3, 0, INF)}
+    parts = {"a-rate": Share(20, 0, INF), "b-out": Share(2, 0, INF), "c-day": Share(3, 0, INF)}
     one = gate(parts, RATE, OUT, DAY)
     assert one.start(7, "x", 0.0) > 0, "a new process has no calls saved up"
     assert one.start(7, "x", 1.0) == 0 and one.start(7, "x", 1.0) == 0
     assert one.start(7, "x", 1.0) > 0, "two places of calls out are kept"
-    level = one.books["a-rate"].level
+    level = one.accounts["a-rate"].level
     assert one.take(7, "x", 1.0) and one.take(7, "x", 1.0) and not one.take(7, "x", 1.0)
-    assert one.books["a-rate"].level == pytest.approx(level - 2) and one.books["c-day"].used(1.0) == 2
+    assert one.accounts["a-rate"].level == pytest.approx(level - 2) and one.accounts["c-day"].used(1.0) == 2
     one.ended(7, "x", 1.1, answered=False)
     assert one.start(7, "x", 4.0) > 0, "it may still run at the partner"
     one.ended(7, "x", 4.0, answered=True)
@@ -137,13 +139,13 @@
     one.ended(7, "x", 4.05, answered=True)
     assert one.start(7, "x", 4.2) > 0 and one.start(7, "y", 4.2) == 0, "three of three a day, of `x` alone"
     assert one.start(7, "x", 101.5) == 0, "the first has left the period"
-    parts["b-out"] = Part(0, 0, INF)
+    parts["b-out"] = Share(0, 0, INF)
     one.settle(101.5)
     assert not one.take(7, "x", 101.5), "the part went between the two"
 
 
 def test_use_is_what_is_asked_for_and_what_is_in_use_is_not_given_back() -> None:
-    parts = {"b-out": Part(1, 4, INF)}
+    parts = {"b-out": Share(1, 4, INF)}
     one = gate(parts, OUT)
     for _ in range(3):
         assert one.start(7, "x", 0.0) == 0 and one.take(7, "x", 0.0)
@@ -152,8 +154,8 @@
 
 
 def test_what_is_taken_on_for_a_tenant_is_bound_and_given_back() -> None:
-    mine = Budget("t", Kind.RATE, 20, burst=6, of=Of(tenant="rossi"))
-    one = gate({"t": Part(2, 0, INF)}, mine)
+    mine = Budget("t", Kind.RATE, 20, burst=6, scope=Scope(tenant="rossi"))
+    one = gate({"t": Share(2, 0, INF)}, mine)
     assert one.admit("verdi", 0.0) == 0 and one.start(7, "x", 0.0) == 0, "another's, and calls, are free"
     assert one.admit("rossi", 0.0) == 0.5 and one.admit("rossi", 0.5) == 0
     assert one.admit("rossi", 0.5) > 0
@@ -167,25 +169,25 @@
 ]
 
 
-def _old(votes: Votes) -> None:
+def _old(votes: GrantFile) -> None:
     content = votes.path.read_bytes()
     votes.grant(GRANTS[:1])
     votes.path.write_bytes(content)
 
 
-def _foreign(votes: Votes) -> None:
-    other = Votes(votes.path.parent.parent / "other", "m9", votes.witness.parent)
+def _foreign(votes: GrantFile) -> None:
+    other = GrantFile(votes.path.parent.parent / "other", "m9", votes.witness.parent)
     other.begin(1)
     votes.path.write_bytes(other.path.read_bytes())
 
 
-def _flip(votes: Votes) -> None:
+def _flip(votes: GrantFile) -> None:
     content = bytearray(votes.path.read_bytes())
     content[-40] ^= 1
     votes.path.write_bytes(content + b"00000000 []\n")
 
 
-def _rebooted(votes: Votes) -> None:
+def _rebooted(votes: GrantFile) -> None:
     _, rest = votes.witness.read_text().split(" ", 1)
     votes.witness.write_text("another-boot " + rest)
 
@@ -202,21 +204,21 @@
     ],
 )  # fmt: skip
 def test_a_folder_is_counted_on_only_where_it_is_surely_the_last_one(
-    tmp_path: Path, harm: Callable[[Votes], None], why: str
+    tmp_path: Path, harm: Callable[[GrantFile], None], why: str
 ) -> None:
-    votes = Votes(tmp_path / "state", "m1", tmp_path / "witnesses")
+    votes = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
     votes.begin(0)
     votes.grant(GRANTS)
     votes.adopted(3)
     harm(votes)
     votes.close()
-    again = Votes(tmp_path / "state", "m1", tmp_path / "witnesses")
+    again = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
     assert again.kept == (not why) and why in again.why
     if not why:
         assert again.written == {"calls": [GRANTS[0][1]], "out": [GRANTS[1][1]]} and again.epoch == 3
         again.begin(3)
         again.grant(GRANTS[:1])
-        third = Votes(tmp_path / "state", "m1", tmp_path / "witnesses")
+        third = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
         assert third.kept and len(third.written["calls"]) == 2
 
 
@@ -227,7 +229,7 @@
     file = tmp_path / "m1.toml"
     file.write_text(FILE)
     assert main(["budgets", "--new", str(file)]) == 0
-    assert Votes(tmp_path / "state", "m1").kept
+    assert GrantFile(tmp_path / "state", "m1").kept
     assert main(["budgets", "--new", str(file)]) == 1
     assert "something was promised here before" in capsys.readouterr().err
 
@@ -236,7 +238,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
-    votes = Votes(tmp_path / "state", "m1")
+    votes = GrantFile(tmp_path / "state", "m1")
     votes.begin(3)
     votes.close()
     file = tmp_path / "m1.toml"
@@ -254,7 +256,7 @@
 def test_a_grant_that_cannot_be_written_is_told_and_the_file_stays_readable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    votes = Votes(tmp_path / "state", "m1", tmp_path / "witnesses")
+    votes = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
     votes.begin(1)
     whole = os.write
     monkeypatch.setattr(os, "write", lambda fd, data: whole(fd, data[:20]))
@@ -262,7 +264,7 @@
         votes.grant(GRANTS)
     monkeypatch.undo()
     votes.grant(GRANTS[1:])
-    again = Votes(tmp_path / "state", "m1", tmp_path / "witnesses")
+    again = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
     assert again.kept and set(again.written) == {"out"}
 
 
@@ -343,7 +345,7 @@
     file = tmp_path / "m1.toml"
     file.write_text(FILE)
     found = load(file)
-    assert found.budgets is not None and found.budgets.budgets[0].of == Of(dest=7)
+    assert found.budgets is not None and found.budgets.budgets[0].scope == Scope(dest=7)
     assert old in FILE
     file.write_text(FILE.replace(old, new, 1))
     with pytest.raises(ConfigError) as error:
--- a/tests/budgets/test_pure.py
+++ b/tests/budgets/test_pure.py
@@ -10,7 +10,7 @@
 
 from benchmarks.budget_model import MUTANTS, QUICK, explore
 from mountgauge.budgets import shares, timing
-from mountgauge.budgets.fair_shares import HEADROOM, Wants, divide, max_min
+from mountgauge.budgets.fair_shares import HEADROOM, Demand, divide, max_min
 from mountgauge.budgets.grants import Grants, Holder
 from mountgauge.budgets.leases import Leases, at_least
 from mountgauge.budgets.membership import MemberEntry, MemberList, Membership
@@ -34,9 +34,9 @@
     total = 0.0
     for member, whole in enumerate(wholes):
         mask = sum(1 << place for place, owner in enumerate(owners) if owner == member)
-        total += shares.reserve(budget, whole, members) + shares.masked_worth(budget, whole, members, mask)
+        total += shares.reserve(budget, whole, members) + shares.mask_value(budget, whole, members, mask)
         if whole == max(wholes) and kind is Kind.RATE:
-            all_of_it = shares.masked_worth(budget, whole, members, (1 << 16) - 1)
+            all_of_it = shares.mask_value(budget, whole, members, (1 << 16) - 1)
             assert all_of_it + members * shares.reserve(budget, whole, members) == pytest.approx(whole)
     assert total <= max(wholes) + 1e-6
 
@@ -45,15 +45,15 @@
 @given(
     st.integers(0, 200),
     st.dictionaries(
-        st.text("abcdef", min_size=1, max_size=2), st.builds(Wants, st.floats(0, 300), st.floats(0.1, 5))
+        st.text("abcdef", min_size=1, max_size=2), st.builds(Demand, st.floats(0, 300), st.floats(0.1, 5))
     ),
 )
 def test_division_is_max_min_fair_and_never_gives_more_than_there_is(
-    slices: int, wants: dict[str, Wants]
+    slices: int, wants: dict[str, Demand]
 ) -> None:
     found, real = divide(slices, wants), max_min(slices, wants)
     assert sum(found.values()) <= slices and all(count >= 0 for count in found.values())
-    eased = {name: Wants(min(slices, want.slices * HEADROOM), want.weight) for name, want in wants.items()}
+    eased = {name: Demand(min(slices, want.slices * HEADROOM), want.weight) for name, want in wants.items()}
     assert all(found[name] >= int(share) - 1 for name, share in max_min(slices, eased).items())
     short = [name for name in wants if real[name] < wants[name].slices - 1e-6]
     for name in short:  # nobody with more for its weight could give to one that is short
