--- a/mountgauge/budgets/__init__.py
+++ b/mountgauge/budgets/__init__.py
@@ -1,5 +1,6 @@
-"""Fleet-wide budgets: parts that never sum to more than the whole, leased by majority and moved by demand.
+"""Fleet-wide budgets: member shares that never sum to more than the total, leased by majority vote and
+moved to where the demand is.
 
 Decisions without I/O or clock: `shares`, `fair_shares`, `grants`, `leases`, `member`, `membership`, `gate`,
-bounds in `timing`. Round them: `wire`, `files`, `service`, `settings`, `table`.
+with the time bounds in `timing`. I/O and configuration: `wire`, `files`, `service`, `settings`, `table`.
 """
--- a/mountgauge/budgets/fair_shares.py
+++ b/mountgauge/budgets/fair_shares.py
@@ -1,4 +1,4 @@
-"""Who should hold how many slices: max-min by weight, in whole slices. Pure.
+"""Divides slices among members: weighted max-min fair shares, rounded to integers. Pure.
 
 Source: D. Bertsekas and R. Gallager, "Data Networks", 6.5.2 (max-min fair shares by progressive filling).
 """
@@ -9,54 +9,60 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-HEADROOM = 1.15  # of what is wanted: demand must be able to show that it grows
+HEADROOM = 1.15  # factor on the demand, so that a growing demand becomes visible
 
 
 class Demand(NamedTuple):
-    """What a member could use of the pool, in slices (need not be whole), and its weight."""
+    """How many slices of the pool a member could use (may be a fraction), and its weight."""
 
     slices: float
     weight: float = 1.0
 
 
-def max_min(total: float, wants: Mapping[str, Demand]) -> dict[str, float]:
-    """Shares of `total` in real numbers: none above what it wants, and none could have more without one that
-    has less for its weight having less still.
+def max_min(total: float, demands: Mapping[str, Demand]) -> dict[str, float]:
+    """Shares of `total` as real numbers. No share exceeds its demand, and none could grow without lowering
+    a share that is smaller for its weight.
     """
-    found = dict.fromkeys(wants, 0.0)
-    open_ = {name for name, want in wants.items() if want.slices > 0 and want.weight > 0}
-    left = total
-    while open_ and left > 1e-12:
-        level = left / sum(wants[name].weight for name in open_)
-        full = {name for name in open_ if wants[name].slices - found[name] <= level * wants[name].weight}
-        for name in full or open_:
-            found[name] = wants[name].slices if name in full else found[name] + level * wants[name].weight
-        left = total - sum(found.values())
-        if not full:
+    shares = dict.fromkeys(demands, 0.0)
+    unsatisfied = {name for name, demand in demands.items() if demand.slices > 0 and demand.weight > 0}
+    remainder = total
+    while unsatisfied and remainder > 1e-12:
+        level = remainder / sum(demands[name].weight for name in unsatisfied)
+        satisfied = {
+            name for name in unsatisfied
+            if demands[name].slices - shares[name] <= level * demands[name].weight
+        }  # fmt: skip
+        for name in satisfied or unsatisfied:
+            shares[name] = (
+                demands[name].slices if name in satisfied else shares[name] + level * demands[name].weight
+            )
+        remainder = total - sum(shares.values())
+        if not satisfied:
             break
-        open_ -= full
-    return found
+        unsatisfied -= satisfied
+    return shares
 
 
-def divide(slices: int, wants: Mapping[str, Demand]) -> dict[str, int]:
-    """Whole slices for each; together `slices` at most, by largest remainder, ties by name.
+def divide(slices: int, demands: Mapping[str, Demand]) -> dict[str, int]:
+    """The number of slices for each member, `slices` together at most; rounded by largest remainder, ties
+    by name.
 
-    What nobody wants is spread by weight, so that a member that begins to ask has something at once; one that
-    wants a part of a slice gets all of it where there is one.
+    Slices without demand are spread by weight, so that a member whose demand begins has some at once. A
+    member that could use a fraction of a slice gets a whole one where there is one.
     """
-    wanted = {
-        name: Demand(min(float(slices), max(0.0, want.slices * HEADROOM)), want.weight)
-        for name, want in wants.items()
+    raised = {
+        name: Demand(min(float(slices), max(0.0, demand.slices * HEADROOM)), demand.weight)
+        for name, demand in demands.items()
     }
-    real = max_min(slices, wanted)
+    real = max_min(slices, raised)
     idle = slices - sum(real.values())
-    weights = sum(max(0.0, want.weight) for want in wants.values())
+    weights = sum(max(0.0, demand.weight) for demand in demands.values())
     if idle > 1e-9 and weights > 0:
-        real = {name: share + idle * max(0.0, wants[name].weight) / weights for name, share in real.items()}
-    found = {name: math.floor(share + 1e-9) for name, share in real.items()}
-    left = slices - sum(found.values())
-    by_rest = sorted(real, key=lambda name: (found[name] - real[name], name))
-    for name in by_rest[: max(0, left)]:
-        if real[name] - found[name] > 1e-9:
-            found[name] += 1
-    return found
+        real = {name: share + idle * max(0.0, demands[name].weight) / weights for name, share in real.items()}
+    rounded = {name: math.floor(share + 1e-9) for name, share in real.items()}
+    remainder = slices - sum(rounded.values())
+    by_fraction = sorted(real, key=lambda name: (rounded[name] - real[name], name))
+    for name in by_fraction[: max(0, remainder)]:
+        if real[name] - rounded[name] > 1e-9:
+            rounded[name] += 1
+    return rounded
