--- a/mountgauge/budgets/grants.py
+++ b/mountgauge/budgets/grants.py
@@ -1,16 +1,16 @@
-"""A voter's side of one budget: to whom each slice is granted, and until when. No I/O, no clock.
+"""A voter's side of one budget: which holder each slice is granted to, and until when. No I/O, no clock.
 
-A slice is granted to one holder at a time, and a holder acts on a slice only while a majority of the voters
+A slice is granted to one holder at a time, and a holder uses a slice only while a majority of the voters
 has granted it (`leases`). Sets of slices are bit masks.
 
-Invariant: at no moment has a voter granted a slice to two holders. A grant that was answered lasts `hold`
-of real time from the ask's answer on, whatever happens to this process, unless its holder gave it back.
-Proof: `ask` gives a slice only where its grant is the same holder's, or is over by the own clock, which
-counts `held_for(hold)`, so `hold` of real time at least. `GrantRecord` is on disk before the answer leaves
-(the caller's duty); a process that comes back with it counts each grant anew from its start, so for longer.
-One that can't know what it granted (`kept=False`) gives nothing for `silence(longest hold)`, by when all of
-it is over. A holder that leaves a slice out of an ask has stopped acting on it before; asks are numbered,
-and one that was overtaken by a later one is not heard.
+Invariant: a voter never has a slice granted to two holders. A grant that was answered lasts at least `hold`
+of real time from the answer on, even if this process restarts, unless its holder returned it.
+Proof: `ask` grants a slice only where its grant belongs to the same holder or has expired by the voter's
+clock, which counts `held_for(hold)`, so at least `hold` of real time. The `GrantRecord` is on disk before the
+answer is sent (the caller's duty); a process that restores it counts each grant anew from its start, so for
+longer. A process that can't know its earlier grants (`kept=False`) grants nothing for
+`silence(longest hold)`, by when all of them have expired. A holder that omits a slice from an ask has stopped
+using it before; asks are numbered, and one that arrives after a later one is ignored.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 
 from mountgauge.budgets import timing
 
-MAX_REMEMBERED_RUNS = 256  # holders whose newest ask is remembered
+MAX_REMEMBERED_RUNS = 256  # holders whose newest ask number is remembered
 
 
 class Holder(NamedTuple):
-    """One run of one member: a process that comes back is another holder."""
+    """One process run of one member: after a restart it is another holder."""
 
     name: str
     run: int
 
 
 class GrantRecord(NamedTuple):
-    """What has to be on disk before the answer leaves: these slices are this holder's from now on, and
-    nobody else's.
+    """What has to be on disk before the answer is sent: from now on these slices are granted to this
+    holder, and to no other.
     """
 
     holder: Holder
@@ -44,106 +44,115 @@
 class GrantReply(NamedTuple):
     """The answer to one ask."""
 
-    granted: int  # to the asker now
-    taken: int  # granted to others
-    written: GrantRecord | None
+    granted: int  # mask granted to the asking holder
+    taken: int  # mask granted to others
+    written: GrantRecord | None  # to be written first; None where the disk has it already
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What one holder has been granted: all of it anew by each of its asks."""
+    """What one holder has been granted; each of its asks renews all of it."""
 
     mask: int
     hold: float
     until: float  # by the voter's clock
-    on_disk: int  # a mask; what is there but not granted any more only makes a restart more careful
+    on_disk: int  # mask; slices in it that are no longer granted only make a restart more cautious
 
 
 @dataclass(slots=True)
 class Grants:
-    """What one voter has granted of one budget, by holder."""
+    """The grants of one voter for one budget."""
 
     slices: int
     drift: float
-    silent_until: float = 0.0
+    silent_until: float = 0.0  # grants nothing before
     grants_by_holder: dict[Holder, Grant] = field(default_factory=dict)
-    newest: dict[Holder, int] = field(default_factory=dict)  # number of the newest ask of each, oldest first
+    newest: dict[Holder, int] = field(
+        default_factory=dict
+    )  # number of each holder's newest ask, oldest first
 
     @classmethod
     def restored(
         cls, slices: int, drift: float, now: float, kept: bool, written: Iterable[GrantRecord], longest: float
     ) -> Grants:
-        """After a start. `kept`: `written`, in order, is surely all that was granted and may still hold."""
-        found = cls(slices, drift)
+        """The state after a start. `kept`: `written`, in order, is certain to have all grants that may still
+        bind.
+        """
+        restored = cls(slices, drift)
         if not kept:
-            found.silent_until = now + timing.silence(longest, drift)
-        every = (1 << slices) - 1
-        for one in written:
-            found._take_from_others(one.holder, one.mask)
-            mask = one.mask & every
-            found.grants_by_holder[one.holder] = Grant(
-                mask, one.hold, now + timing.held_for(one.hold, drift), mask
+            restored.silent_until = now + timing.silence(longest, drift)
+        all_slices = (1 << slices) - 1
+        for record in written:
+            restored._revoke_from_others(record.holder, record.mask)
+            mask = record.mask & all_slices
+            restored.grants_by_holder[record.holder] = Grant(
+                mask, record.hold, now + timing.held_for(record.hold, drift), mask
             )
-        return found
+        return restored
 
-    def _take_from_others(self, holder: Holder, mask: int) -> None:
-        for other, had in list(self.grants_by_holder.items()):
-            if other != holder and (had.mask | had.on_disk) & mask:
+    def _revoke_from_others(self, holder: Holder, mask: int) -> None:
+        for other, grant in list(self.grants_by_holder.items()):
+            if other != holder and (grant.mask | grant.on_disk) & mask:
                 self.grants_by_holder[other] = Grant(
-                    had.mask & ~mask, had.hold, had.until, had.on_disk & ~mask
+                    grant.mask & ~mask, grant.hold, grant.until, grant.on_disk & ~mask
                 )
 
     def silent(self, now: float) -> bool:
+        """Whether this voter grants nothing yet, because it can't know its earlier grants."""
         return now < self.silent_until
 
     def taken(self, holder: Holder, now: float) -> int:
-        """What others have been granted."""
+        """The slices that are granted to other holders."""
         mask = 0
-        for other, had in self.grants_by_holder.items():
-            if other != holder and had.until > now:
-                mask |= had.mask
+        for other, grant in self.grants_by_holder.items():
+            if other != holder and grant.until > now:
+                mask |= grant.mask
         return mask
 
     def ask(self, holder: Holder, number: int, claims: int, hold: float, now: float) -> GrantReply | None:
-        """A holder says all that it holds or wants; what it left out is free. None: not heard."""
+        """Answer an ask, which names all slices that the holder has or wants; those it omits become free.
+        None: a later ask has been answered, this one is ignored.
+        """
         if number <= self.newest.get(holder, 0):
             return None
         self.newest.pop(holder, None)
         self.newest[holder] = number
         self._forget(now)
         taken = self.taken(holder, now)
-        had = self.grants_by_holder.get(holder, _NOTHING)
-        still = had.mask if had.until > now else 0
-        granted = still & claims if self.silent(now) else claims & ~taken & ((1 << self.slices) - 1)
+        previous = self.grants_by_holder.get(holder, _NO_GRANT)
+        unexpired = previous.mask if previous.until > now else 0
+        granted = unexpired & claims if self.silent(now) else claims & ~taken & ((1 << self.slices) - 1)
         if not granted:
             if holder in self.grants_by_holder:
-                self.grants_by_holder[holder] = Grant(0, had.hold, had.until, had.on_disk)
+                self.grants_by_holder[holder] = Grant(0, previous.hold, previous.until, previous.on_disk)
             return GrantReply(0, taken, None)
-        hold, until = max(hold, had.hold), max(had.until, now + timing.held_for(hold, self.drift))
-        new = bool(granted & ~had.on_disk) or hold > had.hold
+        hold, until = (
+            max(hold, previous.hold), max(previous.until, now + timing.held_for(hold, self.drift)),
+        )  # fmt: skip
+        new = bool(granted & ~previous.on_disk) or hold > previous.hold
         written = GrantRecord(holder, granted, hold) if new else None
         if written is not None:
-            self._take_from_others(holder, granted)
-        self.grants_by_holder[holder] = Grant(granted, hold, until, granted if new else had.on_disk)
+            self._revoke_from_others(holder, granted)
+        self.grants_by_holder[holder] = Grant(granted, hold, until, granted if new else previous.on_disk)
         return GrantReply(0 if self.silent(now) else granted, taken, written)
 
     def _forget(self, now: float) -> None:
-        """Grants that are over; of runs without any, the oldest: hearing an old ask of one again would only
-        grant to nobody.
+        """Drop expired grants, and the oldest ask numbers of runs without a grant: an old ask of such a run
+        that is processed again only grants slices to a holder that does not use them.
         """
-        for holder in [holder for holder, had in self.grants_by_holder.items() if had.until <= now]:
+        for holder in [holder for holder, grant in self.grants_by_holder.items() if grant.until <= now]:
             del self.grants_by_holder[holder]
-        for holder in [one for one in self.newest if one not in self.grants_by_holder][
+        for holder in [run for run in self.newest if run not in self.grants_by_holder][
             : len(self.newest) - MAX_REMEMBERED_RUNS
         ]:
             del self.newest[holder]
 
     def records(self, now: float) -> list[GrantRecord]:
-        """All that still binds: what a rewritten file has to say."""
+        """All grants that still bind, for a file that is rewritten."""
         return [
-            GrantRecord(holder, had.mask, had.hold) for holder, had in self.grants_by_holder.items()
-            if had.mask and had.until > now
+            GrantRecord(holder, grant.mask, grant.hold) for holder, grant in self.grants_by_holder.items()
+            if grant.mask and grant.until > now
         ]  # fmt: skip
 
 
-_NOTHING = Grant(0, 0.0, float("-inf"), 0)
+_NO_GRANT = Grant(0, 0.0, float("-inf"), 0)
