--- a/mountgauge/budgets/gate.py
+++ b/mountgauge/budgets/gate.py
@@ -1,15 +1,16 @@
-"""Which calls may go: each budget that binds a call must have a place for it, or none is used. No I/O, no
-clock.
-
-A call is let through twice: `start`, before a connection is looked for, so that calls without a place wait
-where they are; and `take`, in the last step before its first byte, which is what counts. Between the two its
-place is only kept (`kept`), and costs nothing.
-
-Invariant (rate): in any span of `w` s a member begins at most `level(0) + part x w` calls, where its level is
-at most `member_burst(part)`; a part that grows brings no calls with it, one that shrinks takes them away
-(`settle` is called on both sides of whatever may change a part). So the fleet's calls in any span are at most
-`whole x w + burst`. (concurrent): at each `take` the calls that are out, with those that may still run at the
-partner, are fewer than the part. (allowance): at each `take` those of the last `period_s` are.
+"""Which calls may start: each budget that binds a call must have a slot for it, or no slot is used. No I/O,
+no clock.
+
+A call passes two checks: `start`, before a connection is chosen, so that calls without a slot stay queued;
+and `take`, in the last step before its first byte, which is the one that counts. Between the two its slot is
+only pending and costs nothing.
+
+Invariant (rate): in any span of `w` s a member starts at most `tokens(0) + share x w` calls, where its tokens
+are at most `member_burst(share)`; a share that grows brings no tokens with it, one that shrinks removes them
+(`refresh` is called before and after whatever may change a share). So the fleet's calls in any span are at
+most `total x w + burst`. (concurrent): at each `take` the calls in flight, with those that may still run at
+the partner, are fewer than the share. (allowance): at each `take` the calls of the last `period_s` are fewer
+than the share.
 """
 
 from __future__ import annotations
@@ -23,10 +24,10 @@
 from mountgauge.budgets.member import Share, Usage
 from mountgauge.budgets.shares import Budget, Kind
 
-DEMAND_WINDOW_S = 2.0  # over which what is asked for is averaged
+DEMAND_WINDOW_S = 2.0  # time constant of the averaged demand
 
 
-_NO_PART = Share(0.0, 0.0, -math.inf)
+_NO_SHARE = Share(0.0, 0.0, -math.inf)
 
 
 @dataclass(slots=True)
@@ -34,190 +35,198 @@
     """One budget's account at this member."""
 
     budget: Budget
-    at: float  # when `level` was right
-    share: Share = _NO_PART
+    refilled_at: float  # when `tokens` was computed
+    share: Share = _NO_SHARE
     total: float = 0.0
     members: int = 1
-    level: float = 0.0  # calls that may begin now; a new process has none
-    out: int = 0  # calls that are out
-    running: deque[float] = field(default_factory=deque)  # until when given-up ones may still run
-    spent: deque[float] = field(default_factory=deque)  # when the calls of the last period began
-    kept: int = 0  # started, not taken
-    wanted: float = 0.0  # calls a second that ask for a place, smoothed
-    wanted_at: float = 0.0
-    waiting: int = 0  # calls that wait for a place
+    tokens: float = 0.0  # calls that may start now; a new process has none
+    in_flight: int = 0
+    maybe_running: deque[float] = field(default_factory=deque)  # by when unanswered calls have surely ended
+    call_times: deque[float] = field(default_factory=deque)  # starts of the calls of the last period
+    pending: int = 0  # calls that passed `start` but not `take`
+    demand: float = 0.0  # calls per second that ask for a slot, smoothed
+    demand_at: float = 0.0  # when `demand` was computed
+    waiting: int = 0  # calls that wait for a slot
     refused: int = 0  # times that a call had to wait
 
     def used(self, now: float) -> int:
-        """Places of a concurrent budget, or calls of an allowance, that are gone."""
+        """Slots in use of a concurrent budget, or calls of the last period of an allowance."""
         if self.budget.kind is Kind.ALLOWANCE:
-            while self.spent and self.spent[0] <= now - self.budget.period_s:
-                self.spent.popleft()
-            return len(self.spent)
-        while self.running and self.running[0] <= now:
-            self.running.popleft()
-        return self.out + len(self.running)
+            while self.call_times and self.call_times[0] <= now - self.budget.period_s:
+                self.call_times.popleft()
+            return len(self.call_times)
+        while self.maybe_running and self.maybe_running[0] <= now:
+            self.maybe_running.popleft()
+        return self.in_flight + len(self.maybe_running)
 
 
 class Gate:
-    """`part` tells what may be acted on of a budget, its whole, and by how many members that is counted."""
+    """Decides on all calls and tenant messages. `share` returns, for a budget and a time, this member's
+    share, the total, and the number of members that it is computed with.
+    """
 
     def __init__(
-        self, budgets: Collection[Budget], part: Callable[[str, float], tuple[Share, float, int]], now: float
+        self, budgets: Collection[Budget], share: Callable[[str, float], tuple[Share, float, int]], now: float
     ) -> None:
-        self._part = part
-        self.accounts = {one.name: _Account(one, now, wanted_at=now) for one in budgets}
+        self._share = share
+        self.accounts = {one.name: _Account(one, now, demand_at=now) for one in budgets}
         self._index()
 
     def reload(self, budgets: Collection[Budget], now: float) -> None:
-        """A new file: what is out stays counted."""
+        """Apply a new file; calls in flight stay counted."""
         old = self.accounts
         self.accounts = {}
         for one in budgets:
             account = old.get(one.name)
             if account is None or account.budget.kind is not one.kind:
-                account = _Account(one, now, wanted_at=now)
+                account = _Account(one, now, demand_at=now)
             account.budget = one
             self.accounts[one.name] = account
         self._index()
 
     def _index(self) -> None:
-        """The accounts by what they bind: a call must not cost what other destinations' budgets are."""
-        self._of_calls: dict[tuple[int | None, str | None], list[_Account]] = {}
-        self._of_tenants: dict[str, list[_Account]] = {}
+        """Index the accounts by scope, so that the cost of a call does not grow with the budgets of other
+        destinations.
+        """
+        self._call_accounts: dict[tuple[int | None, str | None], list[_Account]] = {}
+        self._tenant_accounts: dict[str, list[_Account]] = {}
         for account in self.accounts.values():
-            of = account.budget.scope
-            if of.tenant is None:
-                self._of_calls.setdefault((of.dest, of.endpoint), []).append(account)
+            scope = account.budget.scope
+            if scope.tenant is None:
+                self._call_accounts.setdefault((scope.dest, scope.endpoint), []).append(account)
             else:
-                self._of_tenants.setdefault(of.tenant, []).append(account)
+                self._tenant_accounts.setdefault(scope.tenant, []).append(account)
 
     def binding(self, dest: int, endpoint: str) -> list[_Account]:
-        """In the order of their names, always the same."""
+        """The accounts of all budgets that bind a call, ordered by name."""
         found: list[_Account] = []
-        for of in ((dest, endpoint), (dest, None), (None, endpoint), (None, None)):
-            found += self._of_calls.get(of, ())
+        for key in ((dest, endpoint), (dest, None), (None, endpoint), (None, None)):
+            found += self._call_accounts.get(key, ())
         return sorted(found, key=lambda account: account.budget.name)
 
-    def settle(self, now: float) -> None:
-        """Bring all accounts up to now, and look at the parts anew: on both sides of what may change them."""
+    def refresh(self, now: float) -> None:
+        """Refill all accounts and read their shares; called before and after whatever may change a share."""
         for account in self.accounts.values():
-            self._fill(account, now)
-            self._look(account, now)
-
-    def _look(self, account: _Account, now: float) -> None:
-        account.share, account.total, account.members = self._part(account.budget.name, now)
-        most = shares.member_burst(account.budget, account.share.total, account.total, account.members)
-        account.level = min(account.level, most if account.share.total > 0 else 0.0)
-
-    def _fill(self, account: _Account, now: float) -> None:
-        """Bring the level up to now, by the part that held meanwhile; a lease that is over is no part."""
-        span = max(0.0, min(now, account.share.until) - account.at)
-        account.level += account.share.total * span
-        if now >= account.share.until:  # what its lease left; the reserve went on
-            account.level += account.share.reserve * max(0.0, now - max(account.at, account.share.until))
-        account.at = max(account.at, now)
+            self._refill(account, now)
+            self._update_share(account, now)
+
+    def _update_share(self, account: _Account, now: float) -> None:
+        account.share, account.total, account.members = self._share(account.budget.name, now)
+        burst = shares.member_burst(account.budget, account.share.total, account.total, account.members)
+        account.tokens = min(account.tokens, burst if account.share.total > 0 else 0.0)
+
+    def _refill(self, account: _Account, now: float) -> None:
+        """Add the tokens since the last refill, by the share of that time; an expired lease adds none."""
+        span = max(0.0, min(now, account.share.until) - account.refilled_at)
+        account.tokens += account.share.total * span
+        if now >= account.share.until:  # since then the reserve alone has counted
+            account.tokens += account.share.reserve * max(
+                0.0, now - max(account.refilled_at, account.share.until)
+            )
+        account.refilled_at = max(account.refilled_at, now)
         if now >= account.share.until:
-            self._look(account, now)
-        most = shares.member_burst(account.budget, account.share.total, account.total, account.members)
-        account.level = min(account.level, most if account.share.total > 0 else 0.0)
+            self._update_share(account, now)
+        burst = shares.member_burst(account.budget, account.share.total, account.total, account.members)
+        account.tokens = min(account.tokens, burst if account.share.total > 0 else 0.0)
 
-    def _free(self, account: _Account, now: float, keep: int) -> float:
-        """s until a call may begin beside `keep` others; infinite where only word of others can tell."""
-        self._fill(account, now)
+    def _wait_s(self, account: _Account, now: float, pending: int) -> float:
+        """Seconds until a call may start beside `pending` others; infinite if other members decide it."""
+        self._refill(account, now)
         if account.budget.kind is Kind.RATE:
-            lacking = 1.0 + keep - account.level
+            lacking = 1.0 + pending - account.tokens
             if lacking <= 1e-9:
                 return 0.0
             return lacking / account.share.total if account.share.total > 0 else math.inf
-        if account.used(now) + keep < account.share.total:
+        if account.used(now) + pending < account.share.total:
             return 0.0
-        ends = account.running[0] - now if account.running else math.inf
-        return max(0.001, ends)
+        wait = account.maybe_running[0] - now if account.maybe_running else math.inf
+        return max(0.001, wait)
 
     def start(self, dest: int, endpoint: str, now: float) -> float:
-        """0: the call may look for its connection, a place is kept for it. Else s to wait, nothing kept."""
+        """0: the call may choose a connection, and a slot is pending for it. Else the seconds to wait."""
         accounts = self.binding(dest, endpoint)
-        wait = max((self._free(account, now, account.kept) for account in accounts), default=0.0)
+        wait = max((self._wait_s(account, now, account.pending) for account in accounts), default=0.0)
         if wait > 0:
             for account in accounts:
                 account.refused += 1
             return wait
         for account in accounts:
-            account.kept += 1
+            account.pending += 1
         return 0.0
 
     def take(self, dest: int, endpoint: str, now: float) -> bool:
-        """In the last step before the first byte of a call that was started: all its budgets, or none."""
+        """Use a slot of all budgets of a started call, or of none; in the last step before its first byte."""
         accounts = self.binding(dest, endpoint)
-        if any(self._free(account, now, 0) > 0 for account in accounts):
+        if any(self._wait_s(account, now, 0) > 0 for account in accounts):
             return False
         for account in accounts:
-            account.kept = max(0, account.kept - 1)
+            account.pending = max(0, account.pending - 1)
             if account.budget.kind is Kind.RATE:
-                account.level -= 1.0
+                account.tokens -= 1.0
             elif account.budget.kind is Kind.ALLOWANCE:
-                account.spent.append(now)
+                account.call_times.append(now)
             else:
-                account.out += 1
+                account.in_flight += 1
         return True
 
     def until(self, dest: int, endpoint: str, now: float) -> float:
-        """Until when a place that was just taken may be used: while the parts hold; the reserve goes on."""
+        """Until when a slot that was just taken may be used: while the leases last. Reserves don't expire."""
         ends = [account.share.until for account in self.binding(dest, endpoint)]
         return min((end for end in ends if end > now), default=math.inf)
 
     def admit(self, tenant: str, now: float) -> float:
-        """0: a message of the tenant may be taken on, and is counted. Else s after which to come again."""
-        accounts = self._of_tenants.get(tenant, ())
+        """0: a message of the tenant may be accepted, and is counted. Else the seconds until a retry."""
+        accounts = self._tenant_accounts.get(tenant, ())
         for account in accounts:
             self._decay(account, now)
-            account.wanted += 1 / DEMAND_WINDOW_S
-        wait = max((self._free(account, now, 0) for account in accounts), default=0.0)
+            account.demand += 1 / DEMAND_WINDOW_S
+        wait = max((self._wait_s(account, now, 0) for account in accounts), default=0.0)
         for account in accounts:
             if wait > 0:
                 account.refused += 1
             elif account.budget.kind is Kind.RATE:
-                account.level -= 1.0
+                account.tokens -= 1.0
             else:
-                account.spent.append(now)
+                account.call_times.append(now)
         return wait
 
     def give_back(self, tenant: str) -> None:
-        """What was admitted was not taken on."""
-        for account in self._of_tenants.get(tenant, ()):
+        """Undo `admit` for a message that was not accepted."""
+        for account in self._tenant_accounts.get(tenant, ()):
             if account.budget.kind is Kind.RATE:
-                account.level += 1.0
-            elif account.spent:
-                account.spent.pop()
+                account.tokens += 1.0
+            elif account.call_times:
+                account.call_times.pop()
 
-    def leave(self, dest: int, endpoint: str) -> None:
-        """A started call was not sent."""
+    def cancel(self, dest: int, endpoint: str) -> None:
+        """A call that passed `start` is not sent."""
         for account in self.binding(dest, endpoint):
-            account.kept = max(0, account.kept - 1)
+            account.pending = max(0, account.pending - 1)
 
-    def ended(self, dest: int, endpoint: str, now: float, answered: bool) -> None:
-        """A call that was taken is over; one without an answer may run at the partner for `ends_within_s`."""
+    def finish(self, dest: int, endpoint: str, now: float, answered: bool) -> None:
+        """A call that passed `take` is finished; without an answer it may run at the partner for
+        `ends_within_s`.
+        """
         for account in self.binding(dest, endpoint):
             if account.budget.kind is Kind.CONCURRENT:
-                account.out = max(0, account.out - 1)
+                account.in_flight = max(0, account.in_flight - 1)
                 if not answered and account.budget.ends_within_s > 0:
-                    account.running.append(now + account.budget.ends_within_s)
+                    account.maybe_running.append(now + account.budget.ends_within_s)
 
-    def offered(self, dest: int, endpoint: str, now: float) -> None:
-        """A call asks for a place, for the first time."""
+    def record_demand(self, dest: int, endpoint: str, now: float) -> None:
+        """A call asks for a slot for the first time."""
         for account in self.binding(dest, endpoint):
             self._decay(account, now)
-            account.wanted += 1 / DEMAND_WINDOW_S
+            account.demand += 1 / DEMAND_WINDOW_S
 
     @staticmethod
     def _decay(account: _Account, now: float) -> None:
-        account.wanted *= math.exp((account.wanted_at - now) / DEMAND_WINDOW_S)
-        account.wanted_at = now
+        account.demand *= math.exp((account.demand_at - now) / DEMAND_WINDOW_S)
+        account.demand_at = now
 
-    def uses(self, waiting: Mapping[tuple[int, str], int], now: float) -> dict[str, Usage]:
-        """What each budget could use, and what may be given back. `waiting`: by destination and endpoint the
-        calls without a place, and messages that are held before there is a call.
+    def usage(self, waiting: Mapping[tuple[int, str], int], now: float) -> dict[str, Usage]:
+        """The demand on each budget, and what of it may be returned. `waiting`: by destination and endpoint,
+        the calls without a slot and the messages that are queued for a call.
         """
         found: dict[str, Usage] = {}
         for account in self.accounts.values():
@@ -227,19 +236,20 @@
                 account.waiting += count
         for name, account in self.accounts.items():
             self._decay(account, now)
-            self._fill(account, now)
+            self._refill(account, now)
             if account.budget.kind is Kind.RATE:
-                found[name] = Usage(account.wanted + account.waiting / DEMAND_WINDOW_S)
+                found[name] = Usage(account.demand + account.waiting / DEMAND_WINDOW_S)
             else:
-                used = account.used(now) + account.kept
+                used = account.used(now) + account.pending
                 found[name] = Usage(used + account.waiting, max(0.0, account.share.total - used))
         return found
 
     def report(self, now: float) -> dict[str, dict[str, float]]:
+        """The figures of each budget that the status report adds to those of the member."""
         return {
             name: {
                 "used": account.used(now) if account.budget.kind is not Kind.RATE
-                else round(account.wanted, 2),
+                else round(account.demand, 2),
                 "waiting": account.waiting, "refused": account.refused,
             }
             for name, account in self.accounts.items()
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -88,7 +88,7 @@
         now, dest, hop = self._loop.time(), call.hop.entry.owner, call.hop.id
         if call not in self._offered:
             self._offered.add(call)
-            self.gate.offered(dest, hop, now)
+            self.gate.record_demand(dest, hop, now)
         if now < self._shut.get((dest, hop), 0.0):
             return False
         wait = self.gate.start(dest, hop, now)
@@ -121,10 +121,10 @@
         dest, hop = call.hop.entry.owner, call.hop.id
         if call in self._started:
             self._started.discard(call)
-            self.gate.leave(dest, hop)
+            self.gate.cancel(dest, hop)
         elif call in self._taken:
             self._taken.discard(call)
-            self.gate.ended(dest, hop, self._loop.time(), answered)
+            self.gate.finish(dest, hop, self._loop.time(), answered)
 
     # Running
 
@@ -144,10 +144,10 @@
     def _tick(self) -> None:
         self._timer = self._loop.call_later(TICK_S, self._tick)
         began, now = time.perf_counter(), self._loop.time()
-        uses = self.gate.uses(self.waiting(), now)
+        uses = self.gate.usage(self.waiting(), now)
         epoch = self.member.membership.adopted
         asks = self.member.tick(now, uses)
-        self.gate.settle(now)
+        self.gate.refresh(now)
         if self.member.membership.adopted != epoch:
             log.info("budget-epoch", extra=kv(epoch=self.member.membership.adopted))
             self._write(lambda: self.grant_file.adopted(self.member.membership.adopted))
@@ -184,7 +184,7 @@
 
     def _heard(self, message: Ask | Answer, source: Place | None) -> Out:
         now = self._loop.time()
-        self.gate.settle(now)  # up to here by the part that held
+        self.gate.refresh(now)  # up to here by the part that held
         if isinstance(message, Answer):
             self.member.receive_answer(message, now)
         else:
@@ -193,7 +193,7 @@
                 return []  # what could not be written must not be heard of
             if source is None:
                 self.member.receive_answer(answer, now)
-        self.gate.settle(now)
+        self.gate.refresh(now)
         if isinstance(message, Ask) and source is not None:
             out = [(sealed, source) for sealed in wire.close(self._seal(), answer)]
             self.sent_bytes += sum(len(sealed) for sealed, _ in out)
@@ -259,8 +259,8 @@
         """Say goodbye: what is not in use goes back at once."""
         for _ in range(_GOODBYE_COUNT):
             now = self._loop.time()
-            self._send(self.member.goodbye(now, self.gate.uses({}, now)))
-            self.gate.settle(now)
+            self._send(self.member.goodbye(now, self.gate.usage({}, now)))
+            self.gate.refresh(now)
             await asyncio.sleep(0.02)
 
     def close(self) -> None:
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -65,13 +65,13 @@
                 level -= 1
                 assert level >= -1e-6
             continue
-        one.settle(now)
+        one.refresh(now)
         parts["a-rate"] = {
             "grow": Share(1.0, max(had.leased, amount), had.until),
             "shrink": Share(1.0, min(had.leased, amount), INF),
             "lapse": Share(1.0, had.leased, now + 0.3),
         }[what]  # fmt: skip
-        one.settle(now)
+        one.refresh(now)
         level = min(level, 1 + 4 * parts["a-rate"].total / 20)
 
 
@@ -96,7 +96,7 @@
     one = gate(parts, *drawn())
     for _ in range(3):
         waiting = {(dest, hop): rng.randint(0, 9) for dest in range(5) for hop in ("x", "y", "z", "")}
-        uses = one.uses(waiting, 0.0)
+        uses = one.usage(waiting, 0.0)
         for name, account in one.accounts.items():
             of = account.budget.scope
             assert account.waiting == sum(n for at, n in waiting.items() if binds(of, *at))
@@ -112,14 +112,14 @@
 def test_a_call_passes_over_the_budgets_of_other_destinations() -> None:
     parts = {f"b{n}": Share(20, 0, INF) for n in range(2_000)}
     one = gate(parts, *(Budget(name, Kind.RATE, 20, burst=6, scope=Scope(n)) for n, name in enumerate(parts)))
-    one.settle(0.0)
+    one.refresh(0.0)
     visits: list[object] = []
     watch(one, visits)
-    one.offered(7, "x", 1.0)
+    one.record_demand(7, "x", 1.0)
     assert one.start(7, "x", 1.0) == 0 and one.take(7, "x", 1.0) and not visits
-    one.ended(7, "x", 2.0, True)
+    one.finish(7, "x", 2.0, True)
     assert one.admit("nobody", 2.0) == 0 and not visits
-    one.settle(2.0)
+    one.refresh(2.0)
     assert len(visits) == 2_000, "all are looked at where parts may have changed"
 
 
@@ -129,18 +129,18 @@
     assert one.start(7, "x", 0.0) > 0, "a new process has no calls saved up"
     assert one.start(7, "x", 1.0) == 0 and one.start(7, "x", 1.0) == 0
     assert one.start(7, "x", 1.0) > 0, "two places of calls out are kept"
-    level = one.accounts["a-rate"].level
+    level = one.accounts["a-rate"].tokens
     assert one.take(7, "x", 1.0) and one.take(7, "x", 1.0) and not one.take(7, "x", 1.0)
-    assert one.accounts["a-rate"].level == pytest.approx(level - 2) and one.accounts["c-day"].used(1.0) == 2
-    one.ended(7, "x", 1.1, answered=False)
+    assert one.accounts["a-rate"].tokens == pytest.approx(level - 2) and one.accounts["c-day"].used(1.0) == 2
+    one.finish(7, "x", 1.1, answered=False)
     assert one.start(7, "x", 4.0) > 0, "it may still run at the partner"
-    one.ended(7, "x", 4.0, answered=True)
+    one.finish(7, "x", 4.0, answered=True)
     assert one.start(7, "x", 4.0) == 0 and one.take(7, "x", 4.0)
-    one.ended(7, "x", 4.05, answered=True)
+    one.finish(7, "x", 4.05, answered=True)
     assert one.start(7, "x", 4.2) > 0 and one.start(7, "y", 4.2) == 0, "three of three a day, of `x` alone"
     assert one.start(7, "x", 101.5) == 0, "the first has left the period"
     parts["b-out"] = Share(0, 0, INF)
-    one.settle(101.5)
+    one.refresh(101.5)
     assert not one.take(7, "x", 101.5), "the part went between the two"
 
 
@@ -149,7 +149,7 @@
     one = gate(parts, OUT)
     for _ in range(3):
         assert one.start(7, "x", 0.0) == 0 and one.take(7, "x", 0.0)
-    use = one.uses({(7, "x"): 4, (7, ""): 2, (8, ""): 9}, 0.0)["b-out"]
+    use = one.usage({(7, "x"): 4, (7, ""): 2, (8, ""): 9}, 0.0)["b-out"]
     assert use.demand == 9 and use.spare == 2
 
 
@@ -160,7 +160,7 @@
     assert one.admit("rossi", 0.0) == 0.5 and one.admit("rossi", 0.5) == 0
     assert one.admit("rossi", 0.5) > 0
     one.give_back("rossi")
-    assert one.admit("rossi", 0.5) == 0 and one.uses({}, 0.5)["t"].demand > 1
+    assert one.admit("rossi", 0.5) == 0 and one.usage({}, 0.5)["t"].demand > 1
 
 
 GRANTS = [
