--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -197,10 +197,10 @@
     [
         (lambda votes: None, ""),
         (lambda votes: votes.path.write_bytes(votes.path.read_bytes() + b"12345678 [\"p\""), ""),
-        (lambda votes: votes.path.unlink(), "nothing was there"),
+        (lambda votes: votes.path.unlink(), "no grants file"),
         (lambda votes: votes.witness.unlink(), "no witness"),
         (_old, "an old copy"), (_foreign, "another member's folder"), (_flip, "the file is damaged"),
-        (_rebooted, "the system was started anew"),
+        (_rebooted, "the system was rebooted"),
     ],
 )  # fmt: skip
 def test_a_folder_is_counted_on_only_where_it_is_surely_the_last_one(
@@ -231,7 +231,7 @@
     assert main(["budgets", "--new", str(file)]) == 0
     assert GrantFile(tmp_path / "state", "m1").kept
     assert main(["budgets", "--new", str(file)]) == 1
-    assert "something was promised here before" in capsys.readouterr().err
+    assert "grants were recorded here before" in capsys.readouterr().err
 
 
 def test_a_file_that_lags_behind_its_folder_is_refused(
@@ -260,7 +260,7 @@
     votes.begin(1)
     whole = os.write
     monkeypatch.setattr(os, "write", lambda fd, data: whole(fd, data[:20]))
-    with pytest.raises(OSError, match="no room"):
+    with pytest.raises(OSError, match="no space left for the record"):
         votes.grant(GRANTS)
     monkeypatch.undo()
     votes.grant(GRANTS[1:])
