--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -74,7 +74,11 @@
 
     def _part(self, name: str, now: float) -> tuple[Share, float, int]:
         state = self.member.states[name]
-        return self.member.share(name, now), self.member.total(state, now), self.member.membership.counted
+        return (
+            self.member.share(name, now),
+            self.member.total(state, now),
+            self.member.membership.reserve_divisor,
+        )
 
     # The core's gate
 
@@ -234,7 +238,7 @@
 
     def _look(self, now: float) -> None:
         """Say once what an operator must know."""
-        seen: dict[str, Any] = {f"refused-by-{who}": why for who, why in self.member.refused.items()}
+        seen: dict[str, Any] = {f"refused-by-{who}": why for who, why in self.member.refusals.items()}
         for name, state in self.member.states.items():
             if (whole := self.member.total(state, now)) != state.budget.total:
                 seen[f"whole-{name}"] = whole
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -334,7 +334,7 @@
          "tenant 't'.burst: 1 is less than one call for each of 2 members"),
         ('kind = "rate"', 'kind = "sum"', "budget[0].kind: not one of rate, concurrent, allowance"),
         ("whole = 100", "whole = -1", "budget[0].whole: 0 or more"),
-        ('name = "m2"', 'name = "m1"', "member: 'm1' stands twice"),
+        ('name = "m2"', 'name = "m1"', "member: 'm1' is listed twice"),
         ('name = "m1"\nat', 'name = "m3"\nat', "member: 'm1', this file's name, is not among them"),
         ("[[member]]\nname = \"m2\"", "[[member]]\nvoter = 1\nname = \"m2\"", "member[1].voter: wrong type"),
         ("[fleet]", "[fleet]\ndrift = 0.5", "fleet.drift: 0 to 0.2"),
--- a/tests/budgets/test_pure.py
+++ b/tests/budgets/test_pure.py
@@ -110,20 +110,20 @@
     assert lists(2, *base, ("d", 2)).validation_error() == ""
     assert lists(2, *base, ("d", 2), ("e", 2)).validation_error() == "epoch 2: one member at a time, not d, e"
     assert lists(3, *base, ("d", 2), ("e", 2), settled=2).validation_error() == ""
-    assert lists(1, ("a",), ("a",)).validation_error() == "'a' stands twice"
+    assert lists(1, ("a",), ("a",)).validation_error() == "'a' is listed twice"
     assert lists(1, ("a", 2)).validation_error() == "since: past the epoch"
-    assert lists(2, ("a", 1, 2)).validation_error() == "nobody is listed"
+    assert lists(2, ("a", 1, 2)).validation_error() == "no member is listed"
     few = lists(1, ("a",), ("b",), ("c",), ("d", 1, 9, False, False))
     assert few.voters(1) == ("a", "b", "c") and few.at(1) == ("a", "b", "c", "d")
 
 
 def test_an_epoch_is_adopted_once_a_majority_has_left_the_one_before_last() -> None:
-    member = Membership("a", lists(1, ("a",), ("b",), ("c",)), 10.0, 0.0, sure=0)
+    member = Membership("a", lists(1, ("a",), ("b",), ("c",)), 10.0, 0.0, kept_epoch=0)
     assert member.step(0.0) and member.adopted == 1, "there is none before the first"
     assert member.reload(lists(2, ("a",), ("b",), ("c",), ("d", 2))) == ""
-    member.hear("b", 1, 1.0)
+    member.observe_epoch("b", 1, 1.0)
     assert not member.step(20.0), "b is still at 1 and would serve whoever counts by it"
-    member.hear("b", 2, 20.0)
+    member.observe_epoch("b", 2, 20.0)
     assert not member.step(29.9) and member.step(30.1) and member.voters == ("a", "b", "c", "d")
     assert member.reload(lists(1, ("a",), ("b",), ("c",))) == "epoch 1 is behind 2"
     assert member.reload(lists(2, ("a",), ("b",), ("c",))) == "epoch 2 had other members"
@@ -131,18 +131,18 @@
 
 def test_a_reserve_is_divided_by_all_who_may_act_on_one() -> None:
     base = [("a",), ("b",), ("c",)]
-    added = Membership("d", lists(2, *base, ("d", 2)), 10.0, 0.0, sure=0)
-    assert added.counted == 4 and not added.may_use_reserve()
+    added = Membership("d", lists(2, *base, ("d", 2)), 10.0, 0.0, kept_epoch=0)
+    assert added.reserve_divisor == 4 and not added.may_use_reserve()
     for name in "ab":
-        added.hear(name, 2, 1.0)
-    added.hear("c", 1, 1.0)
+        added.observe_epoch(name, 2, 1.0)
+    added.observe_epoch("c", 1, 1.0)
     assert not added.may_use_reserve(), "c still divides by three"
-    added.hear("c", 2, 2.0)
+    added.observe_epoch("c", 2, 2.0)
     assert added.may_use_reserve()
-    left = Membership("a", lists(2, ("a",), ("b",), ("c", 1, 2)), 10.0, 0.0, sure=0)
-    assert left.counted == 3 and left.may_use_reserve(), "c may still run"
-    left.hear_ended(["b", "c"])
-    assert left.counted == 2, "the word of a member that is listed does not end it"
+    left = Membership("a", lists(2, ("a",), ("b",), ("c", 1, 2)), 10.0, 0.0, kept_epoch=0)
+    assert left.reserve_divisor == 3 and left.may_use_reserve(), "c may still run"
+    left.observe_ended(["b", "c"])
+    assert left.reserve_divisor == 2, "the word of a member that is listed does not end it"
 
 
 @pytest.mark.parametrize("name", ["skip-the-durable-write", "answer-after-a-lost-folder", "majority-less-one",
