--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -1,4 +1,4 @@
-"""Puts the folder, the fleet's socket and the loop's timers round a member and its gate."""
+"""Connects a member and its gate with the state folder, the fleet's socket and the event loop's timers."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 log = logging.getLogger("mountgauge.budgets")
 
-TICK_S = 0.05  # between two looks at parts, demand and calls that wait
-_GOODBYE_COUNT = 3  # times that one that ends says so
-_REPORTED_CHANGE_SHARE = 0.03  # of a part by which it must have moved for the module to be told
+TICK_S = 0.05  # interval of the update of shares and demand, and of the check of calls that wait
+_GOODBYE_COUNT = 3  # times that a process that stops sends its last asks, since datagrams may be lost
+_REPORTED_CHANGE_SHARE = 0.03  # a share must change by this fraction to be reported to the module
 
 
 class Budgets:
@@ -39,27 +39,27 @@
         self.file, self.name, self._seal = file, name, seal
         self._loop = asyncio.get_running_loop()
         self.folder, self.run = folder, secrets.randbits(62) + 1
-        self._arrive()
-        self.gate = Gate(file.budgets, self._part, self._loop.time())
+        self._read_folder()
+        self.gate = Gate(file.budgets, self._share, self._loop.time())
         self.waiting: Callable[[], Mapping[tuple[int, str], int]] = dict
         self.release: Callable[[], None] = lambda: None
-        self.on_shares_changed: Callable[[Mapping[int, float]], None] = lambda parts: None
+        self.on_shares_changed: Callable[[Mapping[int, float]], None] = lambda shares: None
         self.send: Callable[[Out], None] = lambda out: None
         self.refused: dict[str, int] = {}  # datagrams, by reason
         self.sent_bytes = 0
-        self.busy_s = 0.0  # that asks, answers and looks at parts have taken
-        self._started: set[Call] = set()  # calls with a place that is kept
-        self._taken: set[Call] = set()
-        self._offered: set[Call] = set()
-        self._shut: dict[tuple[int, str], float] = {}  # until when no call there need ask again
+        self.busy_s = 0.0  # processing time of asks, answers and updates
+        self._started: set[Call] = set()  # calls with a pending slot
+        self._taken: set[Call] = set()  # calls that use a slot
+        self._counted_demand: set[Call] = set()  # calls whose demand is counted
+        self._wait_until: dict[tuple[int, str], float] = {}  # by destination and endpoint: no slot before
         self._timer: asyncio.TimerHandle | None = None
-        self._wake: asyncio.TimerHandle | None = None
-        self._failed = False
-        self._said: dict[str, Any] = {}
-        self._told: dict[int, float] = {}
+        self._wake_timer: asyncio.TimerHandle | None = None
+        self._write_failed = False
+        self._logged: dict[str, Any] = {}
+        self._reported_shares: dict[int, float] = {}
 
-    def _arrive(self) -> None:
-        """What the folder says. ConfigError where the file lags behind what this folder has seen."""
+    def _read_folder(self) -> None:
+        """Read the state folder. ConfigError where the file's epoch is older than one that the folder has."""
         file = self.file
         self.grant_file = GrantFile(self.folder, self.name)
         if file.lists.epoch < self.grant_file.epoch:
@@ -72,7 +72,7 @@
             self.grant_file.kept, self.grant_file.written,
         )  # fmt: skip
 
-    def _part(self, name: str, now: float) -> tuple[Share, float, int]:
+    def _share(self, name: str, now: float) -> tuple[Share, float, int]:
         state = self.member.states[name]
         return (
             self.member.share(name, now),
@@ -83,33 +83,37 @@
     # The core's gate
 
     def admit(self, tenant: str) -> float:
+        """0: a message of the tenant may be accepted. Else the seconds until a retry."""
         return self.gate.admit(tenant, self._loop.time())
 
     def give_back(self, tenant: str) -> None:
+        """Undo `admit` for a message that was not accepted."""
         self.gate.give_back(tenant)
 
     def start(self, call: Call) -> bool:
+        """Whether the call may choose a connection now; else it is checked again at `release`."""
         now, dest, hop = self._loop.time(), call.hop.entry.owner, call.hop.id
-        if call not in self._offered:
-            self._offered.add(call)
+        if call not in self._counted_demand:
+            self._counted_demand.add(call)
             self.gate.record_demand(dest, hop, now)
-        if now < self._shut.get((dest, hop), 0.0):
+        if now < self._wait_until.get((dest, hop), 0.0):
             return False
         wait = self.gate.start(dest, hop, now)
         if wait <= 0:
             self._started.add(call)
             return True
-        self._shut[dest, hop] = now + min(wait, TICK_S)
-        if wait < TICK_S and self._wake is None:
-            self._wake = self._loop.call_later(wait, self._woken)
+        self._wait_until[dest, hop] = now + min(wait, TICK_S)
+        if wait < TICK_S and self._wake_timer is None:
+            self._wake_timer = self._loop.call_later(wait, self._on_wake)
         return False
 
-    def _woken(self) -> None:
-        self._wake = None
-        self._shut.clear()
+    def _on_wake(self) -> None:
+        self._wake_timer = None
+        self._wait_until.clear()
         self.release()
 
     def take(self, call: Call) -> bool:
+        """Whether the call has its slots, in the last step before its first byte."""
         taken = self.gate.take(call.hop.entry.owner, call.hop.id, self._loop.time())
         if taken:
             self._started.discard(call)
@@ -117,11 +121,12 @@
         return taken
 
     def until(self, call: Call) -> float:
-        """Until when the place that the call has just taken may be used."""
+        """Until when the slot that the call has just taken may be used."""
         return self.gate.until(call.hop.entry.owner, call.hop.id, self._loop.time())
 
     def finished(self, call: Call, answered: bool) -> None:
-        self._offered.discard(call)
+        """The call is finished, whether it was sent or not."""
+        self._counted_demand.discard(call)
         dest, hop = call.hop.entry.owner, call.hop.id
         if call in self._started:
             self._started.discard(call)
@@ -133,10 +138,10 @@
     # Running
 
     def begin(self) -> None:
-        """Before clients are let in, with the fleet's socket bound: an earlier process that wrote the file
-        while this one started has gone by now. OSError where the folder cannot be written.
+        """Start before clients are accepted, with the fleet's socket bound: a previous process that wrote the
+        file while this one started has ended by then. OSError where the folder cannot be written.
         """
-        self._arrive()
+        self._read_folder()
         self.grant_file.begin(self.member.membership.adopted)
         log.info("budgets", extra=kv(budgets=len(self.file.budgets), epoch=self.file.lists.epoch,
                                      members=len(self.file.lists.at(self.file.lists.epoch)),
@@ -158,10 +163,10 @@
         self._send(asks)
         if self.grant_file.full:
             self._write(lambda: self.grant_file.rewrite(self.member.records(now)))
-        self._tell(now)
-        self._look(now)
+        self._report_shares(now)
+        self._log_conflicts(now)
         self.busy_s += time.perf_counter() - began
-        self._shut.clear()
+        self._wait_until.clear()
         self.release()
 
     def _send(self, messages: Iterable[tuple[str, Ask | Answer]]) -> None:
@@ -169,32 +174,32 @@
         out: Out = []
         for target, message in messages:
             if target == self.name:
-                self._heard(message, None)
+                self._apply(message, None)
             elif target in places:
                 out += [(data, places[target]) for data in wire.close(seal, message)]
         self.sent_bytes += sum(len(data) for data, _ in out)
         self.send(out)
 
     def received(self, data: bytes, source: Place) -> Out:
-        """A datagram; the answer goes back to where it came from."""
+        """Apply a datagram; returns the answer, addressed to its source."""
         began = time.perf_counter()
         try:
-            return self._heard(wire.open_(self._seal(), data), source)
+            return self._apply(wire.open_(self._seal(), data), source)
         except RefusedDatagramError as error:
             self.refused[str(error)] = self.refused.get(str(error), 0) + 1
             return []
         finally:
             self.busy_s += time.perf_counter() - began
 
-    def _heard(self, message: Ask | Answer, source: Place | None) -> Out:
+    def _apply(self, message: Ask | Answer, source: Place | None) -> Out:
         now = self._loop.time()
-        self.gate.refresh(now)  # up to here by the part that held
+        self.gate.refresh(now)  # the time until now counts by the previous share
         if isinstance(message, Answer):
             self.member.receive_answer(message, now)
         else:
             answer, written = self.member.receive_ask(message, now)
             if not self._write(lambda: self.grant_file.grant(written)):
-                return []  # what could not be written must not be heard of
+                return []  # a grant that is not on disk must not be answered
             if source is None:
                 self.member.receive_answer(answer, now)
         self.gate.refresh(now)
@@ -204,54 +209,64 @@
             return out
         return []
 
-    def _write(self, what: Callable[[], None]) -> bool:
+    def _write(self, write: Callable[[], None]) -> bool:
         try:
-            what()
+            write()
         except OSError as error:
-            if not self._failed:
-                log.error("budgets-not-written", extra=kv(error=error, why="no promises until it can be"))
-            self._failed = True
+            if not self._write_failed:
+                log.error(
+                    "budgets-not-written",
+                    extra=kv(error=error, why="no grants until the file can be written"),
+                )
+            self._write_failed = True
             return False
-        self._failed = False
+        self._write_failed = False
         return True
 
-    def _tell(self, now: float) -> None:
-        """The module paces by its part, as by a listed limit; it hears of moves, not of each slice."""
-        parts: dict[int, float] = {}
+    def _report_shares(self, now: float) -> None:
+        """Report the shares of rates by destination to the module, which limits its send rate by them as by
+        a listed limit. Small changes are not reported.
+        """
+        shares: dict[int, float] = {}
         for name, account in self.gate.accounts.items():
-            of = account.budget.scope
-            if account.budget.kind is Kind.RATE and of.dest is not None and of.endpoint is None:
-                part = self.member.share(name, now)
-                if part.leased or of.dest in self._told:  # until then what is listed holds for the pace
-                    most = max(0.01, part.total)
-                    parts[of.dest] = min(most, parts.get(of.dest, most))
-        moved = {
-            dest for dest, part in parts.items()
-            if abs(part - self._told.get(dest, -1.0))
-            > _REPORTED_CHANGE_SHARE * max(part, self._told.get(dest, 0.0))
+            scope = account.budget.scope
+            if account.budget.kind is Kind.RATE and scope.dest is not None and scope.endpoint is None:
+                share = self.member.share(name, now)
+                if share.leased or scope.dest in self._reported_shares:  # until then the listed limit applies
+                    limit = max(0.01, share.total)
+                    shares[scope.dest] = min(limit, shares.get(scope.dest, limit))
+        changed = {
+            dest for dest, share in shares.items()
+            if abs(share - self._reported_shares.get(dest, -1.0))
+            > _REPORTED_CHANGE_SHARE * max(share, self._reported_shares.get(dest, 0.0))
         }  # fmt: skip
-        if moved or set(parts) != set(self._told):
-            self._told = {
-                dest: part if dest in moved else self._told.get(dest, part) for dest, part in parts.items()
+        if changed or set(shares) != set(self._reported_shares):
+            self._reported_shares = {
+                dest: share if dest in changed else self._reported_shares.get(dest, share)
+                for dest, share in shares.items()
             }
-            self.on_shares_changed(self._told)
+            self.on_shares_changed(self._reported_shares)
 
-    def _look(self, now: float) -> None:
-        """Say once what an operator must know."""
-        seen: dict[str, Any] = {f"refused-by-{who}": why for who, why in self.member.refusals.items()}
+    def _log_conflicts(self, now: float) -> None:
+        """Log each conflict with another member once: refusals, and totals that differ from this file's."""
+        conflicts: dict[str, Any] = {
+            f"refused-by-{voter}": why for voter, why in self.member.refusals.items()
+        }
         for name, state in self.member.states.items():
-            if (whole := self.member.total(state, now)) != state.budget.total:
-                seen[f"whole-{name}"] = whole
-        for key in seen.keys() - self._said.keys():
+            if (total := self.member.total(state, now)) != state.budget.total:
+                conflicts[f"whole-{name}"] = total
+        for key in conflicts.keys() - self._logged.keys():
             if key.startswith("refused-by-"):
-                log.warning("budget-refused", extra=kv(by=key.removeprefix("refused-by-"), why=seen[key]))
+                log.warning(
+                    "budget-refused", extra=kv(by=key.removeprefix("refused-by-"), why=conflicts[key])
+                )
             else:
                 log.warning("budget-wholes-differ", extra=kv(budget=key.removeprefix("whole-"),
-                                                             binds=seen[key]))  # fmt: skip
-        self._said = seen
+                                                             binds=conflicts[key]))  # fmt: skip
+        self._logged = conflicts
 
     def reload(self, file: BudgetFile) -> None:
-        """SIGHUP: members and budgets as the file has them now."""
+        """SIGHUP: apply the members and budgets of the current file."""
         now = self._loop.time()
         refused = self.member.reload(file.lists, file.budgets, now)
         if refused:
@@ -260,7 +275,7 @@
         self.gate.reload(file.budgets, now)
 
     async def leave(self) -> None:
-        """Say goodbye: what is not in use goes back at once."""
+        """Send the last asks, which return the slices that are not in use."""
         for _ in range(_GOODBYE_COUNT):
             now = self._loop.time()
             self._send(self.member.goodbye(now, self.gate.usage({}, now)))
@@ -268,20 +283,21 @@
             await asyncio.sleep(0.02)
 
     def close(self) -> None:
-        for timer in (self._timer, self._wake):
+        """Cancel the timers and close the file of grants."""
+        for timer in (self._timer, self._wake_timer):
             if timer is not None:
                 timer.cancel()
         self.grant_file.close()
 
-    # What others are told
+    # Status
 
     def report(self) -> dict[str, Any]:
-        """All of it: what `GET /budgets` answers."""
+        """The status report that `GET /budgets` returns."""
         now = self._loop.time()
         found = self.member.report(now)
         used = self.gate.report(now)
-        for name, one in found["budgets"].items():
-            one |= used.get(name, {})
+        for name, budget in found["budgets"].items():
+            budget |= used.get(name, {})
         found |= {"name": self.name, "votes": self.grant_file.why or "kept"}
         return found | {"datagrams_refused": dict(self.refused), "sent_bytes": self.sent_bytes,
                         "busy_s": round(self.busy_s, 4)}  # fmt: skip
