--- a/mountgauge/budgets/messages.py
+++ b/mountgauge/budgets/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other about budgets. Plain records; `wire` puts them into datagrams."""
+"""The messages between members about budgets. Plain records; `wire` encodes them into datagrams."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 
 
 class AskLine(NamedTuple):
-    """One budget of an ask: all slices that the asker holds or wants, and what it works with."""
+    """One budget of an ask: all slices that the holder has or wants, its total and its demand."""
 
     budget: str
-    number: int  # of this ask of this run and budget
+    number: int  # of the ask; counts up within a run and budget
     claims: int  # bit mask of slices
-    hold: float  # s for which a grant is asked
-    whole: float  # as the asker's file has it
-    wants: float  # slices that it could use
+    hold: float  # s, how long the voter is asked to keep the grant
+    whole: float  # the budget's total in the holder's file
+    wants: float  # slices that the holder could use
     weight: float
 
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """What a holder asks of a voter, for all budgets at once."""
+    """A holder's ask to a voter, for all budgets at once."""
 
     name: str
     run: int
-    epoch: int  # that the asker counts voters by
-    file_epoch: int  # of its file
-    lists: int  # a hash of its members at `file_epoch`
+    epoch: int  # whose voters the holder counts
+    file_epoch: int  # epoch of the holder's file
+    lists: int  # hash of the members at `file_epoch`
     lines: tuple[AskLine, ...]
-    ended: tuple[str, ...] = ()  # removed members that have surely ended
-    leaving: bool = False
+    ended: tuple[str, ...] = ()  # removed members that are certain to have ended
+    leaving: bool = False  # the process is about to stop
 
 
 class AnswerLine(NamedTuple):
     """A voter's answer for one budget."""
 
     budget: str
-    number: int
-    granted: int
-    taken: int
-    whole: float  # the smallest of the voter's file and of those that it hears from themselves
-    target: int  # slices that the asker should hold, as the voter sees it
-    turn: tuple[int, int]  # its place among those that hold too few, and how many these are
-    silent_s: float  # for how long the voter grants nothing yet
+    number: int  # of the ask
+    granted: int  # bit mask of slices, to this holder
+    taken: int  # bit mask of slices, to other holders
+    whole: float  # the smallest total of the voter's file and of the files of members that asked it
+    target: int  # slices that the holder should have, as the voter computes it
+    turn: tuple[int, int]  # the holder's index among those below their target, and their number
+    silent_s: float  # how long the voter still grants nothing
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,4 +56,4 @@
     lists: int
     lines: tuple[AnswerLine, ...]
     ended: tuple[str, ...] = ()
-    refused: str = ""  # why nothing was granted: a word for the asker's log
+    refused: str = ""  # why nothing was granted, for the holder's log
--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -1,4 +1,4 @@
-"""`[[budget]]`, `[[member]]` and what `[fleet]` says of them, in an operator's file."""
+"""Reads `[[budget]]`, `[[member]]` and their settings in `[fleet]` from an operator's file."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 MAX_BUDGETS = 200
 MAX_MEMBERS = 64
-DRIFT = 0.01  # clocks of one fleet keep time to a second in a hundred, and far better, unless told otherwise
+DRIFT = 0.01  # default bound of a clock's relative rate error; real clocks are far better
 
 
 @dataclass(frozen=True, slots=True)
 class BudgetFile:
-    """`[[member]]` and `[[budget]]` of an operator's file, checked."""
+    """The validated `[[member]]` and `[[budget]]` of an operator's file."""
 
     lists: MemberList
     budgets: tuple[Budget, ...]
@@ -29,17 +29,19 @@
 
     @property
     def lease(self) -> float:
-        """The longest."""
+        """The longest lease of any budget, s."""
         return max((one.lease_s for one in self.budgets), default=1.0)
 
 
 def read_budgets(
     top: Table, me: str, dests: Collection[int], hops: Collection[str], tenants: Collection[TenantSettings]
 ) -> BudgetFile | None:
-    """None where the file has none; ConfigError with one line on the first fault."""
-    tables, members = top.tables("budget"), top.tables("member")
+    """The members and budgets of the file, None where it has none; ConfigError with one line for the first
+    error.
+    """
+    budget_tables, member_tables = top.tables("budget"), top.tables("member")
     strict = [one for one in tenants if one.strict is not None]
-    if not tables and not members and not strict:
+    if not budget_tables and not member_tables and not strict:
         return None
     fleet = top.table("fleet")
     if fleet is None:
@@ -48,7 +50,7 @@
     drift = float(fleet.get("drift", int, float, default=DRIFT))
     if not 0 <= drift < 0.2:
         raise ConfigError("fleet.drift: 0 to 0.2")
-    listed = tuple(_member(table) for table in members)
+    listed = tuple(_member(table) for table in member_tables)
     if not listed:
         raise ConfigError("member: budgets need the fleet's members, [[member]] each")
     if len(listed) > MAX_MEMBERS:
@@ -59,16 +61,16 @@
     if me not in {one.name for one in listed}:
         raise ConfigError(f"member: '{me}', this file's name, is not among them")
     names = {one.name for one in tenants}
-    budgets = tuple(_budget(table, dests, hops, names) for table in tables)
-    budgets += tuple(_of_tenant(one) for one in strict)
+    budgets = tuple(_budget(table, dests, hops, names) for table in budget_tables)
+    budgets += tuple(_tenant_budget(one) for one in strict)
     if len(budgets) > MAX_BUDGETS:
         raise ConfigError(f"budget: {len(budgets)} are more than {MAX_BUDGETS}")
     count = len(lists.at(epoch))
-    for place, one in enumerate(budgets):
-        if any(one.name == other.name for other in budgets[:place]):
-            raise ConfigError(f"budget[{place}].name: '{one.name}' stands twice")
+    for index, one in enumerate(budgets):
+        if any(one.name == other.name for other in budgets[:index]):
+            raise ConfigError(f"budget[{index}].name: '{one.name}' is listed twice")
         if why := shares.validation_error(one, count):
-            where = f"budget[{place}]" if place < len(tables) else f"tenant '{one.scope.tenant}'"
+            where = f"budget[{index}]" if index < len(budget_tables) else f"tenant '{one.scope.tenant}'"
             raise ConfigError(f"{where}.{why}")
     return BudgetFile(lists, budgets, drift)
 
@@ -81,16 +83,16 @@
 
 
 def _member(table: Table) -> MemberEntry:
-    place = table.address("at")
-    if place is None or not place.port:
+    address = table.address("at")
+    if address is None or not address.port:
         raise ConfigError(f"{table.name}.at: an address with a port is needed")
-    found = MemberEntry(
-        _name(table), (place.host, place.port), int(table.get("since", int, default=1)),
+    entry = MemberEntry(
+        _name(table), (address.host, address.port), int(table.get("since", int, default=1)),
         int(table.get("until", int, default=FOREVER)), bool(table.get("ended", bool, default=False)),
         bool(table.get("voter", bool, default=True)),
     )  # fmt: skip
     table.done()
-    return found
+    return entry
 
 
 def _number(table: Table, key: str, default: float) -> float:
@@ -100,29 +102,31 @@
     return value
 
 
-def _of_tenant(one: TenantSettings) -> Budget:
-    """The budget by which a strict tenant's quota is met."""
-    assert one.strict is not None
-    name = f"tenant:{one.name}"
+def _tenant_budget(tenant: TenantSettings) -> Budget:
+    """The budget that enforces a strict tenant's quota."""
+    assert tenant.strict is not None
+    name = f"tenant:{tenant.name}"
     if len(name) > MOST_NAME:
-        raise ConfigError(f"tenant '{one.name}': strict is for names of {MOST_NAME - 7} characters at most")
-    return Budget(name, Kind.RATE, one.strict.rate, one.strict.burst, Scope(tenant=one.name))
+        raise ConfigError(
+            f"tenant '{tenant.name}': strict is for names of {MOST_NAME - 7} characters at most"
+        )
+    return Budget(name, Kind.RATE, tenant.strict.rate, tenant.strict.burst, Scope(tenant=tenant.name))
 
 
 def _budget(table: Table, dests: Collection[int], hops: Collection[str], tenants: Collection[str]) -> Budget:
     name, kind = _name(table), table.get("kind", str)
     if kind not in list(Kind):
         raise ConfigError(f"{table.name}.kind: not one of {', '.join(Kind)}")
-    whole = _number(table, "whole", -1.0)
-    of = Table(table.get("of", dict, default={}), f"{table.name}.of")
-    dest = of.get("dest", int) if "dest" in of.raw else None
-    endpoint = of.get("endpoint", str) if "endpoint" in of.raw else None
-    tenant = of.get("tenant", str) if "tenant" in of.raw else None
-    of.done()
+    total = _number(table, "whole", -1.0)
+    scope = Table(table.get("of", dict, default={}), f"{table.name}.of")
+    dest = scope.get("dest", int) if "dest" in scope.raw else None
+    endpoint = scope.get("endpoint", str) if "endpoint" in scope.raw else None
+    tenant = scope.get("tenant", str) if "tenant" in scope.raw else None
+    scope.done()
     if tenant is not None and tenant not in tenants:
         raise ConfigError(f"{table.name}.of.tenant: no tenant is '{tenant}'")
-    if tenant is not None and len(of.raw) > 1:
-        raise ConfigError(f"{table.name}.of: a tenant alone, which binds what is taken on")
+    if tenant is not None and len(scope.raw) > 1:
+        raise ConfigError(f"{table.name}.of: a tenant alone, which binds accepted messages")
     if dest is not None and dest not in dests:
         raise ConfigError(f"{table.name}.of.dest: no next hop has {dest}")
     if endpoint is not None and endpoint not in hops:
@@ -133,11 +137,11 @@
     lease = table.positive("lease", 3600.0 if kind == Kind.ALLOWANCE else 4.0)
     if not 0.5 <= lease <= 86_400:
         raise ConfigError(f"{table.name}.lease: 0.5 to 86400 s")
-    found = Budget(
-        name, Kind(kind), whole, _number(table, "burst", max(1.0, whole)) if kind == Kind.RATE else 0.0,
+    budget = Budget(
+        name, Kind(kind), total, _number(table, "burst", max(1.0, total)) if kind == Kind.RATE else 0.0,
         Scope(dest, endpoint, tenant), _number(table, "reserve", 0.1), _number(table, "least", 0.0),
         table.positive("weight", 1.0), lease, _number(table, "ends_within", 0.0),
         table.positive("period", 86_400.0),
     )  # fmt: skip
     table.done()
-    return found
+    return budget
--- a/mountgauge/budgets/table.py
+++ b/mountgauge/budgets/table.py
@@ -1,4 +1,4 @@
-"""What `mountgauge budgets` shows: the parts that many members hold, from what each one says."""
+"""The table of `mountgauge budgets`: the shares of several members, from the status report of each."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 
 def rows(answers: Answers) -> list[list[str]]:
-    """A line for each budget and member, and one with the sum for each budget."""
-    found: list[list[str]] = []
-    names = sorted({name for said in answers.values() if said is not None for name in said["budgets"]})
+    """A row for each budget and member, and one with the sum for each budget."""
+    table: list[list[str]] = []
+    names = sorted({name for answer in answers.values() if answer is not None for name in answer["budgets"]})
     for name in names:
-        parts: list[float] = []
-        wholes: set[float] = set()
-        for address, said in sorted(answers.items()):
-            one = None if said is None else said["budgets"].get(name)
-            if said is None or one is None:
-                found.append([name, address, "-", *["-"] * 9])
+        shares: list[float] = []
+        totals: set[float] = set()
+        for address, answer in sorted(answers.items()):
+            budget = None if answer is None else answer["budgets"].get(name)
+            if answer is None or budget is None:
+                table.append([name, address, "-", *["-"] * 9])
                 continue
-            parts.append(one["part"])
-            wholes.add(one["whole"])
-            lasts = "-" if one["lasts_s"] is None else f"{one['lasts_s']:.1f}"
-            numbers = [f"{one[key]:g}" for key in ("whole", "part", "reserve", "leased")]
-            found.append([
-                name, said["name"], one["kind"], *numbers, lasts, f"{one['demand']:g}",
-                str(one.get("waiting", 0)), str(one.get("refused", 0)),
-                f"{said['epoch']}/{said['file_epoch']}",
+            shares.append(budget["part"])
+            totals.add(budget["whole"])
+            lasts = "-" if budget["lasts_s"] is None else f"{budget['lasts_s']:.1f}"
+            numbers = [f"{budget[key]:g}" for key in ("whole", "part", "reserve", "leased")]
+            table.append([
+                name, answer["name"], budget["kind"], *numbers, lasts, f"{budget['demand']:g}",
+                str(budget.get("waiting", 0)), str(budget.get("refused", 0)),
+                f"{answer['epoch']}/{answer['file_epoch']}",
             ])  # fmt: skip
-        whole = f"{min(wholes):g}" + ("!" if len(wholes) > 1 else "") if wholes else "-"
-        found.append([name, "all that answer", "", whole, f"{sum(parts):g}", *[""] * 7])
-    return found
+        total = f"{min(totals):g}" + ("!" if len(totals) > 1 else "") if totals else "-"
+        table.append([name, "all that answer", "", total, f"{sum(shares):g}", *[""] * 7])
+    return table
 
 
 def lines(answers: Answers) -> list[str]:
@@ -42,19 +42,19 @@
 
 
 def sound(answers: Answers) -> bool:
-    """Whether all answer, nobody is refused, and the parts of no budget sum to more than its whole."""
-    for said in answers.values():
-        if said is None or said["refused_by"]:
+    """Whether all members answer, none is refused, and the shares of no budget sum to more than its total."""
+    for answer in answers.values():
+        if answer is None or answer["refused_by"]:
             return False
-    names = {name for said in answers.values() if said is not None for name in said["budgets"]}
+    names = {name for answer in answers.values() if answer is not None for name in answer["budgets"]}
     for name in names:
-        said_of = [said["budgets"].get(name) for said in answers.values() if said is not None]
-        ones = [one for one in said_of if one is not None]
-        if sum(one["part"] for one in ones) > max(one["whole"] for one in ones) + 1e-3:
+        reports = [answer["budgets"].get(name) for answer in answers.values() if answer is not None]
+        present = [one for one in reports if one is not None]
+        if sum(one["part"] for one in present) > max(one["whole"] for one in present) + 1e-3:
             return False
     return True
 
 
-# The answers are of moments that differ by the way there: parts that move meanwhile may be counted twice by
-# a reader, though never by the members.
+# The members answer at slightly different times, so a reader may count a share that moves meanwhile twice;
+# the members never do.
 BUDGETS = StatusTable("/budgets", "sound", "members", sound, lines)
--- a/mountgauge/budgets/wire.py
+++ b/mountgauge/budgets/wire.py
@@ -1,6 +1,6 @@
-"""Asks and answers in the fleet's sealed datagrams: MessagePack by msgspec, head `B1`, keyed BLAKE3.
+"""Encodes asks and answers into the fleet's sealed datagrams: MessagePack, head `B1`, keyed BLAKE3.
 
-An ask of many budgets travels in several datagrams; each stands for itself.
+An ask for many budgets is sent in several datagrams, each of which is a complete message.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from mountgauge.tenants.wire import MOST_NAME, RefusedDatagramError, Seal
 
 HEAD = b"B1"
-MAX_LINES = 10  # of a datagram, so that it stays under 1,200 bytes
+MAX_LINES = 10  # per datagram, so that it stays below 1,200 bytes
 _MAX_ENDED = 16
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
@@ -76,32 +76,32 @@
 
 
 def close(seal: Seal, message: Ask | Answer) -> Iterator[bytes]:
-    """The datagrams of a message."""
+    """Encode a message into sealed datagrams."""
     for begin in range(0, max(1, len(message.lines)), MAX_LINES):
         lines = message.lines[begin : begin + MAX_LINES]
         if isinstance(message, Ask):
-            asked = [
+            ask_lines = [
                 _AskLine(one.budget, one.number, _bytes(one.claims), *one[3:]) for one in lines
                 if isinstance(one, AskLine)
             ]  # fmt: skip
-            found: _Ask | _Answer = _Ask(
-                message.name, message.run, message.epoch, message.file_epoch, message.lists, asked,
+            encoded: _Ask | _Answer = _Ask(
+                message.name, message.run, message.epoch, message.file_epoch, message.lists, ask_lines,
                 list(message.ended[:_MAX_ENDED]), message.leaving,
             )  # fmt: skip
         else:
-            said = [
+            answer_lines = [
                 _AnswerLine(one.budget, one.number, _bytes(one.granted), _bytes(one.taken), *one[4:])
                 for one in lines if isinstance(one, AnswerLine)
             ]  # fmt: skip
-            found = _Answer(
-                message.name, message.to, message.to_run, message.file_epoch, message.lists, said,
+            encoded = _Answer(
+                message.name, message.to, message.to_run, message.file_epoch, message.lists, answer_lines,
                 list(message.ended[:_MAX_ENDED]), message.refused,
             )  # fmt: skip
-        yield seal.lock(_ENCODER.encode(found), HEAD)
+        yield seal.lock(_ENCODER.encode(encoded), HEAD)
 
 
 def open_(seal: Seal, data: bytes) -> Ask | Answer:
-    """RefusedDatagramError where it is no datagram of this fleet."""
+    """Decode a sealed datagram. RefusedDatagramError where it is not a valid one of this fleet."""
     try:
         raw = _DECODER.decode(seal.unlock(data, HEAD))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -111,19 +111,19 @@
         return int.from_bytes(content, "little")
 
     if isinstance(raw, _Ask):
-        asked = tuple(
+        ask_lines = tuple(
             AskLine(one.budget, one.number, mask(one.claims), one.hold, one.whole, one.wants, one.weight)
             for one in raw.lines
         )
         return Ask(
-            raw.name, raw.run, raw.epoch, raw.file_epoch, raw.lists, asked, tuple(raw.ended), raw.leaving
+            raw.name, raw.run, raw.epoch, raw.file_epoch, raw.lists, ask_lines, tuple(raw.ended), raw.leaving
         )
-    said = tuple(
+    answer_lines = tuple(
         AnswerLine(
             one.budget, one.number, mask(one.granted), mask(one.taken), one.whole, one.target, one.turn,
             one.silent_s,
         )
         for one in raw.lines
     )  # fmt: skip
-    found = Answer(raw.name, raw.to, raw.to_run, raw.file_epoch, raw.lists, said, tuple(raw.ended))
-    return replace(found, refused=raw.refused)
+    answer = Answer(raw.name, raw.to, raw.to_run, raw.file_epoch, raw.lists, answer_lines, tuple(raw.ended))
+    return replace(answer, refused=raw.refused)
