--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -35,8 +35,8 @@
 DAY = Budget("c-day", Kind.ALLOWANCE, 5, scope=Scope(endpoint="x"), period_s=100.0)
 
 
-def gate(parts: dict[str, Share], *budgets: Budget) -> Gate:
-    return Gate(budgets, lambda name, now: (parts[name], 20.0, 2), 0.0)
+def gate(shares: dict[str, Share], *budgets: Budget) -> Gate:
+    return Gate(budgets, lambda name, now: (shares[name], 20.0, 2), 0.0)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
@@ -46,19 +46,19 @@
         max_size=60,
     )
 )
-def test_a_rate_lets_no_span_have_more_than_its_parts_and_its_burst(
+def test_a_rate_admits_no_more_calls_than_its_shares_and_burst(
     moves: list[tuple[float, str, float]],
 ) -> None:
-    """Parts that grow, shrink and lapse; what was let through is held against what the parts allowed."""
-    parts = {"a-rate": Share(1.0, 5.0, INF)}
-    one, now, level = gate(parts, RATE), 0.0, 0.0
+    """Shares grow, shrink and lapse; the calls that were let through must not exceed what these allowed."""
+    shares = {"a-rate": Share(1.0, 5.0, INF)}
+    one, now, level = gate(shares, RATE), 0.0, 0.0
     for gap, what, amount in moves:
-        had = parts["a-rate"]
+        had = shares["a-rate"]
         lasts = max(0.0, min(gap, had.until - now))
         level += had.total * lasts + had.reserve * (gap - lasts)
         now += gap
         if now >= had.until:
-            parts["a-rate"] = had = Share(had.reserve, 0.0, INF)
+            shares["a-rate"] = had = Share(had.reserve, 0.0, INF)
         level = min(level, 1 + 4 * had.total / 20)
         if what == "call":
             if one.start(7, "x", now) == 0 and one.take(7, "x", now):
@@ -66,13 +66,13 @@
                 assert level >= -1e-6
             continue
         one.refresh(now)
-        parts["a-rate"] = {
+        shares["a-rate"] = {
             "grow": Share(1.0, max(had.leased, amount), had.until),
             "shrink": Share(1.0, min(had.leased, amount), INF),
             "lapse": Share(1.0, had.leased, now + 0.3),
         }[what]  # fmt: skip
         one.refresh(now)
-        level = min(level, 1 + 4 * parts["a-rate"].total / 20)
+        level = min(level, 1 + 4 * shares["a-rate"].total / 20)
 
 
 def binds(of: Scope, dest: int, endpoint: str) -> bool:
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_index_finds_the_budgets_that_going_over_all_finds(seed: int) -> None:
+def test_the_index_finds_the_same_budgets_as_a_scan_of_all(seed: int) -> None:
     rng = Random(seed)
 
     def drawn() -> list[Budget]:
@@ -92,8 +92,8 @@
             found.append(Budget(f"b{n}", Kind.RATE, 20, burst=6, scope=of))
         return found
 
-    parts = {f"b{n}": Share(20, 0, INF) for n in range(60)}
-    one = gate(parts, *drawn())
+    shares = {f"b{n}": Share(20, 0, INF) for n in range(60)}
+    one = gate(shares, *drawn())
     for _ in range(3):
         waiting = {(dest, hop): rng.randint(0, 9) for dest in range(5) for hop in ("x", "y", "z", "")}
         uses = one.usage(waiting, 0.0)
@@ -109,9 +109,11 @@
         one.reload(drawn(), 0.0)
 
 
-def test_a_call_passes_over_the_budgets_of_other_destinations() -> None:
-    parts = {f"b{n}": Share(20, 0, INF) for n in range(2_000)}
-    one = gate(parts, *(Budget(name, Kind.RATE, 20, burst=6, scope=Scope(n)) for n, name in enumerate(parts)))
+def test_a_call_visits_no_budgets_of_other_destinations() -> None:
+    shares = {f"b{n}": Share(20, 0, INF) for n in range(2_000)}
+    one = gate(
+        shares, *(Budget(name, Kind.RATE, 20, burst=6, scope=Scope(n)) for n, name in enumerate(shares))
+    )
     one.refresh(0.0)
     visits: list[object] = []
     watch(one, visits)
@@ -120,15 +122,15 @@
     one.finish(7, "x", 2.0, True)
     assert one.admit("nobody", 2.0) == 0 and not visits
     one.refresh(2.0)
-    assert len(visits) == 2_000, "all are looked at where parts may have changed"
+    assert len(visits) == 2_000, "all are visited where shares may have changed"
 
 
-def test_all_budgets_of_a_call_hold_and_none_leaks_when_one_says_no() -> None:
-    parts = {"a-rate": Share(20, 0, INF), "b-out": Share(2, 0, INF), "c-day": Share(3, 0, INF)}
-    one = gate(parts, RATE, OUT, DAY)
-    assert one.start(7, "x", 0.0) > 0, "a new process has no calls saved up"
+def test_all_budgets_of_a_call_bind_and_none_is_charged_when_one_refuses() -> None:
+    shares = {"a-rate": Share(20, 0, INF), "b-out": Share(2, 0, INF), "c-day": Share(3, 0, INF)}
+    one = gate(shares, RATE, OUT, DAY)
+    assert one.start(7, "x", 0.0) > 0, "a new process has no tokens"
     assert one.start(7, "x", 1.0) == 0 and one.start(7, "x", 1.0) == 0
-    assert one.start(7, "x", 1.0) > 0, "two places of calls out are kept"
+    assert one.start(7, "x", 1.0) > 0, "both slots for calls in flight are pending"
     level = one.accounts["a-rate"].tokens
     assert one.take(7, "x", 1.0) and one.take(7, "x", 1.0) and not one.take(7, "x", 1.0)
     assert one.accounts["a-rate"].tokens == pytest.approx(level - 2) and one.accounts["c-day"].used(1.0) == 2
@@ -137,26 +139,30 @@
     one.finish(7, "x", 4.0, answered=True)
     assert one.start(7, "x", 4.0) == 0 and one.take(7, "x", 4.0)
     one.finish(7, "x", 4.05, answered=True)
-    assert one.start(7, "x", 4.2) > 0 and one.start(7, "y", 4.2) == 0, "three of three a day, of `x` alone"
+    assert one.start(7, "x", 4.2) > 0 and one.start(7, "y", 4.2) == 0, (
+        "three of three in the period, for `x` alone"
+    )
     assert one.start(7, "x", 101.5) == 0, "the first has left the period"
-    parts["b-out"] = Share(0, 0, INF)
+    shares["b-out"] = Share(0, 0, INF)
     one.refresh(101.5)
-    assert not one.take(7, "x", 101.5), "the part went between the two"
+    assert not one.take(7, "x", 101.5), "the share was lost between `start` and `take`"
 
 
-def test_use_is_what_is_asked_for_and_what_is_in_use_is_not_given_back() -> None:
-    parts = {"b-out": Share(1, 4, INF)}
-    one = gate(parts, OUT)
+def test_usage_reports_the_demand_and_only_unused_slots_as_spare() -> None:
+    shares = {"b-out": Share(1, 4, INF)}
+    one = gate(shares, OUT)
     for _ in range(3):
         assert one.start(7, "x", 0.0) == 0 and one.take(7, "x", 0.0)
     use = one.usage({(7, "x"): 4, (7, ""): 2, (8, ""): 9}, 0.0)["b-out"]
     assert use.demand == 9 and use.spare == 2
 
 
-def test_what_is_taken_on_for_a_tenant_is_bound_and_given_back() -> None:
+def test_a_tenant_budget_binds_accepted_messages_and_is_returned_for_others() -> None:
     mine = Budget("t", Kind.RATE, 20, burst=6, scope=Scope(tenant="rossi"))
     one = gate({"t": Share(2, 0, INF)}, mine)
-    assert one.admit("verdi", 0.0) == 0 and one.start(7, "x", 0.0) == 0, "another's, and calls, are free"
+    assert one.admit("verdi", 0.0) == 0 and one.start(7, "x", 0.0) == 0, (
+        "another tenant and calls are not bound"
+    )
     assert one.admit("rossi", 0.0) == 0.5 and one.admit("rossi", 0.5) == 0
     assert one.admit("rossi", 0.5) > 0
     one.give_back("rossi")
@@ -169,49 +175,49 @@
 ]
 
 
-def _old(votes: GrantFile) -> None:
-    content = votes.path.read_bytes()
-    votes.grant(GRANTS[:1])
-    votes.path.write_bytes(content)
+def _old(grant_file: GrantFile) -> None:
+    content = grant_file.path.read_bytes()
+    grant_file.grant(GRANTS[:1])
+    grant_file.path.write_bytes(content)
 
 
-def _foreign(votes: GrantFile) -> None:
-    other = GrantFile(votes.path.parent.parent / "other", "m9", votes.witness.parent)
+def _foreign(grant_file: GrantFile) -> None:
+    other = GrantFile(grant_file.path.parent.parent / "other", "m9", grant_file.witness.parent)
     other.begin(1)
-    votes.path.write_bytes(other.path.read_bytes())
+    grant_file.path.write_bytes(other.path.read_bytes())
 
 
-def _flip(votes: GrantFile) -> None:
-    content = bytearray(votes.path.read_bytes())
+def _flip(grant_file: GrantFile) -> None:
+    content = bytearray(grant_file.path.read_bytes())
     content[-40] ^= 1
-    votes.path.write_bytes(content + b"00000000 []\n")
+    grant_file.path.write_bytes(content + b"00000000 []\n")
 
 
-def _rebooted(votes: GrantFile) -> None:
-    _, rest = votes.witness.read_text().split(" ", 1)
-    votes.witness.write_text("another-boot " + rest)
+def _rebooted(grant_file: GrantFile) -> None:
+    _, rest = grant_file.witness.read_text().split(" ", 1)
+    grant_file.witness.write_text("another-boot " + rest)
 
 
 @pytest.mark.parametrize(
-    ("harm", "why"),
+    ("damage", "why"),
     [
-        (lambda votes: None, ""),
-        (lambda votes: votes.path.write_bytes(votes.path.read_bytes() + b"12345678 [\"p\""), ""),
-        (lambda votes: votes.path.unlink(), "no grants file"),
-        (lambda votes: votes.witness.unlink(), "no witness"),
+        (lambda file: None, ""),
+        (lambda file: file.path.write_bytes(file.path.read_bytes() + b"12345678 [\"p\""), ""),
+        (lambda file: file.path.unlink(), "no grants file"),
+        (lambda file: file.witness.unlink(), "no witness"),
         (_old, "an old copy"), (_foreign, "another member's folder"), (_flip, "the file is damaged"),
         (_rebooted, "the system was rebooted"),
     ],
 )  # fmt: skip
-def test_a_folder_is_counted_on_only_where_it_is_surely_the_last_one(
-    tmp_path: Path, harm: Callable[[GrantFile], None], why: str
+def test_a_folder_is_relied_on_only_where_it_is_certainly_the_newest(
+    tmp_path: Path, damage: Callable[[GrantFile], None], why: str
 ) -> None:
-    votes = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
-    votes.begin(0)
-    votes.grant(GRANTS)
-    votes.adopted(3)
-    harm(votes)
-    votes.close()
+    grant_file = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
+    grant_file.begin(0)
+    grant_file.grant(GRANTS)
+    grant_file.adopted(3)
+    damage(grant_file)
+    grant_file.close()
     again = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
     assert again.kept == (not why) and why in again.why
     if not why:
@@ -222,7 +228,7 @@
         assert third.kept and len(third.written["calls"]) == 2
 
 
-def test_an_operator_says_that_a_folder_is_new_once(
+def test_a_folder_can_be_declared_new_only_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
@@ -234,13 +240,13 @@
     assert "grants were recorded here before" in capsys.readouterr().err
 
 
-def test_a_file_that_lags_behind_its_folder_is_refused(
+def test_a_file_with_an_older_epoch_than_its_folder_is_refused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
-    votes = GrantFile(tmp_path / "state", "m1")
-    votes.begin(3)
-    votes.close()
+    grant_file = GrantFile(tmp_path / "state", "m1")
+    grant_file.begin(3)
+    grant_file.close()
     file = tmp_path / "m1.toml"
     file.write_text(FILE)
     settings = load(file).budgets
@@ -253,33 +259,33 @@
     run(start())
 
 
-def test_a_grant_that_cannot_be_written_is_told_and_the_file_stays_readable(
+def test_a_grant_that_cannot_be_written_raises_and_the_file_stays_readable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    votes = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
-    votes.begin(1)
-    whole = os.write
-    monkeypatch.setattr(os, "write", lambda fd, data: whole(fd, data[:20]))
+    grant_file = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
+    grant_file.begin(1)
+    write = os.write
+    monkeypatch.setattr(os, "write", lambda fd, data: write(fd, data[:20]))
     with pytest.raises(OSError, match="no space left for the record"):
-        votes.grant(GRANTS)
+        grant_file.grant(GRANTS)
     monkeypatch.undo()
-    votes.grant(GRANTS[1:])
+    grant_file.grant(GRANTS[1:])
     again = GrantFile(tmp_path / "state", "m1", tmp_path / "witnesses")
     assert again.kept and set(again.written) == {"out"}
 
 
-def test_messages_travel_sealed_in_datagrams_of_a_bounded_size() -> None:
+def test_messages_are_sealed_in_datagrams_of_bounded_size() -> None:
     seal = Seal("fleet", ["a key of sixteen characters"])
     every = (1 << 128) - 1
     lines = tuple(AskLine(f"{n:032d}", n, every, 4.0, 100.0, 128.0, 1.0) for n in range(25))
     ask = Ask("m" * 32, (1 << 62) + 1, 2, 3, 1 << 31, lines, ("x",), True)
-    parts = list(wire.close(seal, ask))
-    assert len(parts) == 3 and max(map(len, parts)) <= MOST
-    read = [wire.open_(seal, one) for one in parts]
+    datagrams = list(wire.close(seal, ask))
+    assert len(datagrams) == 3 and max(map(len, datagrams)) <= MOST
+    read = [wire.open_(seal, one) for one in datagrams]
     assert tuple(line for one in read for line in one.lines) == lines
     assert all(isinstance(one, Ask) and one.ended == ("x",) and one.run == ask.run for one in read)
-    said = tuple(AnswerLine(f"{n:032d}", n, every, every, 100.0, 64, (1, 2), 0.5) for n in range(10))
-    answer = Answer("m2", "m1", 7, 3, 9, said, (), "behind")
+    answer_lines = tuple(AnswerLine(f"{n:032d}", n, every, every, 100.0, 64, (1, 2), 0.5) for n in range(10))
+    answer = Answer("m2", "m1", 7, 3, 9, answer_lines, (), "behind")
     (data,) = wire.close(seal, answer)
     assert len(data) <= MOST and wire.open_(seal, data) == answer
     with pytest.raises(RefusedDatagramError, match="forged"):
@@ -321,7 +327,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "says"),
+    ("old", "new", "message"),
     [
         ("dest = 7 }", "dest = 9 }", "budget[0].of.dest: no next hop has 9"),
         ("dest = 7 }", 'endpoint = "z" }', "budget[0].of.endpoint: no next hop is 'z'"),
@@ -341,7 +347,7 @@
         ("[fleet]", "[fleet]\nepoch = 2\nsettled = 3", "member: settled: 1 to the epoch"),
     ],
 )  # fmt: skip
-def test_files_are_checked_with_one_line(tmp_path: Path, old: str, new: str, says: str) -> None:
+def test_an_invalid_file_is_refused_with_one_line(tmp_path: Path, old: str, new: str, message: str) -> None:
     file = tmp_path / "m1.toml"
     file.write_text(FILE)
     found = load(file)
@@ -350,18 +356,18 @@
     file.write_text(FILE.replace(old, new, 1))
     with pytest.raises(ConfigError) as error:
         load(file)
-    assert str(error.value) == f"{file}: {says}"
+    assert str(error.value) == f"{file}: {message}"
 
 
-def test_the_table_sums_each_budget_and_says_what_is_wrong() -> None:
-    def said(name: str, part: float, whole: float = 100.0, refused: str = "") -> dict[str, object]:
-        one = {"kind": "rate", "whole": whole, "part": part, "reserve": 5.0, "leased": part - 5,
+def test_the_table_sums_each_budget_and_marks_conflicts() -> None:
+    def answer(name: str, share: float, total: float = 100.0, refused: str = "") -> dict[str, object]:
+        one = {"kind": "rate", "whole": total, "part": share, "reserve": 5.0, "leased": share - 5,
                "lasts_s": 2.0, "demand": 9.0}  # fmt: skip
         by = {"m9": refused} if refused else {}
         return {"name": name, "epoch": 1, "file_epoch": 2, "refused_by": by, "budgets": {"calls": one}}
 
-    good = {"a": said("m1", 60), "b": said("m2", 40)}
+    good = {"a": answer("m1", 60), "b": answer("m2", 40)}
     assert sound(good) and [row[4] for row in rows(good)] == ["60", "40", "100"]
-    assert rows({**good, "c": said("m3", 0, 90.0)})[-1][3] == "90!", "files that disagree"
-    assert not sound({**good, "c": None}) and not sound({"a": said("m1", 60, refused="behind")})
-    assert not sound({"a": said("m1", 60), "b": said("m2", 41)})
+    assert rows({**good, "c": answer("m3", 0, 90.0)})[-1][3] == "90!", "files that disagree"
+    assert not sound({**good, "c": None}) and not sound({"a": answer("m1", 60, refused="behind")})
+    assert not sound({"a": answer("m1", 60), "b": answer("m2", 41)})
--- a/tests/budgets/test_pure.py
+++ b/tests/budgets/test_pure.py
@@ -1,4 +1,4 @@
-"""Budgets, the parts without I/O: what slices are worth, who should hold them, grants, leases, epochs."""
+"""The modules of budgets without I/O: value and division of slices, grants, leases, epochs."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
     st.sampled_from(Kind), st.lists(st.integers(0, 500), min_size=1, max_size=6), st.floats(0, 1),
     st.integers(0, 4), st.data(),
 )  # fmt: skip
-def test_reserves_and_slices_are_worth_the_largest_whole_at_most(
-    kind: Kind, wholes: list[int], reserve: float, least: int, data: st.DataObject
+def test_reserves_and_slices_sum_to_at_most_the_largest_total(
+    kind: Kind, totals: list[int], reserve: float, least: int, data: st.DataObject
 ) -> None:
-    """Whatever whole each member works with, and however the slices are spread."""
-    budget, members = Budget("b", kind, 0, reserve=reserve, least=least, slices=16), len(wholes)
+    """Whatever total each member works with, and however the slices are spread."""
+    budget, members = Budget("b", kind, 0, reserve=reserve, least=least, slices=16), len(totals)
     owners = data.draw(st.lists(st.integers(0, members - 1), min_size=16, max_size=16))
-    total = 0.0
-    for member, whole in enumerate(wholes):
-        mask = sum(1 << place for place, owner in enumerate(owners) if owner == member)
-        total += shares.reserve(budget, whole, members) + shares.mask_value(budget, whole, members, mask)
-        if whole == max(wholes) and kind is Kind.RATE:
-            all_of_it = shares.mask_value(budget, whole, members, (1 << 16) - 1)
-            assert all_of_it + members * shares.reserve(budget, whole, members) == pytest.approx(whole)
-    assert total <= max(wholes) + 1e-6
+    found = 0.0
+    for member, total in enumerate(totals):
+        mask = sum(1 << index for index, owner in enumerate(owners) if owner == member)
+        found += shares.reserve(budget, total, members) + shares.mask_value(budget, total, members, mask)
+        if total == max(totals) and kind is Kind.RATE:
+            pool = shares.mask_value(budget, total, members, (1 << 16) - 1)
+            assert pool + members * shares.reserve(budget, total, members) == pytest.approx(total)
+    assert found <= max(totals) + 1e-6
 
 
 @PURE
@@ -48,45 +48,47 @@
         st.text("abcdef", min_size=1, max_size=2), st.builds(Demand, st.floats(0, 300), st.floats(0.1, 5))
     ),
 )
-def test_division_is_max_min_fair_and_never_gives_more_than_there_is(
-    slices: int, wants: dict[str, Demand]
+def test_division_is_max_min_fair_and_never_exceeds_the_slices(
+    slices: int, demands: dict[str, Demand]
 ) -> None:
-    found, real = divide(slices, wants), max_min(slices, wants)
+    found, real = divide(slices, demands), max_min(slices, demands)
     assert sum(found.values()) <= slices and all(count >= 0 for count in found.values())
-    eased = {name: Demand(min(slices, want.slices * HEADROOM), want.weight) for name, want in wants.items()}
+    eased = {
+        name: Demand(min(slices, demand.slices * HEADROOM), demand.weight) for name, demand in demands.items()
+    }
     assert all(found[name] >= int(share) - 1 for name, share in max_min(slices, eased).items())
-    short = [name for name in wants if real[name] < wants[name].slices - 1e-6]
-    for name in short:  # nobody with more for its weight could give to one that is short
-        level = real[name] / wants[name].weight
-        assert all(real[other] / wants[other].weight <= level + 1e-6 for other in wants)
-    if slices and wants and sum(want.slices for want in wants.values()) * HEADROOM < slices:
-        assert sum(found.values()) == slices, "what nobody wants is spread as well"
+    short = [name for name in demands if real[name] < demands[name].slices - 1e-6]
+    for name in short:  # no member with more for its weight could give to one below its demand
+        level = real[name] / demands[name].weight
+        assert all(real[other] / demands[other].weight <= level + 1e-6 for other in demands)
+    if slices and demands and sum(demand.slices for demand in demands.values()) * HEADROOM < slices:
+        assert sum(found.values()) == slices, "slices without demand are spread as well"
 
 
 @PURE
 @given(st.lists(st.integers(0, (1 << 12) - 1), max_size=9), st.integers(1, 9))
-def test_majorities_are_counted_in_all_places_at_once(masks: list[int], need: int) -> None:
-    naive = sum(1 << place for place in range(12) if sum(mask >> place & 1 for mask in masks) >= need)
+def test_counting_bits_in_parallel_gives_the_same_as_one_by_one(masks: list[int], need: int) -> None:
+    naive = sum(1 << index for index in range(12) if sum(mask >> index & 1 for mask in masks) >= need)
     assert at_least(masks, need) == naive
 
 
-def test_a_voter_grants_a_slice_to_one_and_forgets_nothing_over_a_restart() -> None:
+def test_a_voter_grants_a_slice_to_one_holder_and_keeps_its_grants_over_a_restart() -> None:
     voter = Grants(4, drift=0.1)
     first = voter.ask(A, 1, 0b0011, 10.0, now=0.0)
     assert first is not None and first.granted == 0b0011 and first.written is not None
     assert voter.ask(B, 1, 0b0110, 10.0, now=1.0) == (0b0100, 0b0011, (B, 0b0100, 10.0))
     assert voter.ask(A, 2, 0b0011, 10.0, now=2.0) == (0b0011, 0b0100, None), "renewing writes nothing"
     assert voter.ask(A, 2, 0b1111, 10.0, now=2.5) is None, "overtaken"
-    back = Grants.restored(4, 0.1, 100.0, True, voter.records(3.0), 10.0)
-    again = back.ask(B, 2, 0b0111, 10.0, now=110.9)
+    restored = Grants.restored(4, 0.1, 100.0, True, voter.records(3.0), 10.0)
+    again = restored.ask(B, 2, 0b0111, 10.0, now=110.9)
     assert again is not None and again.granted == 0b0100, "counted anew from the start, with the drift"
-    assert (later := back.ask(B, 3, 0b0111, 10.0, now=111.1)) is not None and later.granted == 0b0111
+    assert (later := restored.ask(B, 3, 0b0111, 10.0, now=111.1)) is not None and later.granted == 0b0111
     lost = Grants.restored(4, 0.1, 100.0, False, (), 10.0)
     assert (silent := lost.ask(B, 1, 0b1, 10.0, now=110.9)) is not None and silent.granted == 0
-    assert (speaks := lost.ask(B, 2, 0b1, 10.0, now=111.1)) is not None and speaks.granted == 1
+    assert (granting := lost.ask(B, 2, 0b1, 10.0, now=111.1)) is not None and granting.granted == 1
 
 
-def test_a_holder_counts_from_its_ask_and_never_what_it_gave_back() -> None:
+def test_a_lease_counts_from_the_ask_and_excludes_slices_that_were_returned() -> None:
     mine, voters = Leases(10.0, drift=0.1), ("x", "y", "z")
     mine.claim(0b11)
     number, mask = mine.ask(0.0)
@@ -98,14 +100,14 @@
     mine.drop(0b01)
     mine.claim(0b01)
     mine.answered("z", number, mask)
-    assert mine.held(5.0, voters) == 0b10, "an answer to an ask before the break counts no more"
+    assert mine.held(5.0, voters) == 0b10, "an answer to an ask before the break must not count"
 
 
 def lists(epoch: int, *members: Any, settled: int = 1) -> MemberList:
     return MemberList(epoch, tuple(MemberEntry(one[0], (one[0], 1), *one[1:]) for one in members), settled)
 
 
-def test_lists_change_by_one_member_an_epoch() -> None:
+def test_lists_change_by_one_member_per_epoch() -> None:
     base = [("a",), ("b",), ("c",)]
     assert lists(2, *base, ("d", 2)).validation_error() == ""
     assert lists(2, *base, ("d", 2), ("e", 2)).validation_error() == "epoch 2: one member at a time, not d, e"
@@ -122,14 +124,14 @@
     assert member.step(0.0) and member.adopted == 1, "there is none before the first"
     assert member.reload(lists(2, ("a",), ("b",), ("c",), ("d", 2))) == ""
     member.observe_epoch("b", 1, 1.0)
-    assert not member.step(20.0), "b is still at 1 and would serve whoever counts by it"
+    assert not member.step(20.0), "b is still at 1 and would serve a member that counts by it"
     member.observe_epoch("b", 2, 20.0)
     assert not member.step(29.9) and member.step(30.1) and member.voters == ("a", "b", "c", "d")
     assert member.reload(lists(1, ("a",), ("b",), ("c",))) == "epoch 1 is behind 2"
     assert member.reload(lists(2, ("a",), ("b",), ("c",))) == "epoch 2 had other members"
 
 
-def test_a_reserve_is_divided_by_all_who_may_act_on_one() -> None:
+def test_reserves_are_divided_by_all_members_that_may_use_one() -> None:
     base = [("a",), ("b",), ("c",)]
     added = Membership("d", lists(2, *base, ("d", 2)), 10.0, 0.0, kept_epoch=0)
     assert added.reserve_divisor == 4 and not added.may_use_reserve()
@@ -142,7 +144,7 @@
     left = Membership("a", lists(2, ("a",), ("b",), ("c", 1, 2)), 10.0, 0.0, kept_epoch=0)
     assert left.reserve_divisor == 3 and left.may_use_reserve(), "c may still run"
     left.observe_ended(["b", "c"])
-    assert left.reserve_divisor == 2, "the word of a member that is listed does not end it"
+    assert left.reserve_divisor == 2, "a report that a listed member has ended is ignored"
 
 
 @pytest.mark.parametrize("name", ["skip-the-durable-write", "answer-after-a-lost-folder", "majority-less-one",
@@ -153,6 +155,6 @@
         assert explore(scope, 100_000).chart
 
 
-def test_the_model_finds_nothing_in_what_is_explored_in_ci() -> None:
+def test_the_model_finds_no_violation_in_the_scope_explored_in_ci() -> None:
     assert explore(QUICK["two slices, all moves"], 10_000).chart == ()
     assert timing.majority(3) == 2
