--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from mountgauge.budgets.grants import Written
-from mountgauge.budgets.member import Member, Use
-from mountgauge.budgets.membership import Listed, Lists, Membership
+from mountgauge.budgets.grants import GrantRecord
+from mountgauge.budgets.member import Member, Usage
+from mountgauge.budgets.membership import MemberEntry, MemberList, Membership
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget
 
@@ -44,7 +44,7 @@
     member: Member | None = None
     paused_until: float = 0.0
     run: int = 0
-    disk: list[tuple[str, Written]] = field(default_factory=list)
+    disk: list[tuple[str, GrantRecord]] = field(default_factory=list)
     epoch: int = 0  # on disk
     kept: bool = False  # the folder is surely whole
     left_at: float | None = None
@@ -63,7 +63,7 @@
         self.weather = weather or Weather()
         self.time = 0.0
         self.nodes: dict[str, Node] = {}
-        self.lists = Lists(1, tuple(Listed(name, (name, 0)) for name in names))
+        self.lists = MemberList(1, tuple(MemberEntry(name, (name, 0)) for name in names))
         self.demand: Callable[[str, str, float], float] = lambda name, budget, at: 0.0
         self.over: list[tuple[float, str, float]] = []
         self.sent = self.bytes = 0
@@ -81,13 +81,15 @@
         self.nodes[name] = Node(name, rate)
         self.start(name)
 
-    def start(self, name: str, lists: Lists | None = None, budgets: Iterable[Budget] | None = None) -> None:
+    def start(
+        self, name: str, lists: MemberList | None = None, budgets: Iterable[Budget] | None = None
+    ) -> None:
         node = self.nodes[name]
         node.run += 1
         lists, now = lists or self.lists, self.clock(name)
         longest = max([one.lease_s for one in self.budgets], default=1.0)
         membership = Membership(name, lists, longest, self.drift, node.epoch if node.kept else 0)
-        written: dict[str, list[Written]] = {}
+        written: dict[str, list[GrantRecord]] = {}
         for budget, one in node.disk:
             written.setdefault(budget, []).append(one)
         node.member = Member(
@@ -127,13 +129,13 @@
         for name in sorted(wanted ^ set(lists.at(lists.epoch))):
             epoch = lists.epoch + 1
             if name in wanted:
-                members = (*lists.members, Listed(name, (name, 0), since=epoch))
+                members = (*lists.members, MemberEntry(name, (name, 0), since=epoch))
             else:
                 members = tuple(
                     one._replace(until=epoch) if one.name == name else one for one in lists.members
                 )
-            lists = Lists(epoch, members)
-            assert not lists.fault(), lists.fault()
+            lists = MemberList(epoch, members)
+            assert not lists.validation_error(), lists.validation_error()
         self.lists = lists
         if budgets is not None:
             self.budgets = list(budgets)
@@ -141,7 +143,7 @@
     def reload(self, name: str) -> None:
         """SIGHUP: this member reads the newest file."""
         if (member := self.nodes[name].member) is not None:
-            member.learn(self.lists, self.budgets, self.clock(name))
+            member.reload(self.lists, self.budgets, self.clock(name))
 
     def clock(self, name: str) -> float:
         return 1000.0 + self.time * self.nodes[name].rate
@@ -172,11 +174,11 @@
             return
         now = self.clock(target)
         if isinstance(message, Ask):
-            answer, written = node.member.hear_ask(message, now)
+            answer, written = node.member.receive_ask(message, now)
             node.disk += written
             self._send(target, [(message.name, answer)])
         else:
-            node.member.hear_answer(message, now)
+            node.member.receive_answer(message, now)
 
     # Running
 
@@ -206,7 +208,7 @@
         if node.paused_until > self.time:
             heapq.heappush(self._ticks, (node.paused_until, next(self._count), name))
             return
-        uses = {one.name: Use(self.demand(name, one.name, self.time)) for one in self.budgets}
+        uses = {one.name: Usage(self.demand(name, one.name, self.time)) for one in self.budgets}
         self._send(name, node.member.tick(self.clock(name), uses))
         node.epoch = max(node.epoch, node.member.membership.adopted)
         heapq.heappush(self._ticks, (self.time + TICK_S, next(self._count), name))
@@ -214,7 +216,7 @@
     def parts(self, budget: str) -> dict[str, float]:
         """What each process would act on at this moment, a paused one too."""
         return {
-            name: node.member.part(budget, self.clock(name)).whole
+            name: node.member.share(budget, self.clock(name)).total
             for name, node in self.nodes.items()
             if node.member is not None and budget in node.member.states
         }
@@ -222,7 +224,7 @@
     def check(self) -> None:
         for budget in self.budgets:
             most = max(
-                [one.budget.whole for node in self.nodes.values() if node.member is not None
+                [one.budget.total for node in self.nodes.values() if node.member is not None
                  for name, one in node.member.states.items() if name == budget.name], default=0.0
             )  # fmt: skip
             total = sum(self.parts(budget.name).values())
@@ -234,7 +236,7 @@
         parts = self.parts(budget.name)
         wanted = {name: self.demand(name, budget.name, self.time) for name in parts}
         served = sum(min(parts[name], wanted[name]) for name in parts)
-        return served / max(1e-9, min(budget.whole, sum(wanted.values())))
+        return served / max(1e-9, min(budget.total, sum(wanted.values())))
 
 
 def mean_use(world: World, budget: Budget, begin: float, end: float, step: float = 0.25) -> float:
--- a/benchmarks/budget_model.py
+++ b/benchmarks/budget_model.py
@@ -25,7 +25,7 @@
 from unittest import mock
 
 from mountgauge.budgets import timing
-from mountgauge.budgets.grants import Grants, Holder, Written
+from mountgauge.budgets.grants import GrantRecord, Grants, Holder
 from mountgauge.budgets.leases import Leases, at_least
 
 NAMES = ("a", "b", "c")
@@ -81,16 +81,16 @@
 
     __slots__ = ("disk", "grants", "keys", "leases", "run")
 
-    def __init__(self, run: int, grants: Grants, leases: Leases, disk: tuple[Written, ...]) -> None:
+    def __init__(self, run: int, grants: Grants, leases: Leases, disk: tuple[GrantRecord, ...]) -> None:
         self.run, self.grants, self.leases, self.disk = run, grants, leases, disk
         self.keys: dict[Any, Any] = {}  # of its state, by time and names
 
     def copy(self) -> Node:
         old, mine = self.grants, self.leases
-        grants = Grants(old.slices, old.drift, old.silent_until, dict(old.given), dict(old.newest))
+        grants = Grants(old.slices, old.drift, old.silent_until, dict(old.grants_by_holder), dict(old.newest))
         voted = {voter: dict(one) for voter, one in mine.voted.items()}
         leases = Leases(
-            mine.lease, mine.drift, mine.number, mine.mask, dict(mine.asked), dict(mine.kept), voted
+            mine.lease, mine.drift, mine.number, mine.mask, dict(mine.asked), dict(mine.still_claimed), voted
         )
         return Node(self.run, grants, leases, self.disk)
 
@@ -157,7 +157,7 @@
         after = self.copy()
         node = after.change(name)
         node.leases.drop(node.leases.mask & ~mask)
-        node.leases.want(mask)
+        node.leases.claim(mask)
         number, claimed = node.leases.ask(after.clock(name))
         after.sent |= {Ask(Holder(name, node.run), number, claimed)}
         return after
@@ -230,7 +230,7 @@
 
         given = sorted(
             (name[one.name], one.run, mask(p.mask), mask(p.on_disk), round(p.until - now, 3))
-            for one, p in node.grants.given.items() if p.until > now
+            for one, p in node.grants.grants_by_holder.items() if p.until > now
         )  # fmt: skip
         voted = sorted(
             (name[voter], number, mask(granted))
@@ -240,7 +240,7 @@
         found = node.keys[where] = (
             name[who], node.run, tuple(given), round(max(0.0, node.grants.silent_until - now), 3),
             tuple(sorted((name[one.name], one.run, number) for one, number in node.grants.newest.items())),
-            mine.number, mask(mine.mask), tuple((n, mask(one)) for n, one in mine.kept.items()),
+            mine.number, mask(mine.mask), tuple((n, mask(one)) for n, one in mine.still_claimed.items()),
             tuple(sorted((n, round(at - now, 3)) for n, at in mine.asked.items() if at > now)), tuple(voted),
             tuple((name[one.holder.name], one.holder.run, mask(one.mask)) for one in node.disk),
         )  # fmt: skip
@@ -253,7 +253,7 @@
 ]  # fmt: skip
 
 
-def write(node: Node, one: Written) -> None:
+def write(node: Node, one: GrantRecord) -> None:
     """What the voter's caller does before an answer leaves."""
     node.disk = (*node.disk, one)
 
@@ -321,7 +321,7 @@
 # One rule left out in each: what it would have kept from happening must be found.
 
 
-def _no_write(node: Node, one: Written) -> None:
+def _no_write(node: Node, one: GrantRecord) -> None:
     pass
 
 
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -13,7 +13,7 @@
 
 from benchmarks import budget_fleet, fleet_model
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, allocated
-from mountgauge.budgets.membership import Listed, Lists
+from mountgauge.budgets.membership import MemberEntry, MemberList
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget, Kind
 
@@ -33,8 +33,8 @@
         super().__init__(budgets, (), 1, weather=budget_fleet.Weather(loss=0.01, delay_s=0.005))
         self.spent_ns: Counter[str] = Counter()  # by member
         self.sent_bytes: Counter[str] = Counter()
-        self.lists = Lists(
-            1, tuple(Listed(name, (name, 0), voter=place < voters) for place, name in enumerate(names))
+        self.lists = MemberList(
+            1, tuple(MemberEntry(name, (name, 0), voter=place < voters) for place, name in enumerate(names))
         )
         for name in names:
             self.add(name)
@@ -179,8 +179,8 @@
 
 _TENANT_COUNTS = (100, 200, 400, 800, 1_600)
 _GOSSIP_SOURCE = "mountgauge.tenants.gossip.node.Gossip.tick, receive"
-_ALL_VOTE = "mountgauge.budgets.member.Member.hear_ask, _asks (all members vote: the default)"
-_VOTER = "mountgauge.budgets.member.Member.hear_ask (five voters answer all members)"
+_ALL_VOTE = "mountgauge.budgets.member.Member.receive_ask, _asks (all members vote: the default)"
+_VOTER = "mountgauge.budgets.member.Member.receive_ask (five voters answer all members)"
 _MEMBER = "mountgauge.budgets.member.Member.tick (five voters)"
 
 
