--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -13,7 +13,7 @@
 from mountgauge.amqp.connection import AmqpConnection, PublisherFront, Waiter
 from mountgauge.connections.admission import Bounds
 from mountgauge.connections.registry import Registry
-from mountgauge.connections.scheduler import GOLDEN
+from mountgauge.connections.scheduler import GOLDEN_RATIO_STEP
 from mountgauge.connections.settings import default_settings
 from mountgauge.core.ports import Answer, End, Status, Submission, Taken
 from rillspindle.interface import Grade
@@ -54,7 +54,7 @@
 
     def phase(self) -> float:
         """Of heartbeats: spread evenly, whoever connects when."""
-        self._phase = (self._phase + GOLDEN) % 1.0
+        self._phase = (self._phase + GOLDEN_RATIO_STEP) % 1.0
         return self._phase
 
     def close_idle(self) -> None:
--- a/mountgauge/connections/scheduler.py
+++ b/mountgauge/connections/scheduler.py
@@ -15,7 +15,9 @@
 RESTED = 1.0  # s without a request after which a connection counts as woken
 LEAST_RATE = 50  # messages a second that any sender takes, before it has been seen to
 QUANTUM = 8  # commands that one connection may have read in a row
-GOLDEN = 0.6180339887498949  # its multiples, modulo 1, spread evenly at every length (Weyl's sequence)
+GOLDEN_RATIO_STEP = (
+    0.6180339887498949  # its multiples, modulo 1, spread evenly at every length (Weyl's sequence)
+)
 
 
 class Scheduler(Generic[T]):
@@ -59,7 +61,7 @@
         """
         serving = 1000.0 * waiting / rate if rate > 0 else 0.0
         span = min(60_000.0, max(float(self.least_ms), serving, float(span_ms)))
-        self._phase = (self._phase + GOLDEN) % 1.0
+        self._phase = (self._phase + GOLDEN_RATIO_STEP) % 1.0
         return self.least_ms + int(span * self._phase)
 
 
