--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -16,7 +16,7 @@
 from mountgauge.amqp.link import FRAME_MAX, RECEIVE, Link, State
 from mountgauge.connections.admission import Activity
 from mountgauge.connections.front import Front
-from mountgauge.connections.scheduler import RESTED
+from mountgauge.connections.scheduler import WOKEN_AFTER_S
 from mountgauge.core.ports import End, Status
 
 _CHANNELS = 16  # each may hold a body under way, so this bounds memory
@@ -311,7 +311,7 @@
         found.tag += 1
         front = self._front
         if not self.unsettled:
-            self.woken = front.registry.now() - self.since >= RESTED
+            self.woken = front.registry.now() - self.since >= WOKEN_AFTER_S
         if front.registry.sheds and front.pressed(self):
             self._tell(found, found.tag, content, End(Status.DEFERRED, front.come_again()))
             return
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -11,7 +11,7 @@
 from mountgauge.connections.admission import Activity
 from mountgauge.connections.connection import ConnectionTransport
 from mountgauge.connections.front import Front
-from mountgauge.connections.scheduler import QUANTUM, RESTED
+from mountgauge.connections.scheduler import QUANTUM, WOKEN_AFTER_S
 from mountgauge.connections.timer_wheel import FAR
 from mountgauge.log import kv
 from mountgauge.sockets import LINGER, Drain
@@ -158,7 +158,7 @@
                 break
             whole = self.greeted = True
             if not self._slots and self.activity != Activity.BUSY:
-                self.woken = self._clients.registry.now() - self.since >= RESTED
+                self.woken = self._clients.registry.now() - self.since >= WOKEN_AFTER_S
                 if self._clients.turns_back(self, args):
                     continue  # it rests on, as if it had not asked
                 self._clients.set_activity(self, Activity.BUSY)
--- a/mountgauge/connections/scheduler.py
+++ b/mountgauge/connections/scheduler.py
@@ -12,7 +12,7 @@
 T = TypeVar("T")
 
 WOKEN, STEADY = 1, 4  # of a batch, how many are heard in a crowd
-RESTED = 1.0  # s without a request after which a connection counts as woken
+WOKEN_AFTER_S = 1.0  # s without a request after which a connection counts as woken
 LEAST_RATE = 50  # messages a second that any sender takes, before it has been seen to
 QUANTUM = 8  # commands that one connection may have read in a row
 GOLDEN_RATIO_STEP = (
