--- a/mountgauge/connections/descriptors.py
+++ b/mountgauge/connections/descriptors.py
@@ -4,7 +4,9 @@
 
 import resource
 
-SPARE = 48  # the loop, the log, the journal, discovery, notices, status, listeners and the one kept back
+RESERVED_DESCRIPTORS = (
+    48  # the loop, the log, the journal, discovery, notices, status, listeners and the one kept back
+)
 
 
 def limits() -> tuple[int, int]:
@@ -35,6 +37,6 @@
 
 def shares(sockets: int, workers: int) -> tuple[int, int]:
     """How many connections clients and next hops may have; with the spare ones they are all of `sockets`."""
-    usable = max(8, sockets - SPARE)
+    usable = max(8, sockets - RESERVED_DESCRIPTORS)
     hops = max(4, min(usable // 3, 6 * workers))
     return max(4, usable - hops), hops
--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from resource import RLIM_INFINITY
 
-from mountgauge.connections.descriptors import SPARE, limits, raise_soft
+from mountgauge.connections.descriptors import RESERVED_DESCRIPTORS, limits, raise_soft
 from mountgauge.core.config import Address, ConfigError
 from mountgauge.log import kv
 from mountgauge.operator_file import Otlp, read_otlp
@@ -105,7 +105,7 @@
 
 def descriptor_shortfall(file: RelayFile) -> str | None:
     """One line on what to raise where the hard limit of descriptors is too low, else None."""
-    wanted, hard = file.limits.connections + SPARE, limits()[1]
+    wanted, hard = file.limits.connections + RESERVED_DESCRIPTORS, limits()[1]
     if hard == RLIM_INFINITY or wanted <= hard:
         return None
     return (
@@ -116,7 +116,7 @@
 
 def raise_descriptors(file: RelayFile) -> None:
     """Raise the soft limit for as many connections as the file asks for, as far as the hard one allows."""
-    wanted = file.limits.connections + SPARE
+    wanted = file.limits.connections + RESERVED_DESCRIPTORS
     if (had := raise_soft(wanted)) < wanted:
         log.warning("descriptors", extra=kv(wanted=wanted, had=had))
 
--- a/tests/connections/test_decisions.py
+++ b/tests/connections/test_decisions.py
@@ -12,7 +12,7 @@
 
 from mountgauge.connections.admission import Activity, Admission, Bounds, Refusal, Shared
 from mountgauge.connections.budget import Budget
-from mountgauge.connections.descriptors import SPARE, shares, shortfall
+from mountgauge.connections.descriptors import RESERVED_DESCRIPTORS, shares, shortfall
 from mountgauge.connections.scheduler import QUANTUM, STEADY, WOKEN, OverloadDetector, RetrySpread, Scheduler
 from mountgauge.connections.settings import read_clients
 from mountgauge.connections.timer_wheel import FAR, TimerWheel
@@ -295,4 +295,4 @@
     assert "raise the hard limit" in (shortfall(1001, 1000) or "")
     for sockets in (60, 256, 1024, 20_000):
         clients_share, hops = shares(sockets, 32)
-        assert clients_share + hops + SPARE <= max(sockets, 60)
+        assert clients_share + hops + RESERVED_DESCRIPTORS <= max(sockets, 60)
--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -507,7 +507,7 @@
             for _, writer in storm:
                 writer.write(command(b"PING"))
             report = (await ask(status))["clients"]
-            assert report["open"] <= 100 - descriptors.SPARE
+            assert report["open"] <= 100 - descriptors.RESERVED_DESCRIPTORS
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(enqueue(b"one"))
             assert await reader.readline() == b"+OK\r\n"
