--- a/mountgauge/connections/acceptor.py
+++ b/mountgauge/connections/acceptor.py
@@ -19,7 +19,7 @@
 
 BACKLOG = 1024  # connections that the kernel holds until they are accepted
 AT_ONCE = 8  # accepted in one turn, so that each is counted before many more come
-PAUSE = 0.05  # s without accepting once the process or the machine is out of something
+ACCEPT_PAUSE_S = 0.05  # s without accepting once the process or the machine is out of something
 _MOST_READ = 64 * 1024  # bytes of one that is turned away for want of a descriptor
 _SCARCE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
@@ -118,7 +118,7 @@
             self._keep_one_back()
         if self._sock is not None:
             self._loop.remove_reader(self._sock.fileno())
-            self._pause = self._loop.call_later(PAUSE, self._resume)
+            self._pause = self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
 
     def _turn_away(self, sock: socket.socket) -> None:
         """What has come is read and answered: a close over unread bytes would reset the answer as well."""
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -18,7 +18,7 @@
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.clients import Clients
 from mountgauge.connecting import SHORTAGE_PAUSE
-from mountgauge.connections.acceptor import PAUSE
+from mountgauge.connections.acceptor import ACCEPT_PAUSE_S
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.settings import platform_settings
 from mountgauge.console.calls import Call as ConsoleCall
@@ -131,7 +131,7 @@
             sock = await held.client()
             await loop.sock_sendall(sock, PING)
             await until(lambda: faults.count["accept"] >= 6)
-            assert faults.count["accept"] <= 2 * ((loop.time() - began) / PAUSE + 1)
+            assert faults.count["accept"] <= 2 * ((loop.time() - began) / ACCEPT_PAUSE_S + 1)
             faults.always("accept", None)
             assert await hear(sock, 7) == b"+PONG\r\n"
 
