--- a/mountgauge/connections/admission.py
+++ b/mountgauge/connections/admission.py
@@ -55,7 +55,7 @@
     most_per_user: int = 0  # 0: as many as there is room for
     displace: bool = True  # False: who comes last is refused
     young_s: float = 0.1  # a new one's first command, or a last answer, is surely under way so long
-    quiet_s: float = 0.0  # rest after which one may be displaced
+    min_idle_s: float = 0.0  # rest after which one may be displaced
 
 
 class Shared:
@@ -99,7 +99,7 @@
         leaving = next(iter(self._by_activity[Activity.LEAVING]), None)
         silent = next(iter(self._by_activity[Activity.SILENT]), None)
         resting = next((c for of in self._by_activity[Activity.RESTING : Activity.LEAVING] for c in of), None)
-        if resting is not None and now - resting.since < self.bounds.quiet_s:
+        if resting is not None and now - resting.since < self.bounds.min_idle_s:
             resting = None
         then = now - self.bounds.young_s
         if leaving is not None and leaving.since < then:  # it has had time to read its last answer
