--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -85,7 +85,7 @@
 
     def _spread(self, end: End) -> End:
         """No room: nobody said when there will be."""
-        if end.status is not Status.DEFERRED or end.again_ms > 0 or not self.registry.sheds:
+        if end.status is not Status.DEFERRED or end.again_ms > 0 or not self.registry.sheds_load:
             return end
         return End(Status.DEFERRED, self.come_again())
 
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -312,7 +312,7 @@
         front = self._front
         if not self.unsettled:
             self.woken = front.registry.now() - self.since >= WOKEN_AFTER_S
-        if front.registry.sheds and front.pressed(self):
+        if front.registry.sheds_load and front.pressed(self):
             self._tell(found, found.tag, content, End(Status.DEFERRED, front.come_again()))
             return
         if not self.unsettled:
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -52,7 +52,7 @@
         self.listen_with(lambda: ClientConnection(self), full, host, port)
 
     def busy(self) -> bytes:
-        return b"-BUSY %d\r\n" % self.come_again() if self.registry.sheds else b"-BUSY\r\n"
+        return b"-BUSY %d\r\n" % self.come_again() if self.registry.sheds_load else b"-BUSY\r\n"
 
     def close_idle(self) -> None:
         self.close_each(ClientConnection.close)
@@ -80,7 +80,7 @@
     def turns_back(self, connection: ClientConnection, args: list[bytes]) -> bool:
         """More want to be heard than can be: answered at once, as the core could not do in time."""
         registry = self.registry
-        if not registry.sheds or args[0] != b"ENQUEUE":
+        if not registry.sheds_load or args[0] != b"ENQUEUE":
             return False
         if not registry.overload.pressed(registry.now(), connection.woken):
             return False
@@ -139,12 +139,12 @@
 
     def _reply(self, answer: Answer) -> bytes:
         if isinstance(answer, Taken) or answer.status is Status.DELIVERED:
-            if self.registry.sheds:
+            if self.registry.sheds_load:
                 self.registry.overload.served(self.registry.now())
             return b"+OK\r\n"
         if answer.status is Status.DEFERRED:
             again = answer.again_ms
-            if again <= 0 and self.registry.sheds:  # no room: nobody said when there will be
+            if again <= 0 and self.registry.sheds_load:  # no room: nobody said when there will be
                 again = self.come_again()
             return b"-BUSY %d\r\n" % again if again > 0 else b"-BUSY\r\n"
         return b"-ERR undeliverable\r\n"
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -79,10 +79,10 @@
 
     def turned_away(self, connection: C, why: Refusal) -> None:
         self.counts["clients", "turned-away"] += 1
-        if self.registry.sheds:
+        if self.registry.sheds_load:
             self.counts["clients", f"turned-away-{why.value}"] += 1
         registry = self.registry
-        connection.turn_away(self.come_again() if registry.sheds else registry.retry_spread.least_ms)
+        connection.turn_away(self.come_again() if registry.sheds_load else registry.retry_spread.least_ms)
 
     def come_again(self) -> int:
         """ms after which one that is turned away may come again: spread, so that not all come at once."""
--- a/mountgauge/connections/registry.py
+++ b/mountgauge/connections/registry.py
@@ -78,7 +78,7 @@
         return len(self._transports)
 
     @property
-    def sheds(self) -> bool:
+    def sheds_load(self) -> bool:
         """Whether a crowd may be turned away: not on the platform."""
         return self.overload.patience_s < FAR
 
@@ -100,7 +100,7 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 4)
         if times.user_timeout:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, times.user_timeout * 1000)
-        if self._epoll is None and self.sheds:
+        if self._epoll is None and self.sheds_load:
             self._epoll = select.epoll()
             self._loop.add_reader(self._epoll.fileno(), self.turn)
         fd = sock.detach()
@@ -111,7 +111,7 @@
             raise
         self._transports[fd] = transport
         self._peak = max(self._peak, len(self._transports))
-        if self.sheds and abs(len(self._transports) - self._frozen_at) >= _FREEZE:
+        if self.sheds_load and abs(len(self._transports) - self._frozen_at) >= _FREEZE:
             # Connections that stay are not walked again by the collector, which would stop all else for long.
             self._frozen_at = len(self._transports)
             gc.collect()
