--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -78,7 +78,7 @@
 
     def pressed(self, connection: AmqpConnection) -> bool:
         """More want to be heard than can be: answered at once, as the core could not do in time."""
-        if not self.registry.overload.pressed(self.registry.now(), connection.woken):
+        if not self.registry.overload.should_reject(self.registry.now(), connection.woken):
             return False
         self.counts["clients", "crowded"] += 1
         return True
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -82,7 +82,7 @@
         registry = self.registry
         if not registry.sheds_load or args[0] != b"ENQUEUE":
             return False
-        if not registry.overload.pressed(registry.now(), connection.woken):
+        if not registry.overload.should_reject(registry.now(), connection.woken):
             return False
         self.counts["clients", "crowded"] += 1
         connection.say(b"-BUSY %d\r\n" % self.come_again())
--- a/mountgauge/connections/scheduler.py
+++ b/mountgauge/connections/scheduler.py
@@ -108,7 +108,7 @@
         elif self._full_since is None:
             self._full_since = now
 
-    def pressed(self, now: float, woken: bool) -> bool:
+    def should_reject(self, now: float, woken: bool) -> bool:
         """Whether one is told to come back, at once and without asking further.
 
         Of each batch some are heard all the same, more of those who use their connection again and again
--- a/tests/connections/test_decisions.py
+++ b/tests/connections/test_decisions.py
@@ -230,14 +230,14 @@
     crowd = OverloadDetector(patience_s=0.1)
     for n in range(3):
         crowd.polled(True, n * 0.05)
-    assert not crowd.pressed(0.1, woken=True)
-    heard = [not crowd.pressed(0.15, woken=True) for _ in range(9)]
+    assert not crowd.should_reject(0.1, woken=True)
+    heard = [not crowd.should_reject(0.15, woken=True) for _ in range(9)]
     assert heard.count(True) == WOKEN and heard[0]  # of each batch a few are heard all the same
-    assert [not crowd.pressed(0.15, woken=False) for _ in range(9)].count(True) == STEADY > WOKEN
+    assert [not crowd.should_reject(0.15, woken=False) for _ in range(9)].count(True) == STEADY > WOKEN
     crowd.polled(True, 0.2)
-    assert not crowd.pressed(0.2, woken=True) and crowd.pressed(0.2, woken=True)
+    assert not crowd.should_reject(0.2, woken=True) and crowd.should_reject(0.2, woken=True)
     crowd.polled(False, 0.25)
-    assert not crowd.pressed(9.0, woken=True)
+    assert not crowd.should_reject(9.0, woken=True)
     spread = RetrySpread()
     for n in range(500):
         crowd.served(10 + n / 1000)
