--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -114,7 +114,7 @@
         def answer(what: Answer) -> None:
             if isinstance(what, Taken):
                 self._waiters.setdefault(msg_id, []).append(waiter)
-                self.registry.overload.served(self.registry.now())
+                self.registry.overload.count_served(self.registry.now())
             else:
                 waiter.connection.settle(waiter, self._spread(what))
 
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -140,7 +140,7 @@
     def _reply(self, answer: Answer) -> bytes:
         if isinstance(answer, Taken) or answer.status is Status.DELIVERED:
             if self.registry.sheds_load:
-                self.registry.overload.served(self.registry.now())
+                self.registry.overload.count_served(self.registry.now())
             return b"+OK\r\n"
         if answer.status is Status.DEFERRED:
             again = answer.again_ms
--- a/mountgauge/connections/scheduler.py
+++ b/mountgauge/connections/scheduler.py
@@ -122,7 +122,7 @@
         self._steady -= 1
         return self._steady < 0
 
-    def served(self, now: float) -> None:
+    def count_served(self, now: float) -> None:
         self._served.add(now)
 
     def turned(self, now: float) -> None:
--- a/tests/connections/test_decisions.py
+++ b/tests/connections/test_decisions.py
@@ -240,7 +240,7 @@
     assert not crowd.should_reject(9.0, woken=True)
     spread = RetrySpread()
     for n in range(500):
-        crowd.served(10 + n / 1000)
+        crowd.count_served(10 + n / 1000)
     late = [crowd.again_ms(spread, 10.5 + n / 10_000) for n in range(2000)]
     assert max(late[1000:]) > 2000  # 500 a second were served: two thousand take four seconds
 
