--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -87,7 +87,7 @@
         """No room: nobody said when there will be."""
         if end.status is not Status.DEFERRED or end.again_ms > 0 or not self.registry.sheds_load:
             return end
-        return End(Status.DEFERRED, self.come_again())
+        return End(Status.DEFERRED, self.retry_delay_ms())
 
     def _submission(self, waiter: Waiter) -> Submission:
         properties: dict[str, Any] = waiter.content.properties
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -313,7 +313,7 @@
         if not self.unsettled:
             self.woken = front.registry.now() - self.since >= WOKEN_AFTER_S
         if front.registry.sheds_load and front.pressed(self):
-            self._tell(found, found.tag, content, End(Status.DEFERRED, front.come_again()))
+            self._tell(found, found.tag, content, End(Status.DEFERRED, front.retry_delay_ms()))
             return
         if not self.unsettled:
             front.set_activity(self, Activity.BUSY)
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -47,12 +47,12 @@
 
     async def listen(self, host: str, port: int) -> None:
         def full(came: bytes) -> bytes:
-            return b"-BUSY %d\r\n" % self.come_again() * max(1, count_whole(came))
+            return b"-BUSY %d\r\n" % self.retry_delay_ms() * max(1, count_whole(came))
 
         self.listen_with(lambda: ClientConnection(self), full, host, port)
 
     def busy(self) -> bytes:
-        return b"-BUSY %d\r\n" % self.come_again() if self.registry.sheds_load else b"-BUSY\r\n"
+        return b"-BUSY %d\r\n" % self.retry_delay_ms() if self.registry.sheds_load else b"-BUSY\r\n"
 
     def close_idle(self) -> None:
         self.close_each(ClientConnection.close)
@@ -85,7 +85,7 @@
         if not registry.overload.should_reject(registry.now(), connection.woken):
             return False
         self.counts["clients", "crowded"] += 1
-        connection.say(b"-BUSY %d\r\n" % self.come_again())
+        connection.say(b"-BUSY %d\r\n" % self.retry_delay_ms())
         return True
 
     def _log_in(self, args: list[bytes], connection: ClientConnection, access: Access) -> None:
@@ -145,7 +145,7 @@
         if answer.status is Status.DEFERRED:
             again = answer.again_ms
             if again <= 0 and self.registry.sheds_load:  # no room: nobody said when there will be
-                again = self.come_again()
+                again = self.retry_delay_ms()
             return b"-BUSY %d\r\n" % again if again > 0 else b"-BUSY\r\n"
         return b"-ERR undeliverable\r\n"
 
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -82,9 +82,9 @@
         if self.registry.sheds_load:
             self.counts["clients", f"turned-away-{why.value}"] += 1
         registry = self.registry
-        connection.turn_away(self.come_again() if registry.sheds_load else registry.retry_spread.least_ms)
+        connection.turn_away(self.retry_delay_ms() if registry.sheds_load else registry.retry_spread.least_ms)
 
-    def come_again(self) -> int:
+    def retry_delay_ms(self) -> int:
         """ms after which one that is turned away may come again: spread, so that not all come at once."""
         return self.registry.overload.again_ms(self.registry.retry_spread, self.registry.now())
 
