--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -58,10 +58,10 @@
         return self._phase
 
     def close_idle(self) -> None:
-        self.close_each(lambda connection: connection.end() if connection.answered else None)
+        self.close_in_batches(lambda connection: connection.end() if connection.answered else None)
 
     def close(self) -> None:
-        self.close_each(AmqpConnection.end)
+        self.close_in_batches(AmqpConnection.end)
 
     # Messages
 
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -55,7 +55,7 @@
         return b"-BUSY %d\r\n" % self.retry_delay_ms() if self.registry.sheds_load else b"-BUSY\r\n"
 
     def close_idle(self) -> None:
-        self.close_each(ClientConnection.close)
+        self.close_in_batches(ClientConnection.close)
 
     def close(self) -> None:
         self.close_idle()
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -111,7 +111,7 @@
             self.registry.half.hold(most, 0)
             most.give_up_half()
 
-    def close_each(self, close: Callable[[C], None]) -> None:
+    def close_in_batches(self, close: Callable[[C], None]) -> None:
         """Some in each turn of the loop: thousands at once would keep it from all else."""
         self._closing = iter(list(self.admission.members))
         self._close_some(close, self._closing)
