--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -71,7 +71,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.opened_by = self._front.registry.now() + self._front.times.handshake
-        self._front.joined(self)
+        self._front.add_connection(self)
 
     # Deadlines: the wheel has one for each connection
 
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -111,7 +111,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._clients.joined(self)
+        self._clients.add_connection(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
         return _RECEIVE if self._drain is None else self._drain.buffer()
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -59,7 +59,7 @@
         if self._acceptor is not None:
             self._acceptor.close()
 
-    def joined(self, connection: C) -> bool:
+    def add_connection(self, connection: C) -> bool:
         """Descriptors are bounded: one that asks nothing goes, as a sender may close between requests."""
         now = self.registry.now()
         self.counts["clients", "joined"] += 1
