--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -144,7 +144,7 @@
     def on_lost(self) -> None:
         for channel in self._channels.values():
             channel.open = False
-        self._front.left(self)
+        self._front.remove_connection(self)
 
     def displace(self) -> None:
         self.abort()
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -389,7 +389,7 @@
         self._stage = Closing.CLOSED
         self._parser = self._transport = None
         self._drain = None
-        self._clients.left(self)
+        self._clients.remove_connection(self)
 
 
 class ClientFront(Front[ClientConnection]):
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -99,7 +99,7 @@
         """
         return self.registry.open <= self.registry.settings.most + LINGERING
 
-    def left(self, connection: C) -> None:
+    def remove_connection(self, connection: C) -> None:
         self.admission.left(connection)
         self.registry.forget(connection)
 
