--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -139,7 +139,7 @@
                 self.arm(self.deadline)
         else:
             self._half_by = math.inf
-        self._front.holds(self, self.held if self.halfway else 0)
+        self._front.set_partial_bytes(self, self.held if self.halfway else 0)
 
     def on_lost(self) -> None:
         for channel in self._channels.values():
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -184,12 +184,12 @@
         if self._parser.partial:
             if whole or self._half_at == FAR:
                 self._half_at = self._clients.registry.now()
-            self._clients.holds(self, self._parser.held)
+            self._clients.set_partial_bytes(self, self._parser.held)
             if not self._slots and not self.closing:
                 self._watch()
         else:
             self._parser, self._half_at = None, FAR
-            self._clients.holds(self, 0)
+            self._clients.set_partial_bytes(self, 0)
 
     def _watch(self) -> None:
         """Nothing is asked: how long it may stay so."""
@@ -261,7 +261,7 @@
     def _turn_back_rest(self, spoilt: bool) -> None:
         """Commands that have been read and wait for their turn are answered, in theirs."""
         parser, self._parser, self._half_at = self._parser, None, FAR
-        self._clients.holds(self, 0)
+        self._clients.set_partial_bytes(self, 0)
         if parser is None or spoilt or not (count := parser.count_rest()):
             return
         content = self._clients.busy() * count
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -103,9 +103,9 @@
         self.admission.left(connection)
         self.registry.forget(connection)
 
-    def holds(self, connection: C, count: int) -> None:
+    def set_partial_bytes(self, connection: C, count: int) -> None:
         """Bytes of a command that is not whole: past the bound on all, whoever holds most goes."""
-        most = self.registry.holds(connection, count)
+        most = self.registry.set_partial_bytes(connection, count)
         if most is not None:
             self.counts["clients", "buffers"] += 1
             self.registry.half.hold(most, 0)
--- a/mountgauge/connections/registry.py
+++ b/mountgauge/connections/registry.py
@@ -150,7 +150,7 @@
             self.counts["clients", "unread"] += 1
             most.abort()
 
-    def holds(self, connection: Registered, count: int) -> Registered | None:
+    def set_partial_bytes(self, connection: Registered, count: int) -> Registered | None:
         """Bytes of a command that is not whole; returns who has to go for it."""
         return self.half.hold(connection, count)
 
