--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -149,7 +149,7 @@
     def displace(self) -> None:
         self.abort()
 
-    def give_up_half(self) -> None:
+    def abandon_partial(self) -> None:
         self.abort()
 
     def turn_away(self, again_ms: int) -> None:
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -359,7 +359,7 @@
         """Once what was asked is answered; between requests a sender may close."""
         self._leave()
 
-    def give_up_half(self) -> None:
+    def abandon_partial(self) -> None:
         if self._slots:
             self.refuse("Protocol error: too much of a command that is not whole", spoilt=True)
         else:
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -109,7 +109,7 @@
         if most is not None:
             self.counts["clients", "buffers"] += 1
             self.registry.half.hold(most, 0)
-            most.give_up_half()
+            most.abandon_partial()
 
     def close_in_batches(self, close: Callable[[C], None]) -> None:
         """Some in each turn of the loop: thousands at once would keep it from all else."""
--- a/mountgauge/connections/registry.py
+++ b/mountgauge/connections/registry.py
@@ -43,7 +43,7 @@
     def more(self) -> None:
         """Its turn has come to have more commands read."""
 
-    def give_up_half(self) -> None:
+    def abandon_partial(self) -> None:
         """Its command that is not whole holds more than there is room for."""
 
     def abort(self) -> None: ...
