--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -152,7 +152,7 @@
     def abandon_partial(self) -> None:
         self.abort()
 
-    def turn_away(self, again_ms: int) -> None:
+    def reject(self, again_ms: int) -> None:
         self.abort()
 
     def on_header(self, head: bytes) -> None:
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -371,7 +371,7 @@
         else:
             self.abort()
 
-    def turn_away(self, again_ms: int) -> None:
+    def reject(self, again_ms: int) -> None:
         """No descriptor to spare: handing in again is harmless."""
         self.say(b"-BUSY %d\r\n" % again_ms)
         self._leave(told=1)
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -25,7 +25,7 @@
     def displace(self) -> None:
         """Go for another's sake."""
 
-    def turn_away(self, again_ms: int) -> None:
+    def reject(self, again_ms: int) -> None:
         """There is no place."""
 
 
@@ -82,7 +82,7 @@
         if self.registry.sheds_load:
             self.counts["clients", f"turned-away-{why.value}"] += 1
         registry = self.registry
-        connection.turn_away(self.retry_delay_ms() if registry.sheds_load else registry.retry_spread.least_ms)
+        connection.reject(self.retry_delay_ms() if registry.sheds_load else registry.retry_spread.least_ms)
 
     def retry_delay_ms(self) -> int:
         """ms after which one that is turned away may come again: spread, so that not all come at once."""
