--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -125,7 +125,7 @@
     def wait_turn(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
-        self._front.registry.wait(self)
+        self._front.registry.queue_turn(self)
 
     def _keep(self) -> None:
         """Half a message holds memory and a place: judged by the whole, as bytes may trickle for ever."""
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -146,7 +146,7 @@
         while not self.closing and len(self._slots) < _MOST_WAITING and not self._choked and self._parser:
             if not left:
                 self._more = True
-                self._clients.registry.wait(self)
+                self._clients.registry.queue_turn(self)
                 break
             left -= 1
             try:
--- a/mountgauge/connections/registry.py
+++ b/mountgauge/connections/registry.py
@@ -170,7 +170,7 @@
 
     # Scheduling
 
-    def wait(self, connection: Registered) -> None:
+    def queue_turn(self, connection: Registered) -> None:
         """It has more to say than one turn hears."""
         self.scheduler.wait(connection)
         self._soon()
