--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -244,7 +244,7 @@
                 raise AmqpError(530, "NOT_ALLOWED - no such virtual host", True, 10, 40)
             self.state = State.READY
             self.opened_by = math.inf
-            self._front.set_activity(self, Activity.RESTING)
+            self._front.set_activity(self, Activity.IDLE)
             self.arm(self.deadline)
             self.send_method(0, "connection.open-ok")
         else:
@@ -323,7 +323,7 @@
     def settle(self, waiter: Waiter, end: End, text: str = "") -> None:
         self.unsettled -= 1
         if not self.unsettled and self.state is State.READY:
-            self._front.set_activity(self, Activity.RESTING)
+            self._front.set_activity(self, Activity.IDLE)
             self.arm(self.deadline)
         self._tell(waiter.channel, waiter.tag, waiter.content, end, text)
 
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -107,7 +107,7 @@
     def rank(self) -> int:
         """Who asked once and stayed goes first, then who has only said PING and may be about to hand in its
         first message, last who uses its connection again and again."""
-        return Activity.RESTING + (1, 0, 2)[min(self.handed_in, 2)]
+        return Activity.IDLE + (1, 0, 2)[min(self.handed_in, 2)]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -366,7 +366,7 @@
             self.abort()
 
     def displace(self) -> None:
-        if Activity.RESTING <= self.activity < Activity.LEAVING:
+        if Activity.IDLE <= self.activity < Activity.LEAVING:
             self.close()
         else:
             self.abort()
--- a/mountgauge/connections/admission.py
+++ b/mountgauge/connections/admission.py
@@ -22,8 +22,8 @@
     """What a connection is doing: the lower, the sooner it is evicted; BUSY never is."""
 
     SILENT = 0
-    RESTING = 1  # and the two behind it: one for each rank
-    LEAVING = RESTING + RANKS
+    IDLE = 1  # and the two behind it: one for each rank
+    LEAVING = IDLE + RANKS
     BUSY = LEAVING + 1
 
 
@@ -39,7 +39,7 @@
 class Admitted(Protocol):
     """A connection as the admission sees it."""
 
-    activity: int  # an `Activity`, or a rank of RESTING
+    activity: int  # an `Activity`, or a rank of IDLE
     since: float  # s, when `activity` was set
     user: str  # who logged in, "" for nobody
 
@@ -84,7 +84,7 @@
 
     @property
     def resting(self) -> int:
-        return sum(self._counts[Activity.RESTING : Activity.LEAVING])
+        return sum(self._counts[Activity.IDLE : Activity.LEAVING])
 
     def need(self) -> Refusal | None:
         """What stands in the way of one more."""
@@ -98,7 +98,7 @@
             return None
         leaving = next(iter(self._by_activity[Activity.LEAVING]), None)
         silent = next(iter(self._by_activity[Activity.SILENT]), None)
-        resting = next((c for of in self._by_activity[Activity.RESTING : Activity.LEAVING] for c in of), None)
+        resting = next((c for of in self._by_activity[Activity.IDLE : Activity.LEAVING] for c in of), None)
         if resting is not None and now - resting.since < self.bounds.min_idle_s:
             resting = None
         then = now - self.bounds.young_s
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -68,7 +68,7 @@
             if victim is None:
                 self.turned_away(connection, why)
                 return False
-            resting = Activity.RESTING <= victim.activity < Activity.LEAVING
+            resting = Activity.IDLE <= victim.activity < Activity.LEAVING
             self.counts["clients", "displaced-resting" if resting else "displaced"] += 1
             self.admission.give_up(victim)
             victim.displace()  # by where it stands still: one that rests is shut in order
--- a/tests/connections/test_decisions.py
+++ b/tests/connections/test_decisions.py
@@ -144,14 +144,14 @@
                 peers = [m for m in front.members if m.activity == victim.activity]
                 assert victim.since == min(m.since for m in peers)
                 # Nobody else could go with less harm.
-                if Activity.RESTING <= victim.activity < Activity.LEAVING:
-                    assert not any(Activity.RESTING <= m.activity < victim.activity for m in front.members)
+                if Activity.IDLE <= victim.activity < Activity.LEAVING:
+                    assert not any(Activity.IDLE <= m.activity < victim.activity for m in front.members)
                 front.left(victim)
             front.join(newcomer, now)
         elif one is not None and step == "ask":
             front.set_activity(one, Activity.BUSY, now)
         elif one is not None and step == "rest":
-            front.set_activity(one, Activity.RESTING + rank, now)
+            front.set_activity(one, Activity.IDLE + rank, now)
         elif one is not None and step == "leave":
             front.set_activity(one, Activity.LEAVING, now)
         elif one is not None and step == "go":
--- a/tests/connections/test_states.py
+++ b/tests/connections/test_states.py
@@ -113,8 +113,8 @@
             assert connection.parked == (idle and not pending) or connection.closing
             assert not registry.half.total or pending
             if not connection.closing:
-                wanted = Activity.BUSY if not idle else Activity.RESTING if greeted else Activity.SILENT
-                assert min(connection.activity, Activity.RESTING) == wanted or connection.activity == wanted
+                wanted = Activity.BUSY if not idle else Activity.IDLE if greeted else Activity.SILENT
+                assert min(connection.activity, Activity.IDLE) == wanted or connection.activity == wanted
         connection.connection_lost(None)
         # Nothing of it is left with the registry.
         assert not (registry.timer_wheel.armed or registry.half.total or registry.scheduler)
