--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -44,7 +44,7 @@
 
     # The detached endpoints, kept in the state folder for the process that comes next
 
-    def look(self) -> None:
+    def reload_detached(self) -> None:
         """Read the file again where another process of this sender has changed it. While that fails, what is
         known holds.
         """
@@ -94,7 +94,7 @@
         if call.kind in (Kind.DETACH, Kind.ATTACH):
             if call.who not in self.sender.ever:
                 return Reply(404, f"endpoint {call.who[:80]} was never listed")
-            self.look()
+            self.reload_detached()
             detached = set(self.sender.detached)
             (detached.add if call.kind == Kind.DETACH else detached.discard)(call.who)
             self._write(detached)
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -191,7 +191,7 @@
         self.sender.on_wait = self.handover.tell
         await self.handover.begin()
         if self.service is not None:
-            self.service.look()
+            self.service.reload_detached()
         for listener, address in self.listeners:
             await listener.listen(address.host, address.port)
         self.taking = True
@@ -207,7 +207,7 @@
         """Now and then: what another process on this folder has left or told."""
         self.handover.look()
         if self.service is not None:
-            self.service.look()
+            self.service.reload_detached()
 
     async def stop(self) -> None:
         """Answer through the hand-over, then let go of the clients, finish what is out, leave the rest.
--- a/mountgauge/run/console.py
+++ b/mountgauge/run/console.py
@@ -34,7 +34,7 @@
 
     async def start(self) -> None:
         """What operators took out is out before the core sends the first message of an earlier process."""
-        self.service.look()
+        self.service.reload_detached()
 
     async def serve(self) -> None:
         await self.console.listen(self.address)
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -138,7 +138,7 @@
             return
         runtime.handover.look()
         if runtime.service is not None:
-            runtime.service.look()
+            runtime.service.reload_detached()
         if runtime.map.look_now():
             self.pulse.looked()
 
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -61,7 +61,7 @@
     if runtime.journal.others:
         runtime.handover.hear()
     if runtime.service is not None:
-        runtime.service.look()
+        runtime.service.reload_detached()
 
 
 async def made(make: Callable[[], Runtime], asked: asyncio.Event) -> Runtime | None:
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -752,8 +752,8 @@
     service = Service(sender, None, cast(Registry, None), tmp_path, lambda: True, files)
     (tmp_path / "detached").write_bytes(detached_text({"e1"}))
     files.fails = {"read"}
-    service.look()
+    service.reload_detached()
     assert not told
     files.heal()
-    service.look()
+    service.reload_detached()
     assert told == [{"e1"}]
