--- a/mountgauge/console/listener.py
+++ b/mountgauge/console/listener.py
@@ -76,7 +76,7 @@
         within = asyncio.timeout(_ANSWER_WITHIN)
         try:
             async with within:
-                reply = await self._console.carry_out(call)
+                reply = await self._console.execute(call)
         except Exception as error:  # one call's fault is not the console's end
             if within.expired():
                 reply = Reply(503, "not carried out in time")
@@ -95,8 +95,8 @@
 class Console(Listening):
     """At most `MOST` callers; one that has not finished its request gives way to a newcomer."""
 
-    def __init__(self, carry_out: Callable[[Call], Awaitable[Reply]]) -> None:
-        self.carry_out = carry_out
+    def __init__(self, execute: Callable[[Call], Awaitable[Reply]]) -> None:
+        self.execute = execute
         self._callers: dict[_Caller, None] = {}  # in the order they came
 
     def join(self, caller: _Caller) -> bool:
--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -88,7 +88,7 @@
 
     # The calls
 
-    async def carry_out(self, call: Call) -> Reply:
+    async def execute(self, call: Call) -> Reply:
         if call.kind == Kind.READY:
             return Reply(200, "taking clients") if self.ready() else Reply(503, "not taking clients")
         if call.kind in (Kind.DETACH, Kind.ATTACH):
--- a/mountgauge/run/console.py
+++ b/mountgauge/run/console.py
@@ -30,7 +30,7 @@
         assert config.console is not None
         self.address = config.console
         self.service = Service(sender, front, registry, config.state, taking)
-        self.console = Console(self.service.carry_out)
+        self.console = Console(self.service.execute)
 
     async def start(self) -> None:
         """What operators took out is out before the core sends the first message of an earlier process."""
