--- a/mountgauge/console/duty.py
+++ b/mountgauge/console/duty.py
@@ -35,7 +35,7 @@
         return None
 
 
-def detached_text(detached: set[str]) -> bytes:
+def encode_detached(detached: set[str]) -> bytes:
     """The ids as the file in the folder has them."""
     return orjson.dumps(sorted(detached)) + b"\n"
 
--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -11,7 +11,7 @@
 from mountgauge.clients import Clients
 from mountgauge.connections.registry import Registry
 from mountgauge.console.calls import Call, Kind, Reply
-from mountgauge.console.duty import LameDuck, detached_read, detached_text
+from mountgauge.console.duty import LameDuck, detached_read, encode_detached
 from mountgauge.core.files import Files, SystemFiles
 from mountgauge.core.sender import Sender
 from mountgauge.log import kv
@@ -80,7 +80,7 @@
                 log.error("detached-not-kept", extra=kv(error=error))
 
     def _write(self, detached: set[str]) -> None:
-        self._own.write_bytes(detached_text(detached))
+        self._own.write_bytes(encode_detached(detached))
         os.replace(self._own, self.path)
         stat = self.path.stat()
         self._seen = (stat.st_size, stat.st_mtime_ns)
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -21,7 +21,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from mountgauge.connections.registry import Registry
-from mountgauge.console.duty import detached_text
+from mountgauge.console.duty import encode_detached
 from mountgauge.console.service import Service
 from mountgauge.core.durable_time import Stamp, SystemClocks, read
 from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, Stored
@@ -750,7 +750,7 @@
     sender = cast(Sender, SimpleNamespace(maintain=told.append, detached=set()))
     files = FailingFiles()
     service = Service(sender, None, cast(Registry, None), tmp_path, lambda: True, files)
-    (tmp_path / "detached").write_bytes(detached_text({"e1"}))
+    (tmp_path / "detached").write_bytes(encode_detached({"e1"}))
     files.fails = {"read"}
     service.reload_detached()
     assert not told
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -12,7 +12,7 @@
 import pytest
 
 from mountgauge.console.calls import Call, Kind, Reply, read
-from mountgauge.console.duty import OFF_WITHIN, LameDuck, detached_read, detached_text
+from mountgauge.console.duty import OFF_WITHIN, LameDuck, detached_read, encode_detached
 from mountgauge.console.listener import Console
 from mountgauge.core.config import Address
 from mountgauge.http1 import HttpError, Parser
@@ -70,7 +70,7 @@
 
 
 def test_detached_file_forms() -> None:
-    assert detached_read(detached_text({"b", "a"})) == {"a", "b"} and detached_read(b"") == set()
+    assert detached_read(encode_detached({"b", "a"})) == {"a", "b"} and detached_read(b"") == set()
     for bad in (b"{", b'{"a":1}', b"[1]"):
         with pytest.raises(ValueError):
             detached_read(bad)
