--- a/mountgauge/console/__init__.py
+++ b/mountgauge/console/__init__.py
@@ -1,3 +1,3 @@
 """Where operators call: a small HTTP/1.1 console, one call per connection.
 
-`calls` reads a request, `duty` decides, `service` carries out, `listener` holds the sockets."""
+`calls` reads a request, `state` decides, `service` carries out, `listener` holds the sockets."""
--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -11,7 +11,7 @@
 from mountgauge.clients import Clients
 from mountgauge.connections.registry import Registry
 from mountgauge.console.calls import Call, Kind, Reply
-from mountgauge.console.duty import LameDuck, detached_read, encode_detached
+from mountgauge.console.state import LameDuck, detached_read, encode_detached
 from mountgauge.core.files import Files, SystemFiles
 from mountgauge.core.sender import Sender
 from mountgauge.log import kv
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -21,8 +21,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from mountgauge.connections.registry import Registry
-from mountgauge.console.duty import encode_detached
 from mountgauge.console.service import Service
+from mountgauge.console.state import encode_detached
 from mountgauge.core.durable_time import Stamp, SystemClocks, read
 from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, Stored
 from mountgauge.core.ports import End, Result, Status, Taken
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -12,8 +12,8 @@
 import pytest
 
 from mountgauge.console.calls import Call, Kind, Reply, read
-from mountgauge.console.duty import OFF_WITHIN, LameDuck, detached_read, encode_detached
 from mountgauge.console.listener import Console
+from mountgauge.console.state import OFF_WITHIN, LameDuck, detached_read, encode_detached
 from mountgauge.core.config import Address
 from mountgauge.http1 import HttpError, Parser
 from mountgauge.lab.ports import reserve_ports
