--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -40,7 +40,7 @@
         self.lame_duck = False  # PING says no: the front is to send no more
         self.letting_go = False
 
-    def retune(self, grades: tuple[str, ...], deadlines: Sequence[float]) -> None:
+    def set_classes(self, grades: tuple[str, ...], deadlines: Sequence[float]) -> None:
         """The classes of new settings: one that has gone is refused from now on, a new one is known."""
         self._grades = {name.encode(): place for place, name in enumerate(grades)}
         self._deadlines = list(deadlines) or [math.inf] * len(grades)
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -82,7 +82,7 @@
             self.sender.retune(config.rules, config.names)
             self.discovery.retune(config.names, WatchBounds.of(config.rules))
             self._evidence.retune(config.rules)
-            self.front.retune(config.names.grades, [grade.deadline for grade in config.rules.grades])
+            self.front.set_classes(config.names.grades, [grade.deadline for grade in config.rules.grades])
             classes, attempts = ",".join(config.names.grades), config.rules.attempts_cap
             log.info("retuned", extra=kv(classes=classes, attempts=attempts))
         needs = [name for name in _FIXED if getattr(config, name) != getattr(old, name)]
