--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -12,7 +12,7 @@
 from mountgauge.connections.connection import ConnectionTransport
 from mountgauge.connections.front import Front
 from mountgauge.connections.scheduler import QUANTUM, WOKEN_AFTER_S
-from mountgauge.connections.timer_wheel import FAR
+from mountgauge.connections.timer_wheel import INFINITE
 from mountgauge.log import kv
 from mountgauge.sockets import LINGER, Drain
 
@@ -77,9 +77,9 @@
         self._more = False  # commands have come that wait for its next turn
         self._within = False  # it is reading
         self._drain: Drain | None = None  # once what comes can't be told apart
-        self._close_by = FAR  # once it is shut
+        self._close_by = INFINITE  # once it is shut
         self._bad = 0
-        self._half_at = FAR  # when the command began that is not whole
+        self._half_at = INFINITE  # when the command began that is not whole
         self._stage = Closing.OPEN
         self.heard_end = False  # the client has shut its sending side: nothing is left to be read
         self.tenant = ""  # of the user who logged in; none yet
@@ -89,7 +89,7 @@
         # The registry's: what it is doing, since when, and its one deadline.
         self.activity: int = Activity.BUSY
         self.since, self.user = 0.0, ""
-        self.due_at, self.tick = FAR, -1
+        self.due_at, self.tick = INFINITE, -1
 
     @property
     def closing(self) -> bool:
@@ -182,13 +182,13 @@
         if self._parser is None:
             return
         if self._parser.partial:
-            if whole or self._half_at == FAR:
+            if whole or self._half_at == INFINITE:
                 self._half_at = self._clients.registry.now()
             self._clients.set_partial_bytes(self, self._parser.held)
             if not self._slots and not self.closing:
                 self._watch()
         else:
-            self._parser, self._half_at = None, FAR
+            self._parser, self._half_at = None, INFINITE
             self._clients.set_partial_bytes(self, 0)
 
     def _watch(self) -> None:
@@ -210,10 +210,10 @@
             self.abort()
         elif self._slots:
             return
-        elif self._half_at < FAR and (not self.greeted or now - self._half_at >= times.half):
+        elif self._half_at < INFINITE and (not self.greeted or now - self._half_at >= times.half):
             self._clients.counts["clients", "halfway"] += 1
             self.refuse("Protocol error: a command was not finished in time", spoilt=True)
-        elif self._half_at < FAR:
+        elif self._half_at < INFINITE:
             self._clients.registry.arm(self, self._half_at + times.half)
         else:
             self._clients.counts["clients", "idle" if self.greeted else "silent"] += 1
@@ -260,7 +260,7 @@
 
     def _turn_back_rest(self, spoilt: bool) -> None:
         """Commands that have been read and wait for their turn are answered, in theirs."""
-        parser, self._parser, self._half_at = self._parser, None, FAR
+        parser, self._parser, self._half_at = self._parser, None, INFINITE
         self._clients.set_partial_bytes(self, 0)
         if parser is None or spoilt or not (count := parser.count_rest()):
             return
@@ -277,7 +277,7 @@
             if self._paused:
                 transport.resume_reading()
         elif isinstance(transport, ConnectionTransport):
-            transport.read_no_more()
+            transport.stop_reading()
         elif not self._paused:
             transport.pause_reading()
 
@@ -285,7 +285,7 @@
         """It is shut: once its client has ended, or in time, it is closed."""
         transport, look_at = self._transport, self._close_by
         ended = False
-        if isinstance(transport, ConnectionTransport) and not transport.hears_end:  # a request lies unread
+        if isinstance(transport, ConnectionTransport) and not transport.reports_eof:  # a request lies unread
             ended = transport.peer_ended and not self._choked
             look_at = min(look_at, now + _LOOK_EVERY)
         if ended or now >= self._close_by:
@@ -296,7 +296,7 @@
     def _drop(self, transport: asyncio.Transport, told: int) -> None:
         """Descriptors are short: what is there is read and answered, what is on its way is not waited for."""
         if isinstance(transport, ConnectionTransport):
-            came = transport.take(_RECEIVE)
+            came = transport.read_pending(_RECEIVE)
             if self._drain is None:
                 self.say(self._clients.busy() * (count_whole(memoryview(_RECEIVE)[:came]) - told))
         transport.write_eof()
--- a/mountgauge/connections/acceptor.py
+++ b/mountgauge/connections/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting: a few in each turn of the loop, and never an end to it for want of descriptors."""
+"""Accepts connections, a few per turn of the loop, and keeps doing so when descriptors run out."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 
 log = logging.getLogger("mountgauge.holding")
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-AT_ONCE = 8  # accepted in one turn, so that each is counted before many more come
-ACCEPT_PAUSE_S = 0.05  # s without accepting once the process or the machine is out of something
-_MOST_READ = 64 * 1024  # bytes of one that is turned away for want of a descriptor
-_SCARCE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
+ACCEPTS_PER_TURN = 8  # few, so that each is counted before many more are accepted
+ACCEPT_PAUSE_S = 0.05  # after accept failed for lack of descriptors or memory
+_MAX_READ_BYTES = 64 * 1024  # read from a connection that is rejected for lack of descriptors
+_SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 class Acceptor:
-    """One listening socket. It keeps one descriptor back, to tell those off for whom there is none."""
+    """One listening socket.
+
+    It keeps one descriptor in reserve, to accept and reject a connection when all others are in use.
+    """
 
     def __init__(
         self,
@@ -39,12 +42,12 @@
         self._full, self._counts = full, counts
         self._loop = asyncio.get_running_loop()
         self._sock: socket.socket | None = None
-        self._spare = -1
+        self._reserve_fd = -1
         self._pause: asyncio.TimerHandle | None = None
         self.port = 0
 
     def listen(self, host: str, port: int, inherited: int | None = None) -> int:
-        """Bind and listen; or take the listening socket `inherited` that another process holds too."""
+        """Bind and listen, or use the listening socket `inherited`, which other processes may share."""
         if inherited is not None:
             sock = socket.socket(fileno=inherited)
         else:
@@ -60,78 +63,79 @@
             sock.close()
             raise
         self._sock, self.port = sock, int(sock.getsockname()[1])
-        self._keep_one_back()
+        self._open_reserve()
         self._loop.add_reader(sock.fileno(), self._accept)
         return self.port
 
     def close(self) -> None:
+        """Close the listening socket and give up the reserved descriptor."""
         if self._sock is not None:
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
             self._sock = None
         if self._pause is not None:
             self._pause.cancel()
-        if self._spare >= 0:
-            os.close(self._spare)
-            self._spare = -1
+        if self._reserve_fd >= 0:
+            os.close(self._reserve_fd)
+            self._reserve_fd = -1
 
-    def _keep_one_back(self) -> None:
+    def _open_reserve(self) -> None:
         try:
-            self._spare = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
+            self._reserve_fd = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
         except OSError:
-            self._spare = -1
+            self._reserve_fd = -1
 
     def _accept(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(ACCEPTS_PER_TURN):
             if self._sock is None:
                 return
-            self._registry.make_room()  # the one before may have taken the place of another
+            self._registry.close_all_finished()  # the previous connection may have displaced one
             try:
                 sock = self._registry.system_calls.accept(self._sock)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                if error.errno in _SCARCE:
-                    self._scarce(error)
+                if error.errno in _SHORTAGE_ERRORS:
+                    self._out_of_descriptors(error)
                     return
-                continue  # it has gone already
+                continue  # the client has closed it already
             try:
                 self._registry.adopt(sock, self._make(), self._times)
-            except OSError as error:  # the epoll or the connection itself; the others go on
+            except OSError as error:  # from the epoll or the socket itself: only this connection is lost
                 log.warning("not-adopted", extra=kv(error=error))
                 sock.close()
 
-    def _scarce(self, error: OSError) -> None:
-        """Out of descriptors: one hears when to come back, the others wait in the kernel for a moment."""
+    def _out_of_descriptors(self, error: OSError) -> None:
+        """Reject one connection with the reserved descriptor and pause; the others wait in the backlog."""
         self._counts["clients", "turned-away-descriptors"] += 1
         if self._counts["clients", "turned-away-descriptors"] in (1, 100, 10_000):
             log.warning("no-descriptors", extra=kv(error=error, open=self._registry.open))
-        if self._spare >= 0 and self._sock is not None:
-            os.close(self._spare)
+        if self._reserve_fd >= 0 and self._sock is not None:
+            os.close(self._reserve_fd)
             try:
                 sock = self._registry.system_calls.accept(self._sock)
             except OSError:
                 pass
             else:
                 with sock:
-                    self._turn_away(sock)
-            self._keep_one_back()
+                    self._reject(sock)
+            self._open_reserve()
         if self._sock is not None:
             self._loop.remove_reader(self._sock.fileno())
             self._pause = self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
 
-    def _turn_away(self, sock: socket.socket) -> None:
-        """What has come is read and answered: a close over unread bytes would reset the answer as well."""
+    def _reject(self, sock: socket.socket) -> None:
+        """Read and answer: closing with unread bytes sends a reset, which could destroy the answer."""
         sock.setblocking(False)
-        came = b""
+        received = b""
         with contextlib.suppress(OSError):
-            came = sock.recv(_MOST_READ)
+            received = sock.recv(_MAX_READ_BYTES)
         with contextlib.suppress(OSError):
-            sock.send(self._full(came))
+            sock.send(self._full(received))
 
     def _resume(self) -> None:
         self._pause = None
-        if self._spare < 0:
-            self._keep_one_back()
+        if self._reserve_fd < 0:
+            self._open_reserve()
         if self._sock is not None:
             self._loop.add_reader(self._sock.fileno(), self._accept)
--- a/mountgauge/connections/admission.py
+++ b/mountgauge/connections/admission.py
@@ -1,11 +1,11 @@
-"""Admission of connections: who may have one, and who is evicted for another's sake. No clock, no I/O.
+"""Admission of connections: which are accepted, and which are evicted for a new one. No clock, no I/O.
 
-A front's connections are queued by activity, in each queue the one longest there first:
+A front's connections are queued by activity, each queue ordered by time of entry, oldest first:
 
-- silent: nothing whole has come yet, or the opening is not done;
-- resting: nothing is asked; in three ranks, the first to be displaced first;
-- leaving: told to go, with time to read why;
-- none of them: something is asked, or an answer is owed. Such a one never goes for another's sake.
+- silent: no complete command has arrived yet, or the AMQP opening is not complete;
+- idle: no request is open; in three ranks, the lowest rank is displaced first;
+- leaving: the connection is being closed, and its client has time to read why;
+- busy connections, with an open request or an unsent answer, are in no queue and are never evicted.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 
 class Activity(IntEnum):
-    """What a connection is doing: the lower, the sooner it is evicted; BUSY never is."""
+    """What a connection is doing. BUSY connections are never evicted."""
 
     SILENT = 0
-    IDLE = 1  # and the two behind it: one for each rank
+    IDLE = 1  # the lowest rank; the next two values are the higher ranks
     LEAVING = IDLE + RANKS
     BUSY = LEAVING + 1
 
 
-class Refusal(Enum):
-    """Why a connection is not kept; the words stand in counts and logs."""
+class Rejection(Enum):
+    """Why a connection is rejected; the values appear in counters and logs."""
 
     FRONT = "front-full"
     ALL = "all-full"
@@ -37,11 +37,11 @@
 
 
 class Admitted(Protocol):
-    """A connection as the admission sees it."""
+    """The attributes of a connection that admission uses."""
 
-    activity: int  # an `Activity`, or a rank of IDLE
+    activity: int  # an `Activity`, or IDLE plus a rank
     since: float  # s, when `activity` was set
-    user: str  # who logged in, "" for nobody
+    user: str  # the logged-in user, "" before login
 
 
 T = TypeVar("T", bound=Admitted)
@@ -49,17 +49,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """How many connections, and who may be displaced."""
+    """How many connections are accepted, and which may be displaced."""
 
-    most: int  # of this front
-    most_per_user: int = 0  # 0: as many as there is room for
-    displace: bool = True  # False: who comes last is refused
-    young_s: float = 0.1  # a new one's first command, or a last answer, is surely under way so long
-    min_idle_s: float = 0.0  # rest after which one may be displaced
+    most: int  # connections of this front
+    most_per_user: int = 0  # 0: no limit per user
+    displace: bool = True  # False: new connections are rejected instead
+    grace_s: float = 0.1  # for a new connection's first command, or to read a last answer, before eviction
+    min_idle_s: float = 0.0  # idle time before a connection may be displaced
 
 
-class Shared:
-    """The bound on all fronts together."""
+class SharedLimit:
+    """The limit on the connections of all fronts together."""
 
     def __init__(self, most: int) -> None:
         self.most = most
@@ -69,31 +69,35 @@
 class Admission(Generic[T]):
     """One front's connections."""
 
-    def __init__(self, bounds: Bounds, shared: Shared) -> None:
+    def __init__(self, bounds: Bounds, shared: SharedLimit) -> None:
         self.bounds, self.shared = bounds, shared
         self.members: set[T] = set()
         self._by_activity: list[dict[T, None]] = [{} for _ in range(Activity.BUSY)]
-        self._counts = [0] * (Activity.BUSY + 1)  # members by activity: there may be very many
+        self._counts = [0] * (
+            Activity.BUSY + 1
+        )  # members by activity, kept up to date because there may be very many
         self.users: Counter[str] = Counter()
 
     def __len__(self) -> int:
         return len(self.members)
 
     def count(self, activity: int) -> int:
+        """Members with this activity (for IDLE: of the lowest rank)."""
         return self._counts[activity]
 
     @property
-    def resting(self) -> int:
+    def idle(self) -> int:
+        """Idle members of all ranks."""
         return sum(self._counts[Activity.IDLE : Activity.LEAVING])
 
-    def need(self) -> Refusal | None:
-        """What stands in the way of one more."""
+    def rejection_reason(self) -> Rejection | None:
+        """Which limit one more connection would exceed; None if there is capacity."""
         if len(self.members) >= self.bounds.most:
-            return Refusal.FRONT
-        return Refusal.ALL if self.shared.open >= self.shared.most else None
+            return Rejection.FRONT
+        return Rejection.ALL if self.shared.open >= self.shared.most else None
 
-    def victim(self, now: float) -> T | None:
-        """Who goes for the sake of a new one: None where nobody may."""
+    def eviction_candidate(self, now: float) -> T | None:
+        """The connection to evict for a new one; None if none may be evicted."""
         if not self.bounds.displace:
             return None
         leaving = next(iter(self._by_activity[Activity.LEAVING]), None)
@@ -101,63 +105,65 @@
         resting = next((c for of in self._by_activity[Activity.IDLE : Activity.LEAVING] for c in of), None)
         if resting is not None and now - resting.since < self.bounds.min_idle_s:
             resting = None
-        then = now - self.bounds.young_s
-        if leaving is not None and leaving.since < then:  # it has had time to read its last answer
+        then = now - self.bounds.grace_s
+        if leaving is not None and leaving.since < then:  # its client has had time to read the last answer
             return leaving
         if silent is not None and silent.since < then:
             return silent
         return resting or leaving or silent
 
-    def join(self, item: T, now: float) -> None:
+    def add(self, item: T, now: float) -> None:
+        """Add a new connection; it is SILENT at first."""
         self.members.add(item)
         self._counts[item.activity] += 1
         self.shared.open += 1
         self.set_activity(item, Activity.SILENT, now)
 
     def set_activity(self, item: T, activity: int, now: float) -> None:
-        """Move it to the end of another queue."""
+        """Record the new activity and move the connection to the end of its queue."""
         if item.activity != Activity.BUSY:
             self._by_activity[item.activity].pop(item, None)
         if item in self.members:
             self._counts[item.activity] -= 1
             self._counts[activity] += 1
         item.activity = activity
-        if activity != Activity.BUSY:  # `since` tells a busy one's last rest
+        if activity != Activity.BUSY:  # a busy connection's `since` still shows when it was last idle
             item.since = now
             self._by_activity[activity][item] = None
 
-    def log_in(self, item: T, user: str) -> Refusal | None:
-        """Count it for its user, who may have no more than so many."""
+    def log_in(self, item: T, user: str) -> Rejection | None:
+        """Count the connection for its user, unless the limit per user is reached."""
         if item.user == user:
             return None
         if user and 0 < self.bounds.most_per_user <= self.users[user]:
-            return Refusal.USER
-        self._forget_user(item)
+            return Rejection.USER
+        self._log_out(item)
         item.user = user
         if user:
             self.users[user] += 1
         return None
 
-    def make_anew(self) -> None:
-        """Tables in the size that they need now: Python's don't shrink."""
+    def rebuild(self) -> None:
+        """Copy the containers: Python's sets and dicts keep their largest size after deletions."""
         self.members = set(self.members)
         self._by_activity = [dict(of) for of in self._by_activity]
 
-    def give_up(self, item: T) -> None:
-        """Its place is free, though it may still be queued until it is closed."""
+    def release(self, item: T) -> None:
+        """Free the connection's slot; it may stay queued until it is closed."""
         if item in self.members:
             self.members.discard(item)
             self._counts[item.activity] -= 1
             self.shared.open -= 1
-            self._forget_user(item)
+            self._log_out(item)
 
-    def left(self, item: T) -> None:
-        self.give_up(item)
+    def remove(self, item: T) -> None:
+        """Forget a connection that is closed."""
+        self.release(item)
         if item.activity != Activity.BUSY:
             self._by_activity[item.activity].pop(item, None)
             item.activity = Activity.BUSY
 
-    def _forget_user(self, item: T) -> None:
+    def _log_out(self, item: T) -> None:
         if item.user:
             self.users[item.user] -= 1
             if not self.users[item.user]:
--- a/mountgauge/connections/budget.py
+++ b/mountgauge/connections/budget.py
@@ -1,4 +1,4 @@
-"""How many bytes all connections together may hold in buffers. No clock, no I/O."""
+"""A limit on the bytes that all connections together buffer. No clock, no I/O."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 T = TypeVar("T")
 
 
-class Budget(Generic[T]):
-    """Bytes by holder, bounded in all: past the bound the one that holds most has to go."""
+class ByteBudget(Generic[T]):
+    """Buffered bytes by holder, with a limit on the total; above it the largest holder is evicted."""
 
     def __init__(self, most: float) -> None:
         self.most = most  # bytes
         self.total = 0
-        self._by: dict[T, int] = {}
+        self._bytes: dict[T, int] = {}
 
     def __len__(self) -> int:
-        return len(self._by)
+        return len(self._bytes)
 
     def __iter__(self) -> Iterator[T]:
-        return iter(self._by)
+        return iter(self._bytes)
 
-    def hold(self, item: T, count: int) -> T | None:
-        """`item` holds `count` bytes now; returns who is to be let go for it, None while all is well."""
-        before = self._by.get(item, 0)
+    def set_bytes(self, item: T, count: int) -> T | None:
+        """Record that `item` buffers `count` bytes; returns the holder to evict, None within the limit."""
+        before = self._bytes.get(item, 0)
         if count == before:
             return None
         self.total += count - before
         if count:
-            self._by[item] = count
+            self._bytes[item] = count
         else:
-            del self._by[item]
+            del self._bytes[item]
         if count <= before or self.total <= self.most:
             return None
-        return max(self._by, key=self._by.__getitem__)
+        return max(self._bytes, key=self._bytes.__getitem__)
--- a/mountgauge/connections/connection.py
+++ b/mountgauge/connections/connection.py
@@ -1,8 +1,8 @@
-"""A connection's transport: a descriptor in the registry's epoll, and a buffer only while bytes are unsent.
+"""A connection's transport: a descriptor in the registry's epoll, with a buffer only while bytes are unsent.
 
-asyncio's own costs some 3 KiB for each connection: a socket object, a deque, a handle and a selector key.
-This one has no more than eight slots. It keeps asyncio's contract: `connection_lost` comes once, from the
-loop and not from within a call; what was written before `close` leaves, `abort` throws it away.
+asyncio's own transport takes some 3 KiB per connection: a socket object, a deque, a handle and a selector
+key. This one has only eight slots. It keeps asyncio's contract: `connection_lost` is called once, from the
+loop and not from within another call; data written before `close` is sent, `abort` discards it.
 """
 
 from __future__ import annotations
@@ -20,46 +20,46 @@
 log = logging.getLogger("mountgauge.holding")
 
 _IN, _OUT = select.EPOLLIN, select.EPOLLOUT
-_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+_PEER_ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class Reading(IntEnum):
-    """What is done with bytes that come."""
+    """What the transport does with received bytes."""
 
     PAUSED = 0
     ON = 1
-    END_ONLY = 2  # nothing is read any more; the peer's end is still heard, unless bytes come before it
+    END_ONLY = 2  # nothing is read; the peer's EOF is still detected, unless unread bytes precede it
 
 
 class TransportOwner(Protocol):
-    """Who holds a connection: the registry."""
+    """What a transport needs of the registry."""
 
     system_calls: SystemCalls
 
-    def watch(self, fd: int, before: int, mask: int) -> None: ...
+    def set_events(self, fd: int, before: int, mask: int) -> None: ...
 
-    def owes(self, transport: ConnectionTransport, count: int) -> None: ...
+    def set_unread_bytes(self, transport: ConnectionTransport, count: int) -> None: ...
 
-    def gone(self, transport: ConnectionTransport) -> None: ...
+    def remove_transport(self, transport: ConnectionTransport) -> None: ...
 
-    def ended(self, transport: ConnectionTransport) -> None: ...
+    def schedule_close(self, transport: ConnectionTransport) -> None: ...
 
 
 class ConnectionTransport(asyncio.Transport):
-    """OPEN, CLOSING (nothing is read, what is left is sent), then DONE."""
+    """Open, then closing (nothing is read, unsent bytes are still sent), then finished."""
 
-    __slots__ = ("_closing", "_eof", "_mask", "_out", "_protocol", "_reading", "_registry", "fd")
+    __slots__ = ("_closing", "_eof", "_mask", "_protocol", "_reading", "_registry", "_unsent", "fd")
 
     def __init__(self, registry: TransportOwner, fd: int, protocol: asyncio.BufferedProtocol) -> None:
-        # Not `super().__init__`: its dict of extra information would be half of what this object costs.
+        # `super().__init__` is not called: its dict of extra information would be half of this object.
         self._registry, self.fd = registry, fd
         self._protocol: asyncio.BufferedProtocol | None = protocol
-        self._out: bytearray | None = None
+        self._unsent: bytearray | None = None
         self._reading, self._closing, self._eof = Reading.ON, False, False
         self._mask = 0
-        self._watch()
+        self._update_events()
 
-    # What protocols ask for
+    # Called by protocols
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
         return default
@@ -68,98 +68,99 @@
         return self._closing
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """None to set: a protocol is told as soon as anything is left unsent."""
+        """Has no effect: `pause_writing` is called as soon as any byte is left unsent."""
 
     def get_write_buffer_size(self) -> int:
-        return len(self._out) if self._out is not None else 0
+        return len(self._unsent) if self._unsent is not None else 0
 
     def pause_reading(self) -> None:
         self._reading = Reading.PAUSED
-        self._watch()
+        self._update_events()
 
     def resume_reading(self) -> None:
         self._reading = Reading.ON
-        self._watch()
+        self._update_events()
 
-    def read_no_more(self) -> None:
-        """What comes from now on stays unread, so that its peer knows that nobody has heard it."""
+    def stop_reading(self) -> None:
+        """Leave further bytes unread, so that the peer can tell that they were not processed."""
         self._reading = Reading.END_ONLY
-        self._watch()
+        self._update_events()
 
     @property
     def peer_ended(self) -> bool:
-        """Whether the peer has shut its sending side, or is gone, whatever lies unread before that."""
+        """Whether the peer has shut down its sending side or closed, even if unread bytes precede that."""
         poll = select.poll()
         poll.register(self.fd, select.POLLRDHUP)
-        return any(events & _ENDED for _, events in poll.poll(0))
+        return any(events & _PEER_ENDED for _, events in poll.poll(0))
 
     @property
-    def hears_end(self) -> bool:
-        """Whether the protocol will be told of the peer's end."""
+    def reports_eof(self) -> bool:
+        """Whether the protocol's `eof_received` will be called when the peer closes."""
         return self._reading is not Reading.PAUSED
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self._closing or self._eof or self._protocol is None or not data:
             return
-        if self._out is not None:
-            self._out += data
+        if self._unsent is not None:
+            self._unsent += data
         else:
             try:
                 sent = self._registry.system_calls.write(self.fd, data)
             except (BlockingIOError, InterruptedError):
                 sent = 0
             except OSError:
-                self._end()
+                self._terminate()
                 return
             if sent == len(data):
                 return
-            self._out = bytearray(memoryview(data)[sent:])
-            self._watch()
+            self._unsent = bytearray(memoryview(data)[sent:])
+            self._update_events()
             self._protocol.pause_writing()
-        self._registry.owes(self, len(self._out))
+        self._registry.set_unread_bytes(self, len(self._unsent))
 
     def write_eof(self) -> None:
         self._eof = True
-        if self._out is None:
-            self._shut()
+        if self._unsent is None:
+            self._shutdown_write()
 
-    def take(self, buffer: bytearray) -> int:
-        """Read what has come, as far as there is room: a close over unread bytes is a reset."""
+    def read_pending(self, buffer: bytearray) -> int:
+        """Read what has arrived, up to the buffer's size: closing with unread bytes sends a reset."""
         try:
             return self._registry.system_calls.read(self.fd, [buffer])
         except OSError:
-            return 0  # nothing there, or it is gone already
+            return 0  # nothing has arrived, or the connection is broken
 
     def close(self) -> None:
         if not self._closing:
             self._closing = True
-            if self._out is None:
-                self._end()
+            if self._unsent is None:
+                self._terminate()
             else:
-                self._watch()
+                self._update_events()
 
     def abort(self) -> None:
-        self._end()
+        self._terminate()
 
-    # What the registry asks for
+    # Called by the registry
 
     def on_event(self, events: int) -> None:
-        if events & _OUT and self._out is not None:
+        """Handle what epoll reports for the descriptor."""
+        if events & _OUT and self._unsent is not None:
             self._flush()
         if events & ~_OUT and self._reading and not self._closing:
             self._receive()
         elif events & (select.EPOLLERR | select.EPOLLHUP):
-            self._end()
+            self._terminate()
 
-    def done(self) -> None:
-        """The last step, from the loop: tell the protocol, give the descriptor back."""
+    def finish(self) -> None:
+        """The last step, called by the loop: notify the protocol and close the descriptor."""
         protocol, self._protocol = self._protocol, None
         if protocol is None:
             return
         try:
             protocol.connection_lost(None)
         finally:
-            self._registry.gone(self)
+            self._registry.remove_transport(self)
             os.close(self.fd)
 
     def _receive(self) -> None:
@@ -167,7 +168,7 @@
         if protocol is None:
             return
         if self._reading is Reading.END_ONLY:
-            self._look_for_end(protocol)
+            self._check_for_eof(protocol)
             return
         buffer = protocol.get_buffer(-1)
         try:
@@ -175,81 +176,81 @@
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            self._end()
+            self._terminate()
             return
         try:
             if count:
                 protocol.buffer_updated(count)
             else:
-                self._ended_by_peer(protocol)
+                self._on_eof(protocol)
         except Exception:
             log.exception("connection-failed")
-            self._end()
+            self._terminate()
 
-    def _look_for_end(self, protocol: asyncio.BufferedProtocol) -> None:
+    def _check_for_eof(self, protocol: asyncio.BufferedProtocol) -> None:
         try:
             unread = self._registry.system_calls.peek(self.fd)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            self._end()
+            self._terminate()
             return
         if unread:
             self.pause_reading()
         else:
-            self._ended_by_peer(protocol)
+            self._on_eof(protocol)
 
-    def _ended_by_peer(self, protocol: asyncio.BufferedProtocol) -> None:
+    def _on_eof(self, protocol: asyncio.BufferedProtocol) -> None:
         if protocol.eof_received():
-            self.pause_reading()  # the answers still go out
+            self.pause_reading()  # the remaining answers are still sent
         else:
             self.close()
 
     def _flush(self) -> None:
-        assert self._out is not None and self._protocol is not None
+        assert self._unsent is not None and self._protocol is not None
         try:
-            sent = self._registry.system_calls.write(self.fd, self._out)
+            sent = self._registry.system_calls.write(self.fd, self._unsent)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            self._end()
+            self._terminate()
             return
-        del self._out[:sent]
-        self._registry.owes(self, len(self._out))
-        if self._out:
+        del self._unsent[:sent]
+        self._registry.set_unread_bytes(self, len(self._unsent))
+        if self._unsent:
             return
-        self._out = None
+        self._unsent = None
         if self._closing:
-            self._end()
+            self._terminate()
             return
-        self._watch()
+        self._update_events()
         if self._eof:
-            self._shut()
+            self._shutdown_write()
         self._protocol.resume_writing()
 
-    def _shut(self) -> None:
-        with socket.socket(fileno=self.fd) as of:
+    def _shutdown_write(self) -> None:
+        with socket.socket(fileno=self.fd) as sock:
             try:
-                of.shutdown(socket.SHUT_WR)
+                sock.shutdown(socket.SHUT_WR)
             except OSError:
-                pass  # it is gone already, which the next read says
+                pass  # the connection is broken already, which the next read reports
             finally:
-                of.detach()
+                sock.detach()
 
-    def _end(self) -> None:
-        """Over: nothing is read or sent any more, `done` comes with one of the next turns."""
+    def _terminate(self) -> None:
+        """Stop reading and sending; the registry calls `finish` in one of the next turns."""
         self._closing = True
-        if self._out is not None:
-            self._out = None
-            self._registry.owes(self, 0)
+        if self._unsent is not None:
+            self._unsent = None
+            self._registry.set_unread_bytes(self, 0)
         if self._protocol is not None:
-            self._watch()
-            self._registry.ended(self)
+            self._update_events()
+            self._registry.schedule_close(self)
 
-    def _watch(self) -> None:
+    def _update_events(self) -> None:
         mask = _IN if self._reading and not self._closing else 0
-        if self._out is not None:
+        if self._unsent is not None:
             mask |= _OUT
         if mask != self._mask:
-            self._registry.watch(self.fd, self._mask, mask)
+            self._registry.set_events(self.fd, self._mask, mask)
             self._mask = mask
--- a/mountgauge/connections/descriptors.py
+++ b/mountgauge/connections/descriptors.py
@@ -1,21 +1,21 @@
-"""The descriptors that the process may have: raised at the start, compared by `check`."""
+"""The process's limit on file descriptors: raised at the start, verified by the command `check`."""
 
 from __future__ import annotations
 
 import resource
 
 RESERVED_DESCRIPTORS = (
-    48  # the loop, the log, the journal, discovery, notices, status, listeners and the one kept back
+    48  # the loop, log, journal, discovery, notices, status, listeners, the acceptor's reserve
 )
 
 
 def limits() -> tuple[int, int]:
-    """The soft and the hard limit of this process."""
+    """The soft and the hard descriptor limit of this process."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)
 
 
 def shortfall(wanted: int, hard: int) -> str | None:
-    """One line on what to raise where the hard limit is too low, else None."""
+    """One line that says what to raise if the hard limit is too low, else None."""
     if hard == resource.RLIM_INFINITY or wanted <= hard:
         return None
     return (
@@ -25,7 +25,7 @@
 
 
 def raise_soft(wanted: int) -> int:
-    """Raise the soft limit as far as the hard one allows; returns what the process may have now."""
+    """Raise the soft limit as far as the hard limit allows; returns how many descriptors are available."""
     soft, hard = limits()
     if soft == resource.RLIM_INFINITY or soft >= wanted:
         return wanted
@@ -36,7 +36,7 @@
 
 
 def shares(sockets: int, workers: int) -> tuple[int, int]:
-    """How many connections clients and next hops may have; with the spare ones they are all of `sockets`."""
+    """How many connections clients and next hops may have, after the reserve is deducted from `sockets`."""
     usable = max(8, sockets - RESERVED_DESCRIPTORS)
     hops = max(4, min(usable // 3, 6 * workers))
     return max(4, usable - hops), hops
--- a/mountgauge/connections/metrics.py
+++ b/mountgauge/connections/metrics.py
@@ -1,4 +1,4 @@
-"""What connections cost, as this process sees it: for `status`, metrics and the state line."""
+"""What connections cost this process: for `status`, metrics and the state line."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.turn_watch import TurnWatch
 
-_ENOUGH = 50  # connections from which on a figure for each of them means something
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_MIN_FOR_AVERAGE = 50  # connections needed for a meaningful average of bytes per connection
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 def resident_bytes() -> int:
-    """Of this process; 0 where the system does not say."""
+    """This process's resident memory; 0 if the system does not report it."""
     try:
         with open("/proc/self/statm") as file:
-            return int(file.read().split()[1]) * _PAGE
+            return int(file.read().split()[1]) * _PAGE_BYTES
     except OSError:
         return 0
 
 
 class ConnectionMetrics:
-    """Samples at intervals; between two samples the last one is told."""
+    """Metrics of the connections; rates are sampled at intervals, `last` is the latest sample."""
 
     def __init__(self, registry: Registry, fronts: Mapping[str, Front[Any]], watch: TurnWatch | None) -> None:
         self._registry, self._fronts, self._watch = registry, fronts, watch
@@ -36,7 +36,7 @@
         self.last: dict[str, Any] = {"wakeups_per_s": 0.0, "loop_busy": 0.0, "longest_turn_ms": 0.0}
 
     def sample(self) -> None:
-        """A new interval begins. Rates are a second's, `loop_busy` is the share of time spent in turns."""
+        """Finish an interval. `loop_busy` is the share of its time spent in turns of the loop."""
         if self._watch is None:
             return
         now = time.monotonic()
@@ -50,13 +50,14 @@
         self._at, self._wakeups, self._busy = now, watch.wakeups, watch.busy
 
     def baseline(self) -> None:
-        """What the process has before connections come."""
+        """Record the memory in use before connections are accepted, and reset the longest turn."""
         self._before = resident_bytes()
         if self._watch is not None:
             self._watch.take_recent()
             self._watch.longest = 0.0
 
     def report(self) -> dict[str, Any]:
+        """The section `clients` of the status page."""
         registry, watch = self._registry, self._watch
         grown, open_now = resident_bytes() - self._before, registry.open
         counts: Counter[str] = Counter()
@@ -66,8 +67,8 @@
         return {
             "fronts": {name: front.report() for name, front in self._fronts.items()},
             "open": open_now, "most": registry.settings.most,
-            "bytes_per_connection": round(grown / open_now) if open_now >= _ENOUGH else None,
-            "half_bytes": registry.half.total, "unread_bytes": registry.unread.total,
+            "bytes_per_connection": round(grown / open_now) if open_now >= _MIN_FOR_AVERAGE else None,
+            "half_bytes": registry.partial_bytes.total, "unread_bytes": registry.unread_bytes.total,
             "timers": registry.timer_wheel.armed, "timers_moved": registry.timer_wheel.moved,
             "waiting": len(registry.scheduler),
             **self.last,
@@ -77,7 +78,7 @@
         }  # fmt: skip
 
     def state(self) -> dict[str, Any]:
-        """For the state line: short."""
+        """The short form, for the state line in the log."""
         found: dict[str, Any] = {}
         for name, front in self._fronts.items():
             one = front.report()
@@ -89,7 +90,7 @@
 
 
 def client_metrics(report: Mapping[str, Any]) -> list[tuple[str, str, bool, list[Point]]]:
-    """Name, unit, whether it only grows, and points with attributes: for a collector."""
+    """For the metrics exporter: name, unit, whether it is monotonic, and points with attributes."""
     states = [
         ({"mountgauge.front": front, "mountgauge.state": state}, n)
         for front, by in report["fronts"].items()
--- a/mountgauge/connections/registry.py
+++ b/mountgauge/connections/registry.py
@@ -1,9 +1,9 @@
 """The registry of clients' connections, of all fronts: one epoll of their own, one timer, one scheduler.
 
-The event loop sees two things: the epoll, readable when any connection has something to say, and the next
-slot of the wheel. So an idle connection costs the loop nothing, and a crowd is heard in batches between which
-the loop serves next hops, journal and notices as ever. On the platform, and wherever connections are few, the
-loop watches each descriptor itself: an epoll within an epoll is more than every system wakes for.
+The event loop watches two things: the epoll, readable when any connection has an event, and the next slot
+of the timer wheel. So an idle connection costs the loop nothing, and many active ones are served in batches,
+with the loop free for next hops, journal and notices in between. On the platform, and wherever connections
+are few, the loop watches each descriptor itself, as not every system wakes for an epoll nested in another.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from mountgauge.connections.admission import Shared
-from mountgauge.connections.budget import Budget
+from mountgauge.connections.admission import SharedLimit
+from mountgauge.connections.budget import ByteBudget
 from mountgauge.connections.connection import ConnectionTransport
 from mountgauge.connections.scheduler import OverloadDetector, RetrySpread, Scheduler
 from mountgauge.connections.settings import ClientSettings, Times
 from mountgauge.connections.system_calls import SystemCalls
-from mountgauge.connections.timer_wheel import FAR, TimerWheel
+from mountgauge.connections.timer_wheel import INFINITE, TimerWheel
 
-BATCH = 64  # connections that one turn of the loop hears, lets go or cleans up after
-_LARGE = 1024  # connections from which on emptied tables are worth making anew
-_FREEZE = 512  # connections more or fewer after which the collector is told of them
+BATCH = 64  # connections that one turn of the loop serves, closes or cleans up
+_REBUILD_FROM = 1024  # peak connections above which tables are rebuilt once most have closed
+_FREEZE_STEP = 512  # change in connections after which the garbage collector is frozen again
 
 
 class Registered(Protocol):
-    """A connection as the registry sees it: in the timer wheel by its first two."""
+    """What the registry needs of a connection; `due_at` and `tick` belong to the timer wheel."""
 
     due_at: float
     tick: int
@@ -41,37 +41,39 @@
         """Its deadline has passed."""
 
     def more(self) -> None:
-        """Its turn has come to have more commands read."""
+        """Read further commands: the scheduler has granted a turn."""
 
     def abandon_partial(self) -> None:
-        """Its command that is not whole holds more than there is room for."""
+        """Abandon the incomplete command, as the shared buffer limit is exceeded."""
 
     def abort(self) -> None: ...
 
 
 class Registry:
-    """Made and used in one event loop; `close` gives everything back."""
+    """Created and used in one event loop; `close` releases all resources."""
 
     def __init__(self, settings: ClientSettings, system_calls: SystemCalls | None = None) -> None:
         self._loop = asyncio.get_running_loop()
         self.settings = settings
         self.system_calls = system_calls or SystemCalls()
-        self.shared = Shared(settings.most)
+        self.shared = SharedLimit(settings.most)
         self.timer_wheel = TimerWheel[Registered](self._loop.time())
         self.scheduler = Scheduler[Registered]()
         self.overload, self.retry_spread = OverloadDetector(settings.patience), RetrySpread()
-        self.half = Budget[Registered](settings.buffers)  # bytes of commands that are not whole
-        self.unread = Budget[ConnectionTransport](settings.buffers)  # bytes of answers that are not read
+        self.partial_bytes = ByteBudget[Registered](settings.buffers)  # of incomplete commands
+        self.unread_bytes = ByteBudget[ConnectionTransport](
+            settings.buffers
+        )  # of answers that clients have not read
         self.counts: Counter[tuple[str, str]] = Counter()
         self._transports: dict[int, ConnectionTransport] = {}
-        self._ended: dict[ConnectionTransport, None] = {}
+        self._finished: dict[ConnectionTransport, None] = {}
         self._epoll: select.epoll | None = None
-        self._again: asyncio.Handle | None = None
+        self._turn_handle: asyncio.Handle | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._wake_at = FAR
+        self._timer_at = INFINITE
         self._frozen_at = 0  # connections
-        self._peak = 0  # connections, since tables were made anew
-        self.tables: list[Callable[[], None]] = []  # make one anew, in the size that it needs now
+        self._peak = 0  # most connections since the tables were rebuilt
+        self.rebuilders: list[Callable[[], None]] = []  # each rebuilds a table in its present size
 
     @property
     def open(self) -> int:
@@ -79,8 +81,8 @@
 
     @property
     def sheds_load(self) -> bool:
-        """Whether a crowd may be turned away: not on the platform."""
-        return self.overload.patience_s < FAR
+        """Whether requests may be rejected under overload: not on the platform."""
+        return self.overload.patience_s < INFINITE
 
     def now(self) -> float:
         return self._loop.time()
@@ -90,7 +92,7 @@
     def adopt(
         self, sock: socket.socket, protocol: asyncio.BufferedProtocol, times: Times
     ) -> ConnectionTransport:
-        """Hold an accepted connection from now on."""
+        """Take over an accepted connection."""
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if times.keepalive:
@@ -111,15 +113,16 @@
             raise
         self._transports[fd] = transport
         self._peak = max(self._peak, len(self._transports))
-        if self.sheds_load and abs(len(self._transports) - self._frozen_at) >= _FREEZE:
-            # Connections that stay are not walked again by the collector, which would stop all else for long.
+        if self.sheds_load and abs(len(self._transports) - self._frozen_at) >= _FREEZE_STEP:
+            # Exempts the connections from garbage collection: traversing them would block the loop for long.
             self._frozen_at = len(self._transports)
             gc.collect()
             gc.freeze()
         protocol.connection_made(transport)
         return transport
 
-    def watch(self, fd: int, before: int, mask: int) -> None:
+    def set_events(self, fd: int, before: int, mask: int) -> None:
+        """Change the epoll events watched for a descriptor from `before` to `mask`."""
         if self._epoll is None:
             self._watch_in_loop(fd, before, mask)
         elif not mask:
@@ -131,124 +134,126 @@
 
     def _watch_in_loop(self, fd: int, before: int, mask: int) -> None:
         if mask & select.EPOLLIN > before & select.EPOLLIN:
-            self._loop.add_reader(fd, self._hear, fd, select.EPOLLIN)
+            self._loop.add_reader(fd, self._on_ready, fd, select.EPOLLIN)
         elif before & select.EPOLLIN > mask & select.EPOLLIN:
             self._loop.remove_reader(fd)
         if mask & select.EPOLLOUT > before & select.EPOLLOUT:
-            self._loop.add_writer(fd, self._hear, fd, select.EPOLLOUT)
+            self._loop.add_writer(fd, self._on_ready, fd, select.EPOLLOUT)
         elif before & select.EPOLLOUT > mask & select.EPOLLOUT:
             self._loop.remove_writer(fd)
 
-    def _hear(self, fd: int, mask: int) -> None:
+    def _on_ready(self, fd: int, mask: int) -> None:
         if (transport := self._transports.get(fd)) is not None:
             transport.on_event(mask)
 
-    def owes(self, transport: ConnectionTransport, count: int) -> None:
-        """Answers that wait in memory for their reader; past the bound the one who owes most goes."""
-        most = self.unread.hold(transport, count)
+    def set_unread_bytes(self, transport: ConnectionTransport, count: int) -> None:
+        """Record the unsent answer bytes of a transport; above the limit the largest is aborted."""
+        most = self.unread_bytes.set_bytes(transport, count)
         if most is not None:
             self.counts["clients", "unread"] += 1
             most.abort()
 
     def set_partial_bytes(self, connection: Registered, count: int) -> Registered | None:
-        """Bytes of a command that is not whole; returns who has to go for it."""
-        return self.half.hold(connection, count)
+        """Record the bytes of an incomplete command; returns the connection to evict above the limit."""
+        return self.partial_bytes.set_bytes(connection, count)
 
-    def ended(self, transport: ConnectionTransport) -> None:
-        if transport not in self._ended:
-            self._ended[transport] = None
-            self._soon()
+    def schedule_close(self, transport: ConnectionTransport) -> None:
+        """Have a transport finished in one of the next turns."""
+        if transport not in self._finished:
+            self._finished[transport] = None
+            self._schedule_turn()
 
-    def gone(self, transport: ConnectionTransport) -> None:
+    def remove_transport(self, transport: ConnectionTransport) -> None:
+        """Forget a transport that is finished."""
         del self._transports[transport.fd]
-        self.unread.hold(transport, 0)
-        if self._peak > _LARGE and len(self._transports) < self._peak // 4:
-            # A dict keeps the size of its greatest day.
+        self.unread_bytes.set_bytes(transport, 0)
+        if self._peak > _REBUILD_FROM and len(self._transports) < self._peak // 4:
+            # A dict keeps its peak size after deletions.
             self._transports, self._peak = dict(self._transports), len(self._transports)
-            for anew in self.tables:
-                anew()
+            for rebuild in self.rebuilders:
+                rebuild()
 
     # Scheduling
 
     def queue_turn(self, connection: Registered) -> None:
-        """It has more to say than one turn hears."""
-        self.scheduler.wait(connection)
-        self._soon()
+        """Queue a connection that has more commands than one turn reads."""
+        self.scheduler.enqueue(connection)
+        self._schedule_turn()
 
     def forget(self, connection: Registered) -> None:
-        """It is closed: nothing is left of it here."""
+        """Drop all state of a connection that is closed."""
         self.timer_wheel.disarm(connection)
         self.scheduler.drop(connection)
-        self.half.hold(connection, 0)
+        self.partial_bytes.set_bytes(connection, 0)
 
-    def _soon(self) -> None:
-        if self._again is None:
-            self._again = self._loop.call_soon(self._turn_again)
+    def _schedule_turn(self) -> None:
+        if self._turn_handle is None:
+            self._turn_handle = self._loop.call_soon(self._run_turn)
 
-    def _turn_again(self) -> None:
-        self._again = None
+    def _run_turn(self) -> None:
+        self._turn_handle = None
         self.turn()
 
     def turn(self) -> None:
-        """Hear a batch, then those who wait for their next turn, then clean up after a batch."""
+        """Handle a batch of events, then a batch of queued connections, then finish a batch of transports."""
         if self._epoll is not None:
             events = self._epoll.poll(0, BATCH)
-            self.overload.polled(len(events) == BATCH, self.now())
+            self.overload.record_poll(len(events) == BATCH, self.now())
             for fd, mask in events:
                 transport = self._transports.get(fd)
                 if transport is not None:
                     transport.on_event(mask)
         for connection in self.scheduler.round(BATCH):
             connection.more()
-        self._close_ended(BATCH)
-        if self.scheduler or self._ended:
-            self._soon()
+        self._close_finished(BATCH)
+        if self.scheduler or self._finished:
+            self._schedule_turn()
 
-    def make_room(self) -> None:
-        """Give back the descriptors of all connections that have ended, called by the loop itself."""
-        while self._ended:
-            self._close_ended(BATCH)
+    def close_all_finished(self) -> None:
+        """Close the descriptors of all finished transports. Called from the loop, not from a transport."""
+        while self._finished:
+            self._close_finished(BATCH)
 
-    def _close_ended(self, most: int) -> None:
-        for transport in list(itertools.islice(self._ended, most)):
-            del self._ended[transport]
-            transport.done()
+    def _close_finished(self, most: int) -> None:
+        for transport in list(itertools.islice(self._finished, most)):
+            del self._finished[transport]
+            transport.finish()
 
     # Deadlines
 
     def arm(self, connection: Registered, when: float) -> None:
-        """`connection.on_due` comes at `when`, at most a tick late, and not at any time set before."""
+        """Have `connection.on_due` called at `when`, at most a tick late, instead of any earlier deadline."""
         self.timer_wheel.arm(connection, when)
-        if when < self._wake_at:
-            self._wake(when)
+        if when < self._timer_at:
+            self._set_timer(when)
 
-    def _wake(self, when: float) -> None:
+    def _set_timer(self, when: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._wake_at = when
+        self._timer_at = when
         self._timer = None
-        if when < FAR:
-            self._timer = self._loop.call_at(when, self._due)
+        if when < INFINITE:
+            self._timer = self._loop.call_at(when, self._on_timer)
 
-    def _due(self) -> None:
-        self._timer, self._wake_at = None, FAR
+    def _on_timer(self) -> None:
+        self._timer, self._timer_at = None, INFINITE
         now = self.now()
         found = self.timer_wheel.due(now, BATCH)
         for connection in found:
             connection.on_due(now)
-        # A full batch: more at once, with the rest of the loop in between.
-        self._wake(now if len(found) == BATCH else max(now, self.timer_wheel.next_at()))
+        # After a full batch the next follows at once, with other work of the loop in between.
+        self._set_timer(now if len(found) == BATCH else max(now, self.timer_wheel.next_at()))
 
     def close(self) -> None:
-        """Break what is left; the process or the test ends."""
+        """Abort all connections and release the epoll and the timer."""
         for transport in list(self._transports.values()):
             transport.abort()
-            self._ended.pop(transport, None)
-            transport.done()
-        self._wake(FAR)
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
+            self._finished.pop(transport, None)
+            transport.finish()
+        self._set_timer(INFINITE)
+        if self._turn_handle is not None:
+            self._turn_handle.cancel()
+            self._turn_handle = None
         if self._epoll is not None:
             self._loop.remove_reader(self._epoll.fileno())
             self._epoll.close()
--- a/mountgauge/connections/scheduler.py
+++ b/mountgauge/connections/scheduler.py
@@ -1,7 +1,7 @@
-"""Fair scheduling: who is heard next, and what to say where too many are waiting. No clock, no I/O.
+"""Fair scheduling of connections, overload detection, and delays for rejected clients. No clock, no I/O.
 
-Round robin with a quantum (a deficit round robin, Shreedhar and Varghese 1995, in which each command weighs
-the same): who has more to say than a quantum goes behind all that wait already.
+The scheduler is a round robin with a quantum (deficit round robin, Shreedhar and Varghese 1995, in which each
+command has the same weight): a connection with more commands than a quantum is queued behind all others.
 """
 
 from __future__ import annotations
@@ -11,17 +11,15 @@
 
 T = TypeVar("T")
 
-WOKEN, STEADY = 1, 4  # of a batch, how many are heard in a crowd
-WOKEN_AFTER_S = 1.0  # s without a request after which a connection counts as woken
-LEAST_RATE = 50  # messages a second that any sender takes, before it has been seen to
-QUANTUM = 8  # commands that one connection may have read in a row
-GOLDEN_RATIO_STEP = (
-    0.6180339887498949  # its multiples, modulo 1, spread evenly at every length (Weyl's sequence)
-)
+WOKEN_PER_BATCH, STEADY_PER_BATCH = 1, 4  # requests served of each batch under overload
+WOKEN_AFTER_S = 1.0  # without a request, after which a connection counts as woken
+MIN_SERVED_PER_S = 50  # assumed until a higher rate is measured
+QUANTUM = 8  # commands read from one connection in a row
+GOLDEN_RATIO_STEP = 0.6180339887498949  # multiples modulo 1 are evenly spread at every length (Weyl sequence)
 
 
 class Scheduler(Generic[T]):
-    """Those who have commands waiting, in the order in which they are heard."""
+    """Connections with commands to read, in the order in which they are served."""
 
     def __init__(self) -> None:
         self._queue: dict[T, None] = {}
@@ -29,17 +27,18 @@
     def __len__(self) -> int:
         return len(self._queue)
 
-    def wait(self, item: T) -> None:
-        """It has something to say: at the end of the queue, unless it waits already."""
+    def enqueue(self, item: T) -> None:
+        """Add a connection to the end of the queue, unless it is queued already."""
         self._queue.setdefault(item)
 
     def drop(self, item: T) -> None:
+        """Remove a connection from the queue."""
         self._queue.pop(item, None)
 
     def round(self, most: int) -> Iterator[T]:
-        """Those whose turn it is now, at most `most`; who is asked to wait again meanwhile comes later."""
+        """Take up to `most` connections from the queue; those queued again meanwhile are left for later."""
         for _ in range(min(most, len(self._queue))):
-            if not self._queue:  # dropped meanwhile
+            if not self._queue:  # the rest was dropped meanwhile
                 return
             item = next(iter(self._queue))
             del self._queue[item]
@@ -47,26 +46,26 @@
 
 
 class RetrySpread:
-    """Times to come back that lie evenly over a span, so that those turned away don't return together."""
+    """Retry delays spread evenly over a span, so that rejected clients don't return together."""
 
-    def __init__(self, least_ms: int = 200) -> None:
-        self.least_ms = least_ms
+    def __init__(self, min_ms: int = 200) -> None:
+        self.min_ms = min_ms
         self._phase = 0.0
 
-    def again_ms(self, waiting: int, rate: float, span_ms: int = 0) -> int:
-        """For one of `waiting` that are turned away, where `rate` a second can be served.
+    def next_delay_ms(self, waiting: int, rate: float, span_ms: int = 0) -> int:
+        """The delay for one of `waiting` rejected clients, if `rate` of them can be served per second.
 
-        The span is as long as serving them all takes, at least `least_ms`; `span_ms` may ask for more.
-        Returns whole ms in [least_ms, least_ms + span].
+        The span is the time that serving all of them takes, at least `min_ms` and at least `span_ms`.
+        Returns whole ms in [min_ms, min_ms + span].
         """
         serving = 1000.0 * waiting / rate if rate > 0 else 0.0
-        span = min(60_000.0, max(float(self.least_ms), serving, float(span_ms)))
+        span = min(60_000.0, max(float(self.min_ms), serving, float(span_ms)))
         self._phase = (self._phase + GOLDEN_RATIO_STEP) % 1.0
-        return self.least_ms + int(span * self._phase)
+        return self.min_ms + int(span * self._phase)
 
 
-class Meter:
-    """Events in the last second: the whole one before this, or what this one has so far if that is more."""
+class RateMeter:
+    """Events per second: the count of the previous second, or of the current one if that is higher."""
 
     __slots__ = ("_count", "_last", "_second")
 
@@ -88,31 +87,31 @@
 
 
 class OverloadDetector:
-    """Tells that more come than are heard in time: polls that stay full for longer than a bound.
+    """Detects overload: polls that have returned full batches for longer than `patience_s`.
 
-    Each poll takes up to a batch of connections on which something has come. As long as every one is full,
-    somebody waits; how long nobody can see, but not longer than polls have been full.
+    Each poll returns up to a batch of connections with events. While every batch is full, some connections
+    are waiting; for how long is not known, but no longer than polls have been full.
     """
 
     def __init__(self, patience_s: float = 0.1) -> None:
         self.patience_s = patience_s
         self._full_since: float | None = None
-        self._woken, self._steady = WOKEN, STEADY
-        self._served, self._turned = Meter(), Meter()
+        self._woken, self._steady = WOKEN_PER_BATCH, STEADY_PER_BATCH
+        self._served, self._rejected = RateMeter(), RateMeter()
 
-    def polled(self, full: bool, now: float) -> None:
-        """A batch begins: some of it may be heard however great the crowd is."""
-        self._woken, self._steady = WOKEN, STEADY
+    def record_poll(self, full: bool, now: float) -> None:
+        """Record a poll and renew the number of requests that are served of each batch."""
+        self._woken, self._steady = WOKEN_PER_BATCH, STEADY_PER_BATCH
         if not full:
             self._full_since = None
         elif self._full_since is None:
             self._full_since = now
 
     def should_reject(self, now: float, woken: bool) -> bool:
-        """Whether one is told to come back, at once and without asking further.
+        """Whether a request is rejected at once, before the core sees it.
 
-        Of each batch some are heard all the same, more of those who use their connection again and again
-        than of those who have just `woken`.
+        Some requests of each batch are served even under overload: more on connections in steady use than on
+        those that have just `woken` after a time without requests.
         """
         if self._full_since is None or now - self._full_since <= self.patience_s:
             return False
@@ -125,10 +124,10 @@
     def count_served(self, now: float) -> None:
         self._served.add(now)
 
-    def turned(self, now: float) -> None:
-        self._turned.add(now)
+    def count_rejected(self, now: float) -> None:
+        self._rejected.add(now)
 
-    def again_ms(self, spread: RetrySpread, now: float) -> int:
-        """For one that is turned away now: over as long as the others need, at the rate seen."""
-        self.turned(now)
-        return spread.again_ms(self._turned.per_s(now), max(LEAST_RATE, self._served.per_s(now)))
+    def next_delay_ms(self, spread: RetrySpread, now: float) -> int:
+        """The retry delay for a request rejected now, spread over the time needed at the measured rate."""
+        self.count_rejected(now)
+        return spread.next_delay_ms(self._rejected.per_s(now), max(MIN_SERVED_PER_S, self._served.per_s(now)))
--- a/mountgauge/connections/system_calls.py
+++ b/mountgauge/connections/system_calls.py
@@ -1,4 +1,4 @@
-"""The system calls of clients' connections, in one place: tests let each fail as Linux documents."""
+"""The system calls of clients' connections, in one place, so that tests can make each of them fail."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 
 
 class SystemCalls:
-    """Raises OSError as the system does; BlockingIOError where there is nothing to do yet."""
+    """Raises OSError as the system does; BlockingIOError if the call would block."""
 
     read = staticmethod(os.readv)
     write = staticmethod(os.write)
 
     def peek(self, fd: int) -> bool:
-        """Whether bytes wait to be read, which is left undone; False at the peer's end."""
-        of = socket.socket(fileno=fd)
+        """Whether unread bytes have arrived, without reading them; False at end of file."""
+        sock = socket.socket(fileno=fd)
         try:
-            return bool(of.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
+            return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
         finally:
-            of.detach()
+            sock.detach()
 
     def accept(self, listening: socket.socket) -> socket.socket:
+        """Accept one connection."""
         return listening.accept()[0]
--- a/mountgauge/connections/timer_wheel.py
+++ b/mountgauge/connections/timer_wheel.py
@@ -1,8 +1,8 @@
-"""A hashed timing wheel: one deadline for each connection, however many there are. No clock, no I/O.
+"""A hashed timing wheel: one deadline for each connection, for any number of them. No clock, no I/O.
 
-After Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (SOSP 1987), scheme 6, with one change: a
-deadline that moves further away leaves its item where it is; the item is moved on when its slot comes up.
-So a connection that is used again and again costs nothing here.
+After Varghese and Lauck, "Hashed and Hierarchical Timing Wheels" (SOSP 1987), scheme 6, with one change: when
+a deadline is postponed, its item stays in its slot and is moved only when that slot comes up. So postponing
+the deadline of a connection in steady use costs almost nothing.
 """
 
 from __future__ import annotations
@@ -10,80 +10,81 @@
 import math
 from typing import Generic, Protocol, TypeVar
 
-FAR = math.inf
-_NOWHERE = -1
+INFINITE = math.inf
+_NOT_ARMED = -1
 
 
 class Timed(Protocol):
-    """What the wheel keeps in each item: nothing else knows where it stands."""
+    """The attributes that the wheel sets on each item; no other code changes them."""
 
-    due_at: float  # s; FAR: no deadline
-    tick: int  # of the slot that it stands in, -1: in none
+    due_at: float  # s; INFINITE: no deadline
+    tick: int  # of the slot that contains it, -1: not armed
 
 
 T = TypeVar("T", bound=Timed)
 
 
 class TimerWheel(Generic[T]):
-    """Deadlines to within `tick_s`: an item is due at most so much late, and never early."""
+    """Deadlines with a resolution of `tick_s`: an item is due at most that much late, never early."""
 
     def __init__(self, now: float, tick_s: float = 0.25, slots: int = 512) -> None:
         if tick_s <= 0 or slots < 2:
             raise ValueError("a wheel needs a tick above 0 and two slots")
         self.tick_s = tick_s
         self._slots: list[dict[T, None] | None] = [None] * slots
-        self._now = math.floor(now / tick_s)  # the last tick that was gone through
-        self.armed = 0  # items that stand in a slot
-        self.moved = 0  # items visited before their time
+        self._now = math.floor(now / tick_s)  # the last tick that was processed
+        self.armed = 0  # items in slots
+        self.moved = 0  # items visited before their deadline and moved on
 
     def arm(self, item: T, when: float) -> None:
-        """`item` is due at `when` (s, of the clock of `now`) and at no other time."""
+        """Set the only deadline of `item`, `when` (s, on the same clock as `now`)."""
         item.due_at = when
-        if when == FAR:
+        if when == INFINITE:
             self.disarm(item)
             return
         tick = self._tick(when)
-        if item.tick != _NOWHERE:
+        if item.tick != _NOT_ARMED:
             if item.tick <= tick:
-                return  # it is looked at before then, and moved on
-            self._take_out(item)
-        self._put(item, tick)
+                return  # when its slot comes up, it is moved to the later one
+            self._remove(item)
+        self._insert(item, tick)
 
     def disarm(self, item: T) -> None:
-        item.due_at = FAR
-        if item.tick != _NOWHERE:
-            self._take_out(item)
+        """Remove the deadline of `item`."""
+        item.due_at = INFINITE
+        if item.tick != _NOT_ARMED:
+            self._remove(item)
 
     def due(self, now: float, most: int) -> list[T]:
-        """Up to `most` items whose time has come, disarmed; with as many there may be more at once."""
+        """Up to `most` items that are due, disarmed; if there are `most`, more may be due."""
         found: list[T] = []
         last = math.floor(now / self.tick_s)
-        seen = 0  # bounded too: those that are only moved on cost time as well
+        seen = 0  # limited as well, since items that are only moved on also cost time
         while self._now < last and self.armed:
-            place = (self._now + 1) % len(self._slots)
-            slot = self._slots[place]
+            index = (self._now + 1) % len(self._slots)
+            slot = self._slots[index]
             while slot:
                 if seen >= most:
                     return found
                 seen += 1
                 item = next(iter(slot))
-                self._take_out(item)
+                self._remove(item)
                 if item.due_at <= now:
-                    item.due_at = FAR
+                    item.due_at = INFINITE
                     found.append(item)
                 else:
                     self.moved += 1
-                    # Beyond `last`: else it would be gone through, and missed by a round of the wheel.
-                    self._put(item, max(self._tick(item.due_at), self._now + 2))
+                    # Not into the slot in progress: it would be missed until the wheel comes round.
+                    self._insert(item, max(self._tick(item.due_at), self._now + 2))
             self._now += 1
         if not self.armed:
             self._now = max(self._now, last)
         return found
 
     def next_at(self) -> float:
-        """When to call `due` next (s); FAR with nothing armed: an idle holder is never woken."""
+        """When to call `due` next (s); INFINITE with nothing armed, so that no timer is needed."""
         if not self.armed:
-            return FAR
+            return INFINITE
         size = len(self._slots)
         for ahead in range(1, size + 1):
             if self._slots[(self._now + ahead) % size]:
@@ -94,22 +95,22 @@
         """The first tick that is not before `when`."""
         return math.ceil(when / self.tick_s)
 
-    def _put(self, item: T, tick: int) -> None:
-        # Past the horizon it waits in the last slot; what is overdue waits in the next one.
+    def _insert(self, item: T, tick: int) -> None:
+        # Beyond the horizon it goes into the last slot; an overdue item goes into the next one.
         item.tick = max(self._now + 1, min(tick, self._now + len(self._slots)))
-        place = item.tick % len(self._slots)
-        slot = self._slots[place]
+        index = item.tick % len(self._slots)
+        slot = self._slots[index]
         if slot is None:
-            slot = self._slots[place] = {}
+            slot = self._slots[index] = {}
         slot[item] = None
         self.armed += 1
 
-    def _take_out(self, item: T) -> None:
-        place = item.tick % len(self._slots)
-        slot = self._slots[place]
+    def _remove(self, item: T) -> None:
+        index = item.tick % len(self._slots)
+        slot = self._slots[index]
         assert slot is not None
         del slot[item]
         if not slot:
-            self._slots[place] = None  # a dict that was large stays so
-        item.tick = _NOWHERE
+            self._slots[index] = None  # frees the dict, which would keep its peak size
+        item.tick = _NOT_ARMED
         self.armed -= 1
--- a/mountgauge/connections/turn_watch.py
+++ b/mountgauge/connections/turn_watch.py
@@ -1,4 +1,4 @@
-"""How often the loop wakes, and how long its turns take: a selector that watches itself being used."""
+"""Measures how often the event loop wakes and how long its turns take, from within its selector."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TurnWatch(selectors.EpollSelector):
-    """What lies between two calls of `select` is one turn of the loop."""
+    """A selector that measures turns of the loop: the time from one call of `select` to the next."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -30,11 +30,12 @@
         return found
 
     def take_recent(self) -> float:
+        """The longest turn (s) since the previous call."""
         longest, self.recent = self.recent, 0.0
         return longest
 
 
 def watched_loop() -> tuple[TurnWatch, asyncio.AbstractEventLoop]:
-    """A new event loop and what watches it."""
+    """A new event loop and the selector that measures it."""
     watch = TurnWatch()
     return watch, asyncio.SelectorEventLoop(watch)
--- a/tests/connections/test_decisions.py
+++ b/tests/connections/test_decisions.py
@@ -10,12 +10,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mountgauge.connections.admission import Activity, Admission, Bounds, Refusal, Shared
-from mountgauge.connections.budget import Budget
+from mountgauge.connections.admission import Activity, Admission, Bounds, Rejection, SharedLimit
+from mountgauge.connections.budget import ByteBudget
 from mountgauge.connections.descriptors import RESERVED_DESCRIPTORS, shares, shortfall
-from mountgauge.connections.scheduler import QUANTUM, STEADY, WOKEN, OverloadDetector, RetrySpread, Scheduler
+from mountgauge.connections.scheduler import (
+    QUANTUM,
+    STEADY_PER_BATCH,
+    WOKEN_PER_BATCH,
+    OverloadDetector,
+    RetrySpread,
+    Scheduler,
+)
 from mountgauge.connections.settings import read_clients
-from mountgauge.connections.timer_wheel import FAR, TimerWheel
+from mountgauge.connections.timer_wheel import INFINITE, TimerWheel
 from mountgauge.core.config import ConfigError
 from mountgauge.operator_file import load
 from mountgauge.settings_table import Table
@@ -28,7 +35,7 @@
 
     def __init__(self, name: int) -> None:
         self.name = name
-        self.due_at, self.tick = FAR, -1
+        self.due_at, self.tick = INFINITE, -1
         self.activity: int = Activity.BUSY
         self.since, self.user = 0.0, ""
 
@@ -66,7 +73,7 @@
             while found := wheel.due(now, which):
                 assert len(found) <= which
                 for item in found:
-                    assert model.pop(item) <= now and item.due_at == FAR and item.tick == -1
+                    assert model.pop(item) <= now and item.due_at == INFINITE and item.tick == -1
             # With a bound on visits a call may come back empty-handed: a few more go on.
             for _ in range(200):
                 for item in wheel.due(now, which):
@@ -77,7 +84,7 @@
         if model:
             assert wheel.next_at() <= max(now, min(model.values())) + 2 * TICK
         else:
-            assert wheel.next_at() == FAR
+            assert wheel.next_at() == INFINITE
     for item in list(model):
         wheel.disarm(item)
     assert not wheel.armed and not any(wheel._slots)
@@ -99,7 +106,7 @@
     sizes = []
     while found := wheel.due(2.0, 64):
         sizes.append(len(found))
-    assert sizes == [64] * 15 + [40] and wheel.next_at() == FAR
+    assert sizes == [64] * 15 + [40] and wheel.next_at() == INFINITE
 
 
 # Places
@@ -120,7 +127,7 @@
     steps: list[tuple[str, int, int]], most: int, shared: int, displace: bool
 ) -> None:
     """By front and in all; nobody with an open request goes; within a rank the longest there goes first."""
-    bounds, both = Bounds(most, displace=displace), Shared(shared)
+    bounds, both = Bounds(most, displace=displace), SharedLimit(shared)
     front, other = Admission[One](bounds, both), Admission[One](Bounds(9), both)
     now, number = 0.0, 0
     for step, pick, rank in steps:
@@ -131,12 +138,12 @@
         elif step == "join":
             number += 1
             if pick % 5 == 0 and both.open < shared:
-                other.join(One(-number), now)
+                other.add(One(-number), now)
                 continue
             newcomer = One(number)
-            if (why := front.need()) is not None:
-                assert (why is Refusal.FRONT) == (len(front) >= most)
-                victim = front.victim(now)
+            if (why := front.rejection_reason()) is not None:
+                assert (why is Rejection.FRONT) == (len(front) >= most)
+                victim = front.eviction_candidate(now)
                 if victim is None:
                     assert not displace or all(m.activity == Activity.BUSY for m in front.members)
                     continue
@@ -146,8 +153,8 @@
                 # Nobody else could go with less harm.
                 if Activity.IDLE <= victim.activity < Activity.LEAVING:
                     assert not any(Activity.IDLE <= m.activity < victim.activity for m in front.members)
-                front.left(victim)
-            front.join(newcomer, now)
+                front.remove(victim)
+            front.add(newcomer, now)
         elif one is not None and step == "ask":
             front.set_activity(one, Activity.BUSY, now)
         elif one is not None and step == "rest":
@@ -155,24 +162,24 @@
         elif one is not None and step == "leave":
             front.set_activity(one, Activity.LEAVING, now)
         elif one is not None and step == "go":
-            front.left(one)
+            front.remove(one)
         assert len(front) <= most and both.open == len(front) + len(other) <= shared + 1
         counts = [front.count(one) for one in (Activity.SILENT, Activity.LEAVING, Activity.BUSY)]
-        assert sum(counts) + front.resting == len(front)
+        assert sum(counts) + front.idle == len(front)
 
 
 def test_a_user_has_so_many_connections_and_no_more() -> None:
-    admission = Admission[One](Bounds(9, most_per_user=2), Shared(9))
+    admission = Admission[One](Bounds(9, most_per_user=2), SharedLimit(9))
     ones = [One(n) for n in range(4)]
     for one in ones:
-        admission.join(one, 0.0)
-    assert [admission.log_in(one, "rossi") for one in ones[:3]] == [None, None, Refusal.USER]
+        admission.add(one, 0.0)
+    assert [admission.log_in(one, "rossi") for one in ones[:3]] == [None, None, Rejection.USER]
     assert admission.log_in(ones[0], "rossi") is None  # again: it counts once
     assert admission.log_in(ones[3], "bianchi") is None
     assert admission.log_in(ones[0], "bianchi") is None  # another user on the same connection
     assert admission.log_in(ones[2], "rossi") is None and admission.users == {"rossi": 2, "bianchi": 2}
     for one in ones:
-        admission.left(one)
+        admission.remove(one)
     assert not admission.users and not admission.shared.open
 
 
@@ -186,14 +193,14 @@
     scheduler = Scheduler[int]()
     left, heard, done = dict(enumerate(commands)), Counter[int](), list[int]()
     for one in left:
-        scheduler.wait(one)
+        scheduler.enqueue(one)
     while scheduler:
         for one in scheduler.round(batch):
             count = min(QUANTUM, left[one])
             left[one] -= count
             heard[one] += count
             if left[one]:
-                scheduler.wait(one)
+                scheduler.enqueue(one)
             else:
                 done.append(one)
             waiting = [n for n in left if left[n]]
@@ -206,7 +213,7 @@
 def test_who_is_dropped_has_no_turn() -> None:
     scheduler = Scheduler[int]()
     for n in range(4):
-        scheduler.wait(n)
+        scheduler.enqueue(n)
     found = []
     for n in scheduler.round(9):
         found.append(n)
@@ -219,7 +226,7 @@
 def test_times_to_come_back_lie_evenly(waiting: int, rate: float) -> None:
     """No tenth of the span gets half as many again as its share; the span is what serving them takes."""
     spread = RetrySpread()
-    found = [spread.again_ms(waiting, rate) for _ in range(min(waiting, 2000))]
+    found = [spread.next_delay_ms(waiting, rate) for _ in range(min(waiting, 2000))]
     span = min(60_000, max(200, 1000 * waiting / rate))
     assert min(found) >= 200 and max(found) <= 200 + span
     tenths = Counter(int((ms - 200) * 10 / (span + 1)) for ms in found)
@@ -229,33 +236,37 @@
 def test_a_crowd_is_turned_away_once_polls_stay_full_and_the_woken_before_the_steady() -> None:
     crowd = OverloadDetector(patience_s=0.1)
     for n in range(3):
-        crowd.polled(True, n * 0.05)
+        crowd.record_poll(True, n * 0.05)
     assert not crowd.should_reject(0.1, woken=True)
     heard = [not crowd.should_reject(0.15, woken=True) for _ in range(9)]
-    assert heard.count(True) == WOKEN and heard[0]  # of each batch a few are heard all the same
-    assert [not crowd.should_reject(0.15, woken=False) for _ in range(9)].count(True) == STEADY > WOKEN
-    crowd.polled(True, 0.2)
+    assert heard.count(True) == WOKEN_PER_BATCH and heard[0]  # of each batch a few are heard all the same
+    assert (
+        [not crowd.should_reject(0.15, woken=False) for _ in range(9)].count(True)
+        == STEADY_PER_BATCH
+        > WOKEN_PER_BATCH
+    )
+    crowd.record_poll(True, 0.2)
     assert not crowd.should_reject(0.2, woken=True) and crowd.should_reject(0.2, woken=True)
-    crowd.polled(False, 0.25)
+    crowd.record_poll(False, 0.25)
     assert not crowd.should_reject(9.0, woken=True)
     spread = RetrySpread()
     for n in range(500):
         crowd.count_served(10 + n / 1000)
-    late = [crowd.again_ms(spread, 10.5 + n / 10_000) for n in range(2000)]
+    late = [crowd.next_delay_ms(spread, 10.5 + n / 10_000) for n in range(2000)]
     assert max(late[1000:]) > 2000  # 500 a second were served: two thousand take four seconds
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 100)), max_size=60), st.integers(50, 200))
 def test_bytes_in_buffers_are_bounded_in_all(steps: list[tuple[int, int]], most: int) -> None:
-    budget, model = Budget[int](most), dict[int, int]()
+    budget, model = ByteBudget[int](most), dict[int, int]()
     for who, count in steps:
         model[who] = count
-        victim = budget.hold(who, count)
+        victim = budget.set_bytes(who, count)
         if victim is not None:
             assert sum(model.values()) > most and model[victim] == max(model.values())
             model[victim] = 0
-            budget.hold(victim, 0)
+            budget.set_bytes(victim, 0)
         assert budget.total == sum(model.values()) <= most
 
 
@@ -285,7 +296,7 @@
     raw = {"idle": "forever", "most": 900, "most_amqp": 2000}
     found = read_clients(Table(raw, "clients"), 1000, 64_000_000)
     assert (found.most, found.most_resp, found.most_amqp) == (900, 900, 900)
-    assert found.resp.idle == found.amqp.idle == FAR and found.buffers == 8e6
+    assert found.resp.idle == found.amqp.idle == INFINITE and found.buffers == 8e6
     assert read_clients(Table({}, "clients"), 1000, 64_000_000).resp.idle == 300
     assert load(Path("deploy/connections.toml")).clients is not None
 
--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -27,9 +27,9 @@
 from mountgauge.amqp.connection import AmqpConnection
 from mountgauge.clients import ClientConnection, Clients
 from mountgauge.connections import descriptors
-from mountgauge.connections.acceptor import AT_ONCE
+from mountgauge.connections.acceptor import ACCEPTS_PER_TURN
 from mountgauge.connections.connection import ConnectionTransport
-from mountgauge.connections.front import LINGERING
+from mountgauge.connections.front import MAX_LINGERING
 from mountgauge.connections.metrics import ConnectionMetrics, client_metrics
 from mountgauge.connections.registry import BATCH, Registry
 from mountgauge.connections.scheduler import QUANTUM
@@ -60,9 +60,9 @@
         super().turn()
         self.most_done = max(self.most_done, self.done)
 
-    def gone(self, transport: ConnectionTransport) -> None:
+    def remove_transport(self, transport: ConnectionTransport) -> None:
         self.done += 1
-        super().gone(transport)
+        super().remove_transport(transport)
 
 
 class Held:
@@ -246,7 +246,7 @@
             for sock in held.socks[1:]:
                 sock.send(b"*2\r\n$4\r\nPING\r\n$60000\r\n" + b"x" * 20_000)
                 await asyncio.sleep(0)
-                largest = max(largest, held.registry.half.total)
+                largest = max(largest, held.registry.partial_bytes.total)
             await until(lambda: held.registry.open <= 1 + 200_000 // 20_000)
             assert largest <= 200_000 and held.front.counts["clients", "buffers"] >= 29
             held.socks[0].send(enqueue())
@@ -258,7 +258,7 @@
 def test_answers_that_nobody_reads_are_bounded_each_and_in_all() -> None:
     async def main() -> None:
         async with holding(8) as held:
-            held.registry.unread.most = 20_000
+            held.registry.unread_bytes.most = 20_000
             echo, largest = command(b"PING", b"x" * 60_000), 0
             loop = asyncio.get_running_loop()
 
@@ -270,12 +270,12 @@
             pouring = [loop.create_task(pour(sock)) for sock in held.socks[1:]]
             for _ in range(400):
                 await asyncio.sleep(0.005)
-                largest = max(largest, held.registry.unread.total)
+                largest = max(largest, held.registry.unread_bytes.total)
                 if held.registry.counts["clients", "unread"]:
                     break
             for connection in held.front.admission.members:
                 assert len(connection._slots) <= 64
-            # Past the bound by no more than what one write added before the one who owes most went.
+            # Above the limit by at most what one write added before the largest holder was aborted.
             assert largest <= 20_000 + QUANTUM * 60_100 and held.registry.counts["clients", "unread"]
             held.socks[0].send(enqueue())
             assert await held.hear(held.socks[0]) == b"+OK\r\n"
@@ -526,8 +526,8 @@
 
     async def main() -> None:
         most = 35
-        async with holding(most + LINGERING, platform_settings(most)) as held:
-            assert held.registry.open == most + LINGERING
+        async with holding(most + MAX_LINGERING, platform_settings(most)) as held:
+            assert held.registry.open == most + MAX_LINGERING
             adopt, seen = held.registry.adopt, list[int]()
 
             def counting(*args: Any) -> ConnectionTransport:
@@ -536,9 +536,9 @@
                 return transport
 
             held.registry.adopt = counting  # type: ignore[assignment]
-            crowd = [socket.create_connection((HOST, held.front.port)) for _ in range(3 * AT_ONCE)]
+            crowd = [socket.create_connection((HOST, held.front.port)) for _ in range(3 * ACCEPTS_PER_TURN)]
             await until(lambda: len(seen) == len(crowd))
-            assert max(seen) <= most + LINGERING + 1, "one comes, and another one goes"
+            assert max(seen) <= most + MAX_LINGERING + 1, "one comes, and another one goes"
             for sock in crowd:
                 sock.close()
 
--- a/tests/connections/test_states.py
+++ b/tests/connections/test_states.py
@@ -33,7 +33,7 @@
     def now(self) -> float:
         return self.at
 
-    def _wake(self, when: float) -> None: ...
+    def _set_timer(self, when: float) -> None: ...
 
     def pass_time(self, seconds: float) -> None:
         self.at += seconds
@@ -111,13 +111,13 @@
                 assert max(late, default=0.0) < LATE + (registry.at - was)
             idle = answered == len(taken)
             assert connection.parked == (idle and not pending) or connection.closing
-            assert not registry.half.total or pending
+            assert not registry.partial_bytes.total or pending
             if not connection.closing:
                 wanted = Activity.BUSY if not idle else Activity.IDLE if greeted else Activity.SILENT
                 assert min(connection.activity, Activity.IDLE) == wanted or connection.activity == wanted
         connection.connection_lost(None)
         # Nothing of it is left with the registry.
-        assert not (registry.timer_wheel.armed or registry.half.total or registry.scheduler)
+        assert not (registry.timer_wheel.armed or registry.partial_bytes.total or registry.scheduler)
         assert not front.admission.members
         assert not registry.shared.open
 
--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -22,7 +22,7 @@
 
 from mountgauge.amqp import codec
 from mountgauge.clients import ClientConnection, Clients
-from mountgauge.connections.front import LINGERING
+from mountgauge.connections.front import MAX_LINGERING
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.settings import platform_settings
 from mountgauge.core.ports import Submission, Taken
@@ -170,7 +170,7 @@
             assert await hears(sock) == b"+OK\r\n"
             sending.cancel()
             await asyncio.gather(sending, return_exceptions=True)
-        assert [one.id for one in taken] == ["first"] and front.registry.half.total == 0
+        assert [one.id for one in taken] == ["first"] and front.registry.partial_bytes.total == 0
         assert faults.moved["read"] == len(enqueue(b"first"))
         front.stop_listening()
         front.registry.close()
@@ -233,7 +233,7 @@
             most = max(most, front.registry.open)
         for sock in flood:
             assert (await hears(sock)).startswith(b"-BUSY")
-        assert most <= 4 + LINGERING + 8 and len(taken) == 4  # 8: accepted in one turn
+        assert most <= 4 + MAX_LINGERING + 8 and len(taken) == 4  # 8: accepted in one turn
         for sock in [*flood, *socks]:
             sock.close()
         front.stop_listening()
@@ -315,7 +315,7 @@
     async def main() -> None:
         taken = list[Submission]()
         front = await listening(taken)
-        front.registry.half.most = 20_000
+        front.registry.partial_bytes.most = 20_000
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
             await until(lambda: taken)
@@ -392,7 +392,7 @@
             await until(lambda: taken)
             sock.send(b"junk\r\n")
             await until(lambda: sole(front).closing)
-            front.registry.settings = replace(front.registry.settings, most=-LINGERING)  # none to linger on
+            front.registry.settings = replace(front.registry.settings, most=-MAX_LINGERING)  # none may linger
             sock.send(b"junk\r\n" * 5000)  # it lies there unread in the turn of the close
             taken[0].answer(Taken())
             assert await hears(sock) == b"+OK\r\n-ERR Protocol error: expected '*'\r\n"
