--- a/mountgauge/clients/__init__.py
+++ b/mountgauge/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients over RESP2: `parser` reads commands, `connection` is one client's, `front` accepts them all."""
+"""Clients over RESP2: `parser` reads commands, `connection` serves one client, `front` accepts them."""
 
 from mountgauge.clients.connection import ClientConnection, Closing
 from mountgauge.clients.front import Clients
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection over RESP2: requests in, answers out in their order, and its end in steps."""
+"""One client's connection over RESP2: its requests, the answers in order, and closing in steps."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from enum import IntEnum
 from typing import cast
 
-from mountgauge.clients.parser import RespError, RespParser, count_whole
+from mountgauge.clients.parser import RespError, RespParser, count_commands
 from mountgauge.connections.admission import Activity
 from mountgauge.connections.connection import ConnectionTransport
 from mountgauge.connections.front import Front
@@ -19,13 +19,13 @@
 log = logging.getLogger("mountgauge.clients")
 
 _RECEIVE = bytearray(64 * 1024)  # shared: what arrives is copied out before the loop reads again
-_MOST_BAD = 16  # requests of one connection that were not understood; with the last one it is closed
-_LOOK_EVERY = 0.1  # s between two looks whether a client that is let go has ended
-_MOST_WAITING = 64  # unanswered requests of one connection; past them it is not read
+_MAX_BAD_REQUESTS = 16  # per connection; the last one closes it
+_EOF_CHECK_INTERVAL_S = 0.1  # between checks whether the client has closed too
+_MAX_PENDING = 64  # unanswered requests of one connection; at the limit it is not read
 
 
 class BadRequestError(ValueError):
-    """A request that is not understood or not allowed; the connection goes on."""
+    """A request that is not understood or not allowed; the connection stays open."""
 
     def __init__(self, text: str, code: str = "ERR") -> None:
         super().__init__(text)
@@ -33,7 +33,7 @@
 
 
 class Slot:
-    """The place of one answer: they leave in the order of the requests."""
+    """Holds the answer to one request, as answers are sent in the order of the requests."""
 
     __slots__ = ("content",)
 
@@ -42,30 +42,30 @@
 
 
 class Closing(IntEnum):
-    """How far the end of a client's connection has come; `ClientConnection._leave` alone moves it on.
+    """The steps of closing a client's connection; only `ClientConnection._advance_close` changes the state.
 
-    A request that has been read is answered: past OPEN by -BUSY, as it is not taken on. What comes later is
-    not read: its client sees the sending side shut behind the last answer, and sends it again. A close over
-    unread bytes is a reset, which may take the last answers with it; so it waits until the client has ended
-    as well. Behind bytes that are no command nothing can be told apart: those are read and thrown away.
+    Every request that was read is answered: after OPEN with -BUSY, as it is not accepted. Later bytes are not
+    read: the client sees EOF after the last answer and sends its request again. Closing with unread bytes
+    would reset the connection, which may destroy the last answers, so the socket is closed after the client's
+    own EOF. After bytes that are not valid RESP2, commands can't be delimited: further bytes are discarded.
     """
 
-    OPEN = 0  # requests are heard
-    ANSWERING = 1  # nothing more is heard; what was asked before is still answered
-    SHUT = 2  # all is said, the sending side is shut; it is kept until the client ends, or LINGER
+    OPEN = 0  # requests are read
+    ANSWERING = 1  # nothing more is read; earlier requests are still answered
+    SHUT = 2  # all answers are sent and the sending side is shut; kept until the client closes, or LINGER
     CLOSED = 3
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """Requests are answered in turn, and not read past a bound; its end goes through the states of `Closing`.
+    """Serves one client: answers requests in order and limits how many are open; see `Closing` for its end.
 
-    With nothing asked it keeps no parser and no place for answers: some 300 bytes are all there is of it.
+    While no request is open it keeps neither a parser nor slots for answers and takes some 300 bytes.
     """
 
     __slots__ = (
-        "_bad", "_choked", "_clients", "_close_by", "_drain", "_half_at", "_more", "_parser", "_paused",
-        "_slots", "_stage", "_transport", "_within", "activity", "due_at", "greeted", "handed_in",
-        "heard_end", "since", "tenant", "tick", "user", "woken",
+        "_bad_requests", "_clients", "_close_by", "_drain", "_parser", "_partial_since", "_read_paused",
+        "_reading", "_slots", "_stage", "_transport", "_turn_queued", "_write_paused", "activity",
+        "command_received", "due_at", "eof_seen", "since", "submitted", "tenant", "tick", "user", "woken",
     )  # fmt: skip
 
     def __init__(self, clients: ClientFront) -> None:
@@ -73,41 +73,45 @@
         self._parser: RespParser | None = None
         self._slots: list[Slot] = []
         self._transport: asyncio.Transport | None = None
-        self._paused = self._choked = False
-        self._more = False  # commands have come that wait for its next turn
-        self._within = False  # it is reading
-        self._drain: Drain | None = None  # once what comes can't be told apart
-        self._close_by = INFINITE  # once it is shut
-        self._bad = 0
-        self._half_at = INFINITE  # when the command began that is not whole
+        self._read_paused = self._write_paused = False
+        self._turn_queued = False  # commands are buffered for the connection's next turn
+        self._reading = False  # commands are being read from the parser
+        self._drain: Drain | None = None  # discards what is received once commands can't be delimited
+        self._close_by = INFINITE  # set once the sending side is shut
+        self._bad_requests = 0
+        self._partial_since = INFINITE  # when the incomplete command began
         self._stage = Closing.OPEN
-        self.heard_end = False  # the client has shut its sending side: nothing is left to be read
-        self.tenant = ""  # of the user who logged in; none yet
-        self.handed_in = 0  # messages
-        self.greeted = False  # a whole command has come
-        self.woken = False  # the command under way came after a rest
-        # The registry's: what it is doing, since when, and its one deadline.
+        self.eof_seen = False  # the client has shut its sending side
+        self.tenant = ""  # of the logged-in user
+        self.submitted = 0  # messages submitted so far
+        self.command_received = False  # at least one complete command
+        self.woken = False  # the current request followed a time without requests
+        # Maintained by admission and the registry: the activity, when it began, and the only deadline.
         self.activity: int = Activity.BUSY
         self.since, self.user = 0.0, ""
         self.due_at, self.tick = INFINITE, -1
 
     @property
     def closing(self) -> bool:
+        """Whether no further requests are read."""
         return self._stage is not Closing.OPEN
 
     @property
     def closed(self) -> bool:
+        """Whether the transport has closed."""
         return self._stage is Closing.CLOSED
 
     @property
     def parked(self) -> bool:
+        """Whether nothing is buffered and no answer is owed."""
         return not self._slots and self._parser is None
 
     @property
-    def rank(self) -> int:
-        """Who asked once and stayed goes first, then who has only said PING and may be about to hand in its
-        first message, last who uses its connection again and again."""
-        return Activity.IDLE + (1, 0, 2)[min(self.handed_in, 2)]
+    def idle_rank(self) -> int:
+        """The order of displacement: first connections that have submitted one message, then those that have
+        submitted none and may be about to do so after a PING, last those in repeated use.
+        """
+        return Activity.IDLE + (1, 0, 2)[min(self.submitted, 2)]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -126,204 +130,216 @@
         self._read()
 
     def more(self) -> None:
-        """Its turn to have more commands read."""
-        self._more = False
+        """Read further commands in the connection's turn."""
+        self._turn_queued = False
         self._read()
 
     def _read(self) -> None:
-        if self._more or self._within:
-            return  # in turn, or an answer came while it reads
-        self._within = True
+        if self._turn_queued or self._reading:
+            return  # the turn is still to come, or an answer was written during the reading
+        self._reading = True
         try:
-            self._read_some()
+            self._read_commands()
         finally:
-            self._within = False
-        self._pace()
+            self._reading = False
+        self._update_reading()
 
-    def _read_some(self) -> None:
+    def _read_commands(self) -> None:
         left = QUANTUM
-        whole = False
-        while not self.closing and len(self._slots) < _MOST_WAITING and not self._choked and self._parser:
+        completed = False
+        while (
+            not self.closing and len(self._slots) < _MAX_PENDING and not self._write_paused and self._parser
+        ):
             if not left:
-                self._more = True
+                self._turn_queued = True
                 self._clients.registry.queue_turn(self)
                 break
             left -= 1
             try:
                 args = self._parser.next()
-            except RespError as error:  # what follows cannot be told apart any more
-                self.refuse(f"Protocol error: {error}", spoilt=True)
+            except RespError as error:  # further commands can't be delimited
+                self.close_with_error(f"Protocol error: {error}", unparsable=True)
                 return
             if args is None:
                 break
-            whole = self.greeted = True
+            completed = self.command_received = True
             if not self._slots and self.activity != Activity.BUSY:
                 self.woken = self._clients.registry.now() - self.since >= WOKEN_AFTER_S
-                if self._clients.turns_back(self, args):
-                    continue  # it rests on, as if it had not asked
+                if self._clients.reject_if_overloaded(self, args):
+                    continue  # the connection stays idle
                 self._clients.set_activity(self, Activity.BUSY)
             self._slots.append(slot := Slot())
             try:
                 self._clients.request(args, self, slot)
             except BadRequestError as error:
-                self._bad += 1
-                if self._bad >= _MOST_BAD:
+                self._bad_requests += 1
+                if self._bad_requests >= _MAX_BAD_REQUESTS:
                     self._slots.pop()
-                    self.refuse(str(error), error.code)
+                    self.close_with_error(str(error), error.code)
                     return
                 self._fill(slot, f"-{error.code} {error}\r\n".encode())
-            except Exception as error:  # a fault costs this request, and no other its answer
+            except Exception as error:  # only this request fails, the others are still answered
                 log.exception("request-failed", extra=kv(error=error))
                 self._fill(slot, b"-ERR not carried out\r\n")
-        self._keep(whole)
+        self._keep_partial(completed)
 
-    def _keep(self, whole: bool) -> None:
-        """Keep what a command that is not whole needs, and nothing where there is none."""
+    def _keep_partial(self, completed: bool) -> None:
+        """Account for an incomplete command; release the parser if there is none."""
         if self._parser is None:
             return
         if self._parser.partial:
-            if whole or self._half_at == INFINITE:
-                self._half_at = self._clients.registry.now()
-            self._clients.set_partial_bytes(self, self._parser.held)
+            if completed or self._partial_since == INFINITE:
+                self._partial_since = self._clients.registry.now()
+            self._clients.set_partial_bytes(self, self._parser.buffered_bytes)
             if not self._slots and not self.closing:
-                self._watch()
+                self._arm_idle_deadline()
         else:
-            self._parser, self._half_at = None, INFINITE
+            self._parser, self._partial_since = None, INFINITE
             self._clients.set_partial_bytes(self, 0)
 
-    def _watch(self) -> None:
-        """Nothing is asked: how long it may stay so."""
+    def _arm_idle_deadline(self) -> None:
+        """Set the deadline of a connection without open requests."""
         times = self._clients.times
-        limit = times.idle if self.greeted else times.handshake
-        self._clients.registry.arm(self, min(self.since + limit, self._half_at + times.half))
+        limit = times.idle if self.command_received else times.handshake
+        self._clients.registry.arm(self, min(self.since + limit, self._partial_since + times.half))
 
     def on_due(self, now: float) -> None:
-        """Let go of who asks nothing: judged by whole commands, as bytes alone may trickle for ever."""
+        """Close on timeout. Only complete commands count as progress, as bytes may trickle for ever."""
         times = self._clients.times
         if self.closing:
             if self._stage is Closing.SHUT:
-                self._look_for_end(now)
-            elif self._choked:
-                self.abort()  # it does not read its last answers
-        elif self._choked:
+                self._check_for_eof(now)
+            elif self._write_paused:
+                self.abort()  # the client does not read its last answers
+        elif self._write_paused:
             self._clients.counts["clients", "unread"] += 1
             self.abort()
         elif self._slots:
             return
-        elif self._half_at < INFINITE and (not self.greeted or now - self._half_at >= times.half):
+        elif self._partial_since < INFINITE and (
+            not self.command_received or now - self._partial_since >= times.half
+        ):
             self._clients.counts["clients", "halfway"] += 1
-            self.refuse("Protocol error: a command was not finished in time", spoilt=True)
-        elif self._half_at < INFINITE:
-            self._clients.registry.arm(self, self._half_at + times.half)
+            self.close_with_error("Protocol error: a command was not finished in time", unparsable=True)
+        elif self._partial_since < INFINITE:
+            self._clients.registry.arm(self, self._partial_since + times.half)
         else:
-            self._clients.counts["clients", "idle" if self.greeted else "silent"] += 1
+            self._clients.counts["clients", "idle" if self.command_received else "silent"] += 1
             self.close()
 
-    def refuse(self, why: str, code: str = "ERR", spoilt: bool = False) -> None:
-        """Say why, hear nothing more, and close once all that was asked before is answered.
+    def close_with_error(self, why: str, code: str = "ERR", unparsable: bool = False) -> None:
+        """Send an error line, stop reading, and close once earlier requests are answered.
 
-        `spoilt`: what follows cannot be told apart.
+        `unparsable`: further commands can't be delimited.
         """
         if self.closing or self._transport is None:
             return
         self._slots.append(slot := Slot())
-        self._leave(spoilt)
+        self._advance_close(unparsable)
         self._fill(slot, f"-{code} {why}\r\n".encode())
 
-    def _leave(self, spoilt: bool = False, told: int = 0) -> None:
-        """The one way from OPEN to the end: hear nothing more, say what is owed, shut, wait, close.
+    def _advance_close(self, unparsable: bool = False, already_answered: int = 0) -> None:
+        """Advance `Closing`: stop reading, send the owed answers, shut the sending side, wait, close.
 
-        `told`: answers that have been said before their requests were read.
+        `already_answered`: how many answers were sent before their requests were read.
         """
         transport = self._transport
         if transport is None:
             return
         if self._stage is Closing.OPEN:
             self._stage = Closing.ANSWERING
-            self._turn_back_rest(spoilt)
-            if not self.heard_end and not transport.is_closing():
-                self._stop_reading(transport, spoilt)
+            self._reject_remaining(unparsable)
+            if not self.eof_seen and not transport.is_closing():
+                self._stop_reading(transport, unparsable)
         if self._stage is Closing.ANSWERING and not self._slots:
             self._stage = Closing.SHUT
             self._clients.set_activity(self, Activity.LEAVING)
             registry = self._clients.registry
             self._close_by = registry.now() + LINGER
-            registry.arm(self, registry.now() + _LOOK_EVERY)
+            registry.arm(self, registry.now() + _EOF_CHECK_INTERVAL_S)
             if transport.is_closing():
                 return
-            if self.heard_end:
+            if self.eof_seen:
                 transport.close()
             elif self._clients.may_linger():
                 transport.write_eof()
             else:
-                self._drop(transport, told)
+                self._close_without_linger(transport, already_answered)
 
-    def _turn_back_rest(self, spoilt: bool) -> None:
-        """Commands that have been read and wait for their turn are answered, in theirs."""
-        parser, self._parser, self._half_at = self._parser, None, INFINITE
+    def _reject_remaining(self, unparsable: bool) -> None:
+        """Answer buffered commands with -BUSY, after the answers that are still owed."""
+        parser, self._parser, self._partial_since = self._parser, None, INFINITE
         self._clients.set_partial_bytes(self, 0)
-        if parser is None or spoilt or not (count := parser.count_rest()):
+        if parser is None or unparsable or not (count := parser.count_remaining()):
             return
-        content = self._clients.busy() * count
+        content = self._clients.busy_answer() * count
         if self._slots:
             self._slots.append(slot := Slot())
             slot.content = content
         else:
-            self.say(content)
+            self.send(content)
 
-    def _stop_reading(self, transport: asyncio.Transport, spoilt: bool) -> None:
-        if spoilt:
+    def _stop_reading(self, transport: asyncio.Transport, unparsable: bool) -> None:
+        if unparsable:
             self._drain = Drain(transport)
-            if self._paused:
+            if self._read_paused:
                 transport.resume_reading()
         elif isinstance(transport, ConnectionTransport):
             transport.stop_reading()
-        elif not self._paused:
+        elif not self._read_paused:
             transport.pause_reading()
 
-    def _look_for_end(self, now: float) -> None:
-        """It is shut: once its client has ended, or in time, it is closed."""
-        transport, look_at = self._transport, self._close_by
+    def _check_for_eof(self, now: float) -> None:
+        """The sending side is shut: close once the client has closed too, or at the deadline."""
+        transport, check_at = self._transport, self._close_by
         ended = False
-        if isinstance(transport, ConnectionTransport) and not transport.reports_eof:  # a request lies unread
-            ended = transport.peer_ended and not self._choked
-            look_at = min(look_at, now + _LOOK_EVERY)
+        if isinstance(transport, ConnectionTransport) and not transport.reports_eof:  # unread bytes hide it
+            ended = transport.peer_ended and not self._write_paused
+            check_at = min(check_at, now + _EOF_CHECK_INTERVAL_S)
         if ended or now >= self._close_by:
             self.abort()
         else:
-            self._clients.registry.arm(self, look_at)
+            self._clients.registry.arm(self, check_at)
 
-    def _drop(self, transport: asyncio.Transport, told: int) -> None:
-        """Descriptors are short: what is there is read and answered, what is on its way is not waited for."""
+    def _close_without_linger(self, transport: asyncio.Transport, already_answered: int) -> None:
+        """Close at once, as descriptors are scarce: answer what has arrived, don't wait for more."""
         if isinstance(transport, ConnectionTransport):
-            came = transport.read_pending(_RECEIVE)
+            received = transport.read_pending(_RECEIVE)
             if self._drain is None:
-                self.say(self._clients.busy() * (count_whole(memoryview(_RECEIVE)[:came]) - told))
+                self.send(
+                    self._clients.busy_answer()
+                    * (count_commands(memoryview(_RECEIVE)[:received]) - already_answered)
+                )
         transport.write_eof()
         transport.close()
 
-    def _pace(self) -> None:
-        """Back-pressure: a client that does not read its answers, or sends too many requests, is not read."""
-        hold = len(self._slots) >= _MOST_WAITING or self._choked or self._more
-        if self._transport is None or self._transport.is_closing() or hold == self._paused or self.closing:
+    def _update_reading(self) -> None:
+        """Back-pressure: pause reading while answers are unread or too many requests are open."""
+        pause = len(self._slots) >= _MAX_PENDING or self._write_paused or self._turn_queued
+        if (
+            self._transport is None
+            or self._transport.is_closing()
+            or pause == self._read_paused
+            or self.closing
+        ):
             return
-        self._paused = hold
-        if hold:
+        self._read_paused = pause
+        if pause:
             self._transport.pause_reading()
         else:
             self._transport.resume_reading()
 
     def pause_writing(self) -> None:
-        self._choked = True
+        self._write_paused = True
         registry, unread = self._clients.registry, self._clients.times.unread
         if not self.closing:
             registry.arm(self, registry.now() + unread)
-        self._pace()
+        self._update_reading()
 
     def resume_writing(self) -> None:
-        self._choked = False
+        self._write_paused = False
         if not self._slots and not self.closing:
-            self._watch()
+            self._arm_idle_deadline()
         self._read()
 
     def _fill(self, slot: Slot, content: bytes) -> None:
@@ -339,51 +355,53 @@
             if not slots:
                 self.since = self._clients.registry.now()
                 if not self.closing:
-                    self._clients.set_activity(self, self.rank)
-                    self._watch()
+                    self._clients.set_activity(self, self.idle_rank)
+                    self._arm_idle_deadline()
             self._transport.write(ready)
-            if not slots and (self.closing or self._clients.letting_go):
-                self._leave()  # or it is a lame duck, whose client goes elsewhere
+            if not slots and (self.closing or self._clients.closing_after_answers):
+                self._advance_close()  # also while a lame duck, whose clients go elsewhere
 
     def answer(self, slot: Slot, content: bytes) -> None:
+        """Answer the request of this slot, and read on if that was paused."""
         self._fill(slot, content)
-        if self._paused:
+        if self._read_paused:
             self._read()
 
-    def say(self, content: bytes) -> None:
-        """With nothing asked before that is not answered."""
+    def send(self, content: bytes) -> None:
+        """Send an answer at once; only while no earlier request is unanswered."""
         if self._transport is not None and not self.closed:
             self._transport.write(content)
 
     def close(self) -> None:
-        """Once what was asked is answered; between requests a sender may close."""
-        self._leave()
+        """Close once all requests that were read are answered."""
+        self._advance_close()
 
     def abandon_partial(self) -> None:
         if self._slots:
-            self.refuse("Protocol error: too much of a command that is not whole", spoilt=True)
+            self.close_with_error("Protocol error: too much of a command that is not whole", unparsable=True)
         else:
             self.abort()
 
     def displace(self) -> None:
+        """Close in order if idle, else abort."""
         if Activity.IDLE <= self.activity < Activity.LEAVING:
             self.close()
         else:
             self.abort()
 
     def reject(self, again_ms: int) -> None:
-        """No descriptor to spare: handing in again is harmless."""
-        self.say(b"-BUSY %d\r\n" % again_ms)
-        self._leave(told=1)
+        """Answer -BUSY and close; the client may safely submit again."""
+        self.send(b"-BUSY %d\r\n" % again_ms)
+        self._advance_close(already_answered=1)
 
     def abort(self) -> None:
         if self._transport is not None:
             self._transport.abort()
 
     def eof_received(self) -> bool:
-        self.heard_end, self._drain = True, None
-        self._leave()
-        return bool(self._slots)  # the answers still go out
+        self.eof_seen, self._drain = True, None
+        self._advance_close()
+        return bool(self._slots)  # the remaining answers are still sent
 
     def connection_lost(self, error: Exception | None) -> None:
         self._stage = Closing.CLOSED
@@ -393,18 +411,18 @@
 
 
 class ClientFront(Front[ClientConnection]):
-    """What a connection asks of its front."""
+    """What a connection needs of its front."""
 
-    letting_go: bool  # each connection is closed once what was asked on it is answered
+    closing_after_answers: bool  # each connection is closed once its requests are answered
 
-    def busy(self) -> bytes:
-        """The answer to a request that is not taken on: handing it in again is harmless."""
+    def busy_answer(self) -> bytes:
+        """The answer to a request that is not accepted; the client may safely submit it again."""
         raise NotImplementedError
 
     def request(self, args: list[bytes], connection: ClientConnection, slot: Slot) -> None:
-        """Carry a command out, whose answer goes into the slot; BadRequestError where it can't be."""
+        """Execute a command, whose answer goes into the slot; raises BadRequestError if it is not valid."""
         raise NotImplementedError
 
-    def turns_back(self, connection: ClientConnection, args: list[bytes]) -> bool:
-        """Whether a command was answered at once, as more want to be heard than can be."""
+    def reject_if_overloaded(self, connection: ClientConnection, args: list[bytes]) -> bool:
+        """Reject a command with -BUSY under overload; returns whether it was rejected."""
         raise NotImplementedError
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -1,4 +1,4 @@
-"""The front for clients over RESP2: their commands become submissions for the core."""
+"""The front for clients over RESP2: turns their commands into submissions for the core."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from mountgauge.access import DEFAULT, Access
 from mountgauge.clients.connection import BadRequestError, ClientConnection, ClientFront, Slot
-from mountgauge.clients.parser import count_whole
+from mountgauge.clients.parser import count_commands
 from mountgauge.connections.admission import Bounds
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.settings import platform_settings
@@ -15,46 +15,49 @@
 
 
 class Clients(ClientFront):
-    """The listening side: parses requests into submissions for the core."""
+    """Listens for clients, executes their commands and submits their messages to the core."""
 
     def __init__(
         self,
         submit: Callable[[Submission], None],
-        grades: tuple[str, ...],
+        class_names: tuple[str, ...],
         most: int,
         front: str = "platform",
         deadlines: Sequence[float] = (),
         access: Access | None = None,
         registry: Registry | None = None,
     ) -> None:
-        """Without a `registry` of an operator's file, the platform's times and `most` connections hold."""
+        """Without a `registry` the platform's times and a limit of `most` connections apply."""
         registry = registry or Registry(platform_settings(most))
         settings = registry.settings
         bounds = Bounds(min(most, settings.most_resp), settings.most_per_user, settings.displace)
         super().__init__(registry, bounds, settings.resp)
         self._submit = submit
-        self._grades = {name.encode(): place for place, name in enumerate(grades)}
-        self._deadlines = deadlines or [math.inf] * len(grades)
+        self._classes = {name.encode(): index for index, name in enumerate(class_names)}
+        self._deadlines = deadlines or [math.inf] * len(class_names)
         self._front = front
-        self.access = access  # None on the platform, which knows no users
-        self.lame_duck = False  # PING says no: the front is to send no more
-        self.letting_go = False
+        self.access = access  # None on the platform, which has no users
+        self.lame_duck = False  # PING is answered with an error, so that clients go elsewhere
+        self.closing_after_answers = False
 
-    def set_classes(self, grades: tuple[str, ...], deadlines: Sequence[float]) -> None:
-        """The classes of new settings: one that has gone is refused from now on, a new one is known."""
-        self._grades = {name.encode(): place for place, name in enumerate(grades)}
-        self._deadlines = list(deadlines) or [math.inf] * len(grades)
+    def set_classes(self, class_names: tuple[str, ...], deadlines: Sequence[float]) -> None:
+        """Replace the message classes after a reload; removed classes are rejected from now on."""
+        self._classes = {name.encode(): index for index, name in enumerate(class_names)}
+        self._deadlines = list(deadlines) or [math.inf] * len(class_names)
 
     async def listen(self, host: str, port: int) -> None:
-        def full(came: bytes) -> bytes:
-            return b"-BUSY %d\r\n" % self.retry_delay_ms() * max(1, count_whole(came))
+        """Accept clients from now on."""
 
-        self.listen_with(lambda: ClientConnection(self), full, host, port)
+        def rejections(received: bytes) -> bytes:
+            return b"-BUSY %d\r\n" % self.retry_delay_ms() * max(1, count_commands(received))
 
-    def busy(self) -> bytes:
+        self.listen_with(lambda: ClientConnection(self), rejections, host, port)
+
+    def busy_answer(self) -> bytes:
         return b"-BUSY %d\r\n" % self.retry_delay_ms() if self.registry.sheds_load else b"-BUSY\r\n"
 
     def close_idle(self) -> None:
+        """Close all connections, each once its requests are answered."""
         self.close_in_batches(ClientConnection.close)
 
     def close(self) -> None:
@@ -72,20 +75,20 @@
             connection.answer(slot, b"+OK\r\n")
         elif command == b"ENQUEUE":
             submission = self._submission(args, connection, slot)
-            connection.handed_in += 1
+            connection.submitted += 1
             self._submit(submission)
         else:
-            raise BadRequestError(f"unknown command '{_shown(args[0])}'")
+            raise BadRequestError(f"unknown command '{_printable(args[0])}'")
 
-    def turns_back(self, connection: ClientConnection, args: list[bytes]) -> bool:
-        """More want to be heard than can be: answered at once, as the core could not do in time."""
+    def reject_if_overloaded(self, connection: ClientConnection, args: list[bytes]) -> bool:
+        """Reject an ENQUEUE under overload, before the core sees it."""
         registry = self.registry
         if not registry.sheds_load or args[0] != b"ENQUEUE":
             return False
         if not registry.overload.should_reject(registry.now(), connection.woken):
             return False
         self.counts["clients", "crowded"] += 1
-        connection.say(b"-BUSY %d\r\n" % self.retry_delay_ms())
+        connection.send(b"-BUSY %d\r\n" % self.retry_delay_ms())
         return True
 
     def _log_in(self, args: list[bytes], connection: ClientConnection, access: Access) -> None:
@@ -107,27 +110,27 @@
             raise BadRequestError("Authentication required.", "NOAUTH")
         if len(args) != 5:
             raise BadRequestError("wrong number of arguments for 'enqueue'")
-        msg_id = _token(args[2], "id")
-        pairs = dict(_pair(part) for part in args[3].split(b","))
-        grade = self._grades.get(pairs.get(b"c", b""))
-        if grade is None:
-            raise BadRequestError(f"unknown class '{_shown(pairs.get(b'c', b''))}'")
-        dest, left = pairs.get(b"dest", b""), pairs.get(b"d", b"")
+        msg_id = _parse_token(args[2], "id")
+        pairs = dict(_parse_pair(part) for part in args[3].split(b","))
+        class_index = self._classes.get(pairs.get(b"c", b""))
+        if class_index is None:
+            raise BadRequestError(f"unknown class '{_printable(pairs.get(b'c', b''))}'")
+        dest, time_left_ms = pairs.get(b"dest", b""), pairs.get(b"d", b"")
         if not dest.isdigit() or len(dest) > 9:
             raise BadRequestError("dest: not a number")
-        if not left.isdigit() or len(left) > 9:
+        if not time_left_ms.isdigit() or len(time_left_ms) > 9:
             raise BadRequestError("d: not a number of milliseconds")
-        if not int(left):
+        if not int(time_left_ms):
             raise BadRequestError("d: no time left")
-        key = _token(pairs[b"k"], "k") if b"k" in pairs else ""
+        key = _parse_token(pairs[b"k"], "k") if b"k" in pairs else ""
 
-        def answer(what: Answer) -> None:
-            connection.answer(slot, self._reply(what))
+        def answer(result: Answer) -> None:
+            connection.answer(slot, self._reply(result))
 
         return Submission(
             msg_id,
-            grade,
-            min(int(left) / 1000, self._deadlines[grade]),
+            class_index,
+            min(int(time_left_ms) / 1000, self._deadlines[class_index]),
             int(dest),
             key,
             args[4],
@@ -144,25 +147,25 @@
             return b"+OK\r\n"
         if answer.status is Status.DEFERRED:
             again = answer.again_ms
-            if again <= 0 and self.registry.sheds_load:  # no room: nobody said when there will be
+            if again <= 0 and self.registry.sheds_load:  # no capacity, and the core gave no time to retry
                 again = self.retry_delay_ms()
             return b"-BUSY %d\r\n" % again if again > 0 else b"-BUSY\r\n"
         return b"-ERR undeliverable\r\n"
 
 
-def _shown(text: bytes) -> str:
+def _printable(text: bytes) -> str:
     return "".join(c if c.isprintable() else "?" for c in text[:40].decode("latin-1"))
 
 
-def _pair(part: bytes) -> tuple[bytes, bytes]:
+def _parse_pair(part: bytes) -> tuple[bytes, bytes]:
     name, sign, value = part.partition(b"=")
     if not sign:
-        raise BadRequestError(f"not name=value: '{_shown(part)}'")
+        raise BadRequestError(f"not name=value: '{_printable(part)}'")
     return name, value
 
 
-def _token(raw: bytes, name: str) -> str:
-    """Ids and keys travel in headers, so nothing but printable ASCII without spaces."""
+def _parse_token(raw: bytes, name: str) -> str:
+    """An id or key; they are sent in HTTP headers, so only printable ASCII without spaces is allowed."""
     if not raw or len(raw) > 128 or not all(33 <= byte < 127 for byte in raw):
         raise BadRequestError(f"{name}: 1 to 128 printable characters")
     return raw.decode("ascii")
--- a/mountgauge/clients/parser.py
+++ b/mountgauge/clients/parser.py
@@ -1,61 +1,62 @@
-"""Commands in RESP2, read from bytes as they arrive. No socket, no clock."""
+"""An incremental parser of RESP2 commands. No socket, no clock."""
 
 from __future__ import annotations
 
-_MOST_ARGS = 16
-_MOST_BULK = 64 * 1024
-_MOST_HEADER = 32  # bytes of a line such as `$212`
-_MOST_COMMAND = _MOST_BULK + 2048  # bytes of all its arguments
+_MAX_ARGS = 16
+_MAX_BULK_BYTES = 64 * 1024
+_MAX_HEADER_BYTES = 32  # of a line such as `$212`
+_MAX_COMMAND_BYTES = _MAX_BULK_BYTES + 2048  # of all arguments together
 
 
 class RespError(ValueError):
-    """Bytes that RESP2 does not allow: the connection cannot be read any further."""
+    """Bytes that are not valid RESP2: no further command can be read from the connection."""
 
 
 class RespParser:
-    """Commands as arrays of bulk strings, bounded, fed as they arrive."""
+    """Parses commands, arrays of bulk strings of limited size, from bytes as they arrive."""
 
-    __slots__ = ("_args", "_buffer", "_count", "_room", "_size")
+    __slots__ = ("_args", "_buffer", "_bytes_left", "_count", "_size")
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._args: list[bytes] = []
-        self._count = 0  # arguments of the command under way
-        self._room = 0  # bytes that they may still take
-        self._size = -1  # of the bulk string under way
+        self._count = 0  # arguments of the current command
+        self._bytes_left = 0  # that its arguments may still take
+        self._size = -1  # of the current bulk string, -1: not known yet
 
     @property
     def partial(self) -> bool:
-        """A command has begun and is not whole."""
+        """Whether an incomplete command is buffered."""
         return bool(self._buffer or self._count)
 
     @property
-    def held(self) -> int:
-        """Bytes that it keeps."""
+    def buffered_bytes(self) -> int:
+        """Bytes of the incomplete command and of commands not read yet."""
         return len(self._buffer) + sum(map(len, self._args))
 
     def feed(self, data: bytes | memoryview) -> None:
+        """Append received bytes."""
         self._buffer += data
 
     def next(self) -> list[bytes] | None:
-        """The next whole command, None until it has come."""
-        buffer, at = self._buffer, 0  # what is read is cut off once, at the end
+        """The next complete command, None if there is none yet."""
+        buffer, at = self._buffer, 0  # parsed bytes are removed once, at the end
         try:
             while True:
                 if not self._count:
-                    count, at = self._header(b"*", _MOST_ARGS, at)
+                    count, at = self._header(b"*", _MAX_ARGS, at)
                     if count < 0:
                         return None
-                    self._count, self._room = count, _MOST_COMMAND
+                    self._count, self._bytes_left = count, _MAX_COMMAND_BYTES
                     if not count:
                         continue
                 if self._size < 0:
-                    size, at = self._header(b"$", _MOST_BULK, at)
+                    size, at = self._header(b"$", _MAX_BULK_BYTES, at)
                     if size < 0:
                         return None
                     self._size = size
-                    self._room -= size
-                    if self._room < 0:
+                    self._bytes_left -= size
+                    if self._bytes_left < 0:
                         raise RespError("too long")
                 end = at + self._size
                 if len(buffer) < end + 2:
@@ -71,26 +72,26 @@
             if at:
                 del buffer[:at]
 
-    def count_rest(self) -> int:
-        """Read on to the end of what has come; how many whole commands that were."""
+    def count_remaining(self) -> int:
+        """Parse all buffered bytes; returns how many complete commands they contained."""
         count = 0
         try:
             while self.next() is not None:
                 count += 1
         except RespError:
-            pass  # what follows cannot be told apart
+            pass  # further commands can't be delimited
         return count
 
     def _header(self, sign: bytes, most: int, at: int) -> tuple[int, int]:
-        """The number on the line at `at`, -1 until it has come, and where the next one begins."""
+        """The number on the line at `at` (-1 if the line is incomplete) and where the next line begins."""
         buffer = self._buffer
         if at == len(buffer):
             return -1, at
         if not buffer.startswith(sign, at):
             raise RespError(f"expected '{sign.decode()}'")
-        end = buffer.find(b"\r\n", at, at + _MOST_HEADER)
+        end = buffer.find(b"\r\n", at, at + _MAX_HEADER_BYTES)
         if end < 0:
-            if len(buffer) - at >= _MOST_HEADER:
+            if len(buffer) - at >= _MAX_HEADER_BYTES:
                 raise RespError("a length is too long")
             return -1, at
         digits = buffer[at + 1 : end]
@@ -102,8 +103,8 @@
         return number, end + 2
 
 
-def count_whole(data: bytes | memoryview) -> int:
-    """How many whole commands bytes begin with that nothing came before."""
+def count_commands(data: bytes | memoryview) -> int:
+    """How many complete commands these first bytes of a connection contain."""
     parser = RespParser()
     parser.feed(data)
-    return parser.count_rest()
+    return parser.count_remaining()
--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -116,7 +116,7 @@
             self._let_go()
             await asyncio.sleep(_LOOK_EVERY)
         if reply.yes:
-            self.front.lame_duck = self.front.letting_go = False
+            self.front.lame_duck = self.front.closing_after_answers = False
             if self._letting_go is not None:
                 self._letting_go.cancel()
                 self._letting_go = None
@@ -124,6 +124,6 @@
         return reply
 
     def _let_go(self) -> None:
-        if self.front is not None and self.front.lame_duck and not self.front.letting_go:
-            self.front.letting_go = True
+        if self.front is not None and self.front.lame_duck and not self.front.closing_after_answers:
+            self.front.closing_after_answers = True
             self.front.close_idle()
--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -118,7 +118,7 @@
         front = await listening(taken)
         with peer(front) as sock:
             sock.send(PING)
-            await until(lambda: len(front.admission) and sole(front).greeted)
+            await until(lambda: len(front.admission) and sole(front).command_received)
             front.close_idle()
             sole(front)._close_by = float("inf")  # it would wait for ever
             sock.send(enqueue(b"crossing"))
@@ -139,7 +139,7 @@
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
             await until(lambda: taken)
-            front.letting_go = True
+            front.closing_after_answers = True
             sock.send(enqueue(b"crossing"))
             taken[0].answer(Taken())
             assert await hears(sock) == b"+OK\r\n"
@@ -185,7 +185,7 @@
         with peer(front) as sock:
             sock.send(enqueue(b"first") + b"junk\r\n")
             sock.shutdown(socket.SHUT_WR)
-            await until(lambda: taken and sole(front).heard_end)
+            await until(lambda: taken and sole(front).eof_seen)
             taken[0].answer(Taken())
             assert await hears(sock) == b"+OK\r\n-ERR Protocol error: expected '*'\r\n"
         front.stop_listening()
@@ -199,7 +199,7 @@
         front = await listening([])
         with peer(front) as sock:
             sock.send(PING)
-            await until(lambda: len(front.admission) and sole(front).greeted)
+            await until(lambda: len(front.admission) and sole(front).command_received)
             front.close_idle()
             loop = asyncio.get_running_loop()
             with pytest.raises(OSError):
@@ -243,7 +243,7 @@
 
 
 def lame_duck(front: Clients) -> None:
-    front.letting_go = True
+    front.closing_after_answers = True
 
 
 async def hears_all(sock: socket.socket, taken: list[Submission]) -> bytes:
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -142,7 +142,7 @@
             peer = await asyncio.open_connection(HOST, front.port)
             peer[1].write(command(b"PING") + command(b"NO") * 300)
             text = await said(peer)
-            assert text.startswith(b"+PONG\r\n") and text.count(b"-ERR ") == connection._MOST_BAD
+            assert text.startswith(b"+PONG\r\n") and text.count(b"-ERR ") == connection._MAX_BAD_REQUESTS
 
         await with_clients(test)
 
