--- a/mountgauge/console/__init__.py
+++ b/mountgauge/console/__init__.py
@@ -1,3 +1,4 @@
-"""Where operators call: a small HTTP/1.1 console, one call per connection.
+"""The operators' console: a small HTTP/1.1 server with one call per connection.
 
-`calls` reads a request, `state` decides, `service` carries out, `listener` holds the sockets."""
+`calls` parses requests, `state` contains the decisions, `service` executes calls, `listener` has the sockets.
+"""
--- a/mountgauge/console/calls.py
+++ b/mountgauge/console/calls.py
@@ -1,4 +1,4 @@
-"""The console's calls, read from whole requests; no I/O and no clock."""
+"""The console's calls and replies, parsed from and encoded to HTTP messages. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from mountgauge.http1 import Message, response
 
-MOST_BODY = 4096  # bytes of a call's body
+MAX_BODY_BYTES = 4096  # of a call's body
 
 
 class Kind(StrEnum):
-    """What an operator may ask for."""
+    """The calls that an operator may make."""
 
     READY = "ready"
     DETACH = "detach"
@@ -36,27 +36,29 @@
     """One call of an operator."""
 
     kind: Kind
-    who: str = ""  # the endpoint's id, for detach and attach
+    endpoint_id: str = ""  # only for detach and attach
 
 
 class Reply(NamedTuple):
-    """The answer to a call: an HTTP status and one line."""
+    """The answer to a call: an HTTP status and one line of text."""
 
     status: int
-    text: str  # one line
+    text: str
 
     @property
-    def yes(self) -> bool:
+    def ok(self) -> bool:
+        """Whether the call succeeded."""
         return 200 <= self.status < 300
 
     def encode(self) -> bytes:
-        body = orjson.dumps({"ok": self.yes, "says": self.text}) + b"\n"
+        """The HTTP response, with a JSON object as its body."""
+        body = orjson.dumps({"ok": self.ok, "says": self.text}) + b"\n"
         headers = {"Content-Type": "application/json", "Connection": "close"}
         return response(self.status, _REASONS.get(self.status, "Error"), headers, body)
 
 
-def read(message: Message) -> Call | Reply:
-    """A whole request as a call, or the refusal that it is owed."""
+def parse_call(message: Message) -> Call | Reply:
+    """The call in a complete request, or the error reply if the request is not valid."""
     if message.start is None:
         return Reply(400, "no request line")
     method, target, _ = message.start
--- a/mountgauge/console/listener.py
+++ b/mountgauge/console/listener.py
@@ -1,4 +1,4 @@
-"""The console's sockets: bounded, one call per connection, answered however busy the sender is."""
+"""The console's sockets: a limited number of connections, with one call and a prompt answer on each."""
 
 from __future__ import annotations
 
@@ -7,36 +7,38 @@
 from collections.abc import Awaitable, Callable
 from typing import cast
 
-from mountgauge.console.calls import MOST_BODY, Call, Reply, read
+from mountgauge.console.calls import MAX_BODY_BYTES, Call, Reply, parse_call
 from mountgauge.http1 import HttpError, Parser
 from mountgauge.log import kv
 from mountgauge.status import Listening
 
 log = logging.getLogger("mountgauge.console")
 
-MOST = 64  # connections at once
-FINISH_WITHIN = 4.0  # s from the connection to its whole request
-_ANSWER_WITHIN = 3.0  # s for the runtime to carry a call out
+MAX_CALLERS = 64  # concurrent connections
+REQUEST_TIMEOUT_S = 4.0  # from the connection to its complete request
+_EXECUTE_TIMEOUT_S = 3.0  # for the service to execute a call
 
 
 class _Caller(asyncio.BufferedProtocol):
+    """One connection of an operator."""
+
     def __init__(self, console: Console) -> None:
         self._console = console
-        self._parser = Parser(requests=True, most_body=MOST_BODY)
+        self._parser = Parser(requests=True, most_body=MAX_BODY_BYTES)
         self._buffer = bytearray(4096)
         self._transport: asyncio.Transport | None = None
-        self.asked = False  # a whole request has come
+        self.request_read = False  # a complete or an invalid request has arrived
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        if not self._console.join(self):
+        if not self._console.add_caller(self):
             self._transport.abort()
             return
-        self._timer = asyncio.get_running_loop().call_later(FINISH_WITHIN, self._late)
+        self._timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._on_request_timeout)
 
-    def _late(self) -> None:
-        if not self.asked:
+    def _on_request_timeout(self) -> None:
+        if not self.request_read:
             self.abort()
 
     def abort(self) -> None:
@@ -47,40 +49,40 @@
         if self._timer is not None:
             self._timer.cancel()
         self._transport = None
-        self._console.left(self)
+        self._console.remove_caller(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self.asked:
-            return  # one call per connection: what follows is not read
+        if self.request_read:
+            return  # one call per connection: further bytes are ignored
         try:
             whole = self._parser.feed(memoryview(self._buffer)[:nbytes])
         except HttpError as error:
-            self.asked = True
+            self.request_read = True
             self.send(Reply(400, f"not a request: {error}"))
             return
         if whole:
-            self.asked = True
-            found = read(whole[0])
+            self.request_read = True
+            found = parse_call(whole[0])
             if isinstance(found, Reply):
                 self.send(found)
             else:
-                asyncio.get_running_loop().create_task(self._carry_out(found))
+                asyncio.get_running_loop().create_task(self._execute(found))
 
     def eof_received(self) -> bool:
-        return self.asked  # half-closed after its request, it still hears the answer
+        return self.request_read  # a client that half-closes after its request still gets the answer
 
-    async def _carry_out(self, call: Call) -> None:
-        within = asyncio.timeout(_ANSWER_WITHIN)
+    async def _execute(self, call: Call) -> None:
+        timeout = asyncio.timeout(_EXECUTE_TIMEOUT_S)
         try:
-            async with within:
+            async with timeout:
                 reply = await self._console.execute(call)
-        except Exception as error:  # one call's fault is not the console's end
-            if within.expired():
+        except Exception as error:  # a failed call must not stop the console
+            if timeout.expired():
                 reply = Reply(503, "not carried out in time")
-            else:  # a TimeoutError of the system's is a fault as well
+            else:  # a TimeoutError from the system is a failure too
                 log.exception("console-call-failed", extra=kv(call=call.kind))
                 reply = Reply(503, f"failed: {error!r}"[:200])
         self.send(reply)
@@ -93,15 +95,16 @@
 
 
 class Console(Listening):
-    """At most `MOST` callers; one that has not finished its request gives way to a newcomer."""
+    """At most `MAX_CALLERS` connections; a new one displaces one whose request is not complete."""
 
     def __init__(self, execute: Callable[[Call], Awaitable[Reply]]) -> None:
         self.execute = execute
-        self._callers: dict[_Caller, None] = {}  # in the order they came
+        self._callers: dict[_Caller, None] = {}  # in the order of connection
 
-    def join(self, caller: _Caller) -> bool:
-        if len(self._callers) >= MOST:
-            silent = next((one for one in self._callers if not one.asked), None)
+    def add_caller(self, caller: _Caller) -> bool:
+        """Admit a connection; False if all others have complete requests and the limit is reached."""
+        if len(self._callers) >= MAX_CALLERS:
+            silent = next((one for one in self._callers if not one.request_read), None)
             if silent is None:
                 return False
             del self._callers[silent]
@@ -109,7 +112,8 @@
         self._callers[caller] = None
         return True
 
-    def left(self, caller: _Caller) -> None:
+    def remove_caller(self, caller: _Caller) -> None:
+        """Forget a connection that is closed."""
         self._callers.pop(caller, None)
 
     def peer(self) -> asyncio.BaseProtocol:
@@ -118,7 +122,7 @@
     def close(self) -> None:
         super().close()
         for caller in list(self._callers):
-            if caller.asked:
+            if caller.request_read:
                 caller.send(Reply(503, "the sender stops"))
             else:
                 caller.abort()
--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -1,4 +1,4 @@
-"""Carries the console's calls out on the running sender: its front, its core and its state folder."""
+"""Executes the console's calls on the running sender: its front, its core and its state folder."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from mountgauge.clients import Clients
 from mountgauge.connections.registry import Registry
 from mountgauge.console.calls import Call, Kind, Reply
-from mountgauge.console.state import LameDuck, detached_read, encode_detached
+from mountgauge.console.state import LameDuck, decode_detached, encode_detached
 from mountgauge.core.files import Files, SystemFiles
 from mountgauge.core.sender import Sender
 from mountgauge.log import kv
 
 log = logging.getLogger("mountgauge.console")
 
-_NO_FILE = (0, 0)  # its size and time
-_LOOK_EVERY = 0.05  # s, while waiting for the drain to end
+_MISSING = (0, 0)  # stands for the size and time of a file that does not exist
+_DRAIN_CHECK_INTERVAL_S = 0.05  # while waiting for the drain to end
 
 
 class Service:
-    """Carries the operators' calls out, and keeps what has to outlast a restart."""
+    """Executes the operators' calls and stores the detached endpoints, which survive a restart."""
 
     def __init__(
         self,
@@ -37,93 +37,94 @@
         self._files = files or SystemFiles()
         self.sender, self.front, self.registry, self.ready = sender, front, registry, ready
         self.path = folder / "detached"
-        self._own = folder / f"detached.{os.getpid()}"
+        self._temp_path = folder / f"detached.{os.getpid()}"
         self.lame = LameDuck()
-        self._seen: tuple[int, int] | None = None  # the file's size and time, as last read
-        self._letting_go: asyncio.TimerHandle | None = None
+        self._last_stat: tuple[int, int] | None = None  # the file's size and time when last read or written
+        self._close_timer: asyncio.TimerHandle | None = None
 
-    # The detached endpoints, kept in the state folder for the process that comes next
+    # The detached endpoints, stored in the state folder for the next process
 
     def reload_detached(self) -> None:
-        """Read the file again where another process of this sender has changed it. While that fails, what is
-        known holds.
+        """Read the file again if another process of this sender has changed it. If that fails, the set in
+        memory stays in force.
         """
         try:
             stat = self.path.stat()
             seen = (stat.st_size, stat.st_mtime_ns)
-            if seen == self._seen:
+            if seen == self._last_stat:
                 return
             content = self._files.read(self.path)
         except FileNotFoundError:
-            self._write_anew()
+            self._restore_file()
             return
         except OSError as error:
             log.warning("detached-not-read", extra=kv(error=error))
             return
-        self._seen = seen
+        self._last_stat = seen
         try:
-            self.sender.maintain(detached_read(content))
+            self.sender.maintain(decode_detached(content))
         except ValueError as error:
             log.error("detached-not-read", extra=kv(error=error, kept=",".join(sorted(self.sender.detached))))
 
-    def _write_anew(self) -> None:
-        """No process removes the file: where it is missing, nobody was taken out yet, or the folder was
-        emptied, which puts nobody back.
+    def _restore_file(self) -> None:
+        """Write the file again if it is missing. No process removes it: either no endpoint was detached yet
+        or the folder was emptied, which must not attach the endpoints again.
         """
-        before, self._seen = self._seen, _NO_FILE
+        previous, self._last_stat = self._last_stat, _MISSING
         if not self.sender.detached:
             return
         try:
             self._write(set(self.sender.detached))
         except OSError as error:
-            if before != _NO_FILE:
+            if previous != _MISSING:
                 log.error("detached-not-kept", extra=kv(error=error))
 
     def _write(self, detached: set[str]) -> None:
-        self._own.write_bytes(encode_detached(detached))
-        os.replace(self._own, self.path)
+        self._temp_path.write_bytes(encode_detached(detached))
+        os.replace(self._temp_path, self.path)
         stat = self.path.stat()
-        self._seen = (stat.st_size, stat.st_mtime_ns)
+        self._last_stat = (stat.st_size, stat.st_mtime_ns)
         self.sender.maintain(detached)
 
-    # The calls
+    # Calls
 
     async def execute(self, call: Call) -> Reply:
+        """Execute one call and return its reply."""
         if call.kind == Kind.READY:
             return Reply(200, "taking clients") if self.ready() else Reply(503, "not taking clients")
         if call.kind in (Kind.DETACH, Kind.ATTACH):
-            if call.who not in self.sender.ever:
-                return Reply(404, f"endpoint {call.who[:80]} was never listed")
+            if call.endpoint_id not in self.sender.ever:
+                return Reply(404, f"endpoint {call.endpoint_id[:80]} was never listed")
             self.reload_detached()
             detached = set(self.sender.detached)
-            (detached.add if call.kind == Kind.DETACH else detached.discard)(call.who)
+            (detached.add if call.kind == Kind.DETACH else detached.discard)(call.endpoint_id)
             self._write(detached)
-            log.info("endpoint", extra=kv(call=call.kind, who=call.who))
-            return Reply(200, f"{call.who} {'detached' if call.kind == Kind.DETACH else 'attached'}")
+            log.info("endpoint", extra=kv(call=call.kind, who=call.endpoint_id))
+            return Reply(200, f"{call.endpoint_id} {'detached' if call.kind == Kind.DETACH else 'attached'}")
         loop = asyncio.get_running_loop()
         if self.front is None:
             return Reply(404, "no RESP2 front: a lame duck is not offered for AMQP alone")
         if call.kind == Kind.LAME_ON:
             self.front.lame_duck = True
-            if self._letting_go is None:
-                self._letting_go = loop.call_at(self.lame.turn_on(loop.time()), self._let_go)
+            if self._close_timer is None:
+                self._close_timer = loop.call_at(self.lame.turn_on(loop.time()), self._close_idle_clients)
             log.info("lame-duck", extra=kv(on=True, open=self.registry.open))
             return Reply(200, "lame duck: PING says no, clients are let go")
         if not self.front.lame_duck:
             return Reply(200, "not a lame duck")
-        asked = loop.time()
-        while (reply := self.lame.off(asked, loop.time(), self.registry.open)) is None:
-            self._let_go()
-            await asyncio.sleep(_LOOK_EVERY)
-        if reply.yes:
+        asked_at = loop.time()
+        while (reply := self.lame.drain_result(asked_at, loop.time(), self.registry.open)) is None:
+            self._close_idle_clients()
+            await asyncio.sleep(_DRAIN_CHECK_INTERVAL_S)
+        if reply.ok:
             self.front.lame_duck = self.front.closing_after_answers = False
-            if self._letting_go is not None:
-                self._letting_go.cancel()
-                self._letting_go = None
-        log.info("lame-duck", extra=kv(on=not reply.yes, open=self.registry.open))
+            if self._close_timer is not None:
+                self._close_timer.cancel()
+                self._close_timer = None
+        log.info("lame-duck", extra=kv(on=not reply.ok, open=self.registry.open))
         return reply
 
-    def _let_go(self) -> None:
+    def _close_idle_clients(self) -> None:
         if self.front is not None and self.front.lame_duck and not self.front.closing_after_answers:
             self.front.closing_after_answers = True
             self.front.close_idle()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from mountgauge.console.calls import Call, Kind, Reply, read
+from mountgauge.console.calls import Call, Kind, Reply, parse_call
 from mountgauge.console.listener import Console
-from mountgauge.console.state import OFF_WITHIN, LameDuck, detached_read, encode_detached
+from mountgauge.console.state import OFF_TIMEOUT_S, LameDuck, decode_detached, encode_detached
 from mountgauge.core.config import Address
 from mountgauge.http1 import HttpError, Parser
 from mountgauge.lab.ports import reserve_ports
@@ -26,7 +26,7 @@
     for at in range(0, len(raw), by):
         whole += parser.feed(raw[at : at + by])
     assert len(whole) == 1
-    return read(whole[0])
+    return parse_call(whole[0])
 
 
 @pytest.mark.parametrize("by", [1, 7, 4096])
@@ -62,18 +62,18 @@
     lame = LameDuck()
     assert lame.turn_on(10.0) == pytest.approx(10.3)
     assert lame.turn_on(11.0) == pytest.approx(10.3)  # repeated: the first time holds
-    assert lame.off(14.0, 14.5, 3) is None  # clients still open: wait
-    late = lame.off(14.0, 14.0 + OFF_WITHIN, 2)
-    assert late is not None and late.status == 503 and OFF_WITHIN < 2.0
-    done = lame.off(14.0, 14.6, 0)
-    assert done is not None and done.yes and lame.since is None
+    assert lame.drain_result(14.0, 14.5, 3) is None  # clients still open: wait
+    late = lame.drain_result(14.0, 14.0 + OFF_TIMEOUT_S, 2)
+    assert late is not None and late.status == 503 and OFF_TIMEOUT_S < 2.0
+    done = lame.drain_result(14.0, 14.6, 0)
+    assert done is not None and done.ok and lame.since is None
 
 
 def test_detached_file_forms() -> None:
-    assert detached_read(encode_detached({"b", "a"})) == {"a", "b"} and detached_read(b"") == set()
+    assert decode_detached(encode_detached({"b", "a"})) == {"a", "b"} and decode_detached(b"") == set()
     for bad in (b"{", b'{"a":1}', b"[1]"):
         with pytest.raises(ValueError):
-            detached_read(bad)
+            decode_detached(bad)
 
 
 async def call(port: int, method: str, path: str, body: bytes = b"") -> tuple[int, dict[str, object]]:
