--- a/mountgauge/clients/parser.py
+++ b/mountgauge/clients/parser.py
@@ -82,13 +82,13 @@
             pass  # further commands can't be delimited
         return count
 
-    def _header(self, sign: bytes, most: int, at: int) -> tuple[int, int]:
+    def _header(self, prefix: bytes, limit: int, at: int) -> tuple[int, int]:
         """The number on the line at `at` (-1 if the line is incomplete) and where the next line begins."""
         buffer = self._buffer
         if at == len(buffer):
             return -1, at
-        if not buffer.startswith(sign, at):
-            raise RespError(f"expected '{sign.decode()}'")
+        if not buffer.startswith(prefix, at):
+            raise RespError(f"expected '{prefix.decode()}'")
         end = buffer.find(b"\r\n", at, at + _MAX_HEADER_BYTES)
         if end < 0:
             if len(buffer) - at >= _MAX_HEADER_BYTES:
@@ -98,7 +98,7 @@
         if not digits.isdigit():
             raise RespError("invalid length")
         number = int(digits)
-        if number > most:
+        if number > limit:
             raise RespError("too long")
         return number, end + 2
 
--- a/mountgauge/connections/admission.py
+++ b/mountgauge/connections/admission.py
@@ -61,8 +61,8 @@
 class SharedLimit:
     """The limit on the connections of all fronts together."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
         self.open = 0
 
 
@@ -73,9 +73,8 @@
         self.bounds, self.shared = bounds, shared
         self.members: set[T] = set()
         self._by_activity: list[dict[T, None]] = [{} for _ in range(Activity.BUSY)]
-        self._counts = [0] * (
-            Activity.BUSY + 1
-        )  # members by activity, kept up to date because there may be very many
+        # Members by activity, updated at each change because there may be too many to count.
+        self._counts = [0] * (Activity.BUSY + 1)
         self.users: Counter[str] = Counter()
 
     def __len__(self) -> int:
@@ -94,7 +93,7 @@
         """Which limit one more connection would exceed; None if there is capacity."""
         if len(self.members) >= self.bounds.most:
             return Rejection.FRONT
-        return Rejection.ALL if self.shared.open >= self.shared.most else None
+        return Rejection.ALL if self.shared.open >= self.shared.limit else None
 
     def eviction_candidate(self, now: float) -> T | None:
         """The connection to evict for a new one; None if none may be evicted."""
@@ -102,15 +101,18 @@
             return None
         leaving = next(iter(self._by_activity[Activity.LEAVING]), None)
         silent = next(iter(self._by_activity[Activity.SILENT]), None)
-        resting = next((c for of in self._by_activity[Activity.IDLE : Activity.LEAVING] for c in of), None)
-        if resting is not None and now - resting.since < self.bounds.min_idle_s:
-            resting = None
-        then = now - self.bounds.grace_s
-        if leaving is not None and leaving.since < then:  # its client has had time to read the last answer
+        idle = next(
+            (item for queue in self._by_activity[Activity.IDLE : Activity.LEAVING] for item in queue), None
+        )
+        if idle is not None and now - idle.since < self.bounds.min_idle_s:
+            idle = None
+        settled_before = now - self.bounds.grace_s
+        # A leaving connection goes first once its client has had time to read the last answer.
+        if leaving is not None and leaving.since < settled_before:
             return leaving
-        if silent is not None and silent.since < then:
+        if silent is not None and silent.since < settled_before:
             return silent
-        return resting or leaving or silent
+        return idle or leaving or silent
 
     def add(self, item: T, now: float) -> None:
         """Add a new connection; it is SILENT at first."""
@@ -146,7 +148,7 @@
     def rebuild(self) -> None:
         """Copy the containers: Python's sets and dicts keep their largest size after deletions."""
         self.members = set(self.members)
-        self._by_activity = [dict(of) for of in self._by_activity]
+        self._by_activity = [dict(queue) for queue in self._by_activity]
 
     def release(self, item: T) -> None:
         """Free the connection's slot; it may stay queued until it is closed."""
--- a/mountgauge/connections/budget.py
+++ b/mountgauge/connections/budget.py
@@ -11,8 +11,8 @@
 class ByteBudget(Generic[T]):
     """Buffered bytes by holder, with a limit on the total; above it the largest holder is evicted."""
 
-    def __init__(self, most: float) -> None:
-        self.most = most  # bytes
+    def __init__(self, limit: float) -> None:
+        self.limit = limit  # bytes
         self.total = 0
         self._bytes: dict[T, int] = {}
 
@@ -32,6 +32,6 @@
             self._bytes[item] = count
         else:
             del self._bytes[item]
-        if count <= before or self.total <= self.most:
+        if count <= before or self.total <= self.limit:
             return None
         return max(self._bytes, key=self._bytes.__getitem__)
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -72,8 +72,8 @@
             if victim is None:
                 self.reject_connection(connection, why)
                 return False
-            resting = Activity.IDLE <= victim.activity < Activity.LEAVING
-            self.counts["clients", "displaced-resting" if resting else "displaced"] += 1
+            idle = Activity.IDLE <= victim.activity < Activity.LEAVING
+            self.counts["clients", "displaced-resting" if idle else "displaced"] += 1
             self.admission.release(victim)
             victim.displace()  # still queued, as the way of closing depends on its activity
             self.admission.remove(victim)
@@ -112,11 +112,11 @@
 
     def set_partial_bytes(self, connection: C, count: int) -> None:
         """Record the buffered bytes of an incomplete command; above the limit the largest is abandoned."""
-        most = self.registry.set_partial_bytes(connection, count)
-        if most is not None:
+        largest = self.registry.set_partial_bytes(connection, count)
+        if largest is not None:
             self.counts["clients", "buffers"] += 1
-            self.registry.partial_bytes.set_bytes(most, 0)
-            most.abandon_partial()
+            self.registry.partial_bytes.set_bytes(largest, 0)
+            largest.abandon_partial()
 
     def close_in_batches(self, close: Callable[[C], None]) -> None:
         """Close all connections, a batch per turn: thousands at once would block the loop."""
@@ -135,11 +135,11 @@
 
     def report(self) -> dict[str, int]:
         """Connections by state; `parked` counts those idle without an incomplete command."""
-        admission, half = self.admission, self.registry.partial_bytes
-        halfway = sum(one in admission.members and one.activity != Activity.BUSY for one in half)
+        admission, partial = self.admission, self.registry.partial_bytes
+        idle_partial = sum(item in admission.members and item.activity != Activity.BUSY for item in partial)
         return {
             "open": len(admission), "busy": admission.count(Activity.BUSY),
             "silent": admission.count(Activity.SILENT),
-            "idle": admission.idle, "parked": admission.idle - halfway,
+            "idle": admission.idle, "parked": admission.idle - idle_partial,
             "leaving": admission.count(Activity.LEAVING),
         }  # fmt: skip
--- a/mountgauge/connections/registry.py
+++ b/mountgauge/connections/registry.py
@@ -148,10 +148,10 @@
 
     def set_unread_bytes(self, transport: ConnectionTransport, count: int) -> None:
         """Record the unsent answer bytes of a transport; above the limit the largest is aborted."""
-        most = self.unread_bytes.set_bytes(transport, count)
-        if most is not None:
+        largest = self.unread_bytes.set_bytes(transport, count)
+        if largest is not None:
             self.counts["clients", "unread"] += 1
-            most.abort()
+            largest.abort()
 
     def set_partial_bytes(self, connection: Registered, count: int) -> Registered | None:
         """Record the bytes of an incomplete command; returns the connection to evict above the limit."""
@@ -214,8 +214,8 @@
         while self._finished:
             self._close_finished(BATCH)
 
-    def _close_finished(self, most: int) -> None:
-        for transport in list(itertools.islice(self._finished, most)):
+    def _close_finished(self, limit: int) -> None:
+        for transport in list(itertools.islice(self._finished, limit)):
             del self._finished[transport]
             transport.finish()
 
--- a/mountgauge/connections/scheduler.py
+++ b/mountgauge/connections/scheduler.py
@@ -35,9 +35,9 @@
         """Remove a connection from the queue."""
         self._queue.pop(item, None)
 
-    def round(self, most: int) -> Iterator[T]:
-        """Take up to `most` connections from the queue; those queued again meanwhile are left for later."""
-        for _ in range(min(most, len(self._queue))):
+    def round(self, limit: int) -> Iterator[T]:
+        """Take up to `limit` connections from the queue; those queued again meanwhile are left for later."""
+        for _ in range(min(limit, len(self._queue))):
             if not self._queue:  # the rest was dropped meanwhile
                 return
             item = next(iter(self._queue))
--- a/mountgauge/connections/timer_wheel.py
+++ b/mountgauge/connections/timer_wheel.py
@@ -55,18 +55,18 @@
         if item.tick != _NOT_ARMED:
             self._remove(item)
 
-    def due(self, now: float, most: int) -> list[T]:
-        """Up to `most` items that are due, disarmed; if there are `most`, more may be due."""
+    def due(self, now: float, limit: int) -> list[T]:
+        """Up to `limit` items that are due, disarmed; if there are `limit`, more may be due."""
         found: list[T] = []
         last = math.floor(now / self.tick_s)
-        seen = 0  # limited as well, since items that are only moved on also cost time
+        visited = 0  # limited as well, since items that are only moved on also cost time
         while self._now < last and self.armed:
             index = (self._now + 1) % len(self._slots)
             slot = self._slots[index]
             while slot:
-                if seen >= most:
+                if visited >= limit:
                     return found
-                seen += 1
+                visited += 1
                 item = next(iter(slot))
                 self._remove(item)
                 if item.due_at <= now:
--- a/mountgauge/console/listener.py
+++ b/mountgauge/console/listener.py
@@ -58,18 +58,18 @@
         if self.request_read:
             return  # one call per connection: further bytes are ignored
         try:
-            whole = self._parser.feed(memoryview(self._buffer)[:nbytes])
+            requests = self._parser.feed(memoryview(self._buffer)[:nbytes])
         except HttpError as error:
             self.request_read = True
             self.send(Reply(400, f"not a request: {error}"))
             return
-        if whole:
+        if requests:
             self.request_read = True
-            found = parse_call(whole[0])
-            if isinstance(found, Reply):
-                self.send(found)
+            parsed = parse_call(requests[0])
+            if isinstance(parsed, Reply):
+                self.send(parsed)
             else:
-                asyncio.get_running_loop().create_task(self._execute(found))
+                asyncio.get_running_loop().create_task(self._execute(parsed))
 
     def eof_received(self) -> bool:
         return self.request_read  # a client that half-closes after its request still gets the answer
@@ -104,11 +104,11 @@
     def add_caller(self, caller: _Caller) -> bool:
         """Admit a connection; False if all others have complete requests and the limit is reached."""
         if len(self._callers) >= MAX_CALLERS:
-            silent = next((one for one in self._callers if not one.request_read), None)
-            if silent is None:
+            incomplete = next((other for other in self._callers if not other.request_read), None)
+            if incomplete is None:
                 return False
-            del self._callers[silent]
-            silent.abort()
+            del self._callers[incomplete]
+            incomplete.abort()
         self._callers[caller] = None
         return True
 
--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -50,8 +50,8 @@
         """
         try:
             stat = self.path.stat()
-            seen = (stat.st_size, stat.st_mtime_ns)
-            if seen == self._last_stat:
+            stat_key = (stat.st_size, stat.st_mtime_ns)
+            if stat_key == self._last_stat:
                 return
             content = self._files.read(self.path)
         except FileNotFoundError:
@@ -60,7 +60,7 @@
         except OSError as error:
             log.warning("detached-not-read", extra=kv(error=error))
             return
-        self._last_stat = seen
+        self._last_stat = stat_key
         try:
             self.sender.maintain(decode_detached(content))
         except ValueError as error:
--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -258,7 +258,7 @@
 def test_answers_that_nobody_reads_are_bounded_each_and_in_all() -> None:
     async def main() -> None:
         async with holding(8) as held:
-            held.registry.unread_bytes.most = 20_000
+            held.registry.unread_bytes.limit = 20_000
             echo, largest = command(b"PING", b"x" * 60_000), 0
             loop = asyncio.get_running_loop()
 
--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -315,7 +315,7 @@
     async def main() -> None:
         taken = list[Submission]()
         front = await listening(taken)
-        front.registry.partial_bytes.most = 20_000
+        front.registry.partial_bytes.limit = 20_000
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
             await until(lambda: taken)
