--- a/tests/connections/test_decisions.py
+++ b/tests/connections/test_decisions.py
@@ -1,4 +1,4 @@
-"""The decisions on connections, as pure functions: timers, admission, turns, times to come back, bytes."""
+"""Decisions on connections, without I/O: timers, admission, scheduling, retry delays, buffers, settings."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 TICK = 0.25
 
 
-class One:
-    """What timer wheel and admission need of a connection."""
+class StubConnection:
+    """The attributes of a connection that the timer wheel and admission use."""
 
     def __init__(self, name: int) -> None:
         self.name = name
@@ -55,12 +55,12 @@
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(WHEEL, st.integers(2, 40))
-def test_the_wheel_against_a_list_of_deadlines(steps: list[tuple[str, int, float]], slots: int) -> None:
-    """Nothing early, nothing twice, nothing more than two ticks late; empty, it asks for no wakeup."""
+def test_timer_wheel_matches_a_model_of_deadlines(steps: list[tuple[str, int, float]], slots: int) -> None:
+    """Nothing is due early, twice or more than two ticks late; an empty wheel needs no wakeup."""
     now = 7.3
-    wheel, items = TimerWheel[One](now, TICK, slots), [One(n) for n in range(10)]
-    model: dict[One, float] = {}
-    since: dict[One, float] = {}  # when it was armed: what was due before is due then
+    wheel, items = TimerWheel[StubConnection](now, TICK, slots), [StubConnection(n) for n in range(10)]
+    model: dict[StubConnection, float] = {}
+    since: dict[StubConnection, float] = {}  # when it was armed: an overdue deadline counts from then
     for step, which, value in steps:
         if step == "arm":
             wheel.arm(items[which], now + value)
@@ -74,7 +74,7 @@
                 assert len(found) <= which
                 for item in found:
                     assert model.pop(item) <= now and item.due_at == INFINITE and item.tick == -1
-            # With a bound on visits a call may come back empty-handed: a few more go on.
+            # Visits are limited, so a call may return nothing while items are due: further calls continue.
             for _ in range(200):
                 for item in wheel.due(now, which):
                     assert model.pop(item) <= now
@@ -90,8 +90,8 @@
     assert not wheel.armed and not any(wheel._slots)
 
 
-def test_a_deadline_that_moves_away_costs_nothing_until_its_slot_comes() -> None:
-    wheel, item = TimerWheel[One](0.0, TICK), One(1)
+def test_a_postponed_deadline_is_moved_only_when_its_slot_comes_up() -> None:
+    wheel, item = TimerWheel[StubConnection](0.0, TICK), StubConnection(1)
     for n in range(1000):
         wheel.arm(item, 5.0 + n / 1000)
     assert (wheel.armed, wheel.moved) == (1, 0)
@@ -99,8 +99,8 @@
     assert wheel.due(6.3, 9) == [item]
 
 
-def test_the_wheel_hands_out_a_crowd_in_batches() -> None:
-    wheel, items = TimerWheel[One](0.0, TICK), [One(n) for n in range(1000)]
+def test_many_due_items_are_returned_in_batches() -> None:
+    wheel, items = TimerWheel[StubConnection](0.0, TICK), [StubConnection(n) for n in range(1000)]
     for item in items:
         wheel.arm(item, 1.0)
     sizes = []
@@ -109,7 +109,7 @@
     assert sizes == [64] * 15 + [40] and wheel.next_at() == INFINITE
 
 
-# Places
+# Admission
 
 ADMISSION = st.lists(
     st.tuples(
@@ -123,12 +123,12 @@
 
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(ADMISSION, st.integers(1, 6), st.integers(1, 8), st.booleans())
-def test_places_are_bounded_and_who_asks_keeps_its_own(
+def test_connections_are_limited_and_busy_ones_are_never_evicted(
     steps: list[tuple[str, int, int]], most: int, shared: int, displace: bool
 ) -> None:
-    """By front and in all; nobody with an open request goes; within a rank the longest there goes first."""
+    """The limits per front and in total hold; within a rank the connection idle longest is evicted."""
     bounds, both = Bounds(most, displace=displace), SharedLimit(shared)
-    front, other = Admission[One](bounds, both), Admission[One](Bounds(9), both)
+    front, other = Admission[StubConnection](bounds, both), Admission[StubConnection](Bounds(9), both)
     now, number = 0.0, 0
     for step, pick, rank in steps:
         members = sorted(front.members, key=lambda one: one.name)
@@ -138,9 +138,9 @@
         elif step == "join":
             number += 1
             if pick % 5 == 0 and both.open < shared:
-                other.add(One(-number), now)
+                other.add(StubConnection(-number), now)
                 continue
-            newcomer = One(number)
+            newcomer = StubConnection(number)
             if (why := front.rejection_reason()) is not None:
                 assert (why is Rejection.FRONT) == (len(front) >= most)
                 victim = front.eviction_candidate(now)
@@ -150,7 +150,7 @@
                 assert displace and victim.activity != Activity.BUSY
                 peers = [m for m in front.members if m.activity == victim.activity]
                 assert victim.since == min(m.since for m in peers)
-                # Nobody else could go with less harm.
+                # No connection of a lower rank could be evicted instead.
                 if Activity.IDLE <= victim.activity < Activity.LEAVING:
                     assert not any(Activity.IDLE <= m.activity < victim.activity for m in front.members)
                 front.remove(victim)
@@ -168,13 +168,13 @@
         assert sum(counts) + front.idle == len(front)
 
 
-def test_a_user_has_so_many_connections_and_no_more() -> None:
-    admission = Admission[One](Bounds(9, most_per_user=2), SharedLimit(9))
-    ones = [One(n) for n in range(4)]
+def test_connections_of_a_user_are_limited() -> None:
+    admission = Admission[StubConnection](Bounds(9, most_per_user=2), SharedLimit(9))
+    ones = [StubConnection(n) for n in range(4)]
     for one in ones:
         admission.add(one, 0.0)
     assert [admission.log_in(one, "rossi") for one in ones[:3]] == [None, None, Rejection.USER]
-    assert admission.log_in(ones[0], "rossi") is None  # again: it counts once
+    assert admission.log_in(ones[0], "rossi") is None  # a repeated login counts once
     assert admission.log_in(ones[3], "bianchi") is None
     assert admission.log_in(ones[0], "bianchi") is None  # another user on the same connection
     assert admission.log_in(ones[2], "rossi") is None and admission.users == {"rossi": 2, "bianchi": 2}
@@ -188,29 +188,29 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(st.integers(1, 1000), min_size=1, max_size=30), st.integers(1, 9))
-def test_a_thousand_commands_do_not_go_before_one(commands: list[int], batch: int) -> None:
-    """Whoever has the fewest is done first, and nobody is more than a quantum ahead of another who waits."""
+def test_scheduling_is_fair_to_within_a_quantum(commands: list[int], batch: int) -> None:
+    """Connections with fewer commands finish first; none gets more than a quantum ahead of a waiting one."""
     scheduler = Scheduler[int]()
-    left, heard, done = dict(enumerate(commands)), Counter[int](), list[int]()
-    for one in left:
+    remaining, served, done = dict(enumerate(commands)), Counter[int](), list[int]()
+    for one in remaining:
         scheduler.enqueue(one)
     while scheduler:
         for one in scheduler.round(batch):
-            count = min(QUANTUM, left[one])
-            left[one] -= count
-            heard[one] += count
-            if left[one]:
+            count = min(QUANTUM, remaining[one])
+            remaining[one] -= count
+            served[one] += count
+            if remaining[one]:
                 scheduler.enqueue(one)
             else:
                 done.append(one)
-            waiting = [n for n in left if left[n]]
-            said = [heard[n] for n in waiting]
-            assert not said or max(said) - min(said) <= QUANTUM
+            waiting = [n for n in remaining if remaining[n]]
+            counts = [served[n] for n in waiting]
+            assert not counts or max(counts) - min(counts) <= QUANTUM
     rounds = [math.ceil(commands[one] / QUANTUM) for one in done]
-    assert rounds == sorted(rounds) and not any(left.values())
+    assert rounds == sorted(rounds) and not any(remaining.values())
 
 
-def test_who_is_dropped_has_no_turn() -> None:
+def test_a_dropped_connection_gets_no_turn() -> None:
     scheduler = Scheduler[int]()
     for n in range(4):
         scheduler.enqueue(n)
@@ -223,8 +223,8 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.integers(100, 20_000), st.floats(50, 5000))
-def test_times_to_come_back_lie_evenly(waiting: int, rate: float) -> None:
-    """No tenth of the span gets half as many again as its share; the span is what serving them takes."""
+def test_retry_delays_are_spread_evenly(waiting: int, rate: float) -> None:
+    """No tenth of the span gets 1.5 times its share of clients; the span is the time to serve them all."""
     spread = RetrySpread()
     found = [spread.next_delay_ms(waiting, rate) for _ in range(min(waiting, 2000))]
     span = min(60_000, max(200, 1000 * waiting / rate))
@@ -233,32 +233,32 @@
     assert len(tenths) == 10 and max(tenths.values()) <= 0.1 * len(found) * 1.5 + 2
 
 
-def test_a_crowd_is_turned_away_once_polls_stay_full_and_the_woken_before_the_steady() -> None:
-    crowd = OverloadDetector(patience_s=0.1)
+def test_overload_rejects_more_woken_than_steady_connections_once_polls_stay_full() -> None:
+    detector = OverloadDetector(patience_s=0.1)
     for n in range(3):
-        crowd.record_poll(True, n * 0.05)
-    assert not crowd.should_reject(0.1, woken=True)
-    heard = [not crowd.should_reject(0.15, woken=True) for _ in range(9)]
-    assert heard.count(True) == WOKEN_PER_BATCH and heard[0]  # of each batch a few are heard all the same
+        detector.record_poll(True, n * 0.05)
+    assert not detector.should_reject(0.1, woken=True)
+    served = [not detector.should_reject(0.15, woken=True) for _ in range(9)]
+    assert served.count(True) == WOKEN_PER_BATCH and served[0]  # a few of each batch are served nonetheless
     assert (
-        [not crowd.should_reject(0.15, woken=False) for _ in range(9)].count(True)
+        [not detector.should_reject(0.15, woken=False) for _ in range(9)].count(True)
         == STEADY_PER_BATCH
         > WOKEN_PER_BATCH
     )
-    crowd.record_poll(True, 0.2)
-    assert not crowd.should_reject(0.2, woken=True) and crowd.should_reject(0.2, woken=True)
-    crowd.record_poll(False, 0.25)
-    assert not crowd.should_reject(9.0, woken=True)
+    detector.record_poll(True, 0.2)
+    assert not detector.should_reject(0.2, woken=True) and detector.should_reject(0.2, woken=True)
+    detector.record_poll(False, 0.25)
+    assert not detector.should_reject(9.0, woken=True)
     spread = RetrySpread()
     for n in range(500):
-        crowd.count_served(10 + n / 1000)
-    late = [crowd.next_delay_ms(spread, 10.5 + n / 10_000) for n in range(2000)]
-    assert max(late[1000:]) > 2000  # 500 a second were served: two thousand take four seconds
+        detector.count_served(10 + n / 1000)
+    delays = [detector.next_delay_ms(spread, 10.5 + n / 10_000) for n in range(2000)]
+    assert max(delays[1000:]) > 2000  # 500 a second were served: two thousand take four seconds
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 5), st.integers(0, 100)), max_size=60), st.integers(50, 200))
-def test_bytes_in_buffers_are_bounded_in_all(steps: list[tuple[int, int]], most: int) -> None:
+def test_the_total_of_buffered_bytes_is_limited(steps: list[tuple[int, int]], most: int) -> None:
     budget, model = ByteBudget[int](most), dict[int, int]()
     for who, count in steps:
         model[who] = count
@@ -273,7 +273,7 @@
 # Settings
 
 
-def clients(text: dict[str, object]) -> None:
+def parse_clients(text: dict[str, object]) -> None:
     read_clients(Table(text, "clients"), 1000, 64_000_000)
 
 
@@ -286,13 +286,13 @@
     ({"buffers_mb": 40}, "clients.buffers_mb: between 0.2 and half"), ({"buffers_mb": 0}, "must be above 0"),
     ({"most_per_user": -1}, "clients.most_per_user"), ({"mots": 4}, "clients.mots: unknown setting"),
 ])  # fmt: skip
-def test_what_cannot_be_meant_is_one_clear_line(text: dict[str, object], why: str) -> None:
+def test_invalid_settings_raise_a_one_line_error(text: dict[str, object], why: str) -> None:
     with pytest.raises(ConfigError) as error:
-        clients(text)
+        parse_clients(text)
     assert why in str(error.value) and "\n" not in str(error.value)
 
 
-def test_settings_as_the_operators_page_has_them() -> None:
+def test_settings_and_defaults_match_the_documentation() -> None:
     raw = {"idle": "forever", "most": 900, "most_amqp": 2000}
     found = read_clients(Table(raw, "clients"), 1000, 64_000_000)
     assert (found.most, found.most_resp, found.most_amqp) == (900, 900, 900)
@@ -301,7 +301,7 @@
     assert load(Path("deploy/connections.toml")).clients is not None
 
 
-def test_descriptors_are_divided_and_compared() -> None:
+def test_descriptors_are_divided_and_a_shortfall_is_reported() -> None:
     assert shortfall(1000, 1000) is None and shortfall(1000, -1) is None
     assert "raise the hard limit" in (shortfall(1001, 1000) or "")
     for sockets in (60, 256, 1024, 20_000):
--- a/tests/connections/test_states.py
+++ b/tests/connections/test_states.py
@@ -1,4 +1,4 @@
-"""A connection's states and its one deadline against a model, in virtual time."""
+"""A client connection's states and its deadline against a model, in virtual time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class VirtualRegistry(Registry):
-    """Its clock is moved by the test, and its wheel too."""
+    """A registry whose clock and timer wheel the test advances."""
 
     at = 100.0
 
@@ -55,35 +55,41 @@
 
 @settings(derandomize=True, deadline=None, max_examples=400)
 @given(STEPS)
-def test_who_leaves_nothing_undone_stays_and_who_does_goes_in_time(steps: list[tuple[str, int]]) -> None:
+def test_a_connection_is_closed_only_and_soon_after_a_time_limit(steps: list[tuple[str, int]]) -> None:
+    """The limits are those for the first command, for a complete command, idle time and unread answers."""
+
     async def main() -> None:
-        taken: list[Submission] = []
+        submitted: list[Submission] = []
         registry = VirtualRegistry(replace(platform_settings(9), resp=TIMES))
-        front, transport = Clients(taken.append, ("note",), 9, registry=registry), Transport()
+        front, transport = Clients(submitted.append, ("note",), 9, registry=registry), Transport()
         connection = ClientConnection(front)
         connection.connection_made(transport)
-        greeted, pending, rested = False, b"", registry.at  # the rest of a command that has begun
+        command_received, pending, rested = (
+            False,
+            b"",
+            registry.at,
+        )  # the remaining bytes of an incomplete command
         begun, choked, answered = registry.at, 0.0, 0
         for number, (step, pick) in enumerate(steps):
-            hears = transport.reading and not transport.closing and not connection.closing
-            if step == "whole" and hears and not pending:
+            readable = transport.reading and not transport.closing and not connection.closing
+            if step == "whole" and readable and not pending:
                 receive(connection, enqueue(b"m%d" % number))
-                greeted = True
-            elif step == "half" and hears and not pending:
+                command_received = True
+            elif step == "half" and readable and not pending:
                 data = enqueue(b"m%d" % number)
                 receive(connection, data[:pick])
                 pending, begun = data[pick:], registry.at
-            elif step == "more" and hears and len(pending) > 1:
-                receive(connection, pending[:1])  # a trickle is no progress
+            elif step == "more" and readable and len(pending) > 1:
+                receive(connection, pending[:1])  # single bytes are no progress
                 pending = pending[1:]
-            elif step == "rest" and hears and pending:
+            elif step == "rest" and readable and pending:
                 receive(connection, pending)
-                pending, greeted = b"", True
-            elif step == "answer" and answered < len(taken):
+                pending, command_received = b"", True
+            elif step == "answer" and answered < len(submitted):
                 answered += 1
-                if answered == len(taken):
+                if answered == len(submitted):
                     rested = registry.at
-                taken[answered - 1].answer(Taken())
+                submitted[answered - 1].answer(Taken())
             elif step == "choke" and not choked and not connection.closing:
                 choked = registry.at
                 connection.pause_writing()
@@ -93,30 +99,30 @@
             elif step == "pass":
                 was = registry.at
                 registry.pass_time(pick / 10)
-                asked = answered < len(taken)
-                # What must have ended it, and by when.
+                asked = answered < len(submitted)
+                # The limits that apply, and when they pass.
                 limits = []
                 if choked:
                     limits.append(choked + TIMES.unread)
-                elif not asked and pending and greeted:
+                elif not asked and pending and command_received:
                     limits.append(max(begun, rested if begun < rested else 0.0) + TIMES.half)
-                elif not asked and not greeted:
+                elif not asked and not command_received:
                     limits.append(rested + TIMES.handshake)
                 elif not asked:
                     limits.append(rested + TIMES.idle)
-                if connection.closing or transport.aborted:  # with an answer to leave, or at once
+                if connection.closing or transport.aborted:  # after a last answer, or at once
                     assert any(limit <= registry.at + 1e-9 for limit in limits), (limits, registry.at)
                     break
-                late = [registry.at - limit for limit in limits if not (pending and greeted)]
+                late = [registry.at - limit for limit in limits if not (pending and command_received)]
                 assert max(late, default=0.0) < LATE + (registry.at - was)
-            idle = answered == len(taken)
+            idle = answered == len(submitted)
             assert connection.parked == (idle and not pending) or connection.closing
             assert not registry.partial_bytes.total or pending
             if not connection.closing:
-                wanted = Activity.BUSY if not idle else Activity.IDLE if greeted else Activity.SILENT
+                wanted = Activity.BUSY if not idle else Activity.IDLE if command_received else Activity.SILENT
                 assert min(connection.activity, Activity.IDLE) == wanted or connection.activity == wanted
         connection.connection_lost(None)
-        # Nothing of it is left with the registry.
+        # The registry and the front keep nothing of a closed connection.
         assert not (registry.timer_wheel.armed or registry.partial_bytes.total or registry.scheduler)
         assert not front.admission.members
         assert not registry.shared.open
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""RESP2: the parser under any cut, and a client connection's states against a model."""
+"""RESP2: the parser with input split at any byte, and a client connection against a model."""
 
 from __future__ import annotations
 
@@ -26,7 +26,9 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.lists(st.binary(max_size=60), min_size=1, max_size=5), max_size=5), st.integers(1, 40))
-def test_commands_are_the_same_however_they_arrive(commands: list[list[bytes]], step: int) -> None:
+def test_commands_are_parsed_the_same_however_the_bytes_are_split(
+    commands: list[list[bytes]], step: int
+) -> None:
     data, parser, found = b"*0\r\n" + b"".join(command(*args) for args in commands), RespParser(), []
     for at in range(0, len(data), step):
         parser.feed(data[at : at + step])
@@ -37,7 +39,7 @@
 
 @pytest.mark.parametrize("data", [b"PING\r\n", b"*x\r\n", b"*-1\r\n", b"*99\r\n", b"*1\r\n+a\r\n",
                                   b"*1\r\n$70000\r\n", b"*1\r\n$1\r\nabc", b"*" + b"1" * 40])  # fmt: skip
-def test_framing_errors_get_an_answer_and_a_close(data: bytes) -> None:
+def test_framing_errors_are_answered_and_close_the_connection(data: bytes) -> None:
     parser = RespParser()
     parser.feed(data)
     with pytest.raises(RespError):
@@ -61,10 +63,10 @@
     enqueue(msg_id=b"a\r\nX: y"), enqueue(msg_id=b""), command(b"ENQUEUE", b"0"), command(b"GET", b"\r\nx"),
     command(b""),
 ])  # fmt: skip
-def test_bad_requests_get_one_error_line_and_the_connection_goes_on(data: bytes) -> None:
+def test_bad_requests_get_one_error_line_and_the_connection_stays_open(data: bytes) -> None:
     async def main() -> None:
-        taken: list[Submission] = []
-        connection, transport = ClientConnection(Clients(taken.append, ("note",), 9)), Transport()
+        submitted: list[Submission] = []
+        connection, transport = ClientConnection(Clients(submitted.append, ("note",), 9)), Transport()
         connection.connection_made(transport)
         receive(connection, data + command(b"PING"))
         written = transport.take()
@@ -73,7 +75,7 @@
             and written.endswith(b"\r\n+PONG\r\n")
             and written.count(b"\r\n") == 2
         )
-        assert not taken and not transport.closing
+        assert not submitted and not transport.closing
 
     asyncio.run(main())
 
@@ -90,15 +92,15 @@
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(STEPS, max_size=25))
-def test_connection_against_its_model(steps: list[tuple[str, int]]) -> None:
-    """Answers leave in the order of the requests, and no connection is closed on an unanswered one."""
+def test_connection_matches_a_model_of_its_answers(steps: list[tuple[str, int]]) -> None:
+    """Answers are sent in the order of the requests; the sending side is not shut while one is owed."""
 
     async def main() -> None:
-        taken: list[Submission] = []
-        front, transport = Clients(taken.append, ("note",), 9), Transport()
+        submitted: list[Submission] = []
+        front, transport = Clients(submitted.append, ("note",), 9), Transport()
         connection = ClientConnection(front)
         connection.connection_made(transport)
-        waiting: deque[tuple[str, bytes | None]] = deque()  # by id, with the answer once it is known
+        waiting: deque[tuple[str, bytes | None]] = deque()  # ids, with the answer once it is known
         asked, closing, choked, last = 0, False, False, 0
         wanted = b""
         for step, pick in steps:
@@ -111,13 +113,13 @@
                     if not closing:
                         waiting.append((f"m{asked}", b"+PONG\r\n" if step == "ping" else None))
                 receive(connection, data)
-            elif step == "answer" and len(taken) > last:
-                one = taken[last]
+            elif step == "answer" and len(submitted) > last:
+                one = submitted[last]
                 last += 1
                 answer, text = ANSWERS[pick % len(ANSWERS)]
-                for place, (msg_id, _) in enumerate(waiting):
+                for index, (msg_id, _) in enumerate(waiting):
                     if msg_id == one.id:
-                        waiting[place] = (msg_id, text)
+                        waiting[index] = (msg_id, text)
                 one.answer(answer)
             elif step == "choke" and not choked:
                 choked = True
@@ -134,7 +136,7 @@
                 wanted += waiting.popleft()[1] or b""
             assert bytes(transport.written) == wanted
             assert transport.ended == (closing and not waiting) and not transport.closing
-            assert len(taken) - last <= 64  # the bound on what one connection may have waiting
+            assert len(submitted) - last <= 64  # the limit on open requests of one connection
             assert transport.reading == (not choked and len(waiting) < 64) or closing
 
     asyncio.run(main())
