--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -1,4 +1,4 @@
-"""The hard cases of many connections, caused on loopback with hundreds of them; decided by counts."""
+"""Hundreds of connections on loopback: fairness, overload, floods, limits and cleanup, verified by counts."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class Counting(Registry):
-    """Counts what one turn of the loop does."""
+    """Counts the transports that one turn of the loop closes."""
 
     done = most_done = 0
 
@@ -65,8 +65,8 @@
         super().remove_transport(transport)
 
 
-class Held:
-    """A RESP2 front with `count` connections, each of which has said PING."""
+class FrontWithClients:
+    """A RESP2 front and its client sockets, each of which has sent PING."""
 
     def __init__(self, settings: ClientSettings = SETTINGS) -> None:
         self.order: list[str] = []
@@ -85,10 +85,10 @@
             sock.setblocking(False)
             sock.send(command(b"PING"))
             self.socks.append(sock)
-            assert await self.hear(sock, 7) == b"+PONG\r\n"
+            assert await self.receive(sock, 7) == b"+PONG\r\n"
         return self.socks[-count:]
 
-    async def hear(self, sock: socket.socket, size: int = 4096) -> bytes:
+    async def receive(self, sock: socket.socket, size: int = 4096) -> bytes:
         return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(sock, size), 10)
 
     def close(self) -> None:
@@ -99,166 +99,168 @@
 
 
 @asynccontextmanager
-async def holding(count: int, settings: ClientSettings = SETTINGS) -> AsyncIterator[Held]:
-    held = Held(settings)
-    await held.front.listen(HOST, 0)
+async def clients_connected(
+    count: int, settings: ClientSettings = SETTINGS
+) -> AsyncIterator[FrontWithClients]:
+    clients = FrontWithClients(settings)
+    await clients.front.listen(HOST, 0)
     try:
-        await held.open(count)
-        yield held
+        await clients.open(count)
+        yield clients
     finally:
-        held.close()
+        clients.close()
 
 
-def test_few_connections_need_no_epoll_within_the_loops(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Not every system wakes the outer one: there each client would wait for the next timer."""
+def test_few_connections_need_no_nested_epoll(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Not every system wakes the outer epoll: there each client would wait for the next timer."""
 
     async def main() -> None:
         monkeypatch.setattr("mountgauge.connections.registry.select.epoll", None)
-        async with holding(3, platform_settings(16)) as held:
-            for n, sock in enumerate(held.socks):
+        async with clients_connected(3, platform_settings(16)) as clients:
+            for n, sock in enumerate(clients.socks):
                 sock.send(enqueue(b"note%d" % n))
-                assert await held.hear(sock) == b"+OK\r\n"
+                assert await clients.receive(sock) == b"+OK\r\n"
 
     run(main())
 
 
-def test_all_wake_at_once_and_take_turns() -> None:
-    """One with a thousand commands is heard a quantum a round: it doesn't go before one with a single one."""
+def test_connections_that_wake_at_once_take_turns() -> None:
+    """A connection with a thousand commands gets a quantum per round and doesn't delay the others."""
 
     async def main() -> None:
-        async with holding(MANY) as held:
-            assert held.front.report() == {
+        async with clients_connected(MANY) as clients:
+            assert clients.front.report() == {
                 "open": MANY, "busy": 0, "silent": 0, "idle": MANY, "parked": MANY, "leaving": 0,
             }  # fmt: skip
-            held.socks[0].send(b"".join(enqueue(b"bulk%d" % n) for n in range(1000)))
-            for n, sock in enumerate(held.socks[1:]):
+            clients.socks[0].send(b"".join(enqueue(b"bulk%d" % n) for n in range(1000)))
+            for n, sock in enumerate(clients.socks[1:]):
                 sock.send(enqueue(b"single%d" % n))
-            for sock in held.socks[1:]:
-                assert await held.hear(sock) == b"+OK\r\n"
-            heard = b""
-            while heard.count(b"+OK\r\n") < 1000:
-                heard += await held.hear(held.socks[0])
-            last = max(n for n, msg_id in enumerate(held.order) if msg_id.startswith("single"))
+            for sock in clients.socks[1:]:
+                assert await clients.receive(sock) == b"+OK\r\n"
+            received = b""
+            while received.count(b"+OK\r\n") < 1000:
+                received += await clients.receive(clients.socks[0])
+            last = max(n for n, msg_id in enumerate(clients.order) if msg_id.startswith("single"))
             rounds = MANY // BATCH + 2
-            assert last < MANY + 2 * QUANTUM * rounds and len(held.order) == MANY - 1 + 1000
+            assert last < MANY + 2 * QUANTUM * rounds and len(clients.order) == MANY - 1 + 1000
 
     run(main())
 
 
-def test_a_crowd_past_patience_hears_at_once_when_to_come_back() -> None:
+def test_requests_beyond_patience_are_rejected_at_once_with_spread_delays() -> None:
     async def main() -> None:
-        async with holding(MANY, replace(SETTINGS, patience=0.0)) as held:
-            for sock in held.socks:  # as if they had long rested
+        async with clients_connected(MANY, replace(SETTINGS, patience=0.0)) as clients:
+            for sock in clients.socks:
                 sock.send(enqueue(b"m%d" % sock.fileno()))
-            for connection in held.front.admission.members:
+            for connection in clients.front.admission.members:  # as if they had been idle for long
                 connection.since -= 10
-            said = [await held.hear(sock) for sock in held.socks]
-            busy = [int(text.split()[1]) for text in said if text.startswith(b"-BUSY ")]
-            taken = said.count(b"+OK\r\n")
-            assert len(busy) + taken == MANY and len(held.order) == taken > 0
-            assert len(busy) == held.front.counts["clients", "crowded"] > BATCH
+            answers = [await clients.receive(sock) for sock in clients.socks]
+            busy = [int(text.split()[1]) for text in answers if text.startswith(b"-BUSY ")]
+            accepted = answers.count(b"+OK\r\n")
+            assert len(busy) + accepted == MANY and len(clients.order) == accepted > 0
+            assert len(busy) == clients.front.counts["clients", "crowded"] > BATCH
             assert min(busy) >= 200 and max(Counter(ms // 100 for ms in busy).values()) < len(busy) / 2
 
     run(main())
 
 
-def test_what_the_core_defers_without_a_time_gets_one() -> None:
+def test_a_deferral_by_the_core_without_a_time_gets_a_retry_delay() -> None:
     async def main() -> None:
-        async with holding(50) as held:
-            held.answer = End(Status.DEFERRED)
-            for sock in held.socks:
+        async with clients_connected(50) as clients:
+            clients.answer = End(Status.DEFERRED)
+            for sock in clients.socks:
                 sock.send(enqueue())
-            times = {await held.hear(sock) for sock in held.socks}
+            times = {await clients.receive(sock) for sock in clients.socks}
             assert len(times) > 25 and all(text.startswith(b"-BUSY ") and len(text) > 8 for text in times)
-            held.answer = End(Status.DEFERRED, 777)  # the module's own word stays
-            held.socks[0].send(enqueue())
-            assert await held.hear(held.socks[0]) == b"-BUSY 777\r\n"
+            clients.answer = End(Status.DEFERRED, 777)  # a time given by the core is kept
+            clients.socks[0].send(enqueue())
+            assert await clients.receive(clients.socks[0]) == b"-BUSY 777\r\n"
 
     run(main())
 
 
-def test_half_are_reset_in_one_instant_and_everything_comes_back() -> None:
+def test_resetting_half_of_the_connections_at_once_leaks_nothing() -> None:
     def objects() -> int:
         gc.collect()
         return sum(isinstance(one, ClientConnection | ConnectionTransport) for one in gc.get_objects())
 
     async def main() -> None:
         gc.unfreeze()
-        async with holding(1) as held:
+        async with clients_connected(1) as clients:
             fds, before = len(os.listdir("/proc/self/fd")), objects()
-            socks = await held.open(MANY)
+            socks = await clients.open(MANY)
             for sock in socks[: MANY // 2]:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 sock.close()
-            await until(lambda: held.registry.open == 1 + MANY - MANY // 2)
-            assert held.registry.most_done <= BATCH < MANY // 2  # spread over several turns
+            await until(lambda: clients.registry.open == 1 + MANY - MANY // 2)
+            assert clients.registry.most_done <= BATCH < MANY // 2  # spread over several turns
             for sock in socks[MANY // 2 :]:
                 sock.send(command(b"PING"))
-                assert await held.hear(sock) == b"+PONG\r\n"
+                assert await clients.receive(sock) == b"+PONG\r\n"
                 sock.close()
-            await until(lambda: held.registry.open == 1)
-            held.socks = held.socks[:1]
+            await until(lambda: clients.registry.open == 1)
+            clients.socks = clients.socks[:1]
             gc.unfreeze()
             assert len(os.listdir("/proc/self/fd")) == fds and objects() == before
-            assert held.registry.shared.open == 1 and not held.registry.timer_wheel.armed
+            assert clients.registry.shared.open == 1 and not clients.registry.timer_wheel.armed
 
     run(main())
 
 
-def test_without_descriptors_one_hears_so_and_accepting_goes_on() -> None:
+def test_without_descriptors_a_client_is_rejected_and_accepting_continues() -> None:
     async def main() -> None:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        async with holding(3) as held:
+        async with clients_connected(3) as clients:
             late = [socket.socket() for _ in range(5)]
             for sock in late:
                 sock.setblocking(False)
-            held.socks += late
+            clients.socks += late
             top = max(int(fd) for fd in os.listdir("/proc/self/fd"))
             fill: list[int] = []
             resource.setrlimit(resource.RLIMIT_NOFILE, (top + 1, hard))
             try:
-                with suppress(OSError):  # no hole below the limit
+                with suppress(OSError):  # use up every descriptor below the limit
                     while True:
                         fill.append(os.open(os.devnull, os.O_RDONLY))
                 for sock in late:
-                    sock.connect_ex((HOST, held.front.port))
-                assert (await held.hear(late[0])).startswith(b"-BUSY ")
-                held.socks[0].send(enqueue())  # those that are held are served meanwhile
-                assert await held.hear(held.socks[0]) == b"+OK\r\n"
-                await until(lambda: held.front.counts["clients", "turned-away-descriptors"] >= 2)
+                    sock.connect_ex((HOST, clients.front.port))
+                assert (await clients.receive(late[0])).startswith(b"-BUSY ")
+                clients.socks[0].send(enqueue())  # existing connections are still served
+                assert await clients.receive(clients.socks[0]) == b"+OK\r\n"
+                await until(lambda: clients.front.counts["clients", "turned-away-descriptors"] >= 2)
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
                 for fd in fill:
                     os.close(fd)
-            again = socket.create_connection((HOST, held.front.port))
+            again = socket.create_connection((HOST, clients.front.port))
             again.setblocking(False)
-            held.socks.append(again)
+            clients.socks.append(again)
             again.send(command(b"PING"))
-            assert await held.hear(again) == b"+PONG\r\n"
+            assert await clients.receive(again) == b"+PONG\r\n"
 
     run(main())
 
 
-def test_half_commands_are_bounded_in_all_and_cost_the_others_nothing() -> None:
+def test_incomplete_commands_are_limited_in_total_and_do_not_affect_others() -> None:
     async def main() -> None:
-        async with holding(40, replace(SETTINGS, buffers=200_000)) as held:
+        async with clients_connected(40, replace(SETTINGS, buffers=200_000)) as clients:
             largest = 0
-            for sock in held.socks[1:]:
+            for sock in clients.socks[1:]:
                 sock.send(b"*2\r\n$4\r\nPING\r\n$60000\r\n" + b"x" * 20_000)
                 await asyncio.sleep(0)
-                largest = max(largest, held.registry.partial_bytes.total)
-            await until(lambda: held.registry.open <= 1 + 200_000 // 20_000)
-            assert largest <= 200_000 and held.front.counts["clients", "buffers"] >= 29
-            held.socks[0].send(enqueue())
-            assert await held.hear(held.socks[0]) == b"+OK\r\n"
+                largest = max(largest, clients.registry.partial_bytes.total)
+            await until(lambda: clients.registry.open <= 1 + 200_000 // 20_000)
+            assert largest <= 200_000 and clients.front.counts["clients", "buffers"] >= 29
+            clients.socks[0].send(enqueue())
+            assert await clients.receive(clients.socks[0]) == b"+OK\r\n"
 
     run(main())
 
 
-def test_answers_that_nobody_reads_are_bounded_each_and_in_all() -> None:
+def test_unread_answers_are_limited_per_connection_and_in_total() -> None:
     async def main() -> None:
-        async with holding(8) as held:
-            held.registry.unread_bytes.limit = 20_000
+        async with clients_connected(8) as clients:
+            clients.registry.unread_bytes.limit = 20_000
             echo, largest = command(b"PING", b"x" * 60_000), 0
             loop = asyncio.get_running_loop()
 
@@ -267,18 +269,18 @@
                     for _ in range(300):
                         await loop.sock_sendall(sock, echo)
 
-            pouring = [loop.create_task(pour(sock)) for sock in held.socks[1:]]
+            pouring = [loop.create_task(pour(sock)) for sock in clients.socks[1:]]
             for _ in range(400):
                 await asyncio.sleep(0.005)
-                largest = max(largest, held.registry.unread_bytes.total)
-                if held.registry.counts["clients", "unread"]:
+                largest = max(largest, clients.registry.unread_bytes.total)
+                if clients.registry.counts["clients", "unread"]:
                     break
-            for connection in held.front.admission.members:
+            for connection in clients.front.admission.members:
                 assert len(connection._slots) <= 64
             # Above the limit by at most what one write added before the largest holder was aborted.
-            assert largest <= 20_000 + QUANTUM * 60_100 and held.registry.counts["clients", "unread"]
-            held.socks[0].send(enqueue())
-            assert await held.hear(held.socks[0]) == b"+OK\r\n"
+            assert largest <= 20_000 + QUANTUM * 60_100 and clients.registry.counts["clients", "unread"]
+            clients.socks[0].send(enqueue())
+            assert await clients.receive(clients.socks[0]) == b"+OK\r\n"
             for task in pouring:
                 task.cancel()
             await asyncio.gather(*pouring, return_exceptions=True)
@@ -286,21 +288,21 @@
     run(main())
 
 
-def test_a_user_past_its_share_is_refused_on_both_fronts_and_others_are_not() -> None:
+def test_a_user_beyond_its_limit_is_rejected_on_both_fronts_and_others_are_not() -> None:
     async def main() -> None:
         access = Access({"rossi": User("p"), "bianchi": User("p")})
         settings = replace(SETTINGS, most_per_user=1)
-        async with holding(3, settings) as held:
-            held.front.access = access
-            said = []
-            for sock, user in zip(held.socks, (b"rossi", b"rossi", b"bianchi"), strict=True):
+        async with clients_connected(3, settings) as clients:
+            clients.front.access = access
+            answers = []
+            for sock, user in zip(clients.socks, (b"rossi", b"rossi", b"bianchi"), strict=True):
                 sock.send(command(b"AUTH", user, b"p"))
-                said.append((await held.hear(sock))[:11])
-            assert said == [b"+OK\r\n", b"-MAXCLIENTS", b"+OK\r\n"]
-            held.socks[0].close()
-            await until(lambda: held.registry.open == 2)
-            held.socks[1].send(command(b"AUTH", b"rossi", b"p"))  # its place is free again
-            assert await held.hear(held.socks[1]) == b"+OK\r\n"
+                answers.append((await clients.receive(sock))[:11])
+            assert answers == [b"+OK\r\n", b"-MAXCLIENTS", b"+OK\r\n"]
+            clients.socks[0].close()
+            await until(lambda: clients.registry.open == 2)
+            clients.socks[1].send(command(b"AUTH", b"rossi", b"p"))  # its slot is free again
+            assert await clients.receive(clients.socks[1]) == b"+OK\r\n"
 
         front = AmqpClients(
             lambda one: None, ("note",), (GRADE,), 9, access, registry=Registry(settings)
@@ -310,8 +312,8 @@
             connection, transport = AmqpConnection(front), Recorder()
             connection.connection_made(transport)
             receive(connection, codec.PROTOCOL_HEADER)
-            word = "\0rossi\0p"
-            receive(connection, codec.method(0, "connection.start-ok", mechanism="PLAIN", response=word))
+            login = "\0rossi\0p"
+            receive(connection, codec.method(0, "connection.start-ok", mechanism="PLAIN", response=login))
             codes.append([(name, code) for _, name, code in methods(transport.take())][1])
         assert codes == [("connection.tune", 0), ("connection.close", 530)]
 
@@ -329,7 +331,7 @@
 )
 
 
-def test_heartbeats_need_no_timer_each_and_the_dead_are_found() -> None:
+def test_heartbeats_need_no_timer_per_connection_and_dead_peers_are_detected() -> None:
     async def main() -> None:
         loop: Any = asyncio.get_running_loop()
         registry = Registry(SETTINGS)
@@ -344,7 +346,7 @@
         await until(lambda: sum(c.state.value == "ready" for c in front.admission.members) == 60)
         assert registry.timer_wheel.armed == 60
         live = [one for one in loop._scheduled[before:] if not one.cancelled()]
-        assert len(live) <= 4  # the wheel's, and this test's own
+        assert len(live) <= 4  # the wheel's and those of this test
 
         beating = True
 
@@ -373,7 +375,7 @@
     run(main())
 
 
-def test_beats_are_spread_whoever_connects_when() -> None:
+def test_heartbeats_are_spread_evenly() -> None:
     async def main() -> None:
         front = AmqpClients(lambda one: None, ("note",), (GRADE,), 2000, registry=Registry(SETTINGS))
         phases = Counter(int(front.phase() * 10) for _ in range(1000))
@@ -382,7 +384,7 @@
     run(main())
 
 
-def test_a_publisher_with_a_thousand_messages_takes_turns_too() -> None:
+def test_a_publisher_with_many_messages_takes_turns() -> None:
     async def main() -> None:
         order: list[str] = []
         front = AmqpClients(
@@ -476,7 +478,7 @@
     return found
 
 
-def test_reload_closes_none_and_sigterm_ends_all_with_exit_0(tmp_path: Path) -> None:
+def test_reload_closes_no_connection_and_sigterm_closes_all_with_exit_0(tmp_path: Path) -> None:
     async def main() -> None:
         async with process(tmp_path, 1000, 1000) as (one, port, status, _):
             held = await peers(port, MANY)  # the soft limit was raised
@@ -498,8 +500,8 @@
     run(main(), 30)
 
 
-def test_own_needs_have_descriptors_when_the_system_gives_fewer(tmp_path: Path) -> None:
-    """A reconnect storm of more than there is room for: status and next hops go on."""
+def test_the_sender_keeps_descriptors_for_itself_when_the_system_allows_fewer(tmp_path: Path) -> None:
+    """In a reconnect storm beyond the limit, status and calls to next hops still work."""
 
     async def main() -> None:
         async with process(tmp_path, 1000, 100) as (_, port, status, hop):
@@ -521,47 +523,49 @@
     run(main(), 30)
 
 
-def test_accepts_of_one_turn_take_no_descriptors_that_are_kept_for_others() -> None:
-    """Those in whose place they came had ended, and kept theirs up to the next turn: 59 open, 52 allowed."""
+def test_accepts_of_one_turn_do_not_use_reserved_descriptors() -> None:
+    """Displaced connections kept their descriptors until the next turn: 59 were open, 52 are allowed."""
 
     async def main() -> None:
         most = 35
-        async with holding(most + MAX_LINGERING, platform_settings(most)) as held:
-            assert held.registry.open == most + MAX_LINGERING
-            adopt, seen = held.registry.adopt, list[int]()
+        async with clients_connected(most + MAX_LINGERING, platform_settings(most)) as clients:
+            assert clients.registry.open == most + MAX_LINGERING
+            adopt, seen = clients.registry.adopt, list[int]()
 
             def counting(*args: Any) -> ConnectionTransport:
                 transport = adopt(*args)
-                seen.append(held.registry.open)
+                seen.append(clients.registry.open)
                 return transport
 
-            held.registry.adopt = counting  # type: ignore[assignment]
-            crowd = [socket.create_connection((HOST, held.front.port)) for _ in range(3 * ACCEPTS_PER_TURN)]
+            clients.registry.adopt = counting  # type: ignore[assignment]
+            crowd = [
+                socket.create_connection((HOST, clients.front.port)) for _ in range(3 * ACCEPTS_PER_TURN)
+            ]
             await until(lambda: len(seen) == len(crowd))
-            assert max(seen) <= most + MAX_LINGERING + 1, "one comes, and another one goes"
+            assert max(seen) <= most + MAX_LINGERING + 1, "each new connection must displace one"
             for sock in crowd:
                 sock.close()
 
     run(main())
 
 
-def test_check_says_what_to_raise(
+def test_check_reports_which_limit_to_raise(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     file = tmp_path / "many.toml"
     file.write_text(FILE.format(sockets=30_000, resp=1, status=2, hop=3))
     monkeypatch.setattr(descriptors, "limits", lambda: (1024, 20_000))
     assert cli.main(["check", str(file)]) == 1
-    said = capsys.readouterr()
-    assert "30000 descriptors are wanted, this process may have 20000: raise" in said.err
+    answers = capsys.readouterr()
+    assert "30000 descriptors are wanted, this process may have 20000: raise" in answers.err
     monkeypatch.setattr(descriptors, "limits", lambda: (1024, 30_000))
     assert cli.main(["check", str(file)]) == 0
 
 
-def test_metrics_say_what_status_does() -> None:
+def test_metrics_match_the_status_page() -> None:
     async def main() -> None:
-        async with holding(60) as held:
-            report = ConnectionMetrics(held.registry, {"resp": held.front}, None).report()
+        async with clients_connected(60) as clients:
+            report = ConnectionMetrics(clients.registry, {"resp": clients.front}, None).report()
             body = json.loads(encode("i", Snapshot(Counter(), 0, 0, 1), 1, 2, None, client_metrics(report)))
             metrics = {m["name"]: m for m in body["resourceMetrics"][0]["scopeMetrics"][0]["metrics"]}
             points = metrics["mountgauge.clients.connections"]["gauge"]["dataPoints"]
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,5 +1,6 @@
-"""The operators' console: its calls read byte by byte, the lame duck's timeline in virtual time, and the
-real sender on loopback: ready, detach and attach, lame duck, and a hand-over on one listening socket."""
+"""The operators' console: parsing of calls split at any byte, the lame duck's timeline in virtual time, and a
+real sender on loopback: ready, detach and attach, lame duck, and a handover on a shared listening socket.
+"""
 
 from __future__ import annotations
 
@@ -30,7 +31,7 @@
 
 
 @pytest.mark.parametrize("by", [1, 7, 4096])
-def test_calls_whole_or_split_get_their_answer(by: int) -> None:
+def test_calls_are_parsed_whether_complete_or_split(by: int) -> None:
     def post(path: str, body: bytes) -> bytes:
         head = b"POST %b HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n" % (path.encode(), len(body))
         return head + body
@@ -51,7 +52,7 @@
         assert isinstance(found, Reply) and found.status == status and "\n" not in found.text
 
 
-def test_an_oversized_body_is_refused_before_it_is_read() -> None:
+def test_an_oversized_body_is_rejected_before_it_is_read() -> None:
     with pytest.raises(HttpError, match="too large"):
         Parser(requests=True, most_body=4096).feed(
             b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 5000\r\n\r\n"
@@ -61,7 +62,7 @@
 def test_lame_duck_timeline_in_virtual_time() -> None:
     lame = LameDuck()
     assert lame.turn_on(10.0) == pytest.approx(10.3)
-    assert lame.turn_on(11.0) == pytest.approx(10.3)  # repeated: the first time holds
+    assert lame.turn_on(11.0) == pytest.approx(10.3)  # a repeated call keeps the first time
     assert lame.drain_result(14.0, 14.5, 3) is None  # clients still open: wait
     late = lame.drain_result(14.0, 14.0 + OFF_TIMEOUT_S, 2)
     assert late is not None and late.status == 503 and OFF_TIMEOUT_S < 2.0
@@ -69,7 +70,7 @@
     assert done is not None and done.ok and lame.since is None
 
 
-def test_detached_file_forms() -> None:
+def test_detached_file_is_encoded_and_validated() -> None:
     assert decode_detached(encode_detached({"b", "a"})) == {"a", "b"} and decode_detached(b"") == set()
     for bad in (b"{", b'{"a":1}', b"[1]"):
         with pytest.raises(ValueError):
@@ -98,13 +99,13 @@
         process = await platform.start(GW_CONSOLE=f"{HOST}:{console}")
         await until(lambda: (tmp_path / "state").exists())
         assert (await call(console, "GET", "/_ready"))[0] == 200
-        silent = [await asyncio.open_connection(HOST, console) for _ in range(70)]  # and never a word
+        silent = [await asyncio.open_connection(HOST, console) for _ in range(70)]  # these send nothing
         assert (await call(console, "POST", "/_lameduck/on"))[0] == 200
         assert ping(platform.port).startswith(b"-")
         kept = await asyncio.open_connection(HOST, platform.port)
-        status, said = await call(console, "POST", "/_lameduck/off")
-        assert status == 200, said
-        assert await kept[0].read() == b""  # let go of, as it asked nothing
+        status, answer = await call(console, "POST", "/_lameduck/off")
+        assert status == 200, answer
+        assert await kept[0].read() == b""  # closed, as it is idle
         assert ping(platform.port) == b"+PONG\r\n"
         for _, writer in silent:
             writer.close()
@@ -115,8 +116,8 @@
     run(main(), 30)
 
 
-async def accepting(address: str, limit_s: float = 8.0) -> None:
-    """Until something listens at this address: a sender takes clients before its console listens."""
+async def wait_for_listener(address: str, limit_s: float = 8.0) -> None:
+    """Wait until something listens at this address: a sender accepts clients before its console listens."""
     host, _, port = address.rpartition(":")
     async with asyncio.timeout(limit_s):
         while True:
@@ -129,8 +130,8 @@
             return
 
 
-class Shared:
-    """Processes of one sender on one listening socket and folder, as on the platform's upgrade days."""
+class SharedSender:
+    """Processes of one sender that share a listening socket and a folder, as in the platform's upgrades."""
 
     def __init__(self, platform: Platform) -> None:
         self.platform, self.listening = platform, socket.create_server((HOST, 0))
@@ -144,12 +145,12 @@
             await platform.endpoint.start()
         process = await platform.start(self.listening.fileno(), GW_LISTEN_FD="5", **env)
         self.started += 1
-        if self.started > 1:  # beside the other: in a journal slot of its own
+        if self.started > 1:  # a second process uses a journal slot of its own
             slot = platform.folder / "state" / "journal.1"
             await until(lambda: slot.exists() or process.returncode is not None)
             assert process.returncode is None
         if (console := env.get("GW_CONSOLE")) is not None:
-            await accepting(console)
+            await wait_for_listener(console)
         return process
 
     async def end(self, *processes: asyncio.subprocess.Process) -> None:
@@ -160,7 +161,7 @@
         await self.platform.stop()
 
 
-def test_a_call_that_is_under_way_at_the_end_is_answered() -> None:
+def test_a_call_in_progress_at_close_is_answered() -> None:
     async def main() -> None:
         begun = asyncio.Event()
 
@@ -179,17 +180,17 @@
     run(main())
 
 
-def test_waits_in_the_shared_form() -> None:
+def test_shared_waits_are_encoded_decoded_and_merged() -> None:
     from mountgauge.core.durable_time import Stamp
     from mountgauge.core.shared_waits import decode, encode, merge
 
-    waits: dict[object, float] = {3: 12.0, "s-1": 10.5, 4: 9.0}  # 4 is over
+    waits: dict[object, float] = {3: 12.0, "s-1": 10.5, 4: 9.0}  # 4 has passed
     content = encode(waits, Stamp("", 1000.0, 10.0, 1000.0))
-    heard = decode(content, Stamp("", 1000.2, 50.0, 1000.2))  # another process, another loop clock
-    assert heard == {3: pytest.approx(51.8), "s-1": pytest.approx(50.3)}
+    decoded = decode(content, Stamp("", 1000.2, 50.0, 1000.2))  # another process with another loop clock
+    assert decoded == {3: pytest.approx(51.8), "s-1": pytest.approx(50.3)}
     into: dict[object, float] = {3: 60.0}
-    assert merge(into, heard) and into == {3: 60.0, "s-1": pytest.approx(50.3)}
-    assert not merge(into, heard)
+    assert merge(into, decoded) and into == {3: 60.0, "s-1": pytest.approx(50.3)}
+    assert not merge(into, decoded)
     clock = b'"clock": ["", 0, 0, 0]'
     for bad in (b"[]", b'{"x1": 3}', b'{"d1": "soon"}', b"{%b}" % clock, b'{%b, "waits": [1]}' % clock,
                 b'{"clock": [], "waits": {}}', b'{%b, "waits": {"d1": "soon"}}' % clock):  # fmt: skip
@@ -197,51 +198,54 @@
             decode(bad, Stamp("", 0.0, 0.0, 0.0))
 
 
-def test_a_wait_told_to_the_old_process_binds_the_new_one(tmp_path: Path) -> None:
+def test_a_required_wait_received_by_the_old_process_applies_to_the_new_one(tmp_path: Path) -> None:
     from mountgauge.http1 import Message, response
 
     class Waiting(Platform):
         def __init__(self, folder: Path) -> None:
             super().__init__(folder)
-            self.told_at = 0.0
+            self.wait_received_at = 0.0
             self.calls: list[tuple[str, float]] = []
 
         async def hook(self, message: Message) -> bytes:
             msg_id, now = message.headers["x-trace-id"], asyncio.get_running_loop().time()
             self.calls.append((msg_id, now))
-            if msg_id == "w" and not self.told_at:
-                self.told_at = now
+            if msg_id == "w" and not self.wait_received_at:
+                self.wait_received_at = now
                 return response(429, "Too Many Requests", {"Retry-After": "1.5"}, b"")
             self.delivered.append(msg_id)
             return response(200, "OK", {}, b"")
 
     async def main() -> None:
         platform = Waiting(tmp_path)
-        shared = Shared(platform)
+        shared = SharedSender(platform)
         old = await shared.start()
         assert await platform.send(("w", "safe")) == [b"+OK\r\n"]
-        await until(lambda: platform.told_at)
+        await until(lambda: platform.wait_received_at)
         new = await shared.start()
         loop = asyncio.get_running_loop()
         began = loop.time()
-        old.send_signal(signal.SIGTERM)  # it stops accepting at once and leaves what it holds to the new one
+        old.send_signal(signal.SIGTERM)  # stops accepting at once; the new process gets its messages
         await asyncio.sleep(0.2)
-        assert await platform.send(("n", "safe")) == [b"+OK\r\n"]  # to the new one, which must wait too
+        # Accepted by the new process, which must wait too.
+        assert await platform.send(("n", "safe")) == [b"+OK\r\n"]
         assert await old.wait() == 0 and loop.time() - began < 3.7
         await until(lambda: {"n", "w"} <= set(platform.delivered) | set(platform.notices), 6.0)
-        # Each has its one end; the new process sent nothing to that destination within the wait.
-        assert all(at >= platform.told_at + 1.5 - 0.1 for _, at in platform.calls[1:]), platform.calls
+        # Each message has one outcome; the new process sent nothing to that destination within the wait.
+        assert all(at >= platform.wait_received_at + 1.5 - 0.1 for _, at in platform.calls[1:]), (
+            platform.calls
+        )
         await shared.end(old, new)
 
     run(main(), 40)
 
 
-def test_sigkill_of_the_old_process_in_a_hand_over_loses_nothing(tmp_path: Path) -> None:
-    """Killed with calls out: the new process adopts its journal, repeats what may be, tells the rest."""
+def test_sigkill_of_the_old_process_in_a_handover_loses_nothing(tmp_path: Path) -> None:
+    """Killed with calls in flight: the new process adopts its journal, repeats or reports each call."""
 
     async def main() -> None:
         platform = Platform(tmp_path)
-        shared = Shared(platform)
+        shared = SharedSender(platform)
         old = await shared.start()
         platform.hold.clear()
         assert await platform.send(("a", "safe"), ("c", "once")) == [b"+OK\r\n"] * 2
@@ -250,7 +254,7 @@
         old.kill()
         await old.wait()
         platform.hold.set()
-        await asyncio.sleep(0.1)  # what was out ends at the endpoint, unseen by its sender
+        await asyncio.sleep(0.1)  # the calls in flight finish at the endpoint, unobserved by the sender
         platform.hooks.clear()
         await until(lambda: platform.hooks == ["a"] and platform.notices == {"c": "undeliverable"})
         await asyncio.sleep(0.3)
@@ -260,13 +264,13 @@
     run(main(), 40)
 
 
-def test_a_detached_endpoint_stays_out_across_a_hand_over_until_one_attach(tmp_path: Path) -> None:
+def test_a_detached_endpoint_stays_detached_across_a_handover_until_attached(tmp_path: Path) -> None:
     async def main() -> None:
         platform, consoles = Platform(tmp_path), reserve_ports(2)
-        shared = Shared(platform)
+        shared = SharedSender(platform)
         old = await shared.start(GW_CONSOLE=f"{HOST}:{consoles[0]}")
         assert (await call(consoles[0], "POST", "/_endpoints/detach", b'{"who":"never"}'))[0] == 404
-        for _ in range(2):  # repeated: the same
+        for _ in range(2):  # a repeated call changes nothing
             assert (await call(consoles[0], "POST", "/_endpoints/detach", b'{"who":"e"}'))[0] == 200
         new = await shared.start(GW_CONSOLE=f"{HOST}:{consoles[1]}")
         old.send_signal(signal.SIGTERM)
@@ -274,7 +278,7 @@
         assert (await call(consoles[1], "GET", "/_ready"))[0] == 200
         assert await platform.send(("a", "safe")) == [b"+OK\r\n"]
         await asyncio.sleep(0.5)
-        assert platform.hooks == []  # still out, in the new process
+        assert platform.hooks == []  # still detached in the new process
         assert (await call(consoles[1], "POST", "/_endpoints/attach", b'{"who":"e"}'))[0] == 200
         await until(lambda: platform.delivered == ["a"])
         await shared.end(new)
@@ -282,7 +286,7 @@
     run(main(), 40)
 
 
-def test_an_operators_file_names_its_console(tmp_path: Path) -> None:
+def test_an_operators_file_sets_the_console_address(tmp_path: Path) -> None:
     from mountgauge.core.config import Address
     from mountgauge.operator_file import load
 
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -1,4 +1,4 @@
-"""Clients that misbehave: each gets an error or a close in time, and costs the usual ones nothing."""
+"""Misbehaving clients: each gets an error or is closed in time, and does not affect well-behaved clients."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 async def with_clients(
     test: Callable[[Clients], Awaitable[None]], most: int = 50, answers: bool = True
 ) -> list[Submission]:
-    taken: list[Submission] = []
+    submitted: list[Submission] = []
 
     def submit(one: Submission) -> None:
-        taken.append(one)
+        submitted.append(one)
         if answers:
             one.answer(Taken())
 
@@ -36,11 +36,11 @@
     await test(front)
     front.stop_listening()
     front.close()
-    return taken
+    return submitted
 
 
-async def said(peer: Peer, limit: float = 3.0) -> bytes:
-    """All that is said until the close, which must come in time."""
+async def read_to_end(peer: Peer, limit: float = 3.0) -> bytes:
+    """All bytes up to the close, which must come in time."""
     async with asyncio.timeout(limit):
         try:
             return await peer[0].read()
@@ -50,12 +50,12 @@
 
 @pytest.mark.parametrize("data", [b"", b"*", b"*5\r\n$7\r\nENQ", b"*2\r\n$4\r\nPING\r\n", b"*1\r\n$9\r\nhalf",
                                   command(b"PING") + b"*5\r\n"])  # fmt: skip
-def test_silence_and_half_a_command_end_in_time(data: bytes) -> None:
+def test_silent_clients_and_incomplete_commands_time_out(data: bytes) -> None:
     async def main() -> None:
         async def test(front: Clients) -> None:
             peer = await asyncio.open_connection(HOST, front.port)
             peer[1].write(data)
-            text = await said(peer)
+            text = await read_to_end(peer)
             assert not data or b"-ERR Protocol error" in text
 
         await with_clients(test)
@@ -63,7 +63,7 @@
     run(main())
 
 
-def test_a_trickle_of_bytes_is_no_progress() -> None:
+def test_trickling_bytes_do_not_extend_the_time_limit() -> None:
     async def main() -> None:
         async def test(front: Clients) -> None:
             peer = await asyncio.open_connection(HOST, front.port)
@@ -73,29 +73,29 @@
                 peer[1].write(b"x")
                 if peer[0].at_eof() or peer[0]._buffer:  # type: ignore[attr-defined]
                     break
-            assert b"-ERR Protocol error" in await said(peer, 0.5)
+            assert b"-ERR Protocol error" in await read_to_end(peer, 0.5)
 
         await with_clients(test)
 
     run(main())
 
 
-def test_an_open_request_keeps_its_connection() -> None:
-    """However long the answer takes, and whatever stands behind it: judged by open requests."""
+def test_a_connection_with_an_open_request_is_not_closed() -> None:
+    """A connection is not idle while a request is unanswered, however long the answer takes."""
 
     async def main() -> None:
         async def test(front: Clients) -> None:
             peer = await asyncio.open_connection(HOST, front.port)
             peer[1].write(enqueue())
             await asyncio.sleep(front.times.handshake + 0.6)
-            taken[0].answer(Taken())
+            submitted[0].answer(Taken())
             assert await peer[0].readline() == b"+OK\r\n"
             peer[1].write(command(b"PING"))
             assert await peer[0].readline() == b"+PONG\r\n"
             peer[1].close()
 
-        taken: list[Submission] = []
-        front = Clients(taken.append, ("note",), 9)
+        submitted: list[Submission] = []
+        front = Clients(submitted.append, ("note",), 9)
         await front.listen(HOST, 0)
         await test(front)
         front.stop_listening()
@@ -103,7 +103,7 @@
     run(main())
 
 
-def test_sixty_megabytes_do_not_hide_the_error_line() -> None:
+def test_the_error_line_arrives_before_sixty_megabytes_of_invalid_input_are_read() -> None:
     async def main() -> None:
         async def test(front: Clients) -> None:
             peer = await asyncio.open_connection(HOST, front.port)
@@ -124,24 +124,24 @@
     run(main())
 
 
-def test_a_command_is_bounded_as_a_whole() -> None:
+def test_the_total_size_of_a_command_is_limited() -> None:
     async def main() -> None:
         async def test(front: Clients) -> None:
             peer = await asyncio.open_connection(HOST, front.port)
             peer[1].write(b"*16\r\n" + b"$60000\r\n" + b"x" * 60000 + b"\r\n$60000\r\n")
-            assert b"too long" in await said(peer)
+            assert b"too long" in await read_to_end(peer)
 
         await with_clients(test)
 
     run(main())
 
 
-def test_the_sixteenth_bad_request_closes_and_the_good_ones_are_answered() -> None:
+def test_the_sixteenth_bad_request_closes_after_the_good_ones_are_answered() -> None:
     async def main() -> None:
         async def test(front: Clients) -> None:
             peer = await asyncio.open_connection(HOST, front.port)
             peer[1].write(command(b"PING") + command(b"NO") * 300)
-            text = await said(peer)
+            text = await read_to_end(peer)
             assert text.startswith(b"+PONG\r\n") and text.count(b"-ERR ") == connection._MAX_BAD_REQUESTS
 
         await with_clients(test)
@@ -149,8 +149,8 @@
     run(main())
 
 
-def test_a_flood_of_connections_leaves_room_for_the_usual_clients() -> None:
-    """Accepted all at once, they took every descriptor before the first could be let go."""
+def test_a_flood_of_connections_does_not_keep_out_active_clients() -> None:
+    """Guards against accepting a flood at once, which used every descriptor before any could be closed."""
 
     async def main() -> None:
         async def test(front: Clients) -> None:
@@ -173,27 +173,27 @@
     run(main())
 
 
-def test_who_asked_once_and_stayed_goes_before_who_is_about_to_ask_or_asks_again() -> None:
-    """By rest alone, the usual clients went: between their PING and their first message, or two messages."""
+def test_connections_that_sent_one_message_are_displaced_before_new_and_active_ones() -> None:
+    """Displacing by idle time alone closed active clients between PING and first message or two messages."""
 
     async def main() -> None:
         async def test(front: Clients) -> None:
-            ready, steady = [await asyncio.open_connection(HOST, front.port) for _ in range(2)]
+            ready, active = [await asyncio.open_connection(HOST, front.port) for _ in range(2)]
             ready[1].write(command(b"PING"))
             assert await ready[0].readline() == b"+PONG\r\n"
             for n in range(2):
-                steady[1].write(enqueue(b"s%d" % n))
-                assert await steady[0].readline() == b"+OK\r\n"
+                active[1].write(enqueue(b"s%d" % n))
+                assert await active[0].readline() == b"+OK\r\n"
             stayed = []
             for n in range(20):
                 stayed.append(await asyncio.open_connection(HOST, front.port))
                 stayed[-1][1].write(enqueue(b"m%d" % n))
                 assert await stayed[-1][0].readline() == b"+OK\r\n"
-            for n, peer in enumerate((ready, steady)):
+            for n, peer in enumerate((ready, active)):
                 peer[1].write(enqueue(b"r%d" % n))
                 assert await peer[0].readline() == b"+OK\r\n"
             assert len(front.admission) <= 8 and front.counts["clients", "displaced-resting"] >= 12
-            for peer in (ready, steady, *stayed):
+            for peer in (ready, active, *stayed):
                 peer[1].transport.abort()
 
         await with_clients(test, most=8)
@@ -201,7 +201,7 @@
     run(main())
 
 
-def test_with_no_place_left_a_client_is_deferred() -> None:
+def test_a_client_beyond_the_limit_gets_busy() -> None:
     async def main() -> None:
         async def test(front: Clients) -> None:
             asking = [await asyncio.open_connection(HOST, front.port) for _ in range(3)]
@@ -209,7 +209,7 @@
                 peer[1].write(enqueue(b"m%d" % n))
             await asyncio.sleep(0.05)
             late = await asyncio.open_connection(HOST, front.port)
-            assert await said(late, 1.0) == b"-BUSY 200\r\n"
+            assert await read_to_end(late, 1.0) == b"-BUSY 200\r\n"
             for peer in asking:
                 peer[1].transport.abort()
 
@@ -218,7 +218,7 @@
     run(main())
 
 
-def test_deadlines_are_bounded_by_the_class() -> None:
+def test_deadlines_are_limited_by_the_message_class() -> None:
     async def main() -> None:
         async def test(front: Clients) -> None:
             peer = await asyncio.open_connection(HOST, front.port)
@@ -237,28 +237,28 @@
 # The core
 
 
-def test_a_destination_that_does_not_exist_is_turned_away(tmp_path: Path) -> None:
-    """Taken on, a message for it could only be held until its time was up."""
+def test_a_message_to_an_unknown_destination_is_rejected(tmp_path: Path) -> None:
+    """If it were accepted, it could only be queued until its deadline."""
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY))
 
-    def hand_in(msg_id: str, dest: int = 7) -> object:
+    def submit_message(msg_id: str, dest: int = 7) -> object:
         bench.take(msg_id, dest=dest)
         bench.pass_time(0.01)
         return bench.answers[msg_id]
 
-    assert hand_in("a", 99) == End(Status.DEFERRED, 250)  # discovery has not spoken yet
-    assert hand_in("b") == Taken()
+    assert submit_message("a", 99) == End(Status.DEFERRED, 250)  # discovery has not answered yet
+    assert submit_message("b") == Taken()
     bench.sender.list_changed(bench.hops(Readiness.READY))
-    assert hand_in("c", 99) == End(Status.UNDELIVERABLE)
-    bench.sender.list_changed(bench.hops())  # all its endpoints left for a moment
-    assert hand_in("d") == Taken()
+    assert submit_message("c", 99) == End(Status.UNDELIVERABLE)
+    bench.sender.list_changed(bench.hops())  # all its endpoints left for a short time
+    assert submit_message("d") == Taken()
     bench.pass_time(601.0)
     bench.sender.list_changed(bench.hops())
-    assert hand_in("e") == End(Status.UNDELIVERABLE) and not bench.sender.listed
+    assert submit_message("e") == End(Status.UNDELIVERABLE) and not bench.sender.listed
 
 
-def test_another_message_under_an_id_in_use_is_not_the_same(tmp_path: Path) -> None:
+def test_a_different_message_with_an_id_in_use_is_rejected(tmp_path: Path) -> None:
     bench = Bench(tmp_path)
     bench.sender.start(bench.hops(Readiness.READY))
     for body, answer in ((b"one", Taken()), (b"one", Taken()), (b"two", End(Status.UNDELIVERABLE))):
@@ -270,7 +270,7 @@
 # AMQP
 
 
-def test_amqp_half_a_message_and_half_an_opening_end_in_time(tmp_path: Path) -> None:
+def test_amqp_incomplete_messages_and_openings_time_out(tmp_path: Path) -> None:
     async def main() -> None:
         async with World(tmp_path, "amqp") as world:
             silent = await asyncio.open_connection(HOST, world.port)
@@ -279,14 +279,14 @@
             client.task.cancel()
             client.writer.write(codec.method(1, "basic.publish", routing_key="7"))
             began = asyncio.get_running_loop().time()
-            beating = asyncio.create_task(beat(client.writer))  # no progress either
+            beating = asyncio.create_task(beat(client.writer))  # heartbeats are no progress
             method = codec.decode_method((await read_until(client.reader)).payload)
             assert method.name == "connection.close" and method.args["code"] == 501
             beating.cancel()
-            assert await said(silent, 3.0) is not None
+            assert await read_to_end(silent, 3.0) is not None
             assert asyncio.get_running_loop().time() - began < 3.2
             await world.client.close()
-            world.client = AmqpClient(world)  # the usual ones go on
+            world.client = AmqpClient(world)  # other clients are still served
             await world.client.connect()
             assert await world.client.take("m1") is None and await world.client.end("m1") == "delivered"
 
@@ -303,7 +303,7 @@
     run(main())
 
 
-def test_amqp_quiet_publishers_make_room(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_amqp_idle_publishers_are_displaced(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(amqp_clients, "_QUIET", 0.2)
 
     async def main() -> None:
@@ -313,12 +313,12 @@
             front.admission.bounds = replace(front.admission.bounds, most=2)
             unopened = await asyncio.open_connection(HOST, world.port)
             client = AmqpClient(world)
-            await client.connect()  # in the place of the one that has not opened
-            assert await said(unopened, 0.5) == b""
+            await client.connect()  # displaces the one that has not opened
+            assert await read_to_end(unopened, 0.5) == b""
             await asyncio.sleep(0.3)
             assert await client.take("m1") is None and await client.end("m1") == "delivered"
             late = AmqpClient(world)
-            await late.connect()  # in the place of the one that was quiet longest
+            await late.connect()  # displaces the one that was idle longest
             assert await late.take("m2") is None and await late.end("m2") == "delivered"
             assert len(front.admission) == 2
             await late.close()
