--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -1,7 +1,7 @@
-"""Where a client's bytes cross the end of its connection, on both fronts.
+"""A client sends while the sender closes its connection, on both fronts.
 
-The crossing is forced: within one turn of the loop the peer writes and the sender shuts, so the bytes lie
-unread in the sender's socket when it does.
+The race is forced: within one turn of the loop the client writes and the sender shuts its side, so the bytes
+are unread in the sender's socket at that moment.
 """
 
 from __future__ import annotations
@@ -41,23 +41,23 @@
         yield sock
 
 
-async def hears(sock: socket.socket) -> bytes:
-    """All that is said until the sender shuts its side; a reset is an error here."""
-    said, loop = b"", asyncio.get_running_loop()
+async def read_to_end(sock: socket.socket) -> bytes:
+    """All bytes until the sender shuts its side; a reset raises an error."""
+    received, loop = b"", asyncio.get_running_loop()
     async with asyncio.timeout(5):
         while data := await loop.sock_recv(sock, 65536):
-            said += data
-    return said
+            received += data
+    return received
 
 
 async def listening(
-    taken: list[Submission],
+    submitted: list[Submission],
     most: int = 50,
     faults: Faults | None = None,
     submit: Callable[[Submission], None] | None = None,
 ) -> Clients:
     registry = Registry(platform_settings(most), FaultyCalls(faults or Faults()))
-    front = Clients(submit or taken.append, ("note",), most, deadlines=[12.0], registry=registry)
+    front = Clients(submit or submitted.append, ("note",), most, deadlines=[12.0], registry=registry)
     await front.listen(HOST, 0)
     return front
 
@@ -67,110 +67,112 @@
     return connection
 
 
-def idle_close(front: Clients) -> None:
+def idle_timeout(front: Clients) -> None:
     connection = sole(front)
     connection.on_due(front.registry.now() + front.times.idle)
 
 
 def displaced(front: Clients) -> None:
     front.admission.bounds = replace(front.admission.bounds, most=1)
-    ClientConnection(front).connection_made(Transport())  # another one comes, for whom there is no place
+    ClientConnection(front).connection_made(Transport())  # a new connection beyond the limit
 
 
-ENDS: list[Callable[[Clients], None]] = [Clients.close_idle, idle_close, displaced]
-CROSSING = {
+CLOSES: list[Callable[[Clients], None]] = [Clients.close_idle, idle_timeout, displaced]
+LATE_BYTES = {
     "whole": enqueue(b"crossing"),
     "half": enqueue(b"crossing")[:30],
     "pipelined": b"".join(enqueue(b"c%d" % n, body=b"x" * 2000) for n in range(90)),
 }
 
 
-@pytest.mark.parametrize("crossing", CROSSING)
-@pytest.mark.parametrize("ends", ENDS)
-def test_what_comes_as_a_resting_connection_is_shut(ends: Callable[[Clients], None], crossing: str) -> None:
-    """The client hears its last answer and the end, no reset; what crossed is not read: it sends it again."""
+@pytest.mark.parametrize("late", LATE_BYTES)
+@pytest.mark.parametrize("close", CLOSES)
+def test_requests_that_arrive_as_an_idle_connection_is_shut_are_not_read(
+    close: Callable[[Clients], None], late: str
+) -> None:
+    """The client gets its last answer and EOF, not a reset, and can safely send the later request again."""
 
     async def main() -> None:
-        taken, faults = list[Submission](), Faults()
-        front = await listening(taken, faults=faults)
+        submitted, faults = list[Submission](), Faults()
+        front = await listening(submitted, faults=faults)
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
-            await until(lambda: taken)
-            taken[0].answer(Taken())
-            sock.send(CROSSING[crossing])  # in the turn of the close: it lies there unread
-            ends(front)
-            assert await hears(sock) == b"+OK\r\n"
+            await until(lambda: submitted)
+            submitted[0].answer(Taken())
+            sock.send(LATE_BYTES[late])  # in the turn of the close, so that it stays unread
+            close(front)
+            assert await read_to_end(sock) == b"+OK\r\n"
             sock.send(PING)
             sock.shutdown(socket.SHUT_WR)
             await until(lambda: not front.registry.open)
-        assert [one.id for one in taken] == ["first"] and faults.moved["read"] == len(enqueue(b"first"))
+        assert [one.id for one in submitted] == ["first"] and faults.moved["read"] == len(enqueue(b"first"))
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_a_client_that_ends_behind_bytes_that_stay_unread_is_let_go_at_once() -> None:
-    """Its end lies behind a request that nobody reads: it is looked for."""
+def test_eof_behind_unread_bytes_is_detected_and_closes_the_connection() -> None:
+    """The unread request hides the EOF from epoll, so it is polled for."""
 
     async def main() -> None:
-        taken = list[Submission]()
-        front = await listening(taken)
+        submitted = list[Submission]()
+        front = await listening(submitted)
         with peer(front) as sock:
             sock.send(PING)
             await until(lambda: len(front.admission) and sole(front).command_received)
             front.close_idle()
-            sole(front)._close_by = float("inf")  # it would wait for ever
+            sole(front)._close_by = float("inf")  # without a deadline only the EOF can close it
             sock.send(enqueue(b"crossing"))
-            assert await hears(sock) == b"+PONG\r\n"
+            assert await read_to_end(sock) == b"+PONG\r\n"
             sock.close()
             await until(lambda: not front.registry.open)
-        assert not taken
+        assert not submitted
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_a_lame_duck_shuts_behind_its_answer() -> None:
+def test_a_lame_duck_shuts_its_side_after_the_last_answer() -> None:
     async def main() -> None:
-        taken = list[Submission]()
-        front = await listening(taken)
+        submitted = list[Submission]()
+        front = await listening(submitted)
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
-            await until(lambda: taken)
+            await until(lambda: submitted)
             front.closing_after_answers = True
             sock.send(enqueue(b"crossing"))
-            taken[0].answer(Taken())
-            assert await hears(sock) == b"+OK\r\n"
-        assert [one.id for one in taken] == ["first"]
+            submitted[0].answer(Taken())
+            assert await read_to_end(sock) == b"+OK\r\n"
+        assert [one.id for one in submitted] == ["first"]
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_what_comes_while_an_answer_is_owed_waits_for_nothing() -> None:
-    """Told to go with a request unanswered: that answer leaves, later requests are not read."""
+def test_requests_after_the_close_are_not_read_while_an_answer_is_owed() -> None:
+    """Closed with one request unanswered: that answer is sent, later requests are not read."""
 
     async def main() -> None:
-        taken, faults = list[Submission](), Faults()
-        front = await listening(taken, faults=faults)
+        submitted, faults = list[Submission](), Faults()
+        front = await listening(submitted, faults=faults)
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
-            await until(lambda: taken)
+            await until(lambda: submitted)
             front.close_idle()
             connection, loop = sole(front), asyncio.get_running_loop()
             late = b"".join(enqueue(b"late", body=b"x" * 60_000) for _ in range(40))
             sending = loop.create_task(loop.sock_sendall(sock, late))
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert not connection._parser  # nothing of it is kept
-            taken[0].answer(Taken())
-            assert await hears(sock) == b"+OK\r\n"
+            assert not connection._parser  # none of it is buffered
+            submitted[0].answer(Taken())
+            assert await read_to_end(sock) == b"+OK\r\n"
             sending.cancel()
             await asyncio.gather(sending, return_exceptions=True)
-        assert [one.id for one in taken] == ["first"] and front.registry.partial_bytes.total == 0
+        assert [one.id for one in submitted] == ["first"] and front.registry.partial_bytes.total == 0
         assert faults.moved["read"] == len(enqueue(b"first"))
         front.stop_listening()
         front.registry.close()
@@ -178,23 +180,23 @@
     run(main())
 
 
-def test_an_answer_owed_before_bad_bytes_reaches_a_client_that_has_shut_its_side() -> None:
+def test_an_answer_owed_before_invalid_bytes_reaches_a_half_closed_client() -> None:
     async def main() -> None:
-        taken = list[Submission]()
-        front = await listening(taken)
+        submitted = list[Submission]()
+        front = await listening(submitted)
         with peer(front) as sock:
             sock.send(enqueue(b"first") + b"junk\r\n")
             sock.shutdown(socket.SHUT_WR)
-            await until(lambda: taken and sole(front).eof_seen)
-            taken[0].answer(Taken())
-            assert await hears(sock) == b"+OK\r\n-ERR Protocol error: expected '*'\r\n"
+            await until(lambda: submitted and sole(front).eof_seen)
+            submitted[0].answer(Taken())
+            assert await read_to_end(sock) == b"+OK\r\n-ERR Protocol error: expected '*'\r\n"
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_a_client_that_sends_for_ever_is_let_go_in_time() -> None:
+def test_a_client_that_keeps_sending_is_closed_in_time() -> None:
     async def main() -> None:
         front = await listening([])
         with peer(front) as sock:
@@ -213,17 +215,17 @@
     run(main())
 
 
-def test_a_flood_that_is_turned_away_hears_why_and_holds_few_descriptors() -> None:
-    """Each sends before it hears that there is no place: the word reaches it all the same."""
+def test_a_rejected_flood_gets_busy_and_uses_few_descriptors() -> None:
+    """Each client has sent a request before it is rejected; the answer must reach it nonetheless."""
 
     async def main() -> None:
-        taken = list[Submission]()
-        front = await listening(taken, most=4)
+        submitted = list[Submission]()
+        front = await listening(submitted, most=4)
         socks = []
-        for number in range(4):  # these ask and are owed: none of them may go
+        for number in range(4):  # busy connections, which must not be evicted
             socks.append(sock := socket.create_connection((HOST, front.port)))
             sock.sendall(enqueue(b"m%d" % number))
-        await until(lambda: len(taken) == 4)
+        await until(lambda: len(submitted) == 4)
         most, flood = 0, list[socket.socket]()
         for number in range(200):
             flood.append(sock := socket.create_connection((HOST, front.port)))
@@ -232,8 +234,8 @@
             await asyncio.sleep(0)
             most = max(most, front.registry.open)
         for sock in flood:
-            assert (await hears(sock)).startswith(b"-BUSY")
-        assert most <= 4 + MAX_LINGERING + 8 and len(taken) == 4  # 8: accepted in one turn
+            assert (await read_to_end(sock)).startswith(b"-BUSY")
+        assert most <= 4 + MAX_LINGERING + 8 and len(submitted) == 4  # 8: accepted in one turn
         for sock in [*flood, *socks]:
             sock.close()
         front.stop_listening()
@@ -246,123 +248,123 @@
     front.closing_after_answers = True
 
 
-async def hears_all(sock: socket.socket, taken: list[Submission]) -> bytes:
-    """All that is said until the sender shuts its side, as each request that is handed in is taken on."""
-    hearing, answered = asyncio.ensure_future(hears(sock)), 0
-    while not hearing.done():
-        for one in taken[answered:]:
+async def accept_all_and_read(sock: socket.socket, submitted: list[Submission]) -> bytes:
+    """All bytes until the sender shuts its side, while each submitted message is accepted."""
+    reading, answered = asyncio.ensure_future(read_to_end(sock)), 0
+    while not reading.done():
+        for one in submitted[answered:]:
             one.answer(Taken())
             answered += 1
         await asyncio.sleep(0)
-    return hearing.result()
+    return reading.result()
 
 
-BUSY_ENDS = [Clients.close_idle, lame_duck]
+BUSY_CLOSES = [Clients.close_idle, lame_duck]
 
 
-@pytest.mark.parametrize("ends", BUSY_ENDS)
-def test_requests_that_were_read_and_wait_for_their_turn_are_answered(
-    ends: Callable[[Clients], None],
+@pytest.mark.parametrize("close", BUSY_CLOSES)
+def test_buffered_requests_are_answered_when_the_connection_is_closed(
+    close: Callable[[Clients], None],
 ) -> None:
-    """More than may wait for an answer came in one read: those behind them are turned back, in their turn."""
+    """One read contained more requests than may be open: the others are rejected after the answers."""
 
     async def main() -> None:
-        taken = list[Submission]()
-        front = await listening(taken)
+        submitted = list[Submission]()
+        front = await listening(submitted)
         with peer(front) as sock:
             sock.send(b"".join(enqueue(b"m%d" % n) for n in range(100)))
-            await until(lambda: len(taken) == 64)
-            ends(front)
-            said = await hears_all(sock, taken)
-        assert said == b"+OK\r\n" * len(taken) + b"-BUSY\r\n" * (100 - len(taken))
-        assert len(taken) == 64 or ends is lame_duck
+            await until(lambda: len(submitted) == 64)
+            close(front)
+            received = await accept_all_and_read(sock, submitted)
+        assert received == b"+OK\r\n" * len(submitted) + b"-BUSY\r\n" * (100 - len(submitted))
+        assert len(submitted) == 64 or close is lame_duck
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-@pytest.mark.parametrize("ends", BUSY_ENDS)
+@pytest.mark.parametrize("close", BUSY_CLOSES)
 @pytest.mark.parametrize("what", ["PING", "ENQUEUE"])
-def test_an_end_while_a_read_is_gone_through_answers_all_of_it(
-    ends: Callable[[Clients], None], what: str
+def test_a_close_between_two_commands_of_one_read_answers_all_of_them(
+    close: Callable[[Clients], None], what: str
 ) -> None:
-    """It falls between two commands of one read, answered at once (PING) or later."""
+    """The following commands are answered at once (PING) or later (ENQUEUE)."""
 
     async def main() -> None:
-        taken = list[Submission]()
+        submitted = list[Submission]()
 
         def submit(one: Submission) -> None:
-            taken.append(one)
-            if len(taken) == 3:
-                ends(front)
+            submitted.append(one)
+            if len(submitted) == 3:
+                close(front)
 
-        front = await listening(taken, submit=submit)
+        front = await listening(submitted, submit=submit)
         with peer(front) as sock:
             pings = PING * 40 if what == "PING" else b"".join(enqueue(b"l%d" % n) for n in range(40))
             sock.send(b"".join(enqueue(b"m%d" % n) for n in range(3)) + pings)
-            said = await hears_all(sock, taken)
-        answers = said.split(b"\r\n")[:-1]
+            received = await accept_all_and_read(sock, submitted)
+        answers = received.split(b"\r\n")[:-1]
         assert len(answers) == 43 and answers[:3] == [b"+OK"] * 3
-        assert ends is lame_duck or set(answers[3:]) == {b"-BUSY"}
+        assert close is lame_duck or set(answers[3:]) == {b"-BUSY"}
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_too_much_of_a_half_command_leaves_the_answers_before_it() -> None:
+def test_an_oversized_incomplete_command_does_not_lose_earlier_answers() -> None:
     async def main() -> None:
-        taken = list[Submission]()
-        front = await listening(taken)
+        submitted = list[Submission]()
+        front = await listening(submitted)
         front.registry.partial_bytes.limit = 20_000
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
-            await until(lambda: taken)
+            await until(lambda: submitted)
             sock.send(enqueue(b"second", body=b"x" * 60_000)[:30_000])
             await until(lambda: front.counts["clients", "buffers"])
-            taken[0].answer(Taken())
-            assert (await hears(sock)).startswith(b"+OK\r\n-ERR Protocol error")
+            submitted[0].answer(Taken())
+            assert (await read_to_end(sock)).startswith(b"+OK\r\n-ERR Protocol error")
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_a_fault_in_one_request_costs_no_other_its_answer() -> None:
+def test_an_exception_in_one_request_does_not_affect_other_answers() -> None:
     async def main() -> None:
-        taken = list[Submission]()
+        submitted = list[Submission]()
 
         def submit(one: Submission) -> None:
             if one.id == "m1":
                 raise RuntimeError("a fault")
-            taken.append(one)
+            submitted.append(one)
 
-        front = await listening(taken, submit=submit)
+        front = await listening(submitted, submit=submit)
         with peer(front) as sock:
             sock.send(b"".join(enqueue(b"m%d" % n) for n in range(3)))
-            await until(lambda: len(taken) == 2)
-            for one in taken:
+            await until(lambda: len(submitted) == 2)
+            for one in submitted:
                 one.answer(Taken())
-            said = await asyncio.get_running_loop().sock_recv(sock, 100)
-            assert said == b"+OK\r\n-ERR not carried out\r\n+OK\r\n"
+            received = await asyncio.get_running_loop().sock_recv(sock, 100)
+            assert received == b"+OK\r\n-ERR not carried out\r\n+OK\r\n"
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_a_flood_of_pipelined_requests_is_turned_away_one_by_one() -> None:
-    """Past the spare descriptors a connection is closed at once: all that lies there is read and answered."""
+def test_each_pipelined_request_of_a_rejected_flood_is_answered() -> None:
+    """When no descriptor is free for lingering, a connection is closed at once, with all it sent answered."""
 
     async def main() -> None:
-        taken, faults = list[Submission](), Faults()
-        front = await listening(taken, most=4, faults=faults)
+        submitted, faults = list[Submission](), Faults()
+        front = await listening(submitted, most=4, faults=faults)
         socks = []
         for number in range(4):
             socks.append(sock := socket.create_connection((HOST, front.port)))
             sock.sendall(enqueue(b"m%d" % number))
-        await until(lambda: len(taken) == 4)
+        await until(lambda: len(submitted) == 4)
         flood, one = list[socket.socket](), enqueue(b"f")
         for _ in range(60):
             flood.append(sock := socket.create_connection((HOST, front.port)))
@@ -370,11 +372,11 @@
             sock.send(one * 3)
         before, answers = faults.moved["read"], 0
         for sock in flood:
-            said = await hears(sock)
-            assert said.startswith(b"-BUSY 200\r\n") and said.count(b"\r\n") in (1, 3)
-            answers += said.count(b"\r\n")
+            received = await read_to_end(sock)
+            assert received.startswith(b"-BUSY 200\r\n") and received.count(b"\r\n") in (1, 3)
+            answers += received.count(b"\r\n")
         assert before <= faults.moved["read"] <= answers * len(one) + 4 * len(enqueue(b"m0"))
-        assert answers > 60 and len(taken) == 4
+        assert answers > 60 and len(submitted) == 4
         for sock in [*flood, *socks]:
             sock.close()
         front.stop_listening()
@@ -383,53 +385,55 @@
     run(main())
 
 
-def test_bad_bytes_with_no_descriptor_to_spare_do_not_reset_the_answers_before_them() -> None:
+def test_invalid_bytes_without_spare_descriptors_do_not_reset_earlier_answers() -> None:
     async def main() -> None:
-        taken, faults = list[Submission](), Faults()
-        front = await listening(taken, faults=faults)
+        submitted, faults = list[Submission](), Faults()
+        front = await listening(submitted, faults=faults)
         with peer(front) as sock:
             sock.send(enqueue(b"first"))
-            await until(lambda: taken)
+            await until(lambda: submitted)
             sock.send(b"junk\r\n")
             await until(lambda: sole(front).closing)
             front.registry.settings = replace(front.registry.settings, most=-MAX_LINGERING)  # none may linger
-            sock.send(b"junk\r\n" * 5000)  # it lies there unread in the turn of the close
-            taken[0].answer(Taken())
-            assert await hears(sock) == b"+OK\r\n-ERR Protocol error: expected '*'\r\n"
-        assert faults.moved["read"] == len(enqueue(b"first") + b"junk\r\n" * 5001), "nothing is left to reset"
+            sock.send(b"junk\r\n" * 5000)  # unread in the turn of the close
+            submitted[0].answer(Taken())
+            assert await read_to_end(sock) == b"+OK\r\n-ERR Protocol error: expected '*'\r\n"
+        assert faults.moved["read"] == len(enqueue(b"first") + b"junk\r\n" * 5001), (
+            "no byte is left unread, which would cause a reset"
+        )
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_without_a_descriptor_each_request_that_is_read_hears_busy() -> None:
+def test_without_descriptors_each_request_that_is_read_gets_busy() -> None:
     async def main() -> None:
-        taken, faults = list[Submission](), Faults()
-        front = await listening(taken, faults=faults)
-        faults.fail("accept", errno.EMFILE)  # the one that is kept back is left
+        submitted, faults = list[Submission](), Faults()
+        front = await listening(submitted, faults=faults)
+        faults.fail("accept", errno.EMFILE)  # only the reserved descriptor is left
         with peer(front) as sock:
             sock.send(enqueue(b"a") * 3)
-            said = await hears(sock)  # and no reset
-            assert said.count(b"-BUSY ") == said.count(b"\r\n") == 3
-        assert not taken
+            received = await read_to_end(sock)  # and no reset
+            assert received.count(b"-BUSY ") == received.count(b"\r\n") == 3
+        assert not submitted
         front.stop_listening()
         front.registry.close()
 
     run(main())
 
 
-def test_bad_clients_beside_good_ones_cost_them_no_answer() -> None:
-    """Junk, halves, silence, resets and floods, with few places, up to the shutdown."""
+def test_misbehaving_clients_do_not_cost_others_their_answers() -> None:
+    """Invalid bytes, incomplete commands, silence, resets and floods at a low limit, up to the shutdown."""
 
     async def main() -> None:
-        taken = list[Submission]()
-        front = await listening(taken, most=8)
+        submitted = list[Submission]()
+        front = await listening(submitted, most=8)
         good = [socket.create_connection((HOST, front.port)) for _ in range(4)]
         for number, sock in enumerate(good):
             sock.setblocking(False)
             sock.send(b"".join(enqueue(b"g%d-%d" % (number, n)) for n in range(10)))
-        await until(lambda: len(taken) == 40)
+        await until(lambda: len(submitted) == 40)
         bad = list[socket.socket]()
         for number in range(80):
             bad.append(sock := socket.create_connection((HOST, front.port)))
@@ -440,10 +444,10 @@
                 reset(sock)
             await asyncio.sleep(0)
         front.close_idle()
-        for one in taken:
+        for one in submitted:
             one.answer(Taken())
         for sock in good:
-            assert await hears(sock) == b"+OK\r\n" * 10
+            assert await read_to_end(sock) == b"+OK\r\n" * 10
         for sock in [*good, *bad]:
             sock.close()
         front.stop_listening()
@@ -453,22 +457,22 @@
 
 
 REQUESTS = [enqueue(b"m%d" % n) if n % 4 else PING for n in range(1000)]
-STREAM, WHOLE = b"".join(REQUESTS), list(accumulate(map(len, REQUESTS)))
+STREAM, REQUEST_ENDS = b"".join(REQUESTS), list(accumulate(map(len, REQUESTS)))
 STEPS = st.tuples(
     st.sampled_from(["bytes", "bytes", "bytes", "answer", "turn", "choke", "flow"]), st.integers(1, 2000)
 )
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
-@given(st.lists(STEPS, max_size=20), st.sampled_from(BUSY_ENDS), st.booleans())
-def test_each_request_that_was_read_is_answered_wherever_the_end_comes(
-    steps: list[tuple[str, int]], ends: Callable[[Clients], None], half_closed: bool
+@given(st.lists(STEPS, max_size=20), st.sampled_from(BUSY_CLOSES), st.booleans())
+def test_each_request_that_was_read_is_answered_whenever_the_connection_closes(
+    steps: list[tuple[str, int]], close: Callable[[Clients], None], half_closed: bool
 ) -> None:
-    """Requests cut at any byte, answers, back-pressure and the end in any order."""
+    """Requests split at any byte, answers, back-pressure and the close in any order."""
 
     async def main() -> None:
-        taken = list[Submission]()
-        front, transport = Clients(taken.append, ("note",), 9), Transport()
+        submitted = list[Submission]()
+        front, transport = Clients(submitted.append, ("note",), 9), Transport()
         connection = ClientConnection(front)
         connection.connection_made(transport)
         fed = answered = 0
@@ -481,8 +485,8 @@
             if step == "bytes" and transport.reading:
                 receive(connection, STREAM[fed : fed + amount])
                 fed += amount
-            elif step == "answer" and answered < len(taken):
-                taken[answered].answer(Taken())
+            elif step == "answer" and answered < len(submitted):
+                submitted[answered].answer(Taken())
                 answered += 1
             elif step == "turn":
                 turn()
@@ -490,14 +494,14 @@
                 connection.pause_writing()
             elif step == "flow":
                 connection.resume_writing()
-        asked = bisect_right(WHOLE, fed)
-        ends(front)
+        asked = bisect_right(REQUEST_ENDS, fed)
+        close(front)
         if half_closed and transport.reading:
             connection.eof_received()
         connection.resume_writing()
         turn()
-        while answered < len(taken):
-            taken[answered].answer(Taken())
+        while answered < len(submitted):
+            submitted[answered].answer(Taken())
             answered += 1
             turn()
         assert bytes(transport.written).count(b"\r\n") == asked
@@ -505,8 +509,8 @@
     asyncio.run(main())
 
 
-def test_amqp_what_comes_behind_a_close_is_passed_over_and_resets_nothing(tmp_path: Path) -> None:
-    """A publish behind `connection.close` is not taken on; more than one read of it lies there at the end."""
+def test_amqp_bytes_after_a_close_are_ignored_without_a_reset(tmp_path: Path) -> None:
+    """A publish after `connection.close` is not accepted, even if several reads of it are pending."""
 
     async def main() -> None:
         async with World(tmp_path, "amqp") as world:
@@ -521,7 +525,7 @@
             frame = await read_frame(client.reader)
             while codec.decode_method(frame.payload).name != "connection.close-ok":
                 frame = await read_frame(client.reader)
-            assert await client.reader.read() == b""  # the end, and no reset
+            assert await client.reader.read() == b""  # EOF, not a reset
             client.writer.close()
             assert "late" not in world.runtime.journal.live and "late" not in world.runtime.journal.ends
             assert not world.calls
