--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -48,10 +48,10 @@
     async def listen(self, host: str, port: int) -> None:
         """Accept clients from now on."""
 
-        def rejections(received: bytes) -> bytes:
+        def reject_answer(received: bytes) -> bytes:
             return b"-BUSY %d\r\n" % self.retry_delay_ms() * max(1, count_commands(received))
 
-        self.listen_with(lambda: ClientConnection(self), rejections, host, port)
+        self.listen_with(lambda: ClientConnection(self), reject_answer, host, port)
 
     def busy_answer(self) -> bytes:
         return b"-BUSY %d\r\n" % self.retry_delay_ms() if self.registry.sheds_load else b"-BUSY\r\n"
--- a/mountgauge/connections/acceptor.py
+++ b/mountgauge/connections/acceptor.py
@@ -35,11 +35,11 @@
         registry: Registry,
         make: Callable[[], asyncio.BufferedProtocol],
         times: Times,
-        full: Callable[[bytes], bytes],
+        reject_answer: Callable[[bytes], bytes],
         counts: Counter[tuple[str, str]],
     ) -> None:
         self._registry, self._make, self._times = registry, make, times
-        self._full, self._counts = full, counts
+        self._reject_answer, self._counts = reject_answer, counts
         self._loop = asyncio.get_running_loop()
         self._sock: socket.socket | None = None
         self._reserve_fd = -1
@@ -68,7 +68,7 @@
         return self.port
 
     def close(self) -> None:
-        """Close the listening socket and give up the reserved descriptor."""
+        """Close the listening socket and the reserved descriptor."""
         if self._sock is not None:
             self._loop.remove_reader(self._sock.fileno())
             self._sock.close()
@@ -131,7 +131,7 @@
         with contextlib.suppress(OSError):
             received = sock.recv(_MAX_READ_BYTES)
         with contextlib.suppress(OSError):
-            sock.send(self._full(received))
+            sock.send(self._reject_answer(received))
 
     def _resume(self) -> None:
         self._pause = None
--- a/mountgauge/connections/admission.py
+++ b/mountgauge/connections/admission.py
@@ -96,7 +96,11 @@
         return Rejection.ALL if self.shared.open >= self.shared.limit else None
 
     def eviction_candidate(self, now: float) -> T | None:
-        """The connection to evict for a new one; None if none may be evicted."""
+        """The connection to evict for a new one; None if none may be evicted.
+
+        First a leaving or a silent connection past the grace period, then an idle one by rank, then a leaving
+        or a silent one within the grace period.
+        """
         if not self.bounds.displace:
             return None
         leaving = next(iter(self._by_activity[Activity.LEAVING]), None)
--- a/mountgauge/connections/connection.py
+++ b/mountgauge/connections/connection.py
@@ -28,7 +28,7 @@
 
     PAUSED = 0
     ON = 1
-    END_ONLY = 2  # nothing is read; the peer's EOF is still detected, unless unread bytes precede it
+    EOF_ONLY = 2  # nothing is read; the peer's EOF is still detected, unless unread bytes precede it
 
 
 class TransportOwner(Protocol):
@@ -83,7 +83,7 @@
 
     def stop_reading(self) -> None:
         """Leave further bytes unread, so that the peer can tell that they were not processed."""
-        self._reading = Reading.END_ONLY
+        self._reading = Reading.EOF_ONLY
         self._update_events()
 
     @property
@@ -167,7 +167,7 @@
         protocol = self._protocol
         if protocol is None:
             return
-        if self._reading is Reading.END_ONLY:
+        if self._reading is Reading.EOF_ONLY:
             self._check_for_eof(protocol)
             return
         buffer = protocol.get_buffer(-1)
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -46,13 +46,13 @@
         registry.rebuilders.append(self.admission.rebuild)
 
     def listen_with(
-        self, make: Callable[[], C], full: Callable[[bytes], bytes], host: str, port: int
+        self, make: Callable[[], C], reject_answer: Callable[[bytes], bytes], host: str, port: int
     ) -> None:
-        """Start accepting. `make` creates a connection's protocol; `full` returns the answer to the bytes
-        received on a connection that is rejected for lack of descriptors.
+        """Start accepting. `make` creates a connection's protocol; `reject_answer` returns the answer
+        to the bytes received on a connection that is rejected for lack of descriptors.
         """
         maker: Any = make  # connections are asyncio protocols, which a typing.Protocol can't express
-        self._acceptor = Acceptor(self.registry, maker, self.times, full, self.counts)
+        self._acceptor = Acceptor(self.registry, maker, self.times, reject_answer, self.counts)
         self.port = self._acceptor.listen(host, port, self.inherited)
 
     def stop_listening(self) -> None:
--- a/mountgauge/connections/registry.py
+++ b/mountgauge/connections/registry.py
@@ -61,9 +61,7 @@
         self.scheduler = Scheduler[Registered]()
         self.overload, self.retry_spread = OverloadDetector(settings.patience), RetrySpread()
         self.partial_bytes = ByteBudget[Registered](settings.buffers)  # of incomplete commands
-        self.unread_bytes = ByteBudget[ConnectionTransport](
-            settings.buffers
-        )  # of answers that clients have not read
+        self.unread_bytes = ByteBudget[ConnectionTransport](settings.buffers)  # of unread answers
         self.counts: Counter[tuple[str, str]] = Counter()
         self._transports: dict[int, ConnectionTransport] = {}
         self._finished: dict[ConnectionTransport, None] = {}
@@ -77,6 +75,7 @@
 
     @property
     def open(self) -> int:
+        """How many connections are open."""
         return len(self._transports)
 
     @property
--- a/mountgauge/connections/scheduler.py
+++ b/mountgauge/connections/scheduler.py
@@ -73,10 +73,12 @@
         self._second, self._count, self._last = 0, 0, 0
 
     def add(self, now: float) -> None:
+        """Count one event."""
         self._move(int(now))
         self._count += 1
 
     def per_s(self, now: float) -> int:
+        """The present rate."""
         self._move(int(now))
         return max(self._count, self._last)
 
@@ -122,9 +124,11 @@
         return self._steady < 0
 
     def count_served(self, now: float) -> None:
+        """Count a message that was accepted or delivered, for the measured rate."""
         self._served.add(now)
 
     def count_rejected(self, now: float) -> None:
+        """Count a rejection, for the number of clients that will retry."""
         self._rejected.add(now)
 
     def next_delay_ms(self, spread: RetrySpread, now: float) -> int:
--- a/mountgauge/connections/timer_wheel.py
+++ b/mountgauge/connections/timer_wheel.py
@@ -10,7 +10,7 @@
 import math
 from typing import Generic, Protocol, TypeVar
 
-INFINITE = math.inf
+INFINITE = math.inf  # no deadline, or no limit
 _NOT_ARMED = -1
 
 
