--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -13,7 +13,7 @@
 from mountgauge.amqp.connection import AmqpConnection, PublisherFront, Waiter
 from mountgauge.connections.admission import Bounds
 from mountgauge.connections.registry import Registry
-from mountgauge.connections.scheduler import GOLDEN
+from mountgauge.connections.scheduler import GOLDEN_RATIO_STEP
 from mountgauge.connections.settings import default_settings
 from mountgauge.core.ports import Accepted, Answer, MessageOutcome, Status, Submission
 from rillspindle.interface import MessageClass
@@ -41,7 +41,7 @@
         registry = registry or Registry(default_settings(most, most))
         settings = registry.settings
         bounds = Bounds(
-            min(most, settings.most_amqp), settings.most_per_user, settings.displace, quiet_s=_QUIET
+            min(most, settings.most_amqp), settings.most_per_user, settings.displace, min_idle_s=_QUIET
         )
         super().__init__(registry, bounds, settings.amqp)
         self._submit, self._names, self._grades = submit, names, grades
@@ -54,14 +54,14 @@
 
     def phase(self) -> float:
         """Of heartbeats: spread evenly, whoever connects when."""
-        self._phase = (self._phase + GOLDEN) % 1.0
+        self._phase = (self._phase + GOLDEN_RATIO_STEP) % 1.0
         return self._phase
 
     def close_idle(self) -> None:
-        self.close_each(lambda connection: connection.end() if connection.answered else None)
+        self.close_in_batches(lambda connection: connection.end() if connection.answered else None)
 
     def close(self) -> None:
-        self.close_each(AmqpConnection.end)
+        self.close_in_batches(AmqpConnection.end)
 
     # Messages
 
@@ -78,16 +78,16 @@
 
     def pressed(self, connection: AmqpConnection) -> bool:
         """More want to be heard than can be: answered at once, as the core could not do in time."""
-        if not self.registry.overload.pressed(self.registry.now(), connection.woken):
+        if not self.registry.overload.should_reject(self.registry.now(), connection.woken):
             return False
         self.counts["clients", "crowded"] += 1
         return True
 
     def _spread(self, end: MessageOutcome) -> MessageOutcome:
         """No room: nobody said when there will be."""
-        if end.status is not Status.DEFERRED or end.retry_after_ms > 0 or not self.registry.sheds:
+        if end.status is not Status.DEFERRED or end.retry_after_ms > 0 or not self.registry.sheds_load:
             return end
-        return MessageOutcome(Status.DEFERRED, self.come_again())
+        return MessageOutcome(Status.DEFERRED, self.retry_delay_ms())
 
     def _submission(self, waiter: Waiter) -> Submission:
         properties: dict[str, Any] = waiter.content.properties
@@ -114,7 +114,7 @@
         def answer(what: Answer) -> None:
             if isinstance(what, Accepted):
                 self._waiters.setdefault(msg_id, []).append(waiter)
-                self.registry.overload.served(self.registry.now())
+                self.registry.overload.count_served(self.registry.now())
             else:
                 waiter.connection.settle(waiter, self._spread(what))
 
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -16,7 +16,7 @@
 from mountgauge.amqp.link import FRAME_MAX, RECEIVE, Link, State
 from mountgauge.connections.admission import Activity
 from mountgauge.connections.front import Front
-from mountgauge.connections.scheduler import RESTED
+from mountgauge.connections.scheduler import WOKEN_AFTER_S
 from mountgauge.core.ports import MessageOutcome, Status
 
 _CHANNELS = 16  # each may hold a body under way, so this bounds memory
@@ -71,7 +71,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         self.opened_by = self._front.registry.now() + self._front.times.handshake
-        self._front.joined(self)
+        self._front.add_connection(self)
 
     # Deadlines: the wheel has one for each connection
 
@@ -125,7 +125,7 @@
     def wait_turn(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
-        self._front.registry.wait(self)
+        self._front.registry.queue_turn(self)
 
     def _keep(self) -> None:
         """Half a message holds memory and a place: judged by the whole, as bytes may trickle for ever."""
@@ -139,20 +139,20 @@
                 self.arm(self.deadline)
         else:
             self._half_by = math.inf
-        self._front.holds(self, self.held if self.halfway else 0)
+        self._front.set_partial_bytes(self, self.held if self.halfway else 0)
 
     def on_lost(self) -> None:
         for channel in self._channels.values():
             channel.open = False
-        self._front.left(self)
+        self._front.remove_connection(self)
 
     def displace(self) -> None:
         self.abort()
 
-    def give_up_half(self) -> None:
+    def abandon_partial(self) -> None:
         self.abort()
 
-    def turn_away(self, again_ms: int) -> None:
+    def reject(self, again_ms: int) -> None:
         self.abort()
 
     def on_header(self, head: bytes) -> None:
@@ -244,7 +244,7 @@
                 raise AmqpError(530, "NOT_ALLOWED - no such virtual host", True, 10, 40)
             self.state = State.READY
             self.opened_by = math.inf
-            self._front.set_activity(self, Activity.RESTING)
+            self._front.set_activity(self, Activity.IDLE)
             self.arm(self.deadline)
             self.send_method(0, "connection.open-ok")
         else:
@@ -311,9 +311,9 @@
         found.tag += 1
         front = self._front
         if not self.unsettled:
-            self.woken = front.registry.now() - self.since >= RESTED
-        if front.registry.sheds and front.pressed(self):
-            self._tell(found, found.tag, content, MessageOutcome(Status.DEFERRED, front.come_again()))
+            self.woken = front.registry.now() - self.since >= WOKEN_AFTER_S
+        if front.registry.sheds_load and front.pressed(self):
+            self._tell(found, found.tag, content, MessageOutcome(Status.DEFERRED, front.retry_delay_ms()))
             return
         if not self.unsettled:
             front.set_activity(self, Activity.BUSY)
@@ -323,7 +323,7 @@
     def settle(self, waiter: Waiter, end: MessageOutcome, text: str = "") -> None:
         self.unsettled -= 1
         if not self.unsettled and self.state is State.READY:
-            self._front.set_activity(self, Activity.RESTING)
+            self._front.set_activity(self, Activity.IDLE)
             self.arm(self.deadline)
         self._tell(waiter.channel, waiter.tag, waiter.content, end, text)
 
--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from resource import RLIM_INFINITY
 
-from mountgauge.connections.descriptors import SPARE, limits, raise_soft
+from mountgauge.connections.descriptors import RESERVED_DESCRIPTORS, limits, raise_soft
 from mountgauge.core.config import Address, ConfigError
 from mountgauge.log import kv
 from mountgauge.operator_file import Otlp, read_otlp
@@ -107,7 +107,7 @@
 
 def descriptor_shortfall(file: RelayFile) -> str | None:
     """Return one line on how to resolve a hard limit of descriptors that is too low, else None."""
-    needed, hard = file.limits.connections + SPARE, limits()[1]
+    needed, hard = file.limits.connections + RESERVED_DESCRIPTORS, limits()[1]
     if hard == RLIM_INFINITY or needed <= hard:
         return None
     return (
@@ -118,7 +118,7 @@
 
 def raise_descriptors(file: RelayFile) -> None:
     """Raise the soft limit of descriptors to what the configured connections need, up to the hard limit."""
-    wanted = file.limits.connections + SPARE
+    wanted = file.limits.connections + RESERVED_DESCRIPTORS
     if (had := raise_soft(wanted)) < wanted:
         log.warning("descriptors", extra=kv(wanted=wanted, had=had))
 
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -197,7 +197,7 @@
         self.sender.on_wait = self.handover.share_waits
         await self.handover.begin()
         if self.service is not None:
-            self.service.look()
+            self.service.reload_detached()
         for listener, address in self.listeners:
             await listener.listen(address.host, address.port)
         self.accepting = True
@@ -213,7 +213,7 @@
         """The periodic check for journals, waits and commands that other processes left in the folder."""
         self.handover.check_others()
         if self.service is not None:
-            self.service.look()
+            self.service.reload_detached()
 
     async def stop(self) -> None:
         """Serve through the hand-over, then close the clients, finish calls in flight, leave the remainder.
--- a/mountgauge/run/console.py
+++ b/mountgauge/run/console.py
@@ -30,11 +30,11 @@
         assert config.console is not None
         self.address = config.console
         self.service = Service(sender, front, registry, config.state, accepting)
-        self.console = Console(self.service.carry_out)
+        self.console = Console(self.service.execute)
 
     async def start(self) -> None:
         """Exclude the endpoints that operators took out, before the core sends a previous run's messages."""
-        self.service.look()
+        self.service.reload_detached()
 
     async def serve(self) -> None:
         await self.console.listen(self.address)
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -82,7 +82,9 @@
             self.sender.apply_settings(config.rules, config.names)
             self.discovery.retune(config.names, WatchBounds.of(config.rules))
             self._evidence.apply_settings(config.rules)
-            self.front.retune(config.names.grades, [grade.deadline for grade in config.rules.message_classes])
+            self.front.set_classes(
+                config.names.grades, [grade.deadline for grade in config.rules.message_classes]
+            )
             classes, attempts = ",".join(config.names.grades), config.rules.attempts_cap
             log.info("retuned", extra=kv(classes=classes, attempts=attempts))
         needs = [name for name in _RESTART_ONLY if getattr(config, name) != getattr(old, name)]
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -141,7 +141,7 @@
             return
         runtime.handover.check_others()
         if runtime.service is not None:
-            runtime.service.look()
+            runtime.service.reload_detached()
         if runtime.map.look_now():
             self.pause_detector.refreshed()
 
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -69,7 +69,7 @@
     if runtime.journal.unadopted:
         runtime.handover.apply_shared_waits()
     if runtime.service is not None:
-        runtime.service.look()
+        runtime.service.reload_detached()
 
 
 async def make_with_retries(make: Callable[[], Runtime], stop_requested: asyncio.Event) -> Runtime | None:
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -21,8 +21,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from mountgauge.connections.registry import Registry
-from mountgauge.console.duty import detached_text
 from mountgauge.console.service import Service
+from mountgauge.console.state import encode_detached
 from mountgauge.core.durable_time import Stamp, SystemClocks, read_clocks
 from mountgauge.core.journal import Journal, JournalFullError, JournalUnavailableError, StoredMessage
 from mountgauge.core.ports import Accepted, AttemptResult, MessageOutcome, Status
@@ -755,10 +755,10 @@
     sender = cast(Sender, SimpleNamespace(set_detached=detached.append, detached=set()))
     files = FailingFiles()
     service = Service(sender, None, cast(Registry, None), tmp_path, lambda: True, files)
-    (tmp_path / "detached").write_bytes(detached_text({"e1"}))
+    (tmp_path / "detached").write_bytes(encode_detached({"e1"}))
     files.fails = {"read"}
-    service.look()
+    service.reload_detached()
     assert not detached
     files.heal()
-    service.look()
+    service.reload_detached()
     assert detached == [{"e1"}]
