--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -52,7 +52,7 @@
     async def listen(self, host: str, port: int) -> None:
         self.listen_with(lambda: AmqpConnection(self), lambda came: b"", host, port)
 
-    def phase(self) -> float:
+    def heartbeat_phase(self) -> float:
         """Of heartbeats: spread evenly, whoever connects when."""
         self._phase = (self._phase + GOLDEN) % 1.0
         return self._phase
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -237,7 +237,7 @@
             if not codec.FRAME_MIN <= asked <= FRAME_MAX or args["channel_max"] > _CHANNELS:
                 raise AmqpError(530, "NOT_ALLOWED - more than was offered", True, 10, 31)
             self.frame_max = self._parser.frame_max = asked
-            self.beat_every(args["heartbeat"], self._front.phase())
+            self.beat_every(args["heartbeat"], self._front.heartbeat_phase())
             self.state = State.OPEN
         elif (self.state, name) == (State.OPEN, "connection.open"):
             if not self._front.access.opens(args["vhost"]):
@@ -364,7 +364,7 @@
     heartbeat: int  # s
     exchange: str
 
-    def phase(self) -> float:
+    def heartbeat_phase(self) -> float:
         """Of heartbeats: spread evenly, whoever connects when."""
         raise NotImplementedError
 
--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -376,7 +376,7 @@
 def test_beats_are_spread_whoever_connects_when() -> None:
     async def main() -> None:
         front = AmqpClients(lambda one: None, ("note",), (GRADE,), 2000, registry=Registry(SETTINGS))
-        phases = Counter(int(front.phase() * 10) for _ in range(1000))
+        phases = Counter(int(front.heartbeat_phase() * 10) for _ in range(1000))
         assert len(phases) == 10 and max(phases.values()) <= 103
 
     run(main())
