--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -20,7 +20,7 @@
 
 KEY_HEADER = "idempotency-key"
 _MOST_UNSETTLED = 4096  # publishes of one connection that wait for their end
-_QUIET = 30.0  # s without a publish after which a connection may go for another's sake
+_DISPLACEABLE_AFTER_S = 30.0  # s without a publish after which a connection may go for another's sake
 
 
 class AmqpClients(PublisherFront):
@@ -41,7 +41,7 @@
         registry = registry or Registry(default_settings(most, most))
         settings = registry.settings
         bounds = Bounds(
-            min(most, settings.most_amqp), settings.most_per_user, settings.displace, quiet_s=_QUIET
+            min(most, settings.most_amqp), settings.most_per_user, settings.displace, quiet_s=_DISPLACEABLE_AFTER_S
         )
         super().__init__(registry, bounds, settings.amqp)
         self._submit, self._names, self._grades = submit, names, grades
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -304,7 +304,7 @@
 
 
 def test_amqp_quiet_publishers_make_room(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(amqp_clients, "_QUIET", 0.2)
+    monkeypatch.setattr(amqp_clients, "_DISPLACEABLE_AFTER_S", 0.2)
 
     async def main() -> None:
         async with World(tmp_path, "amqp") as world:
