--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -41,7 +41,10 @@
         registry = registry or Registry(default_settings(most, most))
         settings = registry.settings
         bounds = Bounds(
-            min(most, settings.most_amqp), settings.most_per_user, settings.displace, quiet_s=_DISPLACEABLE_AFTER_S
+            min(most, settings.most_amqp),
+            settings.most_per_user,
+            settings.displace,
+            quiet_s=_DISPLACEABLE_AFTER_S,
         )
         super().__init__(registry, bounds, settings.amqp)
         self._submit, self._names, self._grades = submit, names, grades
