--- a/mountgauge/amqp/codec.py
+++ b/mountgauge/amqp/codec.py
@@ -1,4 +1,4 @@
-"""The codec of AMQP 0-9-1: frames, methods and content headers, as pure functions and one bounded parser."""
+"""AMQP 0-9-1 codec: pure functions for frames, methods and content headers, and a bounded frame parser."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from typing import Any, NamedTuple
 
 PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
-METHOD, HEADER, BODY, HEARTBEAT = 1, 2, 3, 8
+METHOD, HEADER, BODY, HEARTBEAT = 1, 2, 3, 8  # frame types
 FRAME_END = 0xCE
-FRAME_OVERHEAD = 8
-FRAME_MIN = 4096  # every peer must take frames of this size
+FRAME_OVERHEAD = 8  # bytes of a frame beside its payload
+FRAME_MIN = 4096  # frame-min-size of the specification: every peer must accept frames of this size
 
 
 class AmqpError(Exception):
-    """A fault of the other side, with its reply code; `hard` ones end the connection, others a channel."""
+    """A protocol error with its reply code; a `hard` one closes the connection, others only a channel."""
 
     def __init__(
         self, code: int, text: str, hard: bool = True, class_id: int = 0, method_id: int = 0
@@ -25,11 +25,11 @@
         self.class_id, self.method_id = class_id, method_id
 
 
-_FRAME = struct.Struct(">BHI")
+_FRAME_HEADER = struct.Struct(">BHI")
 
 
 class Frame(NamedTuple):
-    """One frame as it came: its kind, its channel, and the bytes between head and end."""
+    """A received frame: its type, its channel, and the payload between frame header and end octet."""
 
     kind: int
     channel: int
@@ -37,63 +37,65 @@
 
 
 def frame(kind: int, channel: int, payload: bytes) -> bytes:
-    """A frame's bytes."""
-    return _FRAME.pack(kind, channel, len(payload)) + payload + b"\xce"
+    """Encodes a frame."""
+    return _FRAME_HEADER.pack(kind, channel, len(payload)) + payload + b"\xce"
 
 
 class FrameParser:
-    """Feed it what arrives; it yields whole frames and refuses those over the agreed size."""
+    """Splits received bytes into frames; raises AmqpError for a frame larger than `frame_max`."""
 
-    __slots__ = ("_at", "_buffer", "frame_max")
+    __slots__ = ("_buffer", "_offset", "frame_max")
 
     def __init__(self, frame_max: int) -> None:
         self.frame_max = frame_max
         self._buffer = bytearray()
-        self._at = 0  # what lies before it has been read
+        self._offset = 0  # bytes before this offset have been consumed
 
     def feed(self, data: bytes | memoryview) -> None:
         self._buffer += data
 
     @property
     def partial(self) -> bool:
-        return len(self._buffer) > self._at
+        """Whether received bytes are left that have not been consumed."""
+        return len(self._buffer) > self._offset
 
     @property
-    def held(self) -> int:
-        """Bytes that it keeps."""
+    def buffered_bytes(self) -> int:
+        """Size of the buffer."""
         return len(self._buffer)
 
-    def header(self) -> bytes | None:
-        """The eight bytes that open a connection, None until they have come."""
+    def protocol_header(self) -> bytes | None:
+        """Consumes the header that opens a connection; None until all eight bytes have arrived."""
         if len(self._buffer) < 8:
             return None
-        head = bytes(self._buffer[:8])
+        header = bytes(self._buffer[:8])
         del self._buffer[:8]
-        return head
+        return header
 
     def next(self) -> Frame | None:
-        buffer, at = self._buffer, self._at
-        left = len(buffer) - at
-        if left >= 7:
-            kind, channel, size = _FRAME.unpack_from(buffer, at)
+        """Consumes the next frame; None if it has not arrived completely."""
+        buffer, at = self._buffer, self._offset
+        remaining = len(buffer) - at
+        if remaining >= 7:
+            kind, channel, size = _FRAME_HEADER.unpack_from(buffer, at)
             if size + FRAME_OVERHEAD > self.frame_max:
                 raise AmqpError(501, "FRAME_ERROR - frame too large")
-            if left >= size + FRAME_OVERHEAD:
+            if remaining >= size + FRAME_OVERHEAD:
                 end = at + size + 7
                 if buffer[end] != FRAME_END:
                     raise AmqpError(501, "FRAME_ERROR - no frame end")
-                self._at = end + 1
+                self._offset = end + 1
                 return Frame(kind, channel, bytes(buffer[at + 7 : end]))
-        if at:  # cut off once what came together has been read
+        if at:  # no further complete frame: drop the consumed bytes all at once
             del buffer[:at]
-            self._at = 0
+            self._offset = 0
         return None
 
 
-# Values
+# Field values
 
-_NUMBERS = {"octet": ">B", "short": ">H", "long": ">I", "longlong": ">Q", "timestamp": ">Q"}
-_TABLE_NUMBERS = {
+_NUMBER_FORMATS = {"octet": ">B", "short": ">H", "long": ">I", "longlong": ">Q", "timestamp": ">Q"}
+_TABLE_NUMBER_FORMATS = {
     b"t": ">?",
     b"b": ">b",
     b"B": ">B",
@@ -108,49 +110,51 @@
     b"d": ">d",
     b"T": ">Q",
 }
-_MOST_DEPTH = 8
+_MAX_TABLE_DEPTH = 8
 
 
 class _Reader:
+    """Decodes typed values from a buffer; AmqpError where the buffer is too short."""
+
     def __init__(self, data: bytes) -> None:
-        self.data, self.at = data, 0
+        self.data, self.offset = data, 0
 
-    def take(self, count: int) -> bytes:
-        if count < 0 or self.at + count > len(self.data):
+    def read(self, count: int) -> bytes:
+        if count < 0 or self.offset + count > len(self.data):
             raise AmqpError(502, "SYNTAX_ERROR - arguments cut short")
-        self.at += count
-        return self.data[self.at - count : self.at]
+        self.offset += count
+        return self.data[self.offset - count : self.offset]
 
     def number(self, form: str) -> Any:
-        return struct.unpack(form, self.take(struct.calcsize(form)))[0]
+        return struct.unpack(form, self.read(struct.calcsize(form)))[0]
 
     def shortstr(self) -> str:
-        return self.take(self.number(">B")).decode("utf-8", "replace")
+        return self.read(self.number(">B")).decode("utf-8", "replace")
 
     def table(self, depth: int = 0) -> dict[str, Any]:
-        inner = _Reader(self.take(self.number(">I")))
+        inner = _Reader(self.read(self.number(">I")))
         found: dict[str, Any] = {}
-        while inner.at < len(inner.data):
+        while inner.offset < len(inner.data):
             name = inner.shortstr()
-            found[name] = inner.value(depth + 1)
+            found[name] = inner.table_value(depth + 1)
         return found
 
-    def value(self, depth: int) -> Any:
-        if depth > _MOST_DEPTH:
+    def table_value(self, depth: int) -> Any:
+        if depth > _MAX_TABLE_DEPTH:
             raise AmqpError(502, "SYNTAX_ERROR - table nested too deep")
-        kind = self.take(1)
-        if kind in _TABLE_NUMBERS:
-            return self.number(_TABLE_NUMBERS[kind])
+        kind = self.read(1)
+        if kind in _TABLE_NUMBER_FORMATS:
+            return self.number(_TABLE_NUMBER_FORMATS[kind])
         if kind in (b"S", b"x"):
-            raw = self.take(self.number(">I"))
+            raw = self.read(self.number(">I"))
             return raw if kind == b"x" else raw.decode("utf-8", "replace")
         if kind == b"F":
             return self.table(depth)
         if kind == b"A":
-            inner = _Reader(self.take(self.number(">I")))
+            inner = _Reader(self.read(self.number(">I")))
             items = []
-            while inner.at < len(inner.data):
-                items.append(inner.value(depth + 1))
+            while inner.offset < len(inner.data):
+                items.append(inner.table_value(depth + 1))
             return items
         if kind == b"D":
             scale = self.number(">B")
@@ -159,27 +163,27 @@
             return None
         raise AmqpError(502, "SYNTAX_ERROR - unknown type in a table")
 
-    def typed(self, kind: str) -> Any:
-        if kind in _NUMBERS:
-            return self.number(_NUMBERS[kind])
+    def argument(self, kind: str) -> Any:
+        if kind in _NUMBER_FORMATS:
+            return self.number(_NUMBER_FORMATS[kind])
         if kind == "shortstr":
             return self.shortstr()
         if kind == "longstr":
-            return self.take(self.number(">I"))
+            return self.read(self.number(">I"))
         return self.table()
 
 
-def _shortstr(text: str) -> bytes:
+def _encode_shortstr(text: str) -> bytes:
     raw = text.encode()[:255]
     return bytes([len(raw)]) + raw
 
 
-def _table(values: Mapping[str, Any]) -> bytes:
-    body = b"".join(_shortstr(name) + _value(value) for name, value in values.items())
+def _encode_table(values: Mapping[str, Any]) -> bytes:
+    body = b"".join(_encode_shortstr(name) + _encode_table_value(value) for name, value in values.items())
     return struct.pack(">I", len(body)) + body
 
 
-def _value(value: Any) -> bytes:
+def _encode_table_value(value: Any) -> bytes:
     if isinstance(value, bool):
         return b"t" + bytes([value])
     if isinstance(value, int):
@@ -189,9 +193,9 @@
     if isinstance(value, bytes):
         return b"x" + struct.pack(">I", len(value)) + value
     if isinstance(value, Mapping):
-        return b"F" + _table(value)
+        return b"F" + _encode_table(value)
     if isinstance(value, list):
-        body = b"".join(map(_value, value))
+        body = b"".join(map(_encode_table_value, value))
         return b"A" + struct.pack(">I", len(body)) + body
     if value is None:
         return b"V"
@@ -199,20 +203,20 @@
     return b"S" + struct.pack(">I", len(raw)) + raw
 
 
-def _typed(kind: str, value: Any) -> bytes:
-    if kind in _NUMBERS:
-        return struct.pack(_NUMBERS[kind], value)
+def _encode_argument(kind: str, value: Any) -> bytes:
+    if kind in _NUMBER_FORMATS:
+        return struct.pack(_NUMBER_FORMATS[kind], value)
     if kind == "shortstr":
-        return _shortstr(value)
+        return _encode_shortstr(value)
     if kind == "longstr":
         raw = value.encode() if isinstance(value, str) else value
         return struct.pack(">I", len(raw)) + raw
-    return _table(value)
+    return _encode_table(value)
 
 
-# Methods: name, class, method, arguments
+# Methods: name, class id, method id, arguments as type:name
 
-_SPEC = """
+_METHOD_TABLE = """
 connection.start 10 10 octet:major octet:minor table:properties longstr:mechanisms longstr:locales
 connection.start-ok 10 11 table:properties shortstr:mechanism longstr:response shortstr:locale
 connection.tune 10 30 short:channel_max long:frame_max short:heartbeat
@@ -236,12 +240,12 @@
 confirm.select 85 10 bit:nowait
 confirm.select-ok 85 11
 """
-BASIC = 60
-KNOWN_CLASSES = {10, 20, 40, 50, 60, 85, 90}  # the specification's, and confirm
+BASIC_CLASS_ID = 60
+KNOWN_CLASS_IDS = {10, 20, 40, 50, 60, 85, 90}  # classes of the specification, and the confirm extension
 
 
-class Spec(NamedTuple):
-    """A method of the specification: its numbers, and its arguments as names and types."""
+class MethodSpec(NamedTuple):
+    """A method of the specification: its ids, and its arguments as pairs of name and type."""
 
     name: str
     class_id: int
@@ -249,18 +253,18 @@
     args: tuple[tuple[str, str], ...]
 
 
-def _parse_spec(line: str) -> Spec:
+def _parse_spec(line: str) -> MethodSpec:
     name, class_id, method_id, *args = line.split()
     pairs = tuple((arg.split(":")[1], arg.split(":")[0]) for arg in args)
-    return Spec(name, int(class_id), int(method_id), pairs)
+    return MethodSpec(name, int(class_id), int(method_id), pairs)
 
 
-_BY_NAME = {spec.name: spec for spec in map(_parse_spec, _SPEC.strip().splitlines())}
-_BY_ID = {(spec.class_id, spec.method_id): spec for spec in _BY_NAME.values()}
+_SPECS_BY_NAME = {spec.name: spec for spec in map(_parse_spec, _METHOD_TABLE.strip().splitlines())}
+_SPECS_BY_ID = {(spec.class_id, spec.method_id): spec for spec in _SPECS_BY_NAME.values()}
 
 
 class Method(NamedTuple):
-    """A method that was read, with its arguments by name."""
+    """A decoded method, with its arguments by name."""
 
     name: str
     args: dict[str, Any]
@@ -268,29 +272,33 @@
     method_id: int
 
 
-_PUBLISH = b"\x00\x3c\x00\x28"
-_SETTLED = struct.Struct(">BHIHHQBB")
-_HEAD = struct.Struct(">HHQH")
+_PUBLISH_IDS = b"\x00\x3c\x00\x28"
+_ACK_FRAME = struct.Struct(">BHIHHQBB")
+_CONTENT_HEADER = struct.Struct(">HHQH")
 
 
 def ack(channel: int, tag: int) -> bytes:
-    """`basic.ack` of one message: told so often that it is worth its own way."""
-    return _SETTLED.pack(METHOD, channel, 13, 60, 80, tag, 0, FRAME_END)
+    """Encodes `basic.ack` of one message; has a fast path of its own because it is sent so often."""
+    return _ACK_FRAME.pack(METHOD, channel, 13, 60, 80, tag, 0, FRAME_END)
 
 
 def nack(channel: int, tag: int) -> bytes:
-    """`basic.nack` of one message, not to be requeued."""
-    return _SETTLED.pack(METHOD, channel, 13, 60, 120, tag, 0, FRAME_END)
+    """Encodes `basic.nack` of one message, without requeue."""
+    return _ACK_FRAME.pack(METHOD, channel, 13, 60, 120, tag, 0, FRAME_END)
 
 
-def returned(channel: int, code: int, text: str, exchange: str, routing_key: str) -> bytes:
-    """`basic.return`."""
+def basic_return(channel: int, code: int, text: str, exchange: str, routing_key: str) -> bytes:
+    """Encodes `basic.return`, without the content that follows it."""
     payload = b"\x00\x3c\x00\x32" + code.to_bytes(2, "big")
-    return frame(METHOD, channel, payload + _shortstr(text) + _shortstr(exchange) + _shortstr(routing_key))
+    return frame(
+        METHOD,
+        channel,
+        payload + _encode_shortstr(text) + _encode_shortstr(exchange) + _encode_shortstr(routing_key),
+    )
 
 
-def _publish(payload: bytes) -> Method | None:
-    """`basic.publish`, which comes most often; None where anything is odd about it."""
+def _decode_publish(payload: bytes) -> Method | None:
+    """Fast path for `basic.publish`, the most frequent method; None if the payload is too short."""
     try:
         routing_at = 7 + payload[6]
         bits_at = routing_at + 1 + payload[routing_at]
@@ -308,14 +316,14 @@
 
 
 def decode_method(payload: bytes) -> Method:
-    """The method in a frame's payload; AmqpError where it is none."""
-    if payload.startswith(_PUBLISH) and (found := _publish(payload)) is not None:
+    """Decodes the payload of a method frame; AmqpError if it is malformed or the method is unknown."""
+    if payload.startswith(_PUBLISH_IDS) and (found := _decode_publish(payload)) is not None:
         return found
     reader = _Reader(payload)
     class_id, method_id = reader.number(">H"), reader.number(">H")
-    spec = _BY_ID.get((class_id, method_id))
+    spec = _SPECS_BY_ID.get((class_id, method_id))
     if spec is None:
-        code, text = (540, "NOT_IMPLEMENTED") if class_id in KNOWN_CLASSES else (503, "COMMAND_INVALID")
+        code, text = (540, "NOT_IMPLEMENTED") if class_id in KNOWN_CLASS_IDS else (503, "COMMAND_INVALID")
         raise AmqpError(code, f"{text} - method {class_id}.{method_id}", True, class_id, method_id)
     args: dict[str, Any] = {}
     bits, bit = 0, 8
@@ -327,13 +335,13 @@
             bit += 1
         else:
             bit = 8
-            args[name] = reader.typed(kind)
+            args[name] = reader.argument(kind)
     return Method(spec.name, args, class_id, method_id)
 
 
 def method(channel: int, name: str, **args: Any) -> bytes:
-    """A method frame; arguments left out are empty."""
-    spec = _BY_NAME[name]
+    """Encodes a method frame; omitted arguments are empty or zero."""
+    spec = _SPECS_BY_NAME[name]
     empty: dict[str, Any] = {"shortstr": "", "longstr": b"", "table": {}}
     body = struct.pack(">HH", spec.class_id, spec.method_id)
     bits: list[bool] = []
@@ -341,9 +349,9 @@
         if kind == "bit":
             bits.append(bool(args.get(arg, False)))
         else:
-            body += _typed(kind, args.get(arg, empty.get(kind, 0)))
-    if bits:  # in every method here they come last, side by side
-        body += bytes([sum(bit << place for place, bit in enumerate(bits))])
+            body += _encode_argument(kind, args.get(arg, empty.get(kind, 0)))
+    if bits:  # in every method of the table the bits are the last arguments and adjacent
+        body += bytes([sum(bit << position for position, bit in enumerate(bits))])
     return frame(METHOD, channel, body)
 
 
@@ -360,32 +368,33 @@
 
 @dataclass(slots=True)
 class Content:
-    """A message under way: its method, properties, and the body as far as it has come."""
+    """A message that is being received: its method, its header, and the body received so far."""
 
     method: Method
-    size: int = -1  # -1: the header has not come
-    head: bytes = b""  # the header frame's payload
+    size: int = -1  # of the body in bytes; -1: the header has not been received
+    header: bytes = b""  # payload of the header frame
     body: bytearray = field(default_factory=bytearray)
     _properties: dict[str, Any] | None = None
 
     @property
     def properties(self) -> dict[str, Any]:
-        """Read when they are first asked for: what is turned away in a crowd is returned as it came."""
+        """Decoded on first use: a message rejected under overload is returned without decoding its header."""
         if self._properties is None:
-            self._properties = decode_header(self.head)[1]
+            self._properties = decode_header(self.header)[1]
         return self._properties
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
+        """Whether the complete body has been received."""
         return len(self.body) == self.size
 
 
 def content_size(payload: bytes) -> int:
-    """The body's size as a header frame has it; AmqpError where it is not one of a message."""
+    """The body size in a header frame's payload; AmqpError if it is not a valid basic-class header."""
     if len(payload) < 14:
         raise AmqpError(502, "SYNTAX_ERROR - arguments cut short")
-    class_id, _, size, flags = _HEAD.unpack_from(payload)
-    if class_id != BASIC:
+    class_id, _, size, flags = _CONTENT_HEADER.unpack_from(payload)
+    if class_id != BASIC_CLASS_ID:
         raise AmqpError(505, "UNEXPECTED_FRAME - content of another class")
     if flags & 1:
         raise AmqpError(502, "SYNTAX_ERROR - unknown properties")
@@ -393,30 +402,32 @@
 
 
 def decode_header(payload: bytes) -> tuple[int, dict[str, Any]]:
-    """The size of the body in bytes, and the properties by name."""
+    """Decodes a header frame's payload: the body size in bytes, and the properties by name."""
     size = content_size(payload)
     reader = _Reader(payload)
-    reader.at = 12
+    reader.offset = 12
     flags = reader.number(">H")
     found = {}
-    for place, (name, kind) in enumerate(_PROPERTIES):
-        if flags >> (15 - place) & 1:
-            found[name] = reader.typed(kind)
+    for position, (name, kind) in enumerate(_PROPERTIES):
+        if flags >> (15 - position) & 1:
+            found[name] = reader.argument(kind)
     return size, found
 
 
 def content(channel: int, properties: Mapping[str, Any], body: bytes, frame_max: int) -> bytes:
-    """Header and body frames."""
+    """Encodes the header and body frames of a message."""
     flags, packed = 0, b""
-    for place, (name, kind) in enumerate(_PROPERTIES):
+    for position, (name, kind) in enumerate(_PROPERTIES):
         if (value := properties.get(name)) is not None:
-            flags |= 1 << (15 - place)
-            packed += _typed(kind, value)
-    return content_as_it_came(channel, _HEAD.pack(BASIC, 0, len(body), flags) + packed, body, frame_max)
+            flags |= 1 << (15 - position)
+            packed += _encode_argument(kind, value)
+    return content_from_header(
+        channel, _CONTENT_HEADER.pack(BASIC_CLASS_ID, 0, len(body), flags) + packed, body, frame_max
+    )
 
 
-def content_as_it_came(channel: int, head: bytes, body: bytes, frame_max: int) -> bytes:
-    """Header and body frames, of a header frame's payload."""
+def content_from_header(channel: int, header: bytes, body: bytes, frame_max: int) -> bytes:
+    """As `content`, with an already encoded header payload."""
     step = frame_max - FRAME_OVERHEAD
     parts = [frame(BODY, channel, body[at : at + step]) for at in range(0, len(body), step)]
-    return frame(HEADER, channel, head) + b"".join(parts)
+    return frame(HEADER, channel, header) + b"".join(parts)
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -305,9 +305,9 @@
     def on_content(self, channel: int, content: Content) -> None:
         found = self._channels[channel]
         if content.method.args["exchange"] not in ("", self._front.exchange):
-            raise AmqpError(404, "NOT_FOUND - no such exchange", False, codec.BASIC, 40)
+            raise AmqpError(404, "NOT_FOUND - no such exchange", False, codec.BASIC_CLASS_ID, 40)
         if content.method.args["immediate"]:
-            raise AmqpError(540, "NOT_IMPLEMENTED - immediate", True, codec.BASIC, 40)
+            raise AmqpError(540, "NOT_IMPLEMENTED - immediate", True, codec.BASIC_CLASS_ID, 40)
         found.tag += 1
         front = self._front
         if not self.unsettled:
@@ -341,8 +341,10 @@
                 text = end.status.value.upper()
                 text += f" again_ms={end.again_ms}" if end.again_ms > 0 else ""
             args = content.method.args
-            out = codec.returned(channel.number, code, text, args["exchange"], args["routing_key"])
-            out += codec.content_as_it_came(channel.number, content.head, bytes(content.body), self.frame_max)
+            out = codec.basic_return(channel.number, code, text, args["exchange"], args["routing_key"])
+            out += codec.content_from_header(
+                channel.number, content.header, bytes(content.body), self.frame_max
+            )
         if channel.confirm:
             out += codec.nack(channel.number, tag)
         if out:
--- a/mountgauge/amqp/link.py
+++ b/mountgauge/amqp/link.py
@@ -189,11 +189,11 @@
     @property
     def held(self) -> int:
         """Bytes of what has begun and is not whole."""
-        return self._parser.held + sum(len(one.body) for one in self._contents.values())
+        return self._parser.buffered_bytes + sum(len(one.body) for one in self._contents.values())
 
     def read(self) -> None:
         if self.state is State.HEADER:
-            if (head := self._parser.header()) is None:
+            if (head := self._parser.protocol_header()) is None:
                 return
             self.on_header(head)
         left = self.quantum
@@ -248,17 +248,17 @@
         if kind == codec.HEADER:
             if content.size >= 0:
                 raise AmqpError(505, "UNEXPECTED_FRAME - a second header")
-            content.size, content.head = codec.content_size(payload), payload
+            content.size, content.header = codec.content_size(payload), payload
             if content.size > MOST_BODY:
                 del self._contents[channel]
-                raise AmqpError(311, "CONTENT_TOO_LARGE", False, codec.BASIC, 40)
+                raise AmqpError(311, "CONTENT_TOO_LARGE", False, codec.BASIC_CLASS_ID, 40)
         elif kind == codec.BODY:
             if content.size < 0 or len(content.body) + len(payload) > content.size:
                 raise AmqpError(505, "UNEXPECTED_FRAME - more body than announced")
             content.body += payload
         else:
             raise AmqpError(501, "FRAME_ERROR - unknown kind of frame")
-        if content.whole:
+        if content.complete:
             del self._contents[channel]
             self.on_content(channel, content)
 
