--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -13,7 +13,7 @@
 from mountgauge.access import DEFAULT, Access, user_of
 from mountgauge.amqp import codec
 from mountgauge.amqp.codec import AmqpError, Content, Method
-from mountgauge.amqp.link import FRAME_MAX, RECEIVE, Link, State
+from mountgauge.amqp.link import FRAME_MAX, RECEIVE_BUFFER, Link, State
 from mountgauge.connections.admission import Activity
 from mountgauge.connections.front import Front
 from mountgauge.connections.scheduler import RESTED
@@ -53,7 +53,7 @@
         "_channels", "_front", "_half_by", "activity", "due_at", "opened_by", "since", "tenant", "tick",
         "unread_by", "unsettled", "user", "woken",
     )  # fmt: skip
-    quantum = _QUANTUM
+    frames_per_turn = _QUANTUM
 
     def __init__(self, front: PublisherFront) -> None:
         super().__init__(State.HEADER)
@@ -77,8 +77,8 @@
 
     @property
     def deadline(self) -> float:
-        if self._closing_by < math.inf:
-            return self._closing_by
+        if self._close_deadline < math.inf:
+            return self._close_deadline
         found = min(super().deadline, self.opened_by, self._half_by, self.unread_by)
         if self.state is State.READY and self.answered:
             found = min(found, self.since + self._front.times.idle)
@@ -89,7 +89,7 @@
 
     def on_due(self, now: float) -> None:
         counts = self._front.counts
-        if self._closing_by < math.inf or self.transport is None:
+        if self._close_deadline < math.inf or self.transport is None:
             super().on_due(now)
         elif now >= self.opened_by:
             counts["clients", "silent"] += 1
@@ -100,18 +100,23 @@
         elif now >= self._half_by:
             counts["clients", "halfway"] += 1
             self.close_with(AmqpError(501, "FRAME_ERROR - a message was not finished in time"))
-            self.hear_no_more()
-        elif self.answered and now - self.since >= self._front.times.idle and not self.halfway:
+            self.discard_input()
+        elif self.answered and now - self.since >= self._front.times.idle and not self.has_partial_message:
             counts["clients", "idle"] += 1
             self.close_with(AmqpError(320, "CONNECTION_FORCED - idle for too long"))
         else:
-            if self._heartbeat and now >= self._silent_at:
+            if self._heartbeat_s and now >= self._heartbeat_timeout_at:
                 counts["clients", "dead"] += 1
             super().on_due(now)
 
     def buffer_updated(self, nbytes: int) -> None:
-        if nbytes == len(_BEAT) and self._drain is None and not self.halfway and RECEIVE[:nbytes] == _BEAT:
-            self._read_at = self._front.registry.now()  # nearly all that an idle one ever says
+        if (
+            nbytes == len(_BEAT)
+            and self._drain is None
+            and not self.has_partial_message
+            and RECEIVE_BUFFER[:nbytes] == _BEAT
+        ):
+            self._last_read_at = self._front.registry.now()  # nearly all that an idle one ever says
             return
         super().buffer_updated(nbytes)
         self._keep()
@@ -119,7 +124,12 @@
     def more(self) -> None:
         super().more()
         self._keep()
-        if not self._more and self.transport is not None and not self.transport.is_closing() and self.flushed:
+        if (
+            not self._frames_pending
+            and self.transport is not None
+            and not self.transport.is_closing()
+            and self.flushed
+        ):
             self.transport.resume_reading()
 
     def wait_turn(self) -> None:
@@ -131,15 +141,15 @@
         """Half a message holds memory and a place: judged by the whole, as bytes may trickle for ever."""
         if self.state is State.CLOSED:
             return
-        half = self.halfway and self.state is State.READY
+        half = self.has_partial_message and self.state is State.READY
         if half:
-            by = self._whole_at + self._front.times.half
+            by = self._partial_since + self._front.times.half
             if by != self._half_by:
                 self._half_by = by
                 self.arm(self.deadline)
         else:
             self._half_by = math.inf
-        self._front.holds(self, self.held if self.halfway else 0)
+        self._front.holds(self, self.partial_bytes if self.has_partial_message else 0)
 
     def on_lost(self) -> None:
         for channel in self._channels.values():
@@ -155,7 +165,7 @@
     def turn_away(self, again_ms: int) -> None:
         self.abort()
 
-    def on_header(self, head: bytes) -> None:
+    def on_protocol_header(self, head: bytes) -> None:
         if head != codec.PROTOCOL_HEADER:
             self.send(codec.PROTOCOL_HEADER)  # the version that is spoken here
             self.state = State.CLOSING
@@ -177,7 +187,7 @@
         """The last frame is written: what still comes is passed over until the peer ends, or LINGER."""
         if self.transport is not None and not self.transport.is_closing():
             self.state = State.CLOSING
-            self.hear_no_more()
+            self.discard_input()
             self.transport.resume_reading()
             self.transport.write_eof()
 
@@ -193,7 +203,7 @@
     def resume_writing(self) -> None:
         super().resume_writing()
         self.unread_by = math.inf
-        if self.transport is not None and not self.transport.is_closing() and not self._more:
+        if self.transport is not None and not self.transport.is_closing() and not self._frames_pending:
             self.transport.resume_reading()
 
     # Methods
@@ -237,7 +247,7 @@
             if not codec.FRAME_MIN <= asked <= FRAME_MAX or args["channel_max"] > _CHANNELS:
                 raise AmqpError(530, "NOT_ALLOWED - more than was offered", True, 10, 31)
             self.frame_max = self._parser.frame_max = asked
-            self.beat_every(args["heartbeat"], self._front.heartbeat_phase())
+            self.start_heartbeats(args["heartbeat"], self._front.heartbeat_phase())
             self.state = State.OPEN
         elif (self.state, name) == (State.OPEN, "connection.open"):
             if not self._front.access.opens(args["vhost"]):
@@ -280,7 +290,7 @@
         elif name != "basic.publish":
             raise AmqpError(540, f"NOT_IMPLEMENTED - {name}", True, method.class_id, method.method_id)
 
-    def passes_over(self, channel: int) -> bool:
+    def ignores_content(self, channel: int) -> bool:
         found = self._channels.get(channel)
         return found is not None and found.closing
 
--- a/mountgauge/amqp/link.py
+++ b/mountgauge/amqp/link.py
@@ -1,4 +1,4 @@
-"""What both ends of an AMQP connection share: frames in and out, heartbeats, content put together."""
+"""The part of an AMQP connection common to client and server: frames, heartbeats, assembly of contents."""
 
 from __future__ import annotations
 
@@ -11,50 +11,55 @@
 from mountgauge.amqp.codec import AmqpError, Content, Frame, Method
 from mountgauge.sockets import LINGER, Drain
 
-RECEIVE = bytearray(64 * 1024)  # shared: what arrives is copied out before the loop reads again
-MOST_BODY = 64 * 1024
-FRAME_MAX = 128 * 1024
-_GRACE = 0.25  # s past two intervals, for a beat that is on its way
-_CLOSING = 2.0  # s in which a close is to be answered
+# Shared by all connections: its content is copied out before the event loop reads again.
+RECEIVE_BUFFER = bytearray(64 * 1024)
+MAX_BODY_BYTES = 64 * 1024
+FRAME_MAX = 128 * 1024  # bytes
+_HEARTBEAT_GRACE_S = 0.25  # beyond two intervals, for a heartbeat in transit
+_CLOSE_TIMEOUT_S = 2.0  # for the answer to a connection.close
 
 
 class State(Enum):
-    """How far a connection has come, from its header to its end."""
+    """Stages of a connection, from the protocol header to its end."""
 
-    HEADER = "header"  # the eight bytes that open it
+    HEADER = "header"  # waits for the protocol header
     START = "start"
     TUNE = "tune"
     OPEN = "open"
     READY = "ready"
-    CLOSING = "closing"  # close sent, its answer awaited: all else is passed over
+    CLOSING = "closing"  # close sent, waits for its answer and ignores all else
     CLOSED = "closed"
 
 
 class Link(asyncio.BufferedProtocol):
-    """Subclasses take `on_method`, `on_content`, `on_lost`, and `arm` where a wheel has their deadlines."""
+    """One end of a connection. Subclasses implement `on_method`, `on_content` and `on_lost`.
+
+    A subclass whose deadlines are in a shared timer wheel also overrides `arm`.
+    """
 
     __slots__ = (
-        "_beat", "_beat_at", "_closing_by", "_contents", "_drain", "_heartbeat", "_more", "_parser",
-        "_read_at", "_whole_at", "flushed", "frame_max", "state", "transport", "written",
+        "_close_deadline", "_contents", "_drain", "_frames_pending", "_heartbeat_s", "_last_read_at",
+        "_next_heartbeat_at", "_parser", "_partial_since", "_timer", "bytes_written", "flushed", "frame_max",
+        "state", "transport",
     )  # fmt: skip
-    quantum = 1 << 30  # frames that are read in a row
+    frames_per_turn = 1 << 30  # frames handled before other connections get their turn
 
     def __init__(self, state: State) -> None:
         self.state = state
         self.frame_max = codec.FRAME_MIN
-        self.flushed = True  # all that was written has reached the socket
-        self.written = 0  # bytes, also those that wait for the socket
+        self.flushed = True  # all bytes written so far have been passed to the socket
+        self.bytes_written = 0  # includes bytes still buffered by the transport
         self.transport: asyncio.Transport | None = None
         self._parser = codec.FrameParser(FRAME_MAX)
         self._contents: dict[int, Content] = {}
-        self._heartbeat = 0.0
-        self._drain: Drain | None = None  # once nothing more is heard
-        self._whole_at = 0.0  # when a frame or a message last stood half there no longer
-        self._more = False  # frames have come that wait for their turn
-        self._read_at = 0.0
-        self._beat_at = math.inf  # when the next heartbeat has to leave
-        self._closing_by = math.inf  # when the answer to a close is given up
-        self._beat: asyncio.TimerHandle | None = None
+        self._heartbeat_s = 0.0
+        self._drain: Drain | None = None  # set once further input is discarded
+        self._partial_since = 0.0  # first read since nothing incomplete was left over
+        self._frames_pending = False  # received frames wait for the connection's next turn
+        self._last_read_at = 0.0
+        self._next_heartbeat_at = math.inf
+        self._close_deadline = math.inf  # when the connection is aborted if the peer hasn't closed it
+        self._timer: asyncio.TimerHandle | None = None
 
     # For subclasses
 
@@ -64,29 +69,30 @@
 
     def on_lost(self) -> None: ...
 
-    def on_header(self, head: bytes) -> None: ...
+    def on_protocol_header(self, header: bytes) -> None: ...
 
     def wait_turn(self) -> None:
-        """More has come than `quantum`; `more` is to be called in turn."""
+        """Called with more than `frames_per_turn` frames received; `more` must be called in turn."""
 
     def on_error(self, channel: int, error: AmqpError) -> None:
         self.close_with(error)
 
-    # Out
+    # Output
 
     def send(self, data: bytes) -> None:
         if self.transport is not None and self.state is not State.CLOSED:
-            if self._heartbeat:
-                self._beat_at = asyncio.get_running_loop().time() + self._heartbeat / 2
-            self.written += len(data)
+            if self._heartbeat_s:
+                self._next_heartbeat_at = asyncio.get_running_loop().time() + self._heartbeat_s / 2
+            self.bytes_written += len(data)
             self.transport.write(data)
-            if self.transport.is_closing():  # it broke as it was written to, and the system took nothing
+            if self.transport.is_closing():  # the write failed, and the system accepted none of it
                 self.flushed = False
 
     def send_method(self, channel: int, name: str, **args: Any) -> None:
         self.send(codec.method(channel, name, **args))
 
     def close_with(self, error: AmqpError) -> None:
+        """Send `connection.close`, and wait a limited time for its answer."""
         if self.state in (State.CLOSING, State.CLOSED):
             return
         self.send_method(
@@ -98,65 +104,68 @@
             method_id=error.method_id,
         )
         self.state = State.CLOSING
-        self._closing_by = asyncio.get_running_loop().time() + _CLOSING
+        self._close_deadline = asyncio.get_running_loop().time() + _CLOSE_TIMEOUT_S
         self.arm(self.deadline)
 
-    def hear_no_more(self) -> None:
+    def discard_input(self) -> None:
+        """Discard further input for at most LINGER, so that the peer can read the last frames sent."""
         if self._drain is None and self.transport is not None:
             self._drain = Drain(self.transport)
-            self._closing_by = asyncio.get_running_loop().time() + LINGER
+            self._close_deadline = asyncio.get_running_loop().time() + LINGER
             self.arm(self.deadline)
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    # Deadlines: one for each link, the earliest of its own
+    # Deadlines: one timer for each link, set to the earliest of them
 
-    def beat_every(self, seconds: float, phase: float = 1.0) -> None:
-        """Heartbeats as agreed; silence for two intervals means that the other side is gone.
+    def start_heartbeats(self, seconds: float, phase: float = 1.0) -> None:
+        """Send heartbeats as negotiated; abort after two intervals without input.
 
-        The first one leaves after `phase` of half an interval: spread, so that not all beat together.
+        The first heartbeat is sent after `phase` of half an interval: with different phases, connections
+        don't send all at the same time.
         """
-        self._heartbeat = seconds
+        self._heartbeat_s = seconds
         if seconds > 0:
-            self._read_at = asyncio.get_running_loop().time()
-            self._beat_at = self._read_at + phase * seconds / 2
+            self._last_read_at = asyncio.get_running_loop().time()
+            self._next_heartbeat_at = self._last_read_at + phase * seconds / 2
             self.arm(self.deadline)
 
     @property
     def deadline(self) -> float:
-        """When `on_due` has something to do (s); inf: never."""
-        if self._closing_by < math.inf:
-            return self._closing_by
-        if not self._heartbeat:
+        """Loop time (s) at which `on_due` has something to do; inf: never."""
+        if self._close_deadline < math.inf:
+            return self._close_deadline
+        if not self._heartbeat_s:
             return math.inf
-        return min(self._beat_at, self._silent_at)
+        return min(self._next_heartbeat_at, self._heartbeat_timeout_at)
 
     @property
-    def _silent_at(self) -> float:
-        return self._read_at + 2 * self._heartbeat + min(_GRACE, self._heartbeat / 4)
+    def _heartbeat_timeout_at(self) -> float:
+        return self._last_read_at + 2 * self._heartbeat_s + min(_HEARTBEAT_GRACE_S, self._heartbeat_s / 4)
 
     def on_due(self, now: float) -> None:
+        """Abort after a missed deadline or send a heartbeat, whichever is due, and set the next deadline."""
         if self.state is State.CLOSED:
             return
-        if now >= self._closing_by or (self._heartbeat and now >= self._silent_at):
+        if now >= self._close_deadline or (self._heartbeat_s and now >= self._heartbeat_timeout_at):
             self.abort()
             return
-        if now >= self._beat_at and self.state is not State.CLOSING:
+        if now >= self._next_heartbeat_at and self.state is not State.CLOSING:
             self.send(codec.frame(codec.HEARTBEAT, 0, b""))
         self.arm(self.deadline)
 
     def arm(self, when: float) -> None:
-        """`on_due` is wanted at `when`, and at no time set before."""
-        if self._beat is not None:
-            self._beat.cancel()
-            self._beat = None
+        """Call `on_due` at `when`, instead of at any time set before."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
         if when < math.inf:
             loop = asyncio.get_running_loop()
-            self._beat = loop.call_at(when, lambda: self.on_due(loop.time()))
+            self._timer = loop.call_at(when, lambda: self.on_due(loop.time()))
 
-    # In
+    # Input
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -169,61 +178,62 @@
         self.flushed = True
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        return RECEIVE if self._drain is None else self._drain.buffer()
+        return RECEIVE_BUFFER if self._drain is None else self._drain.buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        self._read_at = asyncio.get_running_loop().time()
+        self._last_read_at = asyncio.get_running_loop().time()
         if self._drain is not None:
             self._drain.took()
             return
-        if not self.halfway:
-            self._whole_at = self._read_at
-        self._parser.feed(memoryview(RECEIVE)[:nbytes])
-        self.read()
+        if not self.has_partial_message:
+            self._partial_since = self._last_read_at
+        self._parser.feed(memoryview(RECEIVE_BUFFER)[:nbytes])
+        self.read_frames()
 
     @property
-    def halfway(self) -> bool:
-        """A frame or a message has begun and is not whole."""
+    def has_partial_message(self) -> bool:
+        """Whether a frame or a message has been received in part."""
         return self._parser.partial or bool(self._contents)
 
     @property
-    def held(self) -> int:
-        """Bytes of what has begun and is not whole."""
-        return self._parser.buffered_bytes + sum(len(one.body) for one in self._contents.values())
+    def partial_bytes(self) -> int:
+        """Buffered bytes of frames and messages received in part."""
+        return self._parser.buffered_bytes + sum(len(content.body) for content in self._contents.values())
 
-    def read(self) -> None:
+    def read_frames(self) -> None:
+        """Handle the frames received, up to `frames_per_turn`."""
         if self.state is State.HEADER:
-            if (head := self._parser.protocol_header()) is None:
+            if (header := self._parser.protocol_header()) is None:
                 return
-            self.on_header(head)
-        left = self.quantum
-        while self.state is not State.CLOSED and not self._more:
-            if not left:
-                self._more = True
+            self.on_protocol_header(header)
+        remaining = self.frames_per_turn
+        while self.state is not State.CLOSED and not self._frames_pending:
+            if not remaining:
+                self._frames_pending = True
                 self.wait_turn()
                 return
-            left -= 1
+            remaining -= 1
             try:
-                one = self._parser.next()
-            except AmqpError as error:  # where the next frame begins is not known any more
+                frame = self._parser.next()
+            except AmqpError as error:  # the start of the next frame is unknown from here on
                 self.close_with(error)
-                self.hear_no_more()
+                self.discard_input()
                 return
-            if one is None:
+            if frame is None:
                 return
             try:
-                self._frame(one)
+                self._handle_frame(frame)
             except AmqpError as error:
-                self.on_error(one.channel, error)
+                self.on_error(frame.channel, error)
 
     def more(self) -> None:
-        """Its turn to have more frames read."""
-        self._more = False
+        """Handle further received frames: the connection's turn has come."""
+        self._frames_pending = False
         if self.transport is not None and not self.transport.is_closing():
-            self.read()
+            self.read_frames()
 
-    def _frame(self, one: Frame) -> None:
-        kind, channel, payload = one
+    def _handle_frame(self, frame: Frame) -> None:
+        kind, channel, payload = frame
         if kind == codec.HEARTBEAT:
             if channel:
                 raise AmqpError(501, "FRAME_ERROR - heartbeat on a channel")
@@ -242,14 +252,14 @@
         if self.state is State.CLOSING:
             return
         if content is None:
-            if self.passes_over(channel):
+            if self.ignores_content(channel):
                 return
             raise AmqpError(505, "UNEXPECTED_FRAME - content without its method")
         if kind == codec.HEADER:
             if content.size >= 0:
                 raise AmqpError(505, "UNEXPECTED_FRAME - a second header")
             content.size, content.header = codec.content_size(payload), payload
-            if content.size > MOST_BODY:
+            if content.size > MAX_BODY_BYTES:
                 del self._contents[channel]
                 raise AmqpError(311, "CONTENT_TOO_LARGE", False, codec.BASIC_CLASS_ID, 40)
         elif kind == codec.BODY:
@@ -262,18 +272,19 @@
             del self._contents[channel]
             self.on_content(channel, content)
 
-    def passes_over(self, channel: int) -> bool:
-        """Whether frames on this channel are to be ignored, as it is being closed."""
+    def ignores_content(self, channel: int) -> bool:
+        """Whether content frames on this channel are ignored because it is being closed."""
         return False
 
     def drop_content(self, channel: int) -> None:
+        """Discard a message received in part."""
         self._contents.pop(channel, None)
 
     def connection_lost(self, error: Exception | None) -> None:
         if self.state is not State.CLOSED:
             self.state = State.CLOSED
-            if self._beat is not None:
-                self._beat.cancel()
+            if self._timer is not None:
+                self._timer.cancel()
             self._drain = None
             self.on_lost()
             self.transport = None
--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -128,7 +128,7 @@
             if lease is not None and lease.refusal is not None:  # its last byte never left
                 self._fill(out, Result(Outcome.MOOT))
                 continue
-            never = not out.going or (not self.flushed and out.last_byte == self.written)
+            never = not out.going or (not self.flushed and out.last_byte == self.bytes_written)
             self._fill(out, Result(Outcome.CONNECT_FAILED if never else Outcome.RESET))
 
     def _fill(self, out: _Out, result: Result) -> None:
@@ -178,7 +178,7 @@
                 frame_max=self.frame_max,
                 heartbeat=args["heartbeat"],
             )
-            self.beat_every(args["heartbeat"])
+            self.start_heartbeats(args["heartbeat"])
             self.send_method(0, "connection.open", vhost=account.vhost)
         elif (self.state, name) == (State.OPEN, "connection.open-ok"):
             self.state = State.READY
@@ -223,7 +223,7 @@
             if item.id == content.properties.get("message_id"):
                 found.out.results[item.number] = Result(Outcome.ERROR)
 
-    def passes_over(self, channel: int) -> bool:
+    def ignores_content(self, channel: int) -> bool:
         return True
 
     def _drop(self, channel: _Channel) -> None:
@@ -311,7 +311,7 @@
                 mandatory=True,
             )
             data += codec.content(channel.number, properties, item.body, self.frame_max)
-        out.last_byte = self.written + len(data)
+        out.last_byte = self.bytes_written + len(data)
         self.slot.arm(out.call.lease, len(data))  # nothing is written before it: `_takes_bytes`
         self.send(data)
 
