--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -1,6 +1,6 @@
-"""The front for publishers over AMQP 0-9-1: their publishes become submissions for the core.
+"""The front for publishers over AMQP 0-9-1: turns their publishes into submissions to the core.
 
-The end of a message whose channel has closed is kept: the same id, handed in again, gets that end.
+The outcome of a message whose channel has closed is kept: submitting the same id again returns it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from typing import Any
 
 from mountgauge.access import Access
-from mountgauge.amqp.connection import AmqpConnection, PublisherFront, Waiter
+from mountgauge.amqp.connection import AmqpConnection, PendingPublish, PublisherFront
 from mountgauge.connections.admission import Bounds
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.scheduler import GOLDEN
@@ -19,128 +19,137 @@
 from rillspindle.interface import Grade
 
 KEY_HEADER = "idempotency-key"
-_MOST_UNSETTLED = 4096  # publishes of one connection that wait for their end
-_DISPLACEABLE_AFTER_S = 30.0  # s without a publish after which a connection may go for another's sake
+_MAX_UNSETTLED = 4096  # publishes of one connection without an outcome
+_DISPLACEABLE_AFTER_S = 30.0  # without a publish; a new connection may then replace this one
 
 
 class AmqpClients(PublisherFront):
-    """The listening side, and the front to which the core tells each end."""
+    """Listens for publishers, submits their publishes, and returns the outcomes that the core reports."""
 
     def __init__(
         self,
         submit: Callable[[Submission], None],
-        names: tuple[str, ...],
-        grades: tuple[Grade, ...],
-        most: int,
+        class_names: tuple[str, ...],
+        classes: tuple[Grade, ...],
+        max_connections: int,
         access: Access | None = None,
         heartbeat: int = 30,
         exchange: str = "mountgauge",
         registry: Registry | None = None,
     ) -> None:
-        """Without a `registry` of the operator's file, `most` connections and the usual times hold."""
-        registry = registry or Registry(default_settings(most, most))
+        """`class_names` and `classes` list the message classes in the same order.
+
+        Without a `registry`, default settings for `max_connections` connections apply.
+        """
+        registry = registry or Registry(default_settings(max_connections, max_connections))
         settings = registry.settings
         bounds = Bounds(
-            min(most, settings.most_amqp),
+            min(max_connections, settings.most_amqp),
             settings.most_per_user,
             settings.displace,
             quiet_s=_DISPLACEABLE_AFTER_S,
         )
         super().__init__(registry, bounds, settings.amqp)
-        self._submit, self._names, self._grades = submit, names, grades
+        self._submit, self._class_names, self._classes = submit, class_names, classes
         self.access, self.heartbeat, self.exchange = access or Access(), heartbeat, exchange
-        self._waiters: dict[str, list[Waiter]] = {}
-        self._phase = 0.0
+        self._unsettled: dict[str, list[PendingPublish]] = {}
+        self._last_phase = 0.0
 
     async def listen(self, host: str, port: int) -> None:
-        self.listen_with(lambda: AmqpConnection(self), lambda came: b"", host, port)
+        """Accept publishers on this address."""
+        self.listen_with(lambda: AmqpConnection(self), lambda received: b"", host, port)
 
     def heartbeat_phase(self) -> float:
-        """Of heartbeats: spread evenly, whoever connects when."""
-        self._phase = (self._phase + GOLDEN) % 1.0
-        return self._phase
+        """See `PublisherFront`; steps by the golden ratio, so any number of phases is evenly spread."""
+        self._last_phase = (self._last_phase + GOLDEN) % 1.0
+        return self._last_phase
 
     def close_idle(self) -> None:
-        self.close_each(lambda connection: connection.end() if connection.answered else None)
+        """Close the connections without an unsettled publish."""
+        self.close_each(lambda connection: connection.close_for_shutdown() if connection.settled else None)
 
     def close(self) -> None:
-        self.close_each(AmqpConnection.end)
+        """Close all connections."""
+        self.close_each(AmqpConnection.close_for_shutdown)
 
     # Messages
 
-    def publish(self, waiter: Waiter) -> None:
-        if waiter.connection.unsettled > _MOST_UNSETTLED:
-            waiter.connection.settle(waiter, self._spread(End(Status.DEFERRED)))
+    def publish(self, pending: PendingPublish) -> None:
+        """Submit a publish to the core, or settle it at once if it is invalid or one too many."""
+        if pending.connection.unsettled > _MAX_UNSETTLED:
+            pending.connection.settle(pending, self._with_retry_delay(End(Status.DEFERRED)))
             return
         try:
-            submission = self._submission(waiter)
+            submission = self._build_submission(pending)
         except ValueError as error:
-            waiter.connection.settle(waiter, End(Status.UNDELIVERABLE), f"UNDELIVERABLE - {error}")
+            pending.connection.settle(pending, End(Status.UNDELIVERABLE), f"UNDELIVERABLE - {error}")
             return
         self._submit(submission)
 
-    def pressed(self, connection: AmqpConnection) -> bool:
-        """More want to be heard than can be: answered at once, as the core could not do in time."""
+    def overloaded(self, connection: AmqpConnection) -> bool:
+        """See `PublisherFront`; counts the deferred publishes."""
         if not self.registry.overload.pressed(self.registry.now(), connection.woken):
             return False
         self.counts["clients", "crowded"] += 1
         return True
 
-    def _spread(self, end: End) -> End:
-        """No room: nobody said when there will be."""
+    def _with_retry_delay(self, end: End) -> End:
+        """Add a spread retry delay to a deferral that has none, where load shedding is on."""
         if end.status is not Status.DEFERRED or end.again_ms > 0 or not self.registry.sheds:
             return end
         return End(Status.DEFERRED, self.come_again())
 
-    def _submission(self, waiter: Waiter) -> Submission:
-        properties: dict[str, Any] = waiter.content.properties
+    def _build_submission(self, pending: PendingPublish) -> Submission:
+        properties: dict[str, Any] = pending.content.properties
         name = str(properties.get("type", ""))
-        if name not in self._names:
+        if name not in self._class_names:
             raise ValueError(f"unknown class '{name[:40]}'")
-        grade = self._names.index(name)
-        routing_key = waiter.content.method.args["routing_key"]
+        class_index = self._class_names.index(name)
+        routing_key = pending.content.method.args["routing_key"]
         if not (routing_key.isascii() and routing_key.isdecimal() and len(routing_key) < 10):
             raise ValueError("the routing key is not a destination's number")
-        left = self._grades[grade].deadline
+        lifetime_s = self._classes[class_index].deadline
         if (expiration := str(properties.get("expiration", ""))) != "":
             if not (expiration.isascii() and expiration.isdecimal() and len(expiration) < 10):
                 raise ValueError("expiration is not a number of milliseconds")
-            left = min(left, int(expiration) / 1000)
-        # Without an id there is nothing to ask for again by, so the publish stands for itself alone.
-        msg_id = _token(properties.get("message_id") or secrets.token_hex(16), "message-id")
+            lifetime_s = min(lifetime_s, int(expiration) / 1000)
+        # A publish without an id can't be repeated by the client, so it gets a random one.
+        msg_id = _checked_token(properties.get("message_id") or secrets.token_hex(16), "message-id")
         headers = properties.get("headers") or {}
         key = headers.get(KEY_HEADER)
-        if key is None and self._grades[grade].semantics == "deduplicated":
+        if key is None and self._classes[class_index].semantics == "deduplicated":
             key = msg_id
-        key = "" if key is None else _token(key, KEY_HEADER)
+        key = "" if key is None else _checked_token(key, KEY_HEADER)
 
-        def answer(what: Answer) -> None:
-            if isinstance(what, Taken):
-                self._waiters.setdefault(msg_id, []).append(waiter)
+        def on_answer(answer: Answer) -> None:
+            if isinstance(answer, Taken):
+                self._unsettled.setdefault(msg_id, []).append(pending)
                 self.registry.overload.served(self.registry.now())
             else:
-                waiter.connection.settle(waiter, self._spread(what))
+                pending.connection.settle(pending, self._with_retry_delay(answer))
 
         return Submission(
             msg_id,
-            grade,
-            left,
+            class_index,
+            lifetime_s,
             int(routing_key),
             key,
-            bytes(waiter.content.body),
+            bytes(pending.content.body),
             "amqp",
-            answer,
-            lambda: waiter.channel.open,
-            waiter.connection.tenant,
+            on_answer,
+            lambda: pending.channel.open,
+            pending.connection.tenant,
         )
 
     def tell(self, msg_id: str, end: End, told: Callable[[], None]) -> None:
-        for waiter in self._waiters.pop(msg_id, ()):
-            waiter.connection.settle(waiter, end)
+        """Settle every publish of this message id; one on a closed channel gets no frame."""
+        for pending in self._unsettled.pop(msg_id, ()):
+            pending.connection.settle(pending, end)
         told()
 
 
-def _token(raw: object, name: str) -> str:
+def _checked_token(raw: object, name: str) -> str:
+    """Decoded text of a message id or key; ValueError if it is not a short printable ASCII token."""
     text = raw.decode("utf-8", "replace") if isinstance(raw, bytes) else str(raw)
     if not text or len(text) > 128 or not all(33 <= ord(c) < 127 for c in text):
         raise ValueError(f"{name}: 1 to 128 printable characters")
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -1,7 +1,7 @@
-"""One publisher's connection over AMQP 0-9-1: its opening, its channels, its publishes and their ends.
+"""A publisher's AMQP 0-9-1 connection: its handshake, channels, publishes and their outcomes.
 
-A publish is taken once it is journalled. `basic.ack` says delivered; `basic.return` and `basic.nack` say
-that it was deferred or is undeliverable.
+A publish is accepted once it is in the journal. `basic.ack` reports a delivered message; `basic.return` and
+`basic.nack` report one that is deferred or undeliverable.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 from mountgauge.connections.scheduler import RESTED
 from mountgauge.core.ports import End, Status
 
-_CHANNELS = 16  # each may hold a body under way, so this bounds memory
-_QUANTUM = 24  # frames that one connection may have read in a row: eight messages
-_BEAT = codec.frame(codec.HEARTBEAT, 0, b"")
-NO_ROUTE, NO_CONSUMERS = 312, 313
+_MAX_CHANNELS = 16  # bounds memory: each channel may hold a partially received body
+_FRAMES_PER_TURN = 24  # eight messages of three frames each
+_HEARTBEAT_FRAME = codec.frame(codec.HEARTBEAT, 0, b"")
+NO_ROUTE, NO_CONSUMERS = 312, 313  # reply codes of `basic.return`
 
 
 @dataclass(slots=True, eq=False)
 class Channel:
-    """OPEN, or CLOSING: close sent, its answer awaited."""
+    """A channel that is open, or closing: `channel.close` sent, its answer not received."""
 
     number: int
     confirm: bool = False
-    tag: int = 0
+    last_tag: int = 0
     closing: bool = False
     open: bool = True
 
 
 @dataclass(slots=True, eq=False)
-class Waiter:
-    """A publish that waits for its end."""
+class PendingPublish:
+    """A publish whose outcome hasn't been sent to the client."""
 
     connection: AmqpConnection
     channel: Channel
@@ -47,40 +47,41 @@
 
 
 class AmqpConnection(Link):
-    """A publisher; with nothing under way it is this object, its transport and its open channels."""
+    """A publisher's connection; an idle one is only this object, its transport and its open channels."""
 
     __slots__ = (
-        "_channels", "_front", "_half_by", "activity", "due_at", "opened_by", "since", "tenant", "tick",
-        "unread_by", "unsettled", "user", "woken",
+        "_channels", "_front", "_partial_deadline", "activity", "due_at", "handshake_deadline", "since",
+        "tenant", "tick", "unread_deadline", "unsettled", "user", "woken",
     )  # fmt: skip
-    frames_per_turn = _QUANTUM
+    frames_per_turn = _FRAMES_PER_TURN
 
     def __init__(self, front: PublisherFront) -> None:
         super().__init__(State.HEADER)
         self._front = front
         self._channels: dict[int, Channel] = {}
-        self.tenant = DEFAULT  # of the user who logged in
+        self.tenant = DEFAULT  # replaced at login by the tenant of the user
         self.unsettled = 0
-        self.opened_by = self._half_by = self.unread_by = math.inf
-        self.woken = False  # what is under way came after a rest
-        # The registry's: what it is doing, since when, and its one deadline.
+        self.handshake_deadline = self._partial_deadline = self.unread_deadline = math.inf
+        self.woken = False  # the publishes in progress came after an idle period
+        # Set by the front and the registry: activity, its start, the user, and the entry in the timer wheel.
         self.activity: int = Activity.BUSY
         self.since, self.user = 0.0, ""
         self.due_at, self.tick = math.inf, -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self.opened_by = self._front.registry.now() + self._front.times.handshake
+        self.handshake_deadline = self._front.registry.now() + self._front.times.handshake
         self._front.joined(self)
 
-    # Deadlines: the wheel has one for each connection
+    # Deadlines: the registry's timer wheel holds the earliest one of each connection
 
     @property
     def deadline(self) -> float:
+        """The earliest deadline of this connection; inf: none."""
         if self._close_deadline < math.inf:
             return self._close_deadline
-        found = min(super().deadline, self.opened_by, self._half_by, self.unread_by)
-        if self.state is State.READY and self.answered:
+        found = min(super().deadline, self.handshake_deadline, self._partial_deadline, self.unread_deadline)
+        if self.state is State.READY and self.settled:
             found = min(found, self.since + self._front.times.idle)
         return found
 
@@ -91,17 +92,17 @@
         counts = self._front.counts
         if self._close_deadline < math.inf or self.transport is None:
             super().on_due(now)
-        elif now >= self.opened_by:
+        elif now >= self.handshake_deadline:
             counts["clients", "silent"] += 1
             self.abort()
-        elif now >= self.unread_by:
+        elif now >= self.unread_deadline:
             counts["clients", "unread"] += 1
             self.abort()
-        elif now >= self._half_by:
+        elif now >= self._partial_deadline:
             counts["clients", "halfway"] += 1
             self.close_with(AmqpError(501, "FRAME_ERROR - a message was not finished in time"))
             self.discard_input()
-        elif self.answered and now - self.since >= self._front.times.idle and not self.has_partial_message:
+        elif self.settled and now - self.since >= self._front.times.idle and not self.has_partial_message:
             counts["clients", "idle"] += 1
             self.close_with(AmqpError(320, "CONNECTION_FORCED - idle for too long"))
         else:
@@ -111,19 +112,20 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         if (
-            nbytes == len(_BEAT)
+            nbytes == len(_HEARTBEAT_FRAME)
             and self._drain is None
             and not self.has_partial_message
-            and RECEIVE_BUFFER[:nbytes] == _BEAT
+            and RECEIVE_BUFFER[:nbytes] == _HEARTBEAT_FRAME
         ):
-            self._last_read_at = self._front.registry.now()  # nearly all that an idle one ever says
+            # Fast path: an idle connection receives hardly anything but heartbeats.
+            self._last_read_at = self._front.registry.now()
             return
         super().buffer_updated(nbytes)
-        self._keep()
+        self._track_partial_message()
 
     def more(self) -> None:
         super().more()
-        self._keep()
+        self._track_partial_message()
         if (
             not self._frames_pending
             and self.transport is not None
@@ -137,18 +139,22 @@
             self.transport.pause_reading()
         self._front.registry.wait(self)
 
-    def _keep(self) -> None:
-        """Half a message holds memory and a place: judged by the whole, as bytes may trickle for ever."""
+    def _track_partial_message(self) -> None:
+        """Set the deadline of a partially received message, and report its size to the front.
+
+        Such a message uses memory and a connection slot. The deadline is for the message as a total, since a
+        client could send single bytes for ever.
+        """
         if self.state is State.CLOSED:
             return
-        half = self.has_partial_message and self.state is State.READY
-        if half:
-            by = self._partial_since + self._front.times.half
-            if by != self._half_by:
-                self._half_by = by
+        partial = self.has_partial_message and self.state is State.READY
+        if partial:
+            deadline = self._partial_since + self._front.times.half
+            if deadline != self._partial_deadline:
+                self._partial_deadline = deadline
                 self.arm(self.deadline)
         else:
-            self._half_by = math.inf
+            self._partial_deadline = math.inf
         self._front.holds(self, self.partial_bytes if self.has_partial_message else 0)
 
     def on_lost(self) -> None:
@@ -165,11 +171,11 @@
     def turn_away(self, again_ms: int) -> None:
         self.abort()
 
-    def on_protocol_header(self, head: bytes) -> None:
-        if head != codec.PROTOCOL_HEADER:
-            self.send(codec.PROTOCOL_HEADER)  # the version that is spoken here
+    def on_protocol_header(self, header: bytes) -> None:
+        if header != codec.PROTOCOL_HEADER:
+            self.send(codec.PROTOCOL_HEADER)  # names the supported version, as the specification requires
             self.state = State.CLOSING
-            self._part()
+            self._half_close()
             return
         self.state = State.START
         capabilities = {"publisher_confirms": True, "basic.nack": True, "connection.blocked": False}
@@ -183,26 +189,26 @@
             locales="en_US",
         )
 
-    def _part(self) -> None:
-        """The last frame is written: what still comes is passed over until the peer ends, or LINGER."""
+    def _half_close(self) -> None:
+        """Close the sending side after the last frame, and discard input until the peer closes, or LINGER."""
         if self.transport is not None and not self.transport.is_closing():
             self.state = State.CLOSING
             self.discard_input()
             self.transport.resume_reading()
             self.transport.write_eof()
 
-    # Back-pressure: a client that does not read its answers is not read
+    # Back-pressure: no input is read from a client that doesn't read its answers
 
     def pause_writing(self) -> None:
         super().pause_writing()
         if self.transport is not None:
             self.transport.pause_reading()
-            self.unread_by = self._front.registry.now() + self._front.times.unread
+            self.unread_deadline = self._front.registry.now() + self._front.times.unread
             self.arm(self.deadline)
 
     def resume_writing(self) -> None:
         super().resume_writing()
-        self.unread_by = math.inf
+        self.unread_deadline = math.inf
         if self.transport is not None and not self.transport.is_closing() and not self._frames_pending:
             self.transport.resume_reading()
 
@@ -212,19 +218,19 @@
         name = method.name
         if name == "connection.close":
             self.send_method(0, "connection.close-ok")
-            self._part()
+            self._half_close()
         elif name == "connection.close-ok":
-            self._part()
+            self._half_close()
         elif name.startswith("connection."):
             if channel:
                 raise AmqpError(503, "COMMAND_INVALID - connection method on a channel")
-            self._opening(name, method)
+            self._handshake_method(name, method)
         elif self.state is not State.READY or not channel:
             raise AmqpError(503, "COMMAND_INVALID - not now", True, method.class_id, method.method_id)
         else:
             self._channel_method(channel, method)
 
-    def _opening(self, name: str, method: Method) -> None:
+    def _handshake_method(self, name: str, method: Method) -> None:
         args = method.args
         if (self.state, name) == (State.START, "connection.start-ok"):
             tenant = self._front.access.login(args["mechanism"], args["response"])
@@ -238,22 +244,22 @@
             self.send_method(
                 0,
                 "connection.tune",
-                channel_max=_CHANNELS,
+                channel_max=_MAX_CHANNELS,
                 frame_max=FRAME_MAX,
                 heartbeat=self._front.heartbeat,
             )
         elif (self.state, name) == (State.TUNE, "connection.tune-ok"):
-            asked = args["frame_max"] or FRAME_MAX
-            if not codec.FRAME_MIN <= asked <= FRAME_MAX or args["channel_max"] > _CHANNELS:
+            requested = args["frame_max"] or FRAME_MAX
+            if not codec.FRAME_MIN <= requested <= FRAME_MAX or args["channel_max"] > _MAX_CHANNELS:
                 raise AmqpError(530, "NOT_ALLOWED - more than was offered", True, 10, 31)
-            self.frame_max = self._parser.frame_max = asked
+            self.frame_max = self._parser.frame_max = requested
             self.start_heartbeats(args["heartbeat"], self._front.heartbeat_phase())
             self.state = State.OPEN
         elif (self.state, name) == (State.OPEN, "connection.open"):
             if not self._front.access.opens(args["vhost"]):
                 raise AmqpError(530, "NOT_ALLOWED - no such virtual host", True, 10, 40)
             self.state = State.READY
-            self.opened_by = math.inf
+            self.handshake_deadline = math.inf
             self._front.set_activity(self, Activity.RESTING)
             self.arm(self.deadline)
             self.send_method(0, "connection.open-ok")
@@ -263,7 +269,7 @@
     def _channel_method(self, number: int, method: Method) -> None:
         name, channel = method.name, self._channels.get(number)
         if name == "channel.open":
-            if channel is not None or number > _CHANNELS:
+            if channel is not None or number > _MAX_CHANNELS:
                 raise AmqpError(504, "CHANNEL_ERROR - in use or out of range", True, 20, 10)
             self._channels[number] = Channel(number)
             self.send_method(number, "channel.open-ok")
@@ -276,7 +282,7 @@
             self._channels.pop(number).open = False
             self.drop_content(number)
         elif channel.closing:
-            self.drop_content(number)  # passed over until close-ok
+            self.drop_content(number)  # ignored until close-ok
         elif name == "channel.close":
             channel.open = False
             del self._channels[number]
@@ -318,26 +324,27 @@
             raise AmqpError(404, "NOT_FOUND - no such exchange", False, codec.BASIC_CLASS_ID, 40)
         if content.method.args["immediate"]:
             raise AmqpError(540, "NOT_IMPLEMENTED - immediate", True, codec.BASIC_CLASS_ID, 40)
-        found.tag += 1
+        found.last_tag += 1
         front = self._front
         if not self.unsettled:
             self.woken = front.registry.now() - self.since >= RESTED
-        if front.registry.sheds and front.pressed(self):
-            self._tell(found, found.tag, content, End(Status.DEFERRED, front.come_again()))
+        if front.registry.sheds and front.overloaded(self):
+            self._send_outcome(found, found.last_tag, content, End(Status.DEFERRED, front.come_again()))
             return
         if not self.unsettled:
             front.set_activity(self, Activity.BUSY)
         self.unsettled += 1
-        self._front.publish(Waiter(self, found, found.tag, content))
+        self._front.publish(PendingPublish(self, found, found.last_tag, content))
 
-    def settle(self, waiter: Waiter, end: End, text: str = "") -> None:
+    def settle(self, pending: PendingPublish, end: End, text: str = "") -> None:
+        """Send the outcome of a publish; `text` replaces the usual reply text of `basic.return`."""
         self.unsettled -= 1
         if not self.unsettled and self.state is State.READY:
             self._front.set_activity(self, Activity.RESTING)
             self.arm(self.deadline)
-        self._tell(waiter.channel, waiter.tag, waiter.content, end, text)
+        self._send_outcome(pending.channel, pending.tag, pending.content, end, text)
 
-    def _tell(self, channel: Channel, tag: int, content: Content, end: End, text: str = "") -> None:
+    def _send_outcome(self, channel: Channel, tag: int, content: Content, end: End, text: str = "") -> None:
         if not channel.open or self.state is not State.READY:
             return
         if end.status is Status.DELIVERED:
@@ -361,29 +368,30 @@
             self.send(out)
 
     @property
-    def answered(self) -> bool:
+    def settled(self) -> bool:
+        """Whether every publish has got its outcome."""
         return not self.unsettled
 
-    def end(self) -> None:
-        """The sender stops: what has not been confirmed stays in the journal."""
+    def close_for_shutdown(self) -> None:
+        """Close because the sender stops; unconfirmed messages stay in the journal."""
         self.close_with(AmqpError(320, "CONNECTION_FORCED - the sender stops"))
 
 
 class PublisherFront(Front[AmqpConnection]):
-    """What a connection asks of its front."""
+    """What a connection needs from its front."""
 
     access: Access
     heartbeat: int  # s
     exchange: str
 
     def heartbeat_phase(self) -> float:
-        """Of heartbeats: spread evenly, whoever connects when."""
+        """Phase for a connection's first heartbeat, from 0 to 1; successive ones are evenly spread."""
         raise NotImplementedError
 
-    def publish(self, waiter: Waiter) -> None:
-        """Hand a publish to the core; its connection is told how it ended."""
+    def publish(self, pending: PendingPublish) -> None:
+        """Submit a publish to the core; its outcome goes to the publish's connection."""
         raise NotImplementedError
 
-    def pressed(self, connection: AmqpConnection) -> bool:
-        """More want to be heard than can be: answered at once, as the core could not do in time."""
+    def overloaded(self, connection: AmqpConnection) -> bool:
+        """Whether to defer a publish at once because of overload: the core could not answer it in time."""
         raise NotImplementedError
