--- a/mountgauge/amqp/__init__.py
+++ b/mountgauge/amqp/__init__.py
@@ -1,1 +1,1 @@
-"""AMQP 0-9-1: the second front, and next hops that are brokers."""
+"""AMQP 0-9-1: a front for publishers, and next hops that are message brokers."""
--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -1,12 +1,13 @@
 """Next hops over AMQP 0-9-1: partners' brokers, to which messages are published with confirms.
 
-One connection for each next hop, one channel for each call that is out on it. Outcomes: ack = OK, nack or
+Each next hop has one connection, with one channel for each call in flight. Outcomes: ack = OK, nack or
 a returned message = ERROR, a blocked connection = FULL, no connection = CONNECT_FAILED, a connection that
-breaks after the publish = RESET, no confirm in time = TIMEOUT, and the channel is closed.
+breaks after the publish = RESET, no confirm in time = TIMEOUT; after a timeout the channel is closed.
 
-A call is admitted where its first byte goes straight to the socket: never behind bytes that the broker has
-not taken yet, and never on a connection to another address than the call's. Its socket asks its lease up to
-the last byte; where that has ended, the connection ends, as what it holds cannot be taken back.
+A call is admitted only when its first byte can go straight to the socket: never behind bytes that the broker
+hasn't accepted yet, and never on a connection to another address than the call's. The socket checks the
+call's lease before each write up to the last byte. If the lease has ended, the connection is closed, as
+buffered bytes can't be withdrawn.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 from mountgauge.leased_socket import LeaseSlot
 from rillspindle.interface import Outcome
 
-_MOST_CHANNELS = 256
-_LOOK_AGAIN = 0.01  # s from one look at a socket that takes nothing more to the next
-_CLOSE_LIMIT = 2.0  # s for the answer to a channel's close; past it the broker is not worth its connection
+_MAX_CHANNELS = 256
+_WRITABLE_POLL_S = 0.01  # between two checks of a socket that accepts no more bytes
+_CHANNEL_CLOSE_TIMEOUT_S = 2.0  # for the answer to channel.close; after it the connection is aborted
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """How to publish to one next hop."""
+    """Login, virtual host and address for publishing to one next hop."""
 
     user: str = "guest"
     password: str = "guest"
@@ -46,7 +47,7 @@
 
 
 class _Target(NamedTuple):
-    """What one connection leads to."""
+    """The next hop, address and account of one connection."""
 
     hop_id: str
     host: str
@@ -55,86 +56,99 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Out:
-    """A call that is out: waiting for its channel, or for its confirms."""
+class _OpenCall:
+    """A call that waits for its connection or channel, or is in flight and waits for its confirms."""
 
     call: Call
     timer: asyncio.TimerHandle
     target: _Target
     link: BrokerLink | None = None
-    going: list[Item] = field(default_factory=list)
-    tags: dict[int, Item] = field(default_factory=dict)
+    admitted: list[Item] = field(default_factory=list)  # messages that the core let through
+    tags: dict[int, Item] = field(default_factory=dict)  # unconfirmed messages by delivery tag
     results: dict[int, Result] = field(default_factory=dict)
-    last_byte: int = 0  # its place in all that its connection has written
-    short: bool = False  # this machine had no descriptor or port for it, which says nothing of its broker
+    end_offset: int = 0  # of its last byte in the byte stream written to its connection
+    local_shortage: bool = False  # no descriptor or port on this machine: no evidence about the broker
 
 
 @dataclass(slots=True, eq=False)
 class _Channel:
-    """OPENING, CONFIRMING, READY, then BUSY with a call and READY in turn, at last CLOSING."""
+    """A channel: opening, confirming, ready, then busy with a call and ready in turn, finally closing."""
 
     number: int
     state: str = "opening"
-    tag: int = 0
-    out: _Out | None = None
-    flows: bool = True  # the broker may ask for a pause
+    last_tag: int = 0
+    open_call: _OpenCall | None = None
+    flow_active: bool = True  # False while the broker has paused the channel with `channel.flow`
     timer: asyncio.TimerHandle | None = None
 
 
 class BrokerLink(Link):
-    """One connection to a broker, with the publishes that wait for their confirmation."""
+    """One connection to a broker, with the calls published on it that wait for their confirms."""
 
     def __init__(
         self,
         target: _Target,
-        order: int,
+        sequence: int,
         on_ready: Callable[[], None],
-        lost: Callable[[], None],
-        settle: Callable[[_Out], None],
+        on_closed: Callable[[], None],
+        on_finished: Callable[[_OpenCall], None],
         admit: Callable[[Call, list[Item]], list[Item]],
     ) -> None:
-        """`order` rises from one connection to the next."""
+        """`sequence` increases from one connection to the next.
+
+        `on_closed` and `on_finished` are called when the connection has closed and when a call has its
+        results; `admit` returns the messages of a call that may be published now.
+        """
         super().__init__(State.START)
-        self.target, self.order, self.blocked = target, order, False
-        self.slot = LeaseSlot()  # of the socket that it is to be connected with
+        self.target, self.sequence, self.blocked = target, sequence, False
+        self.slot = LeaseSlot()  # shared with the socket of this connection
         self.channels: dict[int, _Channel] = {}
-        self.most_channels = _MOST_CHANNELS
-        self.carried = 0  # calls carried so far
-        self._waiting: list[_Channel] = []  # whose calls go once the socket takes bytes again
-        self._on_ready, self._lost, self._settle, self._admit = on_ready, lost, settle, admit
+        self.max_channels = _MAX_CHANNELS
+        self.calls_started = 0
+        self._awaiting_write: list[_Channel] = []  # channels that publish once the socket accepts bytes
+        self._on_ready, self._on_closed = on_ready, on_closed
+        self._on_finished, self._admit = on_finished, admit
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         if (sock := transport.get_extra_info("socket")) is not None:
-            # The system takes no more while bytes are unsent: what is written then waits where it is known.
+            # The system accepts no more while bytes are unsent; further bytes wait in the transport's buffer,
+            # which shows that they are unsent.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, 1)
         self.send(codec.PROTOCOL_HEADER)
 
     @property
     def busy(self) -> bool:
-        return any(channel.out is not None for channel in self.channels.values())
+        """Whether a channel has a call."""
+        return any(channel.open_call is not None for channel in self.channels.values())
 
     def on_lost(self) -> None:
-        outs = [channel.out for channel in self.channels.values() if channel.out is not None]
+        open_calls = [
+            channel.open_call for channel in self.channels.values() if channel.open_call is not None
+        ]
         for channel in self.channels.values():
             if channel.timer is not None:
                 channel.timer.cancel()
         self.channels.clear()
-        self._lost()
-        for out in outs:
-            # Published and not confirmed: it may have taken effect, unless its last byte never left. Of what
-            # was still unwritten that is sure of the last bytes alone.
-            lease = out.call.lease
-            if lease is not None and lease.refusal is not None:  # its last byte never left
-                self._fill(out, Result(Outcome.MOOT))
+        self._on_closed()
+        for open_call in open_calls:
+            # A call published and not confirmed may have taken effect, unless its last byte was never sent.
+            # Before the buffer is flushed, only its very last bytes are sure to be unsent, so that is certain
+            # only of the call written last.
+            lease = open_call.call.lease
+            if lease is not None and lease.refusal is not None:  # its last byte was never sent
+                self._finish_call(open_call, Result(Outcome.MOOT))
                 continue
-            never = not out.going or (not self.flushed and out.last_byte == self.bytes_written)
-            self._fill(out, Result(Outcome.CONNECT_FAILED if never else Outcome.RESET))
+            unsent = not open_call.admitted or (
+                not self.flushed and open_call.end_offset == self.bytes_written
+            )
+            self._finish_call(open_call, Result(Outcome.CONNECT_FAILED if unsent else Outcome.RESET))
 
-    def _fill(self, out: _Out, result: Result) -> None:
-        for item in out.going or out.call.items:
-            out.results.setdefault(item.number, result)
-        self._settle(out)
+    def _finish_call(self, open_call: _OpenCall, result: Result) -> None:
+        """Finish a call, with this result for each message that has none."""
+        for item in open_call.admitted or open_call.call.items:
+            open_call.results.setdefault(item.number, result)
+        self._on_finished(open_call)
 
     # Methods
 
@@ -149,11 +163,11 @@
         elif name in ("connection.blocked", "connection.unblocked"):
             self.blocked = name == "connection.blocked"
         elif name.startswith("connection."):
-            self._opening(name, method)
+            self._handshake_method(name, method)
         else:
             self._channel_method(channel, method)
 
-    def _opening(self, name: str, method: Method) -> None:
+    def _handshake_method(self, name: str, method: Method) -> None:
         account, args = self.target.account, method.args
         if (self.state, name) == (State.START, "connection.start"):
             self.state = State.TUNE
@@ -169,7 +183,7 @@
         elif (self.state, name) == (State.TUNE, "connection.tune"):
             self.state = State.OPEN
             offered = args["frame_max"] or FRAME_MAX
-            self.most_channels = min(_MOST_CHANNELS, args["channel_max"] or _MOST_CHANNELS)
+            self.max_channels = min(_MAX_CHANNELS, args["channel_max"] or _MAX_CHANNELS)
             self.frame_max = self._parser.frame_max = max(codec.FRAME_MIN, min(FRAME_MAX, offered))
             self.send_method(
                 0,
@@ -191,14 +205,14 @@
         if channel is None:
             self.drop_content(number)
             return
-        if name == "channel.close":  # the broker refuses what was published on it
+        if name == "channel.close":  # the broker rejects a publish on this channel
             self.send_method(number, "channel.close-ok")
-            self._drop(channel)
-            if (out := channel.out) is not None:
-                channel.out = None
-                self._fill(out, Result(Outcome.ERROR))
+            self._remove_channel(channel)
+            if (open_call := channel.open_call) is not None:
+                channel.open_call = None
+                self._finish_call(open_call, Result(Outcome.ERROR))
         elif name == "channel.close-ok":
-            self._drop(channel)
+            self._remove_channel(channel)
         elif channel.state == "closing":
             self.drop_content(number)
         elif name == "channel.open-ok":
@@ -206,27 +220,27 @@
             self.send_method(number, "confirm.select")
         elif name == "confirm.select-ok":
             channel.state = "ready"
-            if channel.out is not None:
-                self._publish(channel, channel.out)
+            if channel.open_call is not None:
+                self._publish(channel, channel.open_call)
         elif name in ("basic.ack", "basic.nack"):
             self._confirmed(channel, method.args["tag"], method.args["multiple"], name == "basic.ack")
         elif name == "channel.flow":
-            channel.flows = method.args["active"]
+            channel.flow_active = method.args["active"]
             self.send_method(number, "channel.flow-ok", active=method.args["active"])
 
     def on_content(self, channel: int, content: Content) -> None:
-        """A returned message: its ack will follow, but no queue has taken it."""
+        """A returned message: no queue has accepted it, although its ack will follow."""
         found = self.channels.get(channel)
-        if found is None or found.out is None:
+        if found is None or found.open_call is None:
             return
-        for item in found.out.tags.values():
+        for item in found.open_call.tags.values():
             if item.id == content.properties.get("message_id"):
-                found.out.results[item.number] = Result(Outcome.ERROR)
+                found.open_call.results[item.number] = Result(Outcome.ERROR)
 
     def ignores_content(self, channel: int) -> bool:
         return True
 
-    def _drop(self, channel: _Channel) -> None:
+    def _remove_channel(self, channel: _Channel) -> None:
         if channel.timer is not None:
             channel.timer.cancel()
         self.channels.pop(channel.number, None)
@@ -234,25 +248,25 @@
 
     # Calls
 
-    def carry(self, out: _Out) -> bool:
-        """Put a call on a free channel, or on a new one; False where the connection has no room."""
-        self.carried += 1
-        out.link = self
+    def start_call(self, open_call: _OpenCall) -> bool:
+        """Start a call on a free channel or a new one; False if all channels are in use."""
+        self.calls_started += 1
+        open_call.link = self
         for channel in self.channels.values():
-            if channel.state == "ready" and channel.out is None:
-                channel.out = out
-                self._publish(channel, out)
+            if channel.state == "ready" and channel.open_call is None:
+                channel.open_call = open_call
+                self._publish(channel, open_call)
                 return True
-        number = next((n for n in range(1, self.most_channels + 1) if n not in self.channels), 0)
+        number = next((n for n in range(1, self.max_channels + 1) if n not in self.channels), 0)
         if not number:
             return False
-        self.channels[number] = _Channel(number, out=out)
+        self.channels[number] = _Channel(number, open_call=open_call)
         self.send_method(number, "channel.open")
         return True
 
     @property
-    def _takes_bytes(self) -> bool:
-        """Whether the first byte of what is written now leaves now."""
+    def _writable(self) -> bool:
+        """Whether the next byte written would go to the socket at once."""
         sock = self.transport.get_extra_info("socket") if self.transport is not None else None
         if not self.flushed or sock is None:
             return self.flushed
@@ -262,47 +276,49 @@
 
     def resume_writing(self) -> None:
         super().resume_writing()
-        self._publish_waiting()
-
-    def _publish_waiting(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        for channel in waiting:
-            if channel.out is not None and self.channels.get(channel.number) is channel:
-                self._publish(channel, channel.out)
-
-    def _wait_to_publish(self, channel: _Channel) -> None:
-        """The call keeps its channel, and gives it back where it is given up meanwhile."""
-        if not self._waiting and self.flushed:  # no `resume_writing` will tell
-            asyncio.get_running_loop().call_later(_LOOK_AGAIN, self._publish_waiting)
-        self._waiting.append(channel)
-
-    def _publish(self, channel: _Channel, out: _Out) -> None:
-        if self.blocked or not channel.flows:
-            channel.out = None
-            self._fill(out, Result(Outcome.FULL))
+        self._resume_publishing()
+
+    def _resume_publishing(self) -> None:
+        channels, self._awaiting_write = self._awaiting_write, []
+        for channel in channels:
+            if channel.open_call is not None and self.channels.get(channel.number) is channel:
+                self._publish(channel, channel.open_call)
+
+    def _defer_publish(self, channel: _Channel) -> None:
+        """Keep the channel for its call until the socket is writable; `cancel_call` releases it."""
+        if not self._awaiting_write and self.flushed:  # `resume_writing` won't be called
+            asyncio.get_running_loop().call_later(_WRITABLE_POLL_S, self._resume_publishing)
+        self._awaiting_write.append(channel)
+
+    def _publish(self, channel: _Channel, open_call: _OpenCall) -> None:
+        if self.blocked or not channel.flow_active:
+            channel.open_call = None
+            self._finish_call(open_call, Result(Outcome.FULL))
             return
-        if not self._takes_bytes:
-            self._wait_to_publish(channel)
+        if not self._writable:
+            self._defer_publish(channel)
             return
-        out.going = self._admit(out.call, out.call.items)
-        if not out.going:
-            channel.out = None
-            self._settle(out)
+        open_call.admitted = self._admit(open_call.call, open_call.call.items)
+        if not open_call.admitted:
+            channel.open_call = None
+            self._on_finished(open_call)
             return
         channel.state = "busy"
         now = asyncio.get_running_loop().time()
         data = b""
-        for item in out.going:
-            channel.tag += 1
-            out.tags[channel.tag] = item
+        for item in open_call.admitted:
+            channel.last_tag += 1
+            open_call.tags[channel.last_tag] = item
             properties = {
                 "message_id": item.id,
                 "type": item.grade,
                 "delivery_mode": 2,
-                "expiration": str(max(1, math.floor((min(item.expires, out.call.give_up_at) - now) * 1000))),
+                "expiration": str(
+                    max(1, math.floor((min(item.expires, open_call.call.give_up_at) - now) * 1000))
+                ),
                 "headers": {KEY_HEADER: item.key} if item.key else None,
             }
-            routing_key = self.target.account.routing_key or str(out.call.hop.entry.owner)
+            routing_key = self.target.account.routing_key or str(open_call.call.hop.entry.owner)
             data += codec.method(
                 channel.number,
                 "basic.publish",
@@ -311,84 +327,90 @@
                 mandatory=True,
             )
             data += codec.content(channel.number, properties, item.body, self.frame_max)
-        out.last_byte = self.bytes_written + len(data)
-        self.slot.arm(out.call.lease, len(data))  # nothing is written before it: `_takes_bytes`
+        open_call.end_offset = self.bytes_written + len(data)
+        # No unsent bytes precede these: `_writable` was checked above.
+        self.slot.arm(open_call.call.lease, len(data))
         self.send(data)
 
     def _confirmed(self, channel: _Channel, tag: int, multiple: bool, acked: bool) -> None:
-        out = channel.out
-        if out is None:
+        open_call = channel.open_call
+        if open_call is None:
             return
-        for known in [t for t in out.tags if t == tag or (multiple and (t <= tag or tag == 0))]:
-            item = out.tags.pop(known)
-            out.results.setdefault(item.number, Result(Outcome.OK if acked else Outcome.ERROR))
-        if not out.tags:
-            channel.out, channel.state = None, "ready"
-            self._settle(out)
-
-    def give_up(self, out: _Out) -> None:
-        """Close the channel: a confirm that comes late must not be taken for the next call's."""
+        for confirmed in [t for t in open_call.tags if t == tag or (multiple and (t <= tag or tag == 0))]:
+            item = open_call.tags.pop(confirmed)
+            open_call.results.setdefault(item.number, Result(Outcome.OK if acked else Outcome.ERROR))
+        if not open_call.tags:
+            channel.open_call, channel.state = None, "ready"
+            self._on_finished(open_call)
+
+    def cancel_call(self, open_call: _OpenCall) -> None:
+        """Close the call's channel, so that a late confirm isn't attributed to the channel's next call.
+
+        A call of which nothing was written only releases its channel.
+        """
         for channel in self.channels.values():
-            if channel.out is out and channel in self._waiting:  # nothing of it was written
-                self._waiting.remove(channel)
-                channel.out = None
+            if channel.open_call is open_call and channel in self._awaiting_write:  # nothing was written
+                self._awaiting_write.remove(channel)
+                channel.open_call = None
                 return
-            if channel.out is out:
-                channel.out, channel.state = None, "closing"
+            if channel.open_call is open_call:
+                channel.open_call, channel.state = None, "closing"
                 self.drop_content(channel.number)
                 self.send_method(channel.number, "channel.close", code=200, text="given up")
-                channel.timer = asyncio.get_running_loop().call_later(_CLOSE_LIMIT, self.abort)
+                channel.timer = asyncio.get_running_loop().call_later(_CHANNEL_CLOSE_TIMEOUT_S, self.abort)
                 return
 
 
 class AmqpNextHops:
-    """Delivers calls to brokers: a connection for each, kept while it is used."""
+    """Delivers calls to brokers, on one connection for each next hop that is kept while in use."""
 
     def __init__(
         self,
         owner: CallOwner,
         connect_timeout: float,
         idle: float,
-        most: int,
+        max_connections: int,
         accounts: Mapping[str, Account],
     ) -> None:
-        self._owner, self._connect_timeout, self._idle = owner, connect_timeout, idle
-        self._most = most  # connections at once
+        self._owner, self._connect_timeout, self._idle_s = owner, connect_timeout, idle
+        self._max_connections = max_connections
         self.accounts = accounts
         self._links: dict[str, BrokerLink] = {}
-        self._opening: dict[_Target, asyncio.Task[None]] = {}
-        self._queued: dict[_Target, list[_Out]] = {}
-        self._orders = itertools.count()
-        self._out: dict[Call, _Out] = {}
-        self.opened = 0
+        self._connecting: dict[_Target, asyncio.Task[None]] = {}
+        self._queued: dict[_Target, list[_OpenCall]] = {}
+        self._sequence_numbers = itertools.count()
+        self._open_calls: dict[Call, _OpenCall] = {}
+        self.opened = 0  # connections opened so far
 
     @property
     def out(self) -> int:
-        return len(self._out)
+        """Number of calls that are started and not finished."""
+        return len(self._open_calls)
 
     def start(self, call: Call) -> None:
+        """Send a call on the next hop's connection, which is opened if needed."""
         loop = asyncio.get_running_loop()
         target = self._target(call.hop)
-        out = _Out(call, loop.call_at(call.give_up_at, self._give_up, call), target)
-        self._out[call] = out
-        link = self._current(target)
+        open_call = _OpenCall(call, loop.call_at(call.give_up_at, self._stop_call, call), target)
+        self._open_calls[call] = open_call
+        link = self._current_link(target)
         if link is not None and link.state is State.READY:
-            if not link.carry(out):
-                loop.call_soon(self._finish, out)  # not sent
+            if not link.start_call(open_call):
+                loop.call_soon(self._finish, open_call)  # not sent
             return
-        if target not in self._opening and not self._make_room():
-            loop.call_soon(self._finish, out)  # not sent
+        if target not in self._connecting and not self._ensure_capacity():
+            loop.call_soon(self._finish, open_call)  # not sent
             return
-        self._queued.setdefault(target, []).append(out)
-        if target not in self._opening:
+        self._queued.setdefault(target, []).append(open_call)
+        if target not in self._connecting:
             self.opened += 1
-            self._opening[target] = loop.create_task(self._connect(target))
+            self._connecting[target] = loop.create_task(self._connect(target))
 
     def _target(self, hop: NextHop) -> _Target:
         return _Target(hop.id, hop.host, hop.port, self.accounts.get(hop.id, Account()))
 
-    def _current(self, target: _Target) -> BrokerLink | None:
-        """The next hop's connection; one to an earlier address or account takes no further calls."""
+    def _current_link(self, target: _Target) -> BrokerLink | None:
+        """The next hop's connection; one to a previous address or account is retired."""
         link = self._links.get(target.hop_id)
         if link is None or link.target == target:
             return link
@@ -397,18 +419,20 @@
         return None
 
     def _retire(self, link: BrokerLink) -> None:
+        """Close a connection that gets no more calls; a busy one is aborted after the idle time."""
         if link.busy:
-            asyncio.get_running_loop().call_later(self._idle, link.abort)
+            asyncio.get_running_loop().call_later(self._idle_s, link.abort)
         else:
             link.close_with(AmqpError(200, "moved"))
 
-    def _make_room(self) -> bool:
-        """Descriptors are bounded: a connection without a call goes before a call stays behind."""
-        if len(self._links) + len(self._opening) < self._most:
+    def _ensure_capacity(self) -> bool:
+        """Whether one more may be opened; at the limit, which bounds descriptors, an idle one is closed."""
+        if len(self._links) + len(self._connecting) < self._max_connections:
             return True
-        return self._close_an_idle_one()
+        return self._close_idle_link()
 
-    def _close_an_idle_one(self) -> bool:
+    def _close_idle_link(self) -> bool:
+        """Close the first connection without a call; False if there is none."""
         idle = next((hop_id for hop_id, link in self._links.items() if not link.busy), None)
         if idle is not None:
             self.close_idle(idle)
@@ -419,7 +443,7 @@
         loop = asyncio.get_running_loop()
         ready: asyncio.Future[None] = loop.create_future()
 
-        def lost() -> None:
+        def on_closed() -> None:
             if self._links.get(hop_id) is link:
                 del self._links[hop_id]
             if not ready.done():
@@ -429,19 +453,19 @@
             if not ready.done():
                 ready.set_result(None)
 
-        order = next(self._orders)
+        sequence = next(self._sequence_numbers)
         tried_at = loop.time()
 
         def on_shortage() -> bool:
             nonlocal tried_at
             tried_at = loop.time() + SHORTAGE_PAUSE
-            waiting = self._queued.get(target, [])
-            for out in waiting:
-                out.short = True
-            self._close_an_idle_one()
-            return bool(waiting)  # until the last of them is given up
+            queued = self._queued.get(target, [])
+            for open_call in queued:
+                open_call.local_shortage = True
+            self._close_idle_link()
+            return bool(queued)  # try again until the last queued call is timed out or cancelled
 
-        link = BrokerLink(target, order, on_ready, lost, self._finish, self._owner.admit)
+        link = BrokerLink(target, sequence, on_ready, on_closed, self._finish, self._owner.admit)
         try:
             await connect(
                 lambda: link, target.host, target.port, self._connect_timeout, on_shortage, link.slot
@@ -450,18 +474,18 @@
                 await ready
         except OSError:
             link.abort()
-            self._opening.pop(target, None)
-            for out in self._queued.pop(target, []):
+            self._connecting.pop(target, None)
+            for open_call in self._queued.pop(target, []):
                 failed = Result(Outcome.CONNECT_FAILED)
-                out.results = {item.number: failed for item in out.call.items}
-                self._finish(out)
+                open_call.results = {item.number: failed for item in open_call.call.items}
+                self._finish(open_call)
             return
-        self._opening.pop(target, None)
-        for out in self._queued.pop(target, []):
-            if out.call in self._out and not link.carry(out):
-                self._finish(out)
-        other = self._links.get(hop_id)  # opened meanwhile, to another address or for another account
-        if other is not None and other.order > link.order:
+        self._connecting.pop(target, None)
+        for open_call in self._queued.pop(target, []):
+            if open_call.call in self._open_calls and not link.start_call(open_call):
+                self._finish(open_call)
+        other = self._links.get(hop_id)  # opened meanwhile to another address or for another account
+        if other is not None and other.sequence > link.sequence:
             self._retire(link)
             return
         self._links[hop_id] = link
@@ -470,55 +494,59 @@
             self._retire(other)
 
     def _watch_idle(self, hop_id: str, link: BrokerLink) -> None:
-        """An unused connection costs the partner a place: it goes after a while without calls."""
+        """Close the connection after the idle time without calls: it takes up a slot at the partner."""
 
-        def look(quiet: bool = False) -> None:
+        def check(was_idle: bool = False) -> None:
             if link.state is not State.READY:
                 return
             idle = not link.busy
-            if idle and quiet and link.carried == used[0]:
+            if idle and was_idle and link.calls_started == calls_at_last_check[0]:
                 self.close_idle(hop_id)
                 return
-            used[0] = link.carried
-            asyncio.get_running_loop().call_later(self._idle, look, idle)
+            calls_at_last_check[0] = link.calls_started
+            asyncio.get_running_loop().call_later(self._idle_s, check, idle)
 
-        used = [0]
-        look()
+        calls_at_last_check = [0]
+        check()
 
-    def _give_up(self, call: Call, outcome: Outcome = Outcome.TIMEOUT) -> None:
-        out = self._out.get(call)
-        if out is None:
+    def _stop_call(self, call: Call, outcome: Outcome = Outcome.TIMEOUT) -> None:
+        """Finish a call with `outcome`, or as MOOT or CONNECT_FAILED if nothing of it was published."""
+        open_call = self._open_calls.get(call)
+        if open_call is None:
             return
-        moot = out.short or outcome == Outcome.CANCELLED
-        never = Outcome.MOOT if moot else Outcome.CONNECT_FAILED
-        result = Result(outcome if out.going else never)
-        for item in out.going or call.items:
-            out.results.setdefault(item.number, result)
-        if out.link is not None:
-            out.link.give_up(out)
-        queued = self._queued.get(out.target, [])
-        if out in queued:
-            queued.remove(out)
-        self._finish(out)
+        moot = open_call.local_shortage or outcome == Outcome.CANCELLED
+        unsent = Outcome.MOOT if moot else Outcome.CONNECT_FAILED
+        result = Result(outcome if open_call.admitted else unsent)
+        for item in open_call.admitted or call.items:
+            open_call.results.setdefault(item.number, result)
+        if open_call.link is not None:
+            open_call.link.cancel_call(open_call)
+        queued = self._queued.get(open_call.target, [])
+        if open_call in queued:
+            queued.remove(open_call)
+        self._finish(open_call)
 
     def cancel(self, call: Call) -> None:
-        self._give_up(call, Outcome.CANCELLED)
+        """Finish a call as cancelled."""
+        self._stop_call(call, Outcome.CANCELLED)
 
-    def _finish(self, out: _Out) -> None:
-        if self._out.pop(out.call, None) is not None:
-            out.timer.cancel()
-            self._owner.finished(out.call, out.results)
+    def _finish(self, open_call: _OpenCall) -> None:
+        if self._open_calls.pop(open_call.call, None) is not None:
+            open_call.timer.cancel()
+            self._owner.finished(open_call.call, open_call.results)
 
     def close_idle(self, hop_id: str) -> None:
+        """Close the next hop's connection if it has no call."""
         link = self._links.get(hop_id)
         if link is not None and not link.busy:
             del self._links[hop_id]
             link.close_with(AmqpError(200, "idle"))
 
     def close(self) -> None:
-        for call in list(self._out):
-            self._give_up(call, Outcome.RESET)
+        """Finish all calls as reset, and abort all connections."""
+        for call in list(self._open_calls):
+            self._stop_call(call, Outcome.RESET)
         for hop_id in list(self._links):
             self._links.pop(hop_id).abort()
-        for task in self._opening.values():
+        for task in self._connecting.values():
             task.cancel()
