--- a/tests/test_amqp_states.py
+++ b/tests/test_amqp_states.py
@@ -1,4 +1,4 @@
-"""An AMQP client connection's states against a model, whatever order the steps come in."""
+"""A publisher's AMQP connection compared with a model of its channels, over random sequences of steps."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def decode_methods(data: bytes) -> list[tuple[int, str, int]]:
-    """What was written: channel, method, and its tag or code."""
+    """The methods in written bytes: channel, name, and delivery tag or reply code."""
     parser, found = codec.FrameParser(1 << 20), []
     parser.feed(data)
     while (frame := parser.next()) is not None:
@@ -49,69 +49,69 @@
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.lists(STEPS, min_size=8, max_size=25))
-def test_connection_against_its_model(steps: list[tuple[str, int]]) -> None:
-    """A publish on a channel that lives gets one ack, or one return and nack; on one that closed, nothing."""
+def test_connection_matches_its_model(steps: list[tuple[str, int]]) -> None:
+    """A publish on an open channel gets one ack, or one return and nack; on a closed one it gets nothing."""
 
     async def main() -> None:
-        handed: list[Submission] = []
-        clients = AmqpClients(handed.append, ("note",), (GRADE,), 9)
+        submitted: list[Submission] = []
+        clients = AmqpClients(submitted.append, ("note",), (GRADE,), 9)
         connection, transport = AmqpConnection(clients), Transport()
         connection.connection_made(transport)
         for data, answer in zip(OPENING, ANSWERS, strict=True):
             receive(connection, data)
             assert [name for _, name, _ in decode_methods(transport.take())] == ([answer] if answer else [])
-        tags: dict[int, int] = {}  # open channels, with the last tag
-        lives: dict[int, int] = {}  # how often a channel was opened: an end finds its own life only
-        owed: list[tuple[str, int, int, int]] = []  # id, channel, life, tag
-        taken: list[str] = []
-        for place, (step, channel) in enumerate([("open", 1), ("open", 2), *steps]):
-            wanted: list[tuple[int, str, int]] = []
+        tags: dict[int, int] = {}  # last delivery tag by open channel
+        openings: dict[int, int] = {}  # by channel: an outcome is sent only in the opening of its publish
+        unsettled: list[tuple[str, int, int, int]] = []  # id, channel, opening, tag
+        accepted: list[str] = []
+        for index, (step, channel) in enumerate([("open", 1), ("open", 2), *steps]):
+            expected: list[tuple[int, str, int]] = []
             if step == "open" and channel not in tags:
-                tags[channel], lives[channel] = 0, lives.get(channel, 0) + 1
+                tags[channel], openings[channel] = 0, openings.get(channel, 0) + 1
                 receive(connection, codec.method(channel, "channel.open"))
                 receive(connection, codec.method(channel, "confirm.select"))
-                wanted = [(channel, "channel.open-ok", 0), (channel, "confirm.select-ok", 0)]
+                expected = [(channel, "channel.open-ok", 0), (channel, "confirm.select-ok", 0)]
             elif step in ("publish", "repeat") and channel in tags:
-                msg_id = taken[0] if step == "repeat" and taken else f"m{place}"
+                msg_id = accepted[0] if step == "repeat" and accepted else f"m{index}"
                 tags[channel] += 1
                 receive(connection, publish(channel, msg_id))
-                owed.append((msg_id, channel, lives[channel], tags[channel]))
-                if msg_id not in taken:
-                    taken.append(msg_id)
-                handed.pop().answer(Taken())
-            elif step == "cut" and channel in tags:  # a content that comes in two parts
+                unsettled.append((msg_id, channel, openings[channel], tags[channel]))
+                if msg_id not in accepted:
+                    accepted.append(msg_id)
+                submitted.pop().answer(Taken())
+            elif step == "cut" and channel in tags:  # a content received in two parts
                 receive(connection, publish(channel, "cut")[:-5])
                 receive(connection, publish(channel, "cut")[-5:])
                 tags[channel] += 1
-                handed.pop().answer(End(Status.DEFERRED))  # refused at once
-                wanted = [(channel, "basic.return", 313), (channel, "basic.nack", tags[channel])]
+                submitted.pop().answer(End(Status.DEFERRED))  # rejected at once
+                expected = [(channel, "basic.return", 313), (channel, "basic.nack", tags[channel])]
             elif step == "close" and channel in tags:
                 del tags[channel]
                 receive(connection, codec.method(channel, "channel.close"))
-                wanted = [(channel, "channel.close-ok", 0)]
+                expected = [(channel, "channel.close-ok", 0)]
             elif step == "refuse" and channel in tags:
                 del tags[channel]
                 receive(connection, publish(channel, "x", exchange="nosuch"))
-                receive(connection, publish(channel, "y"))  # passed over until the close is answered
+                receive(connection, publish(channel, "y"))  # ignored until the close is answered
                 receive(connection, codec.method(channel, "channel.close-ok"))
-                wanted = [(channel, "channel.close", 404)]
-            elif step == "end" and taken:
-                msg_id, end, told = taken.pop(0), ENDS[channel - 1], list[int]()
-                clients.tell(msg_id, end, lambda told=told: told.append(1))  # type: ignore[misc]
-                assert told == [1]
-                for one in [one for one in owed if one[0] == msg_id]:
-                    owed.remove(one)
-                    _, number, life, tag = one
-                    if number in tags and lives[number] == life:
+                expected = [(channel, "channel.close", 404)]
+            elif step == "end" and accepted:
+                msg_id, end, notified = accepted.pop(0), ENDS[channel - 1], list[int]()
+                clients.tell(msg_id, end, lambda notified=notified: notified.append(1))  # type: ignore[misc]
+                assert notified == [1]
+                for publication in [one for one in unsettled if one[0] == msg_id]:
+                    unsettled.remove(publication)
+                    _, number, opening, tag = publication
+                    if number in tags and openings[number] == opening:
                         if end.status is Status.DELIVERED:
-                            wanted.append((number, "basic.ack", tag))
+                            expected.append((number, "basic.ack", tag))
                         else:
                             code = 313 if end.status is Status.DEFERRED else 312
-                            wanted += [(number, "basic.return", code), (number, "basic.nack", tag)]
-            assert decode_methods(transport.take()) == wanted
-            assert connection.unsettled == len(owed) and not transport.closing
+                            expected += [(number, "basic.return", code), (number, "basic.nack", tag)]
+            assert decode_methods(transport.take()) == expected
+            assert connection.unsettled == len(unsettled) and not transport.closing
         connection.connection_lost(None)
-        for msg_id in taken:  # the way back is gone: nothing is written, nobody fails
+        for msg_id in accepted:  # the connection is closed: nothing is written and nothing raises
             clients.tell(msg_id, ENDS[0], lambda: None)
         assert not transport.take()
 
--- a/tests/test_both_protocols.py
+++ b/tests/test_both_protocols.py
@@ -1,4 +1,4 @@
-"""One suite over both protocols: the same steps must end in the same way, whichever wire carries them.
+"""Tests run over both protocols: the same steps must have the same outcomes with either of them.
 
 "mixed" publishes over AMQP to next hops over HTTP.
 """
@@ -16,15 +16,15 @@
 pytestmark = pytest.mark.parametrize("protocol", ["http", "amqp", "mixed"])
 
 
-def test_delivers_unchanged(tmp_path: Path, protocol: str) -> None:
+def test_message_is_delivered_unchanged(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
         async with World(tmp_path, protocol) as world:
-            body = bytes(range(256)) * 200  # also over several AMQP frames
+            body = bytes(range(256)) * 200  # takes several AMQP frames
             assert await world.client.take("m1", "keyed", key="the-key", body=body) is None
             assert await world.client.end("m1") == "delivered"
             assert [call[1:] for call in world.calls] == [("m1", "the-key", body)]
             assert not world.notices
-            # Connections are reused: new ones cost the partner work.
+            # Connections are reused, as each new one costs the partner work.
             for number in range(5):
                 await world.client.take(f"n{number}")
                 assert await world.client.end(f"n{number}") == "delivered"
@@ -33,7 +33,7 @@
     run(main())
 
 
-def test_repeats_only_as_the_class_allows(tmp_path: Path, protocol: str) -> None:
+def test_attempts_are_repeated_only_as_the_class_allows(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
         async with World(tmp_path, protocol) as world:
             hop = world.hops[0]
@@ -44,7 +44,7 @@
                     ("once", "undeliverable", 1),
                 ):
                     msg_id, hop.script = f"{fate}-{grade}", ["ok"]
-                    for number in range(4):  # to a next hop that fails, nothing unsafe goes
+                    for number in range(4):  # let it recover: unsafe ones don't go to a failing next hop
                         await world.client.take(f"{msg_id}-up{number}")
                         assert await world.client.end(f"{msg_id}-up{number}") == "delivered"
                     hop.script, hop.calls = [fate, "ok"], []
@@ -60,7 +60,7 @@
     ("silent", "safe", "deferred"), ("silent", "once", "undeliverable"), ("down", "once", "deferred"),
     ("reset", "keyed", "deferred"),
 ])  # fmt: skip
-def test_deadline_ends_what_was_not_delivered(
+def test_undelivered_message_finishes_at_its_deadline(
     tmp_path: Path, protocol: str, fate: str, grade: str, end: str
 ) -> None:
     async def main() -> None:
@@ -69,17 +69,17 @@
             if fate == "down":
                 await world.hops[0].stop()
             loop = asyncio.get_running_loop()
-            began = loop.time()
+            started = loop.time()
             assert await world.client.take("m1", grade, left=1.5) is None
             assert await world.client.end("m1") == end
-            assert loop.time() - began < 1.8
+            assert loop.time() - started < 1.8
             assert not world.hops[0].delivered
-            await until(lambda: not world.runtime.sender.held)  # the notice's 204 is on its way
+            await until(lambda: not world.runtime.sender.held)  # the notice's 204 may still be in transit
 
     run(main())
 
 
-def test_drain_is_honoured_in_250_ms(tmp_path: Path, protocol: str) -> None:
+def test_drain_takes_effect_within_250_ms(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
         async with World(tmp_path, protocol, hops=2) as world:
             for number in range(8):
@@ -88,19 +88,19 @@
             used = 0 if world.hops[0].calls else 1
             world.states[used] = "leaving"
             world.write()
-            told = asyncio.get_running_loop().time()
+            drained_at = asyncio.get_running_loop().time()
             for number in range(20):
                 await world.client.take(f"b{number}")
                 assert await world.client.end(f"b{number}") == "delivered"
                 await asyncio.sleep(0.02)
-            assert all(at < told + 0.25 for at, *_ in world.hops[used].calls)
-            assert max(at for at, *_ in world.hops[1 - used].calls) > told + 0.25
+            assert all(at < drained_at + 0.25 for at, *_ in world.hops[used].calls)
+            assert max(at for at, *_ in world.hops[1 - used].calls) > drained_at + 0.25
 
     run(main())
 
 
 @pytest.mark.parametrize(("grade", "end", "calls"), [("keyed", "delivered", 2), ("once", "undeliverable", 1)])
-def test_restart_keeps_what_was_taken_on(
+def test_accepted_message_survives_a_restart(
     tmp_path: Path, protocol: str, grade: str, end: str, calls: int
 ) -> None:
     async def main() -> None:
@@ -110,7 +110,7 @@
             await until(lambda: world.calls)
             await world.kill()
             await world.start()
-            if world.protocol == "amqp":  # its channel went with the process: the same id asks again
+            if world.protocol == "amqp":  # the channel closed with the process: publish the id again
                 await world.client.take("m1", grade)
             assert await world.client.end("m1") == end
             assert [call[1:3] for call in world.calls] == [("m1", "k1")] * calls
@@ -118,8 +118,8 @@
     run(main())
 
 
-def test_client_gone_after_take_on(tmp_path: Path, protocol: str) -> None:
-    """Its message still gets its one end; the same id again gets that end, and no second delivery."""
+def test_accepted_message_finishes_after_its_client_disconnects(tmp_path: Path, protocol: str) -> None:
+    """The message has one outcome; submitting the same id again returns it, without a second delivery."""
 
     async def main() -> None:
         async with World(tmp_path, protocol) as world:
@@ -136,12 +136,15 @@
     run(main())
 
 
-def test_next_hop_at_a_crawl(tmp_path: Path, protocol: str) -> None:
-    """Timed out, repeated once the call is given up, and its late end never taken for another's."""
+def test_call_to_a_silent_next_hop_times_out_and_is_repeated(tmp_path: Path, protocol: str) -> None:
+    """The attempt is repeated only after the time-out.
+
+    Over AMQP the timed-out call's channel is closed, so a late confirm can't be taken for another call's.
+    """
 
     async def main() -> None:
         async with World(tmp_path, protocol, hops=2) as world:
-            for number in range(5):  # what answers vouch for is tried again at once
+            for number in range(5):  # next hops with recent answers are tried again at once
                 await world.client.take(f"w{number}")
                 await world.client.end(f"w{number}")
             for hop in world.hops:
@@ -159,19 +162,19 @@
     run(main())
 
 
-def test_bad_messages_are_told_apart(tmp_path: Path, protocol: str) -> None:
+def test_invalid_messages_are_undeliverable(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
         async with World(tmp_path, protocol) as world:
             assert await world.client.take("m1", "nosuch") == "undeliverable"
             assert await world.client.take("m2", key="two words") == "undeliverable"
             assert not world.calls and not world.runtime.journal.live
-            assert await world.client.take("m3") is None  # the connection goes on
+            assert await world.client.take("m3") is None  # the connection stays usable
             assert await world.client.end("m3") == "delivered"
 
     run(main())
 
 
-def test_past_what_may_be_held_messages_are_deferred(tmp_path: Path, protocol: str) -> None:
+def test_messages_beyond_the_queue_limit_are_deferred(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
         async with World(tmp_path, protocol) as world:
             world.hops[0].script = ["silent"]
