--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -75,7 +75,7 @@
     # Messages
 
     def publish(self, pending: PendingPublish) -> None:
-        """Submit a publish to the core, or settle it at once if it is invalid or one too many."""
+        """Submit a publish to the core, or settle it at once if it is invalid or over `_MAX_UNSETTLED`."""
         if pending.connection.unsettled > _MAX_UNSETTLED:
             pending.connection.settle(pending, self._with_retry_delay(End(Status.DEFERRED)))
             return
--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -91,12 +91,12 @@
         sequence: int,
         on_ready: Callable[[], None],
         on_closed: Callable[[], None],
-        on_finished: Callable[[_OpenCall], None],
+        on_done: Callable[[_OpenCall], None],
         admit: Callable[[Call, list[Item]], list[Item]],
     ) -> None:
         """`sequence` increases from one connection to the next.
 
-        `on_closed` and `on_finished` are called when the connection has closed and when a call has its
+        `on_closed` and `on_done` are called when the connection has closed and when a call has its
         results; `admit` returns the messages of a call that may be published now.
         """
         super().__init__(State.START)
@@ -106,8 +106,7 @@
         self.max_channels = _MAX_CHANNELS
         self.calls_started = 0
         self._awaiting_write: list[_Channel] = []  # channels that publish once the socket accepts bytes
-        self._on_ready, self._on_closed = on_ready, on_closed
-        self._on_finished, self._admit = on_finished, admit
+        self._on_ready, self._on_closed, self._on_done, self._admit = on_ready, on_closed, on_done, admit
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -148,7 +147,7 @@
         """Finish a call, with this result for each message that has none."""
         for item in open_call.admitted or open_call.call.items:
             open_call.results.setdefault(item.number, result)
-        self._on_finished(open_call)
+        self._on_done(open_call)
 
     # Methods
 
@@ -301,7 +300,7 @@
         open_call.admitted = self._admit(open_call.call, open_call.call.items)
         if not open_call.admitted:
             channel.open_call = None
-            self._on_finished(open_call)
+            self._on_done(open_call)
             return
         channel.state = "busy"
         now = asyncio.get_running_loop().time()
@@ -341,7 +340,7 @@
             open_call.results.setdefault(item.number, Result(Outcome.OK if acked else Outcome.ERROR))
         if not open_call.tags:
             channel.open_call, channel.state = None, "ready"
-            self._on_finished(open_call)
+            self._on_done(open_call)
 
     def cancel_call(self, open_call: _OpenCall) -> None:
         """Close the call's channel, so that a late confirm isn't attributed to the channel's next call.
