--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -42,7 +42,7 @@
 from mountgauge.status import ask
 from tests.helper import HOST, HttpHop, receive, run, until
 from tests.helper import Transport as Recorder
-from tests.test_amqp_states import GRADE, methods
+from tests.test_amqp_states import GRADE, decode_methods
 from tests.test_clients import command, enqueue
 
 TIMES = Times(handshake=30.0, half=30.0, idle=float("inf"), unread=30.0)
@@ -314,7 +314,7 @@
             receive(connection, codec.PROTOCOL_HEADER)
             login = "\0rossi\0p"
             receive(connection, codec.method(0, "connection.start-ok", mechanism="PLAIN", response=login))
-            codes.append([(name, code) for _, name, code in methods(transport.take())][1])
+            codes.append([(name, code) for _, name, code in decode_methods(transport.take())][1])
         assert codes == [("connection.tune", 0), ("connection.close", 530)]
 
     run(main())
@@ -378,7 +378,7 @@
 def test_heartbeats_are_spread_evenly() -> None:
     async def main() -> None:
         front = AmqpClients(lambda one: None, ("note",), (GRADE,), 2000, registry=Registry(SETTINGS))
-        phases = Counter(int(front.phase() * 10) for _ in range(1000))
+        phases = Counter(int(front.heartbeat_phase() * 10) for _ in range(1000))
         assert len(phases) == 10 and max(phases.values()) <= 103
 
     run(main())
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -308,7 +308,7 @@
 
 
 def test_amqp_idle_publishers_are_displaced(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(amqp_clients, "_QUIET", 0.2)
+    monkeypatch.setattr(amqp_clients, "_DISPLACEABLE_AFTER_S", 0.2)
 
     async def main() -> None:
         async with World(tmp_path, "amqp") as world:
