--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -75,7 +75,7 @@
     def close(self) -> None:
         self.watch(False)
 
-    def look_now(self) -> bool:
+    def refresh_now(self) -> bool:
         """The file as it is at this moment; it needs no waiting."""
         self._check()
         return True
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -78,7 +78,7 @@
         self._watch.request_full_list(self._now())
         self.watch(True)
 
-    def look_now(self) -> bool:
+    def refresh_now(self) -> bool:
         """Request the full list at once; return False, as its answer is still to come."""
         self.snapshot()
         return False
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -103,7 +103,7 @@
         self.last_rejection = ""
         self._messages: dict[int, int] = {}  # by shard: pending messages of the core
         self._finished: list[int] = []  # shards of finished messages, to be reported to the subscription
-        self._check_since: float | None = None  # when `look_now` was called; None: no check is pending
+        self._check_since: float | None = None  # when `refresh_now` was called; None: no check is pending
         self._no_placement_logged = False
         self._file = KeptListFile(folder, settings.shards.count)
         self._save_timer: asyncio.TimerHandle | None = None
@@ -143,7 +143,7 @@
         records = [record for shard in self.store.shards() for record in self.store.records(shard).values()]
         self._notify_core(self._map_update(True, Update(put=tuple(records))))
 
-    def look_now(self) -> bool:
+    def refresh_now(self) -> bool:
         """Request a check of the list: it is done with the first answer to a watch call made from now on."""
         self._check_since = self._loop.time()
         return False
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -75,7 +75,7 @@
     def state(self) -> Mapping[str, Any]:
         """Its fields of the state line."""
 
-    def look_now(self) -> bool:
+    def refresh_now(self) -> bool:
         """Refresh the list; False if the answer is still pending."""
 
     def close(self) -> None: ...
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -142,7 +142,7 @@
         runtime.handover.check_others()
         if runtime.service is not None:
             runtime.service.look()
-        if runtime.map.look_now():
+        if runtime.map.refresh_now():
             self.pause_detector.refreshed()
 
     def _on_list(self) -> None:
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -307,7 +307,7 @@
 
             def requests_again(update: MapUpdate) -> None:
                 world.owner.list_changed = apply  # type: ignore[method-assign]
-                world.map.look_now()
+                world.map.refresh_now()
 
             world.map.watch(True)
             writer = await world.discovery.called(1)
--- a/tests/sharding/test_shard_map.py
+++ b/tests/sharding/test_shard_map.py
@@ -100,7 +100,7 @@
         shard_map.start()
         await until(lambda: shard_map.subscription.shards())
         await until(lambda: shard_map.staleness_s < 60)
-        assert core.updates == [] and not shard_map.look_now()
+        assert core.updates == [] and not shard_map.refresh_now()
         await until(lambda: core.updates)
         assert [update.hops for update in core.updates] == [()]
         shard_map.close()
