--- a/mountgauge/access.py
+++ b/mountgauge/access.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-DEFAULT = "default"  # the tenant of messages that belong to no other
+DEFAULT_TENANT = "default"  # the tenant of messages that belong to no other
 
 
 class User(NamedTuple):
     """Who may log in, and the tenant whose messages that user hands in."""
 
     password: str
-    tenant: str = DEFAULT
+    tenant: str = DEFAULT_TENANT
 
 
 def user_of(response: bytes) -> str:
@@ -38,7 +38,7 @@
     def tenant(self, user: bytes, password: bytes) -> str | None:
         """The tenant of this login, None where it is refused."""
         if not self.users:
-            return DEFAULT
+            return DEFAULT_TENANT
         known = self.users.get(user.decode("utf-8", "replace"))
         # An unknown user costs what a wrong password does.
         same = secrets.compare_digest((known or User("")).password.encode(), password)
@@ -47,7 +47,7 @@
     def login(self, mechanism: str, response: bytes) -> str | None:
         """The tenant of a SASL PLAIN response (RFC 4616), None where it is refused."""
         if not self.users:
-            return DEFAULT
+            return DEFAULT_TENANT
         parts = response.split(b"\0")
         if mechanism != "PLAIN" or len(parts) != 3:
             return None
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from mountgauge.access import DEFAULT, Access, user_of
+from mountgauge.access import DEFAULT_TENANT, Access, user_of
 from mountgauge.amqp import codec
 from mountgauge.amqp.codec import AmqpError, Content, Method
 from mountgauge.amqp.link import FRAME_MAX, RECEIVE, Link, State
@@ -59,7 +59,7 @@
         super().__init__(State.HEADER)
         self._front = front
         self._channels: dict[int, Channel] = {}
-        self.tenant = DEFAULT  # of the user who logged in
+        self.tenant = DEFAULT_TENANT  # of the user who logged in
         self.unsettled = 0
         self.opened_by = self._half_by = self.unread_by = math.inf
         self.woken = False  # what is under way came after a rest
--- a/mountgauge/clients/front.py
+++ b/mountgauge/clients/front.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable, Sequence
 
-from mountgauge.access import DEFAULT, Access
+from mountgauge.access import DEFAULT_TENANT, Access
 from mountgauge.clients.connection import BadRequestError, ClientConnection, ClientFront, Slot
 from mountgauge.clients.parser import count_whole
 from mountgauge.connections.admission import Bounds
@@ -134,7 +134,7 @@
             self._front,
             answer,
             lambda: not connection.closed,
-            connection.tenant or DEFAULT,
+            connection.tenant or DEFAULT_TENANT,
         )
 
     def _reply(self, answer: Answer) -> bytes:
--- a/mountgauge/tenants/admission.py
+++ b/mountgauge/tenants/admission.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from mountgauge.access import DEFAULT
+from mountgauge.access import DEFAULT_TENANT
 from mountgauge.tenants.counts import Counts, Entry, Life
 from mountgauge.tenants.gossip import Gossip
 from mountgauge.tenants.members import Member, Members
@@ -43,7 +43,7 @@
 
     def learn(self, quotas: Mapping[str, Quota | None]) -> None:
         """The tenants as the file has them now. Counts of those that no longer stand there stay."""
-        names = {DEFAULT, *quotas}
+        names = {DEFAULT_TENANT, *quotas}
         self.counts.most = max(self.counts.most, len(self.counts.keys) + len(names - set(self.names)))
         self.names = {}
         self.quotas = {}
@@ -60,7 +60,7 @@
                 bucket.quota = new
 
     def _place(self, tenant: str) -> int:
-        return self.names.get(tenant, self.names[DEFAULT])
+        return self.names.get(tenant, self.names[DEFAULT_TENANT])
 
     # Each message
 
--- a/mountgauge/tenants/settings.py
+++ b/mountgauge/tenants/settings.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from mountgauge.access import DEFAULT, User
+from mountgauge.access import DEFAULT_TENANT, User
 from mountgauge.core.config import Address, ConfigError
 from mountgauge.settings_table import Table
 from mountgauge.tenants.gossip import Plan
@@ -60,7 +60,7 @@
     tenants = tuple(_tenant(table) for table in tables)
     if len(tenants) > MOST_TENANTS:
         raise ConfigError(f"tenant: {len(tenants)} are more than {MOST_TENANTS}")
-    keys: dict[int, str] = {tenant_key(DEFAULT): ""}
+    keys: dict[int, str] = {tenant_key(DEFAULT_TENANT): ""}
     users: set[str] = set()
     for place, tenant in enumerate(tenants):
         same = keys.setdefault(tenant_key(tenant.name), tenant.name)
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -14,7 +14,7 @@
 import pytest
 
 from mountgauge import cli
-from mountgauge.access import DEFAULT, Access, User
+from mountgauge.access import DEFAULT_TENANT, Access, User
 from mountgauge.amqp import codec
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core.config import Address, Config, ConfigError
@@ -157,7 +157,7 @@
 
 def test_access_checks_users_and_virtual_hosts() -> None:
     access = Access({"u": User("p", "rossi"), "v": User("q")}, "/vans")
-    assert access.login("PLAIN", b"\0u\0p") == "rossi" and access.login("PLAIN", b"\0v\0q") == DEFAULT
+    assert access.login("PLAIN", b"\0u\0p") == "rossi" and access.login("PLAIN", b"\0v\0q") == DEFAULT_TENANT
     assert access.opens("/vans") and not access.opens("/") and Access().opens("any")
     for mechanism, credentials in (
         ("PLAIN", b"\0u\0q"),
