--- a/mountgauge/access.py
+++ b/mountgauge/access.py
@@ -21,7 +21,7 @@
     tenant: str = DEFAULT_TENANT
 
 
-def user_of(response: bytes) -> str:
+def sasl_user(response: bytes) -> str:
     """Whom a SASL PLAIN response names (RFC 4616), "" where it names nobody."""
     parts = response.split(b"\0")
     return parts[1].decode("utf-8", "replace") if len(parts) == 3 else ""
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from mountgauge.access import DEFAULT_TENANT, Access, user_of
+from mountgauge.access import DEFAULT_TENANT, Access, sasl_user
 from mountgauge.amqp import codec
 from mountgauge.amqp.codec import AmqpError, Content, Method
 from mountgauge.amqp.link import FRAME_MAX, RECEIVE, Link, State
@@ -220,7 +220,7 @@
             tenant = self._front.access.login(args["mechanism"], args["response"])
             if tenant is None:
                 raise AmqpError(403, "ACCESS_REFUSED", True, 10, 11)
-            if self._front.admission.log_in(self, user_of(args["response"])) is not None:
+            if self._front.admission.log_in(self, sasl_user(args["response"])) is not None:
                 self._front.counts["clients", "turned-away-user-full"] += 1
                 raise AmqpError(530, "NOT_ALLOWED - too many connections of this user", True, 10, 11)
             self.tenant = tenant
