--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -21,7 +21,7 @@
 )
 from mountgauge.core.ports import NextHop
 from mountgauge.recovery.state_file import RESERVED_DISK_BYTES as RECOVERY_ROOM
-from mountgauge.settings_table import Table, faults_of, read
+from mountgauge.settings_table import Table, config_errors_in, read
 from rillspindle.interface import Entry, Readiness, Settings
 
 if TYPE_CHECKING:
@@ -97,7 +97,7 @@
 
 def load(path: Path) -> Operator:
     """The operator's file, checked; ConfigError names the file and the first fault."""
-    with faults_of(path):
+    with config_errors_in(path):
         return _operator(path, Table(read(path), ""))
 
 
--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -14,7 +14,7 @@
 from mountgauge.operator_file import Otlp, read_otlp
 from mountgauge.relay.server import ServerLimits
 from mountgauge.relay.wire import MAX_NAME_BYTES, MAX_REPLICAS, MAX_WAIT_S
-from mountgauge.settings_table import Table, faults_of, read
+from mountgauge.settings_table import Table, config_errors_in, read
 from mountgauge.sharding.members import Member, MemberFile, MemberFileError
 from mountgauge.sharding.picker import RelayName
 from mountgauge.sharding.placement import DEFAULT_REPLICAS, DEFAULT_STEP_MOVES, PlacementSettings
@@ -101,7 +101,7 @@
 
 def load_relay(path: Path) -> RelayFile:
     """Read a relay's file; ConfigError with one line if it can't be used."""
-    with faults_of(path):
+    with config_errors_in(path):
         return _relay_file(path, Table(read(path), ""))
 
 
--- a/mountgauge/settings_table.py
+++ b/mountgauge/settings_table.py
@@ -56,7 +56,7 @@
 
 
 @contextmanager
-def faults_of(path: Path) -> Iterator[None]:
+def config_errors_in(path: Path) -> Iterator[None]:
     """ConfigError that leaves this block names the file, in one line; FileUnreadableError stays as it is."""
     try:
         yield
