--- a/mountgauge/agent.py
+++ b/mountgauge/agent.py
@@ -17,7 +17,7 @@
 from mountgauge.operator_file import Operator, load
 from mountgauge.run import block_signals
 from mountgauge.run.reload_retry import ReloadRetry
-from mountgauge.settings_table import Table, config_errors_in, read
+from mountgauge.settings_table import Table, config_errors_in, read_toml
 from mountgauge.status import StatusServer
 
 log = logging.getLogger("mountgauge.agent")
@@ -39,7 +39,7 @@
 
 def load_agent(path: Path) -> AgentFile:
     """The agent's file and all that it names: a fault in any of them shows before anything starts."""
-    top = Table(read(path), "")
+    top = Table(read_toml(path), "")
     with config_errors_in(path):
         agent = top.table("agent") or Table({}, "agent")
         listen = agent.address("listen") or Address("127.0.0.1", 9100)
--- a/mountgauge/cli.py
+++ b/mountgauge/cli.py
@@ -179,9 +179,9 @@
     from mountgauge import agent
     from mountgauge.connections import descriptors
     from mountgauge.operator_file import load
-    from mountgauge.settings_table import read
+    from mountgauge.settings_table import read_toml
 
-    raw = read(file)
+    raw = read_toml(file)
     if "instance" in raw:
         found = agent.load_agent(file)
         print(f"{file}: {len(found.instances)} instances")
--- a/mountgauge/lab/rig/schedule.py
+++ b/mountgauge/lab/rig/schedule.py
@@ -16,7 +16,7 @@
 from typing import Any, TypeVar
 
 from mountgauge.core.config import ConfigError
-from mountgauge.settings_table import Table, config_errors_in, read
+from mountgauge.settings_table import Table, config_errors_in, read_toml
 
 _T = TypeVar("_T")
 
@@ -222,7 +222,7 @@
 def load(path: Path) -> Schedule:
     """Read and check a schedule's file; ConfigError with one line that names the file and the fault."""
     with config_errors_in(path):
-        return parse(read(path))
+        return parse(read_toml(path))
 
 
 def parse(raw: Mapping[str, Any]) -> Schedule:
--- a/mountgauge/lab/scale/settings.py
+++ b/mountgauge/lab/scale/settings.py
@@ -12,7 +12,7 @@
 from typing import Any, TypeVar
 
 from mountgauge.core.config import ConfigError
-from mountgauge.settings_table import Table, read
+from mountgauge.settings_table import Table, read_toml
 
 _T = TypeVar("_T")
 
@@ -311,4 +311,4 @@
 
 def load(path: Path) -> ScaleSettings:
     """Settings of a TOML file; ConfigError with one line where it cannot be used."""
-    return parse(read(path))
+    return parse(read_toml(path))
--- a/mountgauge/lab/scale/size.py
+++ b/mountgauge/lab/scale/size.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from mountgauge.core.config import ConfigError
-from mountgauge.settings_table import Table, config_errors_in, read
+from mountgauge.settings_table import Table, config_errors_in, read_toml
 
 _DAY_S = 86_400.0
 
@@ -74,7 +74,7 @@
 def load_size(path: Path) -> FleetSize:
     """ConfigError, in one line, where the file is not such a size."""
     with config_errors_in(path):
-        return _size(Table(read(path), ""))
+        return _size(Table(read_toml(path), ""))
 
 
 def _size(top: Table) -> FleetSize:
--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -21,7 +21,7 @@
 )
 from mountgauge.core.ports import NextHop
 from mountgauge.recovery.state_file import RESERVED_DISK_BYTES as RECOVERY_ROOM
-from mountgauge.settings_table import Table, config_errors_in, read
+from mountgauge.settings_table import Table, config_errors_in, read_toml
 from rillspindle.interface import Entry, Readiness, Settings
 
 if TYPE_CHECKING:
@@ -98,12 +98,12 @@
 def load(path: Path) -> Operator:
     """The operator's file, checked; ConfigError names the file and the first fault."""
     with config_errors_in(path):
-        return _operator(path, Table(read(path), ""))
+        return _operator(path, Table(read_toml(path), ""))
 
 
 def load_hops(path: Path, version: int) -> Hops:
     """The next hops alone, as the file has them now."""
-    return _hops(Table(read(path), ""), version)
+    return _hops(Table(read_toml(path), ""), version)
 
 
 def _operator(path: Path, top: Table) -> Operator:
--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -14,7 +14,7 @@
 from mountgauge.operator_file import Otlp, read_otlp
 from mountgauge.relay.server import ServerLimits
 from mountgauge.relay.wire import MAX_NAME_BYTES, MAX_REPLICAS, MAX_WAIT_S
-from mountgauge.settings_table import Table, config_errors_in, read
+from mountgauge.settings_table import Table, config_errors_in, read_toml
 from mountgauge.sharding.members import Member, MemberFile, MemberFileError
 from mountgauge.sharding.picker import RelayName
 from mountgauge.sharding.placement import DEFAULT_REPLICAS, DEFAULT_STEP_MOVES, PlacementSettings
@@ -102,7 +102,7 @@
 def load_relay(path: Path) -> RelayFile:
     """Read a relay's file; ConfigError with one line if it can't be used."""
     with config_errors_in(path):
-        return _relay_file(path, Table(read(path), ""))
+        return _relay_file(path, Table(read_toml(path), ""))
 
 
 def descriptor_shortfall(file: RelayFile) -> str | None:
@@ -238,7 +238,7 @@
 def load_members(path: Path) -> MemberFile:
     """Read a members' file (TOML)."""
     try:
-        return MemberFile.from_mapping(read(path))
+        return MemberFile.from_mapping(read_toml(path))
     except MemberFileError as error:
         raise ConfigError(f"{path}: {' '.join(str(error).split())}") from None
 
--- a/mountgauge/settings_table.py
+++ b/mountgauge/settings_table.py
@@ -67,7 +67,7 @@
         raise ConfigError(text if text.startswith(str(path)) else f"{path}: {text}") from None
 
 
-def read(path: Path) -> dict[str, Any]:
+def read_toml(path: Path) -> dict[str, Any]:
     """The tables of a TOML file; ConfigError where they can't be read, `FileUnreadableError` where the system
     does not let it be.
     """
