--- a/mountgauge/cli.py
+++ b/mountgauge/cli.py
@@ -15,7 +15,7 @@
 
 from mountgauge import __version__
 from mountgauge.core.config import Address, Config, ConfigError
-from mountgauge.log import set_up
+from mountgauge.log import set_up_logging
 from mountgauge.run import SIGNALS
 
 
@@ -67,7 +67,7 @@
 def _run(file: Path | None) -> int:
     # Asked to end or to read the file again before the loop can hear it: the system keeps that until then.
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    set_up()
+    set_up_logging()
     from mountgauge.run.serve import (
         serve,
     )  # each command imports what it needs: the platform's start is short
@@ -94,7 +94,7 @@
 
 def _relay(file: Path) -> int:
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
-    set_up()
+    set_up_logging()
     from mountgauge.relay import service, settings
 
     found = settings.load_relay(file)
@@ -108,7 +108,7 @@
     from mountgauge import agent
 
     found = agent.load_agent(file)
-    set_up()
+    set_up_logging()
     asyncio.run(agent.serve(found, file))
     return 0
 
--- a/mountgauge/log.py
+++ b/mountgauge/log.py
@@ -53,7 +53,7 @@
         return True
 
 
-def set_up(level: str = "INFO") -> None:
+def set_up_logging(level: str = "INFO") -> None:
     """Log to stderr, a line for each event."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValue())
