--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -31,7 +31,7 @@
 )
 from mountgauge.core.send_state import SendState
 from mountgauge.core.waits import Waits
-from mountgauge.log import LineBudget, kv
+from mountgauge.log import LogRateLimiter, kv
 from rillspindle import interface as io
 from rillspindle import send_guard
 from rillspindle.interface import Outcome
@@ -70,7 +70,7 @@
         self._clock, self._journal, self._table = clock, journal, table
         self._pending, self._waits, self._counts, self._monitor = pending, waits, counts, monitor
         self._enqueue, self._finish = enqueue, finish
-        self._lines = LineBudget(clock.now)
+        self._lines = LogRateLimiter(clock.now)
         self.call_gate: CallGate | None = None  # fleet-wide budgets
         # Called when an endpoint required a wait, which another process may have to observe.
         self.on_wait: Callable[[], None] | None = None
@@ -195,7 +195,7 @@
 
     def _withheld(self, why: Refusal, call: Call, item: CallItem) -> None:
         self._counts["withheld", why] += 1
-        if self._lines.take():
+        if self._lines.allow():
             attempt = kv(id=item.id, attempt=item.send_no, hop=call.hop.id, why=why)
             log.info("withheld", extra=attempt)
 
@@ -251,7 +251,7 @@
         self._respond(item.number, item.send_no, call.hop.entry.endpoint, spent, result)
 
     def _log_failure(self, call: Call, item: CallItem, outcome: Outcome, spent: float) -> None:
-        if not self._lines.take():
+        if not self._lines.allow():
             return
         why = call.lease.refusal if call.lease is not None else None
         attempt = kv(
--- a/mountgauge/core/message_outcomes.py
+++ b/mountgauge/core/message_outcomes.py
@@ -10,7 +10,7 @@
 from mountgauge.core.pending_messages import PendingMessage, PendingMessages
 from mountgauge.core.ports import DestinationScope, MessageOutcome, OutcomeReporter, Status
 from mountgauge.core.send_state import SendState
-from mountgauge.log import LineBudget, kv
+from mountgauge.log import LogRateLimiter, kv
 from rillspindle import send_guard
 from rillspindle.send_monitor import SendMonitor
 
@@ -35,7 +35,7 @@
         self._state, self._monitor, self._now = state, monitor, now
         # By message number: outcomes that wait for their journal record.
         self._unreported: dict[int, tuple[PendingMessage, MessageOutcome]] = {}
-        self._lines = LineBudget(now)
+        self._lines = LogRateLimiter(now)
 
     def abandon(self, message: PendingMessage | None, outcome: MessageOutcome) -> None:
         """Record the decision module's final outcome and then report it, so that no restart revokes it."""
@@ -53,7 +53,7 @@
             return
         self._unreported[message.number] = message, outcome
         self._counts["withheld", send_guard.Refusal.END_NOT_ON_RECORD] += 1
-        if self._lines.take():
+        if self._lines.allow():
             log.info("end-waits", extra=kv(id=message.stored.id, status=outcome.status.value))
 
     def journal_written(self) -> None:
--- a/mountgauge/log.py
+++ b/mountgauge/log.py
@@ -35,14 +35,14 @@
     return {"kv": pairs}
 
 
-class LineBudget:
+class LogRateLimiter:
     """Bounds how many lines of a kind are written, so that a bad time does not fill the log."""
 
     def __init__(self, now: Callable[[], float], per_s: float = 20.0, burst: float = 100.0) -> None:
         self._now, self._per_s, self._burst = now, per_s, burst
         self._left, self._at = burst, now()
 
-    def take(self) -> bool:
+    def allow(self) -> bool:
         """Whether one more line may be written."""
         now = self._now()
         self._left = min(self._burst, self._left + self._per_s * (now - self._at))
--- a/mountgauge/platform/call_log.py
+++ b/mountgauge/platform/call_log.py
@@ -1,6 +1,6 @@
 """Counts and logs each call to discovery: when it is made, when its request is sent, and how it ends.
 
-The counts go into the state line and the metrics. The number of log lines is bounded (`LineBudget`), the
+The counts go into the state line and the metrics. The number of log lines is bounded (`LogRateLimiter`), the
 counts are not.
 """
 
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from mountgauge.log import LineBudget, kv
+from mountgauge.log import LogRateLimiter, kv
 from mountgauge.platform.list_call import Failure, ListCall
 
 log = logging.getLogger("mountgauge.platform.discovery")
@@ -36,13 +36,13 @@
     def __init__(self, now: Callable[[], float]) -> None:
         self.counts: Counter[tuple[str, str]] = Counter()
         self._now = now
-        self._lines = LineBudget(now)
+        self._lines = LogRateLimiter(now)
         self._asked_at: dict[ListCall, float] = {}
 
     def made(self, call: ListCall, kept: bool) -> None:
         """A call was made, on a kept connection or on a new one."""
         self._count(CallEvent.MADE)
-        if self._lines.take():
+        if self._lines.allow():
             index = "whole" if call.index is None else call.index
             log.info("list-call", extra=kv(call=call.number, index=index, wait_s=call.wait_s, kept=kept))
 
@@ -73,7 +73,7 @@
 
     def _log_end(self, call: ListCall, how: CallEvent, detail: str) -> None:
         now, asked_at = self._now(), self._asked_at.pop(call, None)
-        if not self._lines.take():
+        if not self._lines.allow():
             return
         asked_ms = "never" if asked_at is None else round((asked_at - call.made_at) * 1000)
         ended_ms = round((now - call.made_at) * 1000)
