--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -174,7 +174,7 @@
         )
 
     def _part(self) -> None:
-        """The last frame is written: what still comes is passed over until the peer ends, or LINGER."""
+        """The last frame is written: what still comes is passed over until the peer ends, or LINGER_S."""
         if self.transport is not None and not self.transport.is_closing():
             self.state = State.CLOSING
             self.hear_no_more()
--- a/mountgauge/amqp/link.py
+++ b/mountgauge/amqp/link.py
@@ -9,7 +9,7 @@
 
 from mountgauge.amqp import codec
 from mountgauge.amqp.codec import AmqpError, Content, Frame, Method
-from mountgauge.sockets import LINGER, Drain
+from mountgauge.sockets import LINGER_S, Drain
 
 RECEIVE = bytearray(64 * 1024)  # shared: what arrives is copied out before the loop reads again
 MOST_BODY = 64 * 1024
@@ -104,7 +104,7 @@
     def hear_no_more(self) -> None:
         if self._drain is None and self.transport is not None:
             self._drain = Drain(self.transport)
-            self._closing_by = asyncio.get_running_loop().time() + LINGER
+            self._closing_by = asyncio.get_running_loop().time() + LINGER_S
             self.arm(self.deadline)
 
     def abort(self) -> None:
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -14,7 +14,7 @@
 from mountgauge.connections.scheduler import QUANTUM, RESTED
 from mountgauge.connections.timer_wheel import FAR
 from mountgauge.log import kv
-from mountgauge.sockets import LINGER, Drain
+from mountgauge.sockets import LINGER_S, Drain
 
 log = logging.getLogger("mountgauge.clients")
 
@@ -52,7 +52,7 @@
 
     OPEN = 0  # requests are heard
     ANSWERING = 1  # nothing more is heard; what was asked before is still answered
-    SHUT = 2  # all is said, the sending side is shut; it is kept until the client ends, or LINGER
+    SHUT = 2  # all is said, the sending side is shut; it is kept until the client ends, or LINGER_S
     CLOSED = 3
 
 
@@ -247,7 +247,7 @@
             self._stage = Closing.SHUT
             self._clients.set_activity(self, Activity.LEAVING)
             registry = self._clients.registry
-            self._close_by = registry.now() + LINGER
+            self._close_by = registry.now() + LINGER_S
             registry.arm(self, registry.now() + _LOOK_EVERY)
             if transport.is_closing():
                 return
--- a/mountgauge/sockets.py
+++ b/mountgauge/sockets.py
@@ -6,11 +6,11 @@
 
 _SINK = bytearray(256 * 1024)
 _PAUSE = 0.02  # s between two reads of what is thrown away
-LINGER = 1.0  # s in which a peer may read why it is let go
+LINGER_S = 1.0  # s in which a peer may read why it is let go
 
 
 class Drain:
-    """Reads on and throws away, at a bounded pace, while the peer has time to read the last words: LINGER.
+    """Reads on and throws away, at a bounded pace, while the peer has time to read the last words: LINGER_S.
 
     Closed with bytes unread, a connection is reset, and what was said last may be lost with it.
     """
