--- a/mountgauge/amqp/link.py
+++ b/mountgauge/amqp/link.py
@@ -9,7 +9,7 @@
 
 from mountgauge.amqp import codec
 from mountgauge.amqp.codec import AmqpError, Content, Frame, Method
-from mountgauge.sockets import LINGER_S, Drain
+from mountgauge.sockets import LINGER_S, InputDiscarder
 
 RECEIVE = bytearray(64 * 1024)  # shared: what arrives is copied out before the loop reads again
 MOST_BODY = 64 * 1024
@@ -48,7 +48,7 @@
         self._parser = codec.FrameParser(FRAME_MAX)
         self._contents: dict[int, Content] = {}
         self._heartbeat = 0.0
-        self._drain: Drain | None = None  # once nothing more is heard
+        self._drain: InputDiscarder | None = None  # once nothing more is heard
         self._whole_at = 0.0  # when a frame or a message last stood half there no longer
         self._more = False  # frames have come that wait for their turn
         self._read_at = 0.0
@@ -103,7 +103,7 @@
 
     def hear_no_more(self) -> None:
         if self._drain is None and self.transport is not None:
-            self._drain = Drain(self.transport)
+            self._drain = InputDiscarder(self.transport)
             self._closing_by = asyncio.get_running_loop().time() + LINGER_S
             self.arm(self.deadline)
 
@@ -174,7 +174,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         self._read_at = asyncio.get_running_loop().time()
         if self._drain is not None:
-            self._drain.took()
+            self._drain.on_data()
             return
         if not self.halfway:
             self._whole_at = self._read_at
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -14,7 +14,7 @@
 from mountgauge.connections.scheduler import QUANTUM, RESTED
 from mountgauge.connections.timer_wheel import FAR
 from mountgauge.log import kv
-from mountgauge.sockets import LINGER_S, Drain
+from mountgauge.sockets import LINGER_S, InputDiscarder
 
 log = logging.getLogger("mountgauge.clients")
 
@@ -76,7 +76,7 @@
         self._paused = self._choked = False
         self._more = False  # commands have come that wait for its next turn
         self._within = False  # it is reading
-        self._drain: Drain | None = None  # once what comes can't be told apart
+        self._drain: InputDiscarder | None = None  # once what comes can't be told apart
         self._close_by = FAR  # once it is shut
         self._bad = 0
         self._half_at = FAR  # when the command began that is not whole
@@ -118,7 +118,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         if self._drain is not None:
-            self._drain.took()
+            self._drain.on_data()
             return
         if self._parser is None:
             self._parser = RespParser()
@@ -273,7 +273,7 @@
 
     def _stop_reading(self, transport: asyncio.Transport, spoilt: bool) -> None:
         if spoilt:
-            self._drain = Drain(transport)
+            self._drain = InputDiscarder(transport)
             if self._paused:
                 transport.resume_reading()
         elif isinstance(transport, ConnectionTransport):
--- a/mountgauge/sockets.py
+++ b/mountgauge/sockets.py
@@ -9,7 +9,7 @@
 LINGER_S = 1.0  # s in which a peer may read why it is let go
 
 
-class Drain:
+class InputDiscarder:
     """Reads on and throws away, at a bounded pace, while the peer has time to read the last words: LINGER_S.
 
     Closed with bytes unread, a connection is reset, and what was said last may be lost with it.
@@ -22,7 +22,7 @@
     def buffer() -> bytearray:
         return _SINK
 
-    def took(self) -> None:
+    def on_data(self) -> None:
         if not self._transport.is_closing():
             self._transport.pause_reading()
             asyncio.get_running_loop().call_later(_PAUSE, self._on)
