--- a/mountgauge/console/listener.py
+++ b/mountgauge/console/listener.py
@@ -10,7 +10,7 @@
 from mountgauge.console.calls import MOST_BODY, Call, Reply, read
 from mountgauge.http1 import HttpError, Parser
 from mountgauge.log import kv
-from mountgauge.status import Listening
+from mountgauge.status import LoopbackServer
 
 log = logging.getLogger("mountgauge.console")
 
@@ -92,7 +92,7 @@
             self._transport.close()
 
 
-class Console(Listening):
+class Console(LoopbackServer):
     """At most `MOST` callers; one that has not finished its request gives way to a newcomer."""
 
     def __init__(self, carry_out: Callable[[Call], Awaitable[Reply]]) -> None:
--- a/mountgauge/status.py
+++ b/mountgauge/status.py
@@ -57,7 +57,7 @@
             self._transport.close()
 
 
-class Listening:
+class LoopbackServer:
     """A loopback server of one kind of peer: where it listens, and its end."""
 
     _server: asyncio.Server | None = None
@@ -79,7 +79,7 @@
             self._server.close()
 
 
-class StatusServer(Listening):
+class StatusServer(LoopbackServer):
     """Serves the report and its pages as JSON."""
 
     def __init__(
