--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -28,7 +28,7 @@
 from mountgauge.http1 import Parser, response
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.lab.rig.proxies import HOST
-from mountgauge.status import ask
+from mountgauge.status import fetch_status
 
 RATE, BUSY = 100.0, 100  # messages a second, over so many connections
 FULL, QUICK = 18_000, 3_000
@@ -174,7 +174,7 @@
         self.pid, self.status = pid, status
 
     async def clients(self) -> dict[str, Any]:
-        found: dict[str, Any] = (await ask(self.status))["clients"]
+        found: dict[str, Any] = (await fetch_status(self.status))["clients"]
         return found
 
     async def idle(self, seconds: float) -> tuple[float, float, float]:
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -29,7 +29,7 @@
 from mountgauge.http1 import Parser, response
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.lab.rig.proxies import HOST, DatagramProxy
-from mountgauge.status import ask
+from mountgauge.status import fetch_status
 from mountgauge.tenants.bounds import count_error, overshoot, overshoot_split, word_age
 
 MEMBERS = 8
@@ -236,12 +236,12 @@
             self.clients.append(pair)
 
     async def used(self, n: int) -> dict[str, int]:
-        found = await ask(Address(HOST, self.status[n]), 10, "/tenants")
+        found = await fetch_status(Address(HOST, self.status[n]), 10, "/tenants")
         self.last = found
         return {line["tenant"]: line["used"] for line in found["tenants"]}
 
     async def gossip_bytes(self) -> int:
-        found = [await ask(Address(HOST, self.status[n]), 10, "/tenants") for n in range(MEMBERS)]
+        found = [await fetch_status(Address(HOST, self.status[n]), 10, "/tenants") for n in range(MEMBERS)]
         return sum(one["gossip"]["sent_bytes"] for one in found)
 
     async def load(self, until: float, small: bool = True) -> None:
--- a/mountgauge/cli.py
+++ b/mountgauge/cli.py
@@ -114,9 +114,9 @@
 
 
 def _ask(address: Address, page: str = "/status") -> dict[str, Any]:
-    from mountgauge.status import ask
+    from mountgauge.status import fetch_status
 
-    return asyncio.run(ask(address, page=page))
+    return asyncio.run(fetch_status(address, page=page))
 
 
 def _status(text: str) -> int:
--- a/mountgauge/lab/scale/live.py
+++ b/mountgauge/lab/scale/live.py
@@ -45,7 +45,7 @@
 from mountgauge.lab.scale.worker import run_size
 from mountgauge.sharding.shards import shard_of
 from mountgauge.sharding.timing import Timing
-from mountgauge.status import ask
+from mountgauge.status import fetch_status
 
 _ROOT = Path(mountgauge.__file__).parent.parent
 _ZONES = ("zone-0", "zone-1", "zone-2")
@@ -89,7 +89,7 @@
         if self.process.poll() is not None:
             raise ComparisonError(f"{self.name} ended with {self.process.returncode}")
         try:
-            return await ask(self.status, limit=5.0, page=name)
+            return await fetch_status(self.status, limit=5.0, page=name)
         except (OSError, ValueError):
             return None
 
--- a/mountgauge/recovery/table.py
+++ b/mountgauge/recovery/table.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from mountgauge.core.config import Address
-from mountgauge.status import ask
+from mountgauge.status import fetch_status
 from mountgauge.status_table import aligned
 
 _COLUMNS = (
@@ -66,7 +66,7 @@
 
 async def _query(address: str) -> tuple[str, dict[str, Any] | None, str]:
     try:
-        return address, await ask(Address.parse(address, "address")), ""
+        return address, await fetch_status(Address.parse(address, "address")), ""
     except (OSError, ValueError) as error:
         return address, None, str(error) or type(error).__name__
 
--- a/mountgauge/status.py
+++ b/mountgauge/status.py
@@ -92,7 +92,7 @@
         return _Peer(self)
 
 
-async def ask(address: Address, limit: float = 2.0, page: str = "/status") -> dict[str, Any]:
+async def fetch_status(address: Address, limit: float = 2.0, page: str = "/status") -> dict[str, Any]:
     """The state that an agent or an instance reports; OSError or ValueError where it does not."""
     client = Client(address.host, address.port, _MOST_BODY)
     try:
--- a/mountgauge/status_table.py
+++ b/mountgauge/status_table.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from mountgauge.core.config import Address
-from mountgauge.status import ask
+from mountgauge.status import fetch_status
 
 RENEWED_EVERY_S = 1.0
 _CLEAR_SCREEN = "\x1b[H\x1b[2J"
@@ -42,7 +42,7 @@
 
     async def _ask(self, address: str) -> Mapping[str, Any] | None:
         try:
-            return await ask(Address.parse(address, "address"), page=self.page)
+            return await fetch_status(Address.parse(address, "address"), page=self.page)
         except (OSError, ValueError):
             return None
 
--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -39,7 +39,7 @@
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.otlp import encode
 from mountgauge.snapshot import Snapshot
-from mountgauge.status import ask
+from mountgauge.status import fetch_status
 from tests.helper import HOST, HttpHop, receive, run, until
 from tests.helper import Transport as Recorder
 from tests.test_amqp_states import GRADE, methods
@@ -454,7 +454,7 @@
     try:
         for _ in range(200):
             try:
-                await ask(address)
+                await fetch_status(address)
                 break
             except OSError:
                 await asyncio.sleep(0.05)
@@ -484,7 +484,7 @@
             for reader, writer in held:
                 writer.write(command(b"PING"))
                 assert await reader.readline() == b"+PONG\r\n"
-            report = (await ask(status))["clients"]
+            report = (await fetch_status(status))["clients"]
             assert report["fronts"]["resp"]["parked"] == report["open"] == MANY
             assert {"timers", "wakeups_per_s", "longest_turn_ms", "bytes_per_connection"} <= set(report)
             assert report["timers"] == 0 and report["fared"] == {"joined": MANY}
@@ -506,13 +506,13 @@
             storm = [await asyncio.open_connection(HOST, port) for _ in range(200)]
             for _, writer in storm:
                 writer.write(command(b"PING"))
-            report = (await ask(status))["clients"]
+            report = (await fetch_status(status))["clients"]
             assert report["open"] <= 100 - descriptors.SPARE
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(enqueue(b"one"))
             assert await reader.readline() == b"+OK\r\n"
             await until(lambda: hop.delivered == ["one"])
-            fared = (await ask(status))["clients"]["fared"]
+            fared = (await fetch_status(status))["clients"]["fared"]
             assert fared["joined"] == 201 and "turned-away-descriptors" not in fared
             assert sum(n for what, n in fared.items() if what.startswith("displaced")) > 100
             for _, peer in [*storm, (reader, writer)]:
--- a/tests/sharding/harness.py
+++ b/tests/sharding/harness.py
@@ -16,7 +16,7 @@
 import mountgauge
 from mountgauge.core.config import Address
 from mountgauge.http1 import Message, response
-from mountgauge.status import ask
+from mountgauge.status import fetch_status
 from tests.helper import HOST, HttpServer
 
 _ROOT = Path(mountgauge.__file__).parent.parent
@@ -99,7 +99,7 @@
     async def page(self, name: str = "/status") -> dict[str, Any] | None:
         """Return one of its status pages; None if it doesn't answer."""
         try:
-            return await ask(self.status, limit=5.0, page=name)
+            return await fetch_status(self.status, limit=5.0, page=name)
         except (OSError, ValueError):
             return None
 
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -22,7 +22,7 @@
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.operator_file import load
 from mountgauge.otlp import tenant_metrics
-from mountgauge.status import StatusServer, ask
+from mountgauge.status import StatusServer, fetch_status
 from mountgauge.tenants.admission import QuotaAdmission
 from mountgauge.tenants.counts import Counts
 from mountgauge.tenants.store import Store, StoreError
@@ -193,7 +193,7 @@
             await until(lambda: not member.unjoined(asyncio.get_running_loop().time()))
             page = StatusServer(first.runtime.report, {"/tenants": first.runtime.tenants.report})  # type: ignore[union-attr]
             await page.listen(Address(HOST, 0))
-            found = await ask(Address(HOST, page.port), page="/tenants")
+            found = await fetch_status(Address(HOST, page.port), page="/tenants")
             by = {line["tenant"]: line for line in found["tenants"]}
             assert by["verdi"]["used"] == 20 and by["rossi"]["quota"] == 5 and by["default"]["used"] == 0
             assert [m["presence"] for m in found["members"]] == ["present"] * 2 and found["exact"]
@@ -211,7 +211,7 @@
             metrics = {m["name"]: m for m in tenant_metrics(found, 1, 2)}
             used = metrics["mountgauge.tenant.used"]["sum"]["dataPoints"]
             assert {p["attributes"][0]["value"]["stringValue"]: p["asInt"] for p in used}["verdi"] == "20"
-            assert (await ask(Address(HOST, page.port)))["tenants"]["present"] == 2
+            assert (await fetch_status(Address(HOST, page.port)))["tenants"]["present"] == 2
             page.close()
 
     run(main())
@@ -272,7 +272,7 @@
 
     async def used(self, n: int) -> dict[str, Any]:
         try:
-            return await ask(Address(HOST, self.ports[2 + n]), page="/tenants")
+            return await fetch_status(Address(HOST, self.ports[2 + n]), page="/tenants")
         except (OSError, ValueError):
             return {}
 
@@ -420,7 +420,7 @@
             assert world.runtime.tenants is not None
             server = StatusServer(world.runtime.report, {"/tenants": world.runtime.tenants.report})
             await server.listen(Address(HOST, 0))
-            found = await ask(Address(HOST, server.port), 10, "/tenants")
+            found = await fetch_status(Address(HOST, server.port), 10, "/tenants")
             assert len(found["tenants"]) == 10_001 and orjson.dumps(found)
             assert len(world.runtime.tenants.metrics()["tenants"]) == 1000
             server.close()
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -23,7 +23,7 @@
 from mountgauge.operator_file import load
 from mountgauge.otlp import Exporter
 from mountgauge.snapshot import Snapshot
-from mountgauge.status import StatusServer, ask
+from mountgauge.status import StatusServer, fetch_status
 from rillspindle.interface import Entry, Outcome
 from tests.helper import HOST, AmqpClient, Broker, HttpServer, World, read_frame, run, until
 from tests.settings import settings
@@ -280,11 +280,11 @@
         try:
             await until(lambda: all(one.state == "running" for one in agent.instances))
             await asyncio.sleep(1.0)  # so that the program is running when the signal arrives
-            first = (await ask(address))["instances"][0]
+            first = (await fetch_status(address))["instances"][0]
             os.kill(first["pid"], 9)
             await until(lambda: agent.instances[0].state == "backing-off")
             await until(lambda: agent.instances[0].state == "running")
-            report = (await ask(address))["instances"]
+            report = (await fetch_status(address))["instances"]
             assert (
                 report[0]["restarts"] == 1 and report[0]["pid"] != first["pid"] and report[1]["restarts"] == 0
             )
@@ -309,7 +309,7 @@
             await until(lambda: not world.runtime.sender.pending)
             server = StatusServer(world.runtime.report)
             await server.listen(Address(HOST, 0))
-            found = await ask(Address(HOST, server.port))
+            found = await fetch_status(Address(HOST, server.port))
             assert found["ends"] == {"delivered": 1} and found["attempts"] == {"ok": 1} and found["held"] == 0
             reader, writer = await asyncio.open_connection(HOST, server.port)
             writer.write(b"GET /other HTTP/1.1\r\n\r\n")
