--- a/mountgauge/budgets/table.py
+++ b/mountgauge/budgets/table.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mountgauge.status_table import Answers, StatusTable, aligned
+from mountgauge.status_table import Answers, StatusTable, align_columns
 
 _COLUMNS = (
     "BUDGET", "MEMBER", "KIND", "WHOLE", "PART", "RESERVE", "LEASED", "LASTS S", "WANTS", "WAITING",
@@ -38,7 +38,7 @@
 
 def lines(answers: Answers) -> list[str]:
     """The table as text."""
-    return aligned(_COLUMNS, rows(answers))
+    return align_columns(_COLUMNS, rows(answers))
 
 
 def sound(answers: Answers) -> bool:
--- a/mountgauge/recovery/table.py
+++ b/mountgauge/recovery/table.py
@@ -11,7 +11,7 @@
 
 from mountgauge.core.config import Address
 from mountgauge.status import fetch_status
-from mountgauge.status_table import aligned
+from mountgauge.status_table import align_columns
 
 _COLUMNS = (
     "NAME",
@@ -53,7 +53,7 @@
 
 def lines(rows: Sequence[Sequence[str]]) -> list[str]:
     """The table as text, with aligned columns."""
-    return aligned(_COLUMNS, rows)
+    return align_columns(_COLUMNS, rows)
 
 
 def all_full(answers: Mapping[str, Mapping[str, Any] | None]) -> bool:
--- a/mountgauge/relay/table.py
+++ b/mountgauge/relay/table.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from mountgauge.status_table import Answers, StatusTable, aligned
+from mountgauge.status_table import Answers, StatusTable, align_columns
 
 _COLUMNS = ("HOLDER", "ZONE", "SHARD", "VERSION", "EPOCH", "STALE S", "ENDPOINTS", "MESSAGES", "REPLICAS")
 
@@ -38,7 +38,7 @@
 
 def lines(answers: Answers) -> list[str]:
     """Return the table as text."""
-    return aligned(_COLUMNS, rows(answers))
+    return align_columns(_COLUMNS, rows(answers))
 
 
 def current(answers: Answers) -> bool:
--- a/mountgauge/status_table.py
+++ b/mountgauge/status_table.py
@@ -18,7 +18,7 @@
 Answers = Mapping[str, Mapping[str, Any] | None]  # by address: its page, None where it does not answer
 
 
-def aligned(headings: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
+def align_columns(headings: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
     """The rows under their headings, in columns; each row has a cell for each heading."""
     whole = [headings, *rows]
     widths = [max(len(one[place]) for one in whole) for place in range(len(headings))]
