--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -98,7 +98,7 @@
         """The parts that all members report at nearly one moment."""
         if self.way != "with" or len(addresses := self.addresses()) < 8:
             return
-        answers = await BUDGETS.look(addresses)
+        answers = await BUDGETS.fetch_all(addresses)
         said = [one for one in answers.values() if one is not None]
         parts = [one["budgets"]["calls"]["part"] for one in said if "calls" in one["budgets"]]
         if parts:
--- a/mountgauge/status_table.py
+++ b/mountgauge/status_table.py
@@ -32,10 +32,10 @@
     page: str  # path on the status address
     verdict: str  # what the judgement is called in JSON
     instances: str  # what those that are asked are called in JSON
-    judge: Callable[[Answers], bool]
+    is_good: Callable[[Answers], bool]
     lines: Callable[[Answers], list[str]]
 
-    async def look(self, addresses: Sequence[str]) -> Answers:
+    async def fetch_all(self, addresses: Sequence[str]) -> Answers:
         """What each address says now."""
         pages = await asyncio.gather(*map(self._ask, addresses))
         return dict(zip(addresses, pages, strict=True))
@@ -54,8 +54,8 @@
             Address.parse(address, "address")
         clear = _CLEAR_SCREEN if watch and sys.stdout.isatty() else ""
         while True:
-            answers = asyncio.run(self.look(addresses))
-            good = self.judge(answers)
+            answers = asyncio.run(self.fetch_all(addresses))
+            good = self.is_good(answers)
             if as_json:
                 print(json.dumps({self.verdict: good, self.instances: answers}), flush=True)
             else:
