--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -24,7 +24,7 @@
 from mountgauge.amqp.clients import KEY_HEADER
 from mountgauge.amqp.codec import AmqpError, Content, Method
 from mountgauge.amqp.link import FRAME_MAX, Link, State
-from mountgauge.connecting import SHORTAGE_PAUSE, connect
+from mountgauge.connecting import SHORTAGE_RETRY_S, connect
 from mountgauge.core.ports import AttemptResult, Call, CallItem, CallOwner, NextHop
 from mountgauge.leased_socket import LeaseSlot
 from rillspindle.interface import Outcome
@@ -436,7 +436,7 @@
 
         def on_shortage() -> bool:
             nonlocal tried_at
-            tried_at = loop.time() + SHORTAGE_PAUSE
+            tried_at = loop.time() + SHORTAGE_RETRY_S
             waiting = self._queued.get(target, [])
             for out in waiting:
                 out.short = True
--- a/mountgauge/connecting.py
+++ b/mountgauge/connecting.py
@@ -11,7 +11,7 @@
 
 from mountgauge.leased_socket import LeasedSocket, LeaseSlot
 
-SHORTAGE_PAUSE = 0.05  # s until a connection that found this machine short of something is tried again
+SHORTAGE_RETRY_S = 0.05  # s until a connection that found this machine short of something is tried again
 
 _SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
@@ -46,7 +46,7 @@
                 raise ConnectionAbortedError(error.errno, "the system gave the connection up") from error
             if not is_local_shortage(error) or not on_shortage():
                 raise
-        await asyncio.sleep(SHORTAGE_PAUSE)
+        await asyncio.sleep(SHORTAGE_RETRY_S)
 
 
 async def _open(make: Callable[[], asyncio.BaseProtocol], host: str, port: int, slot: LeaseSlot) -> None:
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from mountgauge.connecting import SHORTAGE_PAUSE, is_local_shortage
+from mountgauge.connecting import SHORTAGE_RETRY_S, is_local_shortage
 from mountgauge.core.config import Address
 from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.http1 import Client, request
@@ -85,7 +85,7 @@
                 text = f"{type(error).__name__}: {error}"
                 log.warning("notices-failed", extra=kv(unacknowledged=self.unacknowledged, error=text))
                 if is_local_shortage(error):  # nothing reached the platform: no back-off is needed
-                    await asyncio.sleep(SHORTAGE_PAUSE)
+                    await asyncio.sleep(SHORTAGE_RETRY_S)
                     continue
                 if failures:
                     await asyncio.sleep(min(_BACK_OFF_S * 2 ** (failures - 1), _MAX_BACK_OFF_S))
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -17,7 +17,7 @@
 
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.clients import Clients
-from mountgauge.connecting import SHORTAGE_PAUSE
+from mountgauge.connecting import SHORTAGE_RETRY_S
 from mountgauge.connections.acceptor import PAUSE
 from mountgauge.connections.registry import Registry
 from mountgauge.connections.settings import platform_settings
@@ -234,9 +234,9 @@
             hops.cancel(one)
         found = await ended(owner)
         assert found.get(0, AttemptResult(Outcome.MOOT)) == AttemptResult(Outcome.MOOT)
-        assert 2 <= faults.count["socket"] <= (loop.time() - began) / SHORTAGE_PAUSE + 2
+        assert 2 <= faults.count["socket"] <= (loop.time() - began) / SHORTAGE_RETRY_S + 2
         tried = faults.count["socket"]
-        await asyncio.sleep(3 * SHORTAGE_PAUSE)
+        await asyncio.sleep(3 * SHORTAGE_RETRY_S)
         assert faults.count["socket"] <= tried + 1, "nobody wants it any more"
         faults.always("socket", None)
         hops.start(call(hop.port, limit=5.0))
@@ -472,7 +472,7 @@
             found.watch(True)
             await until(lambda: owner.version == 4)
             assert faults.count["socket"] == 6 and not found._watch.failures
-            assert loop.delays.count(SHORTAGE_PAUSE) == 6
+            assert loop.delays.count(SHORTAGE_RETRY_S) == 6
 
     run_faulty(main)
 
@@ -522,7 +522,7 @@
         faults.fail("socket", *[error] * 48)
         notices.report_outcome("a", MessageOutcome(Status.DEFERRED), lambda: told.append("a"))
         await until(lambda: told)
-        assert faults.count["socket"] == 48 and max(loop.delays) <= SHORTAGE_PAUSE
+        assert faults.count["socket"] == 48 and max(loop.delays) <= SHORTAGE_RETRY_S
         notices.close()
         await server.stop()
 
