--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -36,7 +36,7 @@
         self._lease = ListLease(LeaseTerms(LOOK_S, operator.config.rules.drain_grace))
         self._lease_log = LeaseLog()
         self._held_back = False  # calls have been, and are to be let go
-        self.on_read: Callable[[], None] = lambda: None  # told that calls may go again
+        self.on_lease_renewed: Callable[[], None] = lambda: None  # told that calls may go again
 
     @property
     def counts(self) -> Counter[tuple[str, str]]:
@@ -88,7 +88,7 @@
         self._look()
         if self._held_back and self._lease.ended(self._now()) is None:
             self._held_back = False
-            self.on_read()
+            self.on_lease_renewed()
 
     def _look(self) -> None:
         """Read the file if it has changed. Only a look that the system lets through is evidence; between two
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -152,7 +152,7 @@
         sharding = self.operator.sharding
         if sharding is None:
             file_map = FileMap(self.sender, self.operator, self._apply_hops)
-            self.sender.list_lease, file_map.on_read = file_map.lease_ended, self.sender.release
+            self.sender.list_lease, file_map.on_lease_renewed = file_map.lease_ended, self.sender.release
             return file_map
         from mountgauge.relay.shard_map import ShardMap  # imported only where it is configured
         from mountgauge.run.sharding import ShardingSubsystem
