--- a/mountgauge/otlp.py
+++ b/mountgauge/otlp.py
@@ -19,7 +19,7 @@
 from mountgauge.lease_log import LEASE
 from mountgauge.log import kv
 from mountgauge.platform.call_log import CALL
-from mountgauge.snapshot import Measured, Snapshot
+from mountgauge.snapshot import Metric, Snapshot
 
 log = logging.getLogger("mountgauge.otlp")
 
@@ -103,7 +103,7 @@
     start: int,
     now: int,
     tenants: Mapping[str, Any] | None = None,
-    measured: Sequence[Measured] = (),
+    measured: Sequence[Metric] = (),
 ) -> bytes:
     """An ExportMetricsServiceRequest in its JSON form. Integers of 64 bits are text there."""
     ends = {status: n for (kind, status), n in snapshot.counts.items() if kind == "end"}
@@ -153,7 +153,7 @@
         instance: str,
         snapshot: Callable[[], Snapshot],
         tenants: Callable[[], Mapping[str, Any]] = dict,
-        measured: Callable[[], Sequence[Measured]] = tuple,
+        measured: Callable[[], Sequence[Metric]] = tuple,
     ) -> None:
         self._client = Client(host, port)
         self._host, self._path, self._interval = f"{host}:{port}", path, interval
--- a/mountgauge/relay/report.py
+++ b/mountgauge/relay/report.py
@@ -12,7 +12,7 @@
 from mountgauge.relay.settings import RelayFile
 from mountgauge.sharding.relay import Relay
 from mountgauge.sharding.subscription import Subscription
-from mountgauge.snapshot import Measured, Snapshot
+from mountgauge.snapshot import Metric, Snapshot
 
 _MAX_ROWS = 2048  # of the page `/shards`
 
@@ -83,11 +83,11 @@
             "messages": 0,
         }  # fmt: skip
 
-    def metrics(self) -> list[Measured]:
+    def metrics(self) -> list[Metric]:
         """Return the points of one export."""
         relay, server = self._relay, self._server
         calls = self._follower.counts
-        points: list[Measured] = [
+        points: list[Metric] = [
             ("mountgauge.relay.version", "1", False, [({}, relay.store.as_of)]),
             ("mountgauge.relay.polls", "{poll}", False, [({}, len(self._open_polls))]),
             ("mountgauge.relay.connections", "{connection}", False, [({}, len(server.connections))]),
--- a/mountgauge/run/budgets.py
+++ b/mountgauge/run/budgets.py
@@ -9,7 +9,7 @@
 from mountgauge.budgets.service import Budgets
 from mountgauge.budgets.settings import BudgetFile
 from mountgauge.run.subsystem import Subsystem
-from mountgauge.snapshot import Measured
+from mountgauge.snapshot import Metric
 
 if TYPE_CHECKING:
     from mountgauge.core.sender import Sender
@@ -59,7 +59,7 @@
         found = list(self.budgets.report()["budgets"].items())[:8]
         return {f"budget.{name}": f"{one['part']:g}/{one['whole']:g}" for name, one in found}
 
-    def metrics(self) -> Sequence[Measured]:
+    def metrics(self) -> Sequence[Metric]:
         found = self.budgets.report()["budgets"]
         return [
             (f"mountgauge.budget.{key}", "1", key == "refused",
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -25,7 +25,7 @@
 from mountgauge.router import Router
 from mountgauge.run.base import Runtime, Source, socket_shares
 from mountgauge.run.subsystem import Subsystem
-from mountgauge.snapshot import Measured
+from mountgauge.snapshot import Metric
 from mountgauge.status import Report, StatusServer
 
 if TYPE_CHECKING:
@@ -80,7 +80,7 @@
         self.connection_metrics.sample()
         return self.connection_metrics.state()
 
-    def metrics(self) -> Sequence[Measured]:
+    def metrics(self) -> Sequence[Metric]:
         return client_metrics(self.connection_metrics.report())
 
 
@@ -236,7 +236,7 @@
         """The metrics of the tenants, for the export."""
         return {} if self.tenants is None else self.tenants.metrics()
 
-    def measured(self) -> list[Measured]:
+    def measured(self) -> list[Metric]:
         """The metrics of all subsystems, for the export."""
         return [one for subsystem in self.subsystems for one in subsystem.metrics()]
 
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -22,7 +22,7 @@
 from mountgauge.recovery.stale import PauseDetector
 from mountgauge.recovery.state_file import Fact, UsableFacts
 from mountgauge.run.subsystem import Subsystem
-from mountgauge.snapshot import Measured
+from mountgauge.snapshot import Metric
 from rillspindle.interface import Remembered
 
 if TYPE_CHECKING:
@@ -299,9 +299,9 @@
             found["held_up"] = ",".join(map(str, sorted(self.phases.held_up)))
         return found
 
-    def metrics(self) -> Sequence[Measured]:
+    def metrics(self) -> Sequence[Metric]:
         phases = self.phases
-        points: list[Measured] = [
+        points: list[Metric] = [
             ("mountgauge.comeback.phase", "1", False,
              [({"mountgauge.phase": one.value}, int(one is phases.phase)) for one in Phase]),
             ("mountgauge.comeback.held_up", "{destination}", False, [({}, len(phases.held_up))]),
--- a/mountgauge/run/sharding.py
+++ b/mountgauge/run/sharding.py
@@ -9,7 +9,7 @@
 from mountgauge.relay.settings import SenderSharding
 from mountgauge.relay.shard_map import ShardMap
 from mountgauge.run.subsystem import Subsystem
-from mountgauge.snapshot import Measured
+from mountgauge.snapshot import Metric
 
 if TYPE_CHECKING:
     from mountgauge.core.sender import Sender
@@ -59,9 +59,9 @@
         stale = self._staleness_s()
         return {"shards": len(self.map.subscription.shards()), "stale_s": "never" if stale is None else stale}
 
-    def metrics(self) -> Sequence[Measured]:
+    def metrics(self) -> Sequence[Metric]:
         subscription, counts = self.map.subscription, self.map.follower.counts
-        points: list[Measured] = [
+        points: list[Metric] = [
             ("mountgauge.sharding.shards", "{shard}", False, [({}, len(subscription.shards()))]),
             ("mountgauge.sharding.epoch", "1", False, [({}, subscription.placement.epoch)]),
             ("mountgauge.sharding.rejections", "{change}", True, [({}, self.map.rejections)]),
--- a/mountgauge/run/subsystem.py
+++ b/mountgauge/run/subsystem.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from mountgauge.snapshot import Measured
+from mountgauge.snapshot import Metric
 
 
 class Subsystem:
@@ -41,6 +41,6 @@
         """The fields that it adds to the state line."""
         return {}
 
-    def metrics(self) -> Sequence[Measured]:
+    def metrics(self) -> Sequence[Metric]:
         """The metrics that it adds to an export."""
         return ()
--- a/mountgauge/snapshot.py
+++ b/mountgauge/snapshot.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 # Name, unit, whether it only grows, and the points with their attributes.
-Measured = tuple[str, str, bool, list[tuple[dict[str, str], Any]]]
+Metric = tuple[str, str, bool, list[tuple[dict[str, str], Any]]]
 
 
 @dataclass(frozen=True, slots=True)
