--- a/mountgauge/console/listener.py
+++ b/mountgauge/console/listener.py
@@ -22,7 +22,7 @@
 class _Caller(asyncio.BufferedProtocol):
     def __init__(self, console: Console) -> None:
         self._console = console
-        self._parser = Parser(requests=True, most_body=MOST_BODY)
+        self._parser = Parser(requests=True, max_body_bytes=MOST_BODY)
         self._buffer = bytearray(4096)
         self._transport: asyncio.Transport | None = None
         self.asked = False  # a whole request has come
--- a/mountgauge/http1.py
+++ b/mountgauge/http1.py
@@ -58,8 +58,8 @@
 class Parser:
     """Feed it what arrives; it returns the messages that have become whole."""
 
-    def __init__(self, requests: bool = False, most_body: int = 1 << 20) -> None:
-        self._requests, self._most = requests, most_body
+    def __init__(self, requests: bool = False, max_body_bytes: int = 1 << 20) -> None:
+        self._requests, self._most = requests, max_body_bytes
         self._buffer = bytearray()
         self.current = Message()
         self._left = 0  # body bytes still to come
@@ -251,7 +251,7 @@
     """A client's connection: CONNECTING, then IDLE and BUSY in turn, at last CLOSED."""
 
     def __init__(
-        self, lost: Callable[[Connection], None], most_body: int = 1 << 20, rest: float | None = None
+        self, lost: Callable[[Connection], None], max_body_bytes: int = 1 << 20, rest: float | None = None
     ) -> None:
         self.state = State.CONNECTING
         self.idle_since = 0.0
@@ -259,9 +259,9 @@
         self.overdue = False  # the rest of an answer has not come in time
         self.slot = LeaseSlot()  # of the socket that it is to be connected with
         self._lost = lost
-        self._most = most_body
+        self._most = max_body_bytes
         self._most_rest = rest  # s in which an answer that has begun must be whole
-        self._parser = Parser(most_body=most_body)
+        self._parser = Parser(max_body_bytes=max_body_bytes)
         self._transport: asyncio.Transport | None = None
         self._finished: Callable[[Message, bool], None] | None = None
         self._rest: asyncio.TimerHandle | None = None  # runs while an answer is half there
@@ -393,8 +393,10 @@
 class Client:
     """One kept connection to one address, for exchanges that follow one another."""
 
-    def __init__(self, host: str, port: int, most_body: int = 1 << 20, rest: float | None = None) -> None:
-        self.host, self.port, self._most, self._rest = host, port, most_body, rest
+    def __init__(
+        self, host: str, port: int, max_body_bytes: int = 1 << 20, rest: float | None = None
+    ) -> None:
+        self.host, self.port, self._most, self._rest = host, port, max_body_bytes, rest
         self._connection: Connection | None = None
 
     def close(self) -> None:
--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -201,7 +201,7 @@
 
 
 def _read_reply(data: bytes, shard_count: int) -> Reply:
-    message = Parser(most_body=MAX_ANSWER_BYTES).feed(data)[0]
+    message = Parser(max_body_bytes=MAX_ANSWER_BYTES).feed(data)[0]
     return decode_reply(message.status, message.body, shard_count)
 
 
@@ -254,7 +254,7 @@
     def ask(self, data: bytes, now: float) -> bytes | HeldAsk:
         """An ask with its HTTP head: the answer, or that it is held."""
         with self.processor.counted():
-            message = Parser(requests=True, most_body=MAX_ASK_BYTES).feed(data)[0]
+            message = Parser(requests=True, max_body_bytes=MAX_ASK_BYTES).feed(data)[0]
             reply = self.relay.ask(decode_ask(message.body, self._shard_count), now)
             return reply if isinstance(reply, HeldAsk) else _response(reply)
 
@@ -280,7 +280,7 @@
 
 
 def _body(data: bytes) -> bytearray:
-    return Parser(most_body=MAX_ANSWER_BYTES).feed(data)[0].body
+    return Parser(max_body_bytes=MAX_ANSWER_BYTES).feed(data)[0].body
 
 
 class RecordPool:
--- a/mountgauge/relay/server.py
+++ b/mountgauge/relay/server.py
@@ -111,7 +111,7 @@
         self.state = ConnectionState.IDLE
         self._server = server
         self._limits = server.limits
-        self._parser = Parser(requests=True, most_body=server.limits.request_bytes)
+        self._parser = Parser(requests=True, max_body_bytes=server.limits.request_bytes)
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None
         self._deadline: asyncio.TimerHandle | None = None
--- a/mountgauge/status.py
+++ b/mountgauge/status.py
@@ -21,7 +21,7 @@
 class _Peer(asyncio.BufferedProtocol):
     def __init__(self, server: StatusServer) -> None:
         self._server = server
-        self._parser = Parser(requests=True, most_body=4096)
+        self._parser = Parser(requests=True, max_body_bytes=4096)
         self._buffer = bytearray(4096)
         self._transport: asyncio.Transport | None = None
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -22,7 +22,7 @@
 
 
 def parse(raw: bytes, by: int) -> Call | Reply:
-    parser, whole = Parser(requests=True, most_body=4096), []
+    parser, whole = Parser(requests=True, max_body_bytes=4096), []
     for at in range(0, len(raw), by):
         whole += parser.feed(raw[at : at + by])
     assert len(whole) == 1
@@ -53,7 +53,7 @@
 
 def test_an_oversized_body_is_refused_before_it_is_read() -> None:
     with pytest.raises(HttpError, match="too large"):
-        Parser(requests=True, most_body=4096).feed(
+        Parser(requests=True, max_body_bytes=4096).feed(
             b"POST /_lameduck/on HTTP/1.1\r\nContent-Length: 5000\r\n\r\n"
         )
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -46,7 +46,7 @@
 ])  # fmt: skip
 def test_bad_or_endless_answers_are_refused(data: bytes) -> None:
     with pytest.raises(HttpError):
-        Parser(most_body=1000).feed(data)
+        Parser(max_body_bytes=1000).feed(data)
 
 
 @pytest.mark.parametrize(("text", "wait"), [("0.35", 0.35), ("2", 2.0), ("soon", 0), ("-1", 0), ("nan", 0),
