--- a/mountgauge/http1.py
+++ b/mountgauge/http1.py
@@ -38,7 +38,7 @@
     headers: dict[str, str] = field(default_factory=dict)  # names in lower case
     head_done: bool = False
     body: bytearray = field(default_factory=bytearray)
-    whole: bool = False
+    complete: bool = False
     spoilt: bool = False  # it cannot be read any further, or its rest has not come in time
 
     @property
@@ -86,7 +86,7 @@
                 if not done:
                     raise
                 break
-            if self.current.whole:
+            if self.current.complete:
                 # An interim answer (1xx) announces the real one.
                 if self._requests or self.current.status >= 200:
                     done.append(self.current)
@@ -96,7 +96,7 @@
     def end(self) -> Message | None:
         """The other side has ended: whole only if the body was to last until then."""
         if self._mode == "close":
-            self.current.whole = True
+            self.current.complete = True
             return self.current
         return None
 
@@ -129,7 +129,7 @@
                 raise HttpError("chunk without an end")
             self._mode = "chunk-size"
         elif not line:  # trailer
-            self.current.whole, self._trailers = True, 0
+            self.current.complete, self._trailers = True, 0
         else:
             self._trailers += 1
             if self._trailers > _MOST_HEADERS:
@@ -149,7 +149,7 @@
         del self._buffer[:count]
         self._left -= count
         if self._mode == "length" and not self._left:
-            self.current.whole = True
+            self.current.complete = True
         elif self._mode == "chunk" and not self._left:
             self._mode = "chunk-end"
         return True
@@ -192,7 +192,7 @@
         length = message.headers.get("content-length")
         no_body = not self._requests and (message.status < 200 or message.status in (204, 304))
         if no_body:
-            message.whole = True
+            message.complete = True
         elif "chunked" in message.headers.get("transfer-encoding", "").lower():
             self._mode = "chunk-size"
         elif length is not None:
@@ -201,9 +201,9 @@
             self._left = int(length)
             self._bound(self._left)
             self._mode = "length"
-            message.whole = not self._left
+            message.complete = not self._left
         elif self._requests:
-            message.whole = True
+            message.complete = True
         else:
             self._mode = "close"
 
@@ -442,6 +442,6 @@
             raise
         if connection.overdue:
             raise TimeoutError("the answer stopped half-way")
-        if not message.whole:
+        if not message.complete:
             raise ConnectionResetError("the answer broke off")
         return message
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -360,7 +360,7 @@
 def _batch_results(out: _OpenCall, message: Message) -> dict[int, AttemptResult]:
     """Per item; one that the answer does not name, or an answer cut short, may have run."""
     states: dict[str, str] = {}
-    if message.whole:
+    if message.complete:
         try:
             for line in orjson.loads(message.body):
                 msg_id, state = str(line["id"]), str(line["state"])
@@ -368,7 +368,9 @@
                 states[msg_id] = state if states.get(msg_id, state) == state else ""
         except (ValueError, TypeError, KeyError):
             log.warning("bad-batch-answer")
-    missing = AttemptResult(Outcome.ERROR) if message.whole else AttemptResult(out.stopped or Outcome.RESET)
+    missing = (
+        AttemptResult(Outcome.ERROR) if message.complete else AttemptResult(out.stopped or Outcome.RESET)
+    )
     wait = wait_s(message)
     return {
         item.number: _STATES.get(states.get(item.id, ""), missing)._replace(required_wait_s=wait)
--- a/mountgauge/platform/list_exchange.py
+++ b/mountgauge/platform/list_exchange.py
@@ -100,7 +100,7 @@
     def _finished(self, message: Message, flushed: bool) -> None:
         connection, self._connection = self._connection, None
         assert connection is not None
-        if message.whole:
+        if message.complete:
             self._owner.answered(self, message, connection)
         elif connection.answer_arrived:
             fault = "stalled" if connection.overdue else "ended"
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -75,7 +75,8 @@
             ended = len(ends)
             if step == "begin" and state is State.IDLE:
                 connection.begin(
-                    request("POST", "/hook", "h", {}, b"x"), lambda m, f: ends.append((m.status, m.whole, f))
+                    request("POST", "/hook", "h", {}, b"x"),
+                    lambda m, f: ends.append((m.status, m.complete, f)),
                 )
                 begun, state, part, flushed = begun + 1, State.BUSY, False, True
             elif step in ("choke", "flow") and state is State.BUSY:
