--- a/mountgauge/http1.py
+++ b/mountgauge/http1.py
@@ -39,7 +39,7 @@
     head_done: bool = False
     body: bytearray = field(default_factory=bytearray)
     complete: bool = False
-    spoilt: bool = False  # it cannot be read any further, or its rest has not come in time
+    unreadable: bool = False  # it cannot be read any further, or its rest has not come in time
 
     @property
     def status(self) -> int:
@@ -81,7 +81,7 @@
                 if not self._step():
                     break
             except HttpError as error:
-                self.error, self.current.spoilt = error, True
+                self.error, self.current.unreadable = error, True
                 self._buffer.clear()
                 if not done:
                     raise
@@ -350,7 +350,7 @@
                 self._let_go()
 
     def _overdue(self) -> None:
-        self._parser.current.spoilt = self.overdue = True
+        self._parser.current.unreadable = self.overdue = True
         self.close()
 
     def eof_received(self) -> bool:
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -255,16 +255,16 @@
 
     def _answered(self, out: _OpenCall, message: Message, flushed: bool) -> None:
         results: dict[int, AttemptResult] = {}
-        lost = message.start is None and out.stopped is None and not message.spoilt
+        lost = message.start is None and out.stopped is None and not message.unreadable
         if out.idle is not None:
             self._reuse.fared(out.idle, lost)
-        cut = not message.head_done and not message.spoilt and message.status != 200
-        if cut or (message.status == 0 and not (message.spoilt and flushed)):
+        cut = not message.head_done and not message.unreadable and message.status != 200
+        if cut or (message.status == 0 and not (message.unreadable and flushed)):
             # With its last byte not written, the call has not begun at the next hop.
             result = AttemptResult((out.stopped or Outcome.RESET) if flushed else self._unsent(out))
             result = result._replace(stale=lost and out.idle is not None)
             results = {item.number: result for item in out.going}
-        elif message.spoilt and (len(out.going) > 1 or message.status != 200):
+        elif message.unreadable and (len(out.going) > 1 or message.status != 200):
             # The next hop is there and has read the call: an error, not an outage. A wait came with the head.
             result = AttemptResult(Outcome.ERROR, required_wait_s=wait_s(message))
             results = {item.number: result for item in out.going}
