--- a/mountgauge/http1.py
+++ b/mountgauge/http1.py
@@ -272,7 +272,7 @@
         self.state, self.idle_since = State.IDLE, asyncio.get_running_loop().time()
 
     @property
-    def silent(self) -> bool:
+    def has_no_unread_data(self) -> bool:
         """Whether nothing waits to be read: what came unasked would pass for the next call's answer."""
         sock = self._transport.get_extra_info("socket") if self._transport is not None else None
         if sock is None:
@@ -412,7 +412,7 @@
         """The whole answer; TimeoutError where nothing comes in time, another OSError where it broke."""
         loop = asyncio.get_running_loop()
         connection = self._connection
-        if connection is None or connection.state is not State.IDLE or not connection.silent:
+        if connection is None or connection.state is not State.IDLE or not connection.has_no_unread_data:
             self.close()
             made = Connection(self._forget, self._most, self._rest)
             patient_until = loop.time() + connect_limit
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -102,7 +102,7 @@
         while pool:
             connection = pool.pop()
             fresh = connection.state is State.IDLE and now - connection.idle_since < self._idle
-            if fresh and connection.silent and self._reuse.usable(now - connection.idle_since):
+            if fresh and connection.has_no_unread_data and self._reuse.usable(now - connection.idle_since):
                 return connection
             connection.close()
         return None
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -287,7 +287,7 @@
         connection, self._kept_connection = self._kept_connection, None
         if connection is None:
             return None
-        if connection.state is State.IDLE and connection.silent:
+        if connection.state is State.IDLE and connection.has_no_unread_data:
             return connection
         connection.close()
         return None
--- a/mountgauge/platform/list_exchange.py
+++ b/mountgauge/platform/list_exchange.py
@@ -121,7 +121,7 @@
         if self._connection is None:
             return False
         checked_at = asyncio.get_running_loop().time()
-        pending = self._connection.answer_begun or not self._connection.silent
+        pending = self._connection.answer_begun or not self._connection.has_no_unread_data
         if not pending:
             self.socket_empty_at = checked_at
         return pending
