--- a/mountgauge/http1.py
+++ b/mountgauge/http1.py
@@ -225,7 +225,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1") + body
 
 
-def wait_s(message: Message) -> float:
+def retry_after_s(message: Message) -> float:
     """`Retry-After` in seconds, with decimals; 0 where there is none that can be read."""
     try:
         wait = float(message.headers.get("retry-after", "0"))
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -14,7 +14,7 @@
 
 from mountgauge.connecting import connect
 from mountgauge.core.ports import AttemptResult, Call, CallItem, CallOwner, NextHop
-from mountgauge.http1 import Connection, Message, State, request, wait_s
+from mountgauge.http1 import Connection, Message, State, request, retry_after_s
 from rillspindle.interface import Outcome
 
 log = logging.getLogger("mountgauge.next_hops")
@@ -266,7 +266,7 @@
             results = {item.number: result for item in out.going}
         elif message.unreadable and (len(out.going) > 1 or message.status != 200):
             # The next hop is there and has read the call: an error, not an outage. A wait came with the head.
-            result = AttemptResult(Outcome.ERROR, required_wait_s=wait_s(message))
+            result = AttemptResult(Outcome.ERROR, required_wait_s=retry_after_s(message))
             results = {item.number: result for item in out.going}
         elif len(out.going) > 1 and message.status == 200:
             results = _batch_results(out, message)
@@ -342,19 +342,19 @@
     """The protocol's table, from the first line on: headers may still be missing."""
     match message.status:
         case 200:
-            return AttemptResult(Outcome.OK, required_wait_s=wait_s(message))
+            return AttemptResult(Outcome.OK, required_wait_s=retry_after_s(message))
         case 429:
-            return AttemptResult(Outcome.FULL, required_wait_s=wait_s(message))
+            return AttemptResult(Outcome.FULL, required_wait_s=retry_after_s(message))
         case 503:
             if message.headers.get("x-over-slots") == "1":
                 return AttemptResult(Outcome.MOOT, note=1)
-            return AttemptResult(Outcome.FULL, required_wait_s=wait_s(message))
+            return AttemptResult(Outcome.FULL, required_wait_s=retry_after_s(message))
         case 410:
             return AttemptResult(Outcome.MOOT, finished=True)
         case 504 | 400 | 413:
             return AttemptResult(Outcome.MOOT)
         case _:
-            return AttemptResult(Outcome.ERROR, required_wait_s=wait_s(message))
+            return AttemptResult(Outcome.ERROR, required_wait_s=retry_after_s(message))
 
 
 def _batch_results(out: _OpenCall, message: Message) -> dict[int, AttemptResult]:
@@ -371,7 +371,7 @@
     missing = (
         AttemptResult(Outcome.ERROR) if message.complete else AttemptResult(out.stopped or Outcome.RESET)
     )
-    wait = wait_s(message)
+    wait = retry_after_s(message)
     return {
         item.number: _STATES.get(states.get(item.id, ""), missing)._replace(required_wait_s=wait)
         for item in out.going
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mountgauge.http1 import Connection, HttpError, Message, Parser, State, request, response, wait_s
+from mountgauge.http1 import Connection, HttpError, Message, Parser, State, request, response, retry_after_s
 from tests.helper import Transport, receive
 
 BODIES = st.binary(max_size=300)
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize(("text", "wait"), [("0.35", 0.35), ("2", 2.0), ("soon", 0), ("-1", 0), ("nan", 0),
                                             ("inf", 0), ("", 0)])  # fmt: skip
 def test_waits_have_decimals(text: str, wait: float) -> None:
-    assert wait_s(Message(headers={"retry-after": text})) == wait
+    assert retry_after_s(Message(headers={"retry-after": text})) == wait
 
 
 STEPS = st.sampled_from(
