--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -365,7 +365,7 @@
         self.opened = 0
 
     @property
-    def out(self) -> int:
+    def in_flight(self) -> int:
         return len(self._out)
 
     def start(self, call: Call) -> None:
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -306,7 +306,7 @@
             self._owner.finished(out.call, results)
 
     @property
-    def out(self) -> int:
+    def in_flight(self) -> int:
         return len(self._out)
 
     def close(self) -> None:
--- a/mountgauge/router.py
+++ b/mountgauge/router.py
@@ -14,7 +14,7 @@
     opened: int
 
     @property
-    def out(self) -> int: ...
+    def in_flight(self) -> int: ...
 
     def close(self) -> None: ...
 
@@ -37,8 +37,8 @@
             side.close_idle(hop_id)
 
     @property
-    def out(self) -> int:
-        return sum(side.out for side in self.sides.values())
+    def in_flight(self) -> int:
+        return sum(side.in_flight for side in self.sides.values())
 
     @property
     def opened(self) -> int:
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -240,7 +240,7 @@
         ):
             await asyncio.sleep(0.02)
         self.sender.stop()
-        while left(_EXIT_AT_S) and (self.next_hops.out or self.notices.unacknowledged):
+        while left(_EXIT_AT_S) and (self.next_hops.in_flight or self.notices.unacknowledged):
             await asyncio.sleep(0.02)
         for listener, _ in self.listeners:
             listener.close()
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -131,7 +131,7 @@
     if check_task is not None:
         check_task.cancel()
         check_task = loop.create_task(_check_periodically(lambda: _check_while_stopping(runtime)))
-    log.info("stopping", extra=kv(held=len(runtime.sender.pending), out=runtime.next_hops.out))
+    log.info("stopping", extra=kv(held=len(runtime.sender.pending), out=runtime.next_hops.in_flight))
     await runtime.stop()
     if check_task is not None:
         check_task.cancel()
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -61,7 +61,7 @@
     yield peer, hops
     hops.close()
     await asyncio.sleep(0)
-    assert hops.out == 0 and hops._open == 0, "the close of each connection is counted once"
+    assert hops.in_flight == 0 and hops._open == 0, "the close of each connection is counted once"
     peer.listener.close()
 
 
@@ -255,7 +255,7 @@
             fillers = full_backlog(peer)
             hops.start(call(peer.port, limit=9.0))
             await asyncio.sleep(0.2)
-            assert hops.out == 1
+            assert hops.in_flight == 1
             received = b""
             async with asyncio.timeout(9):
                 # Frees the backlog; the sender's system retries the connect after a second.
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -172,7 +172,7 @@
         world = Senders(tmp_path, faults, wire=wire)
         await world.start()
         await world.submit("first")  # opens the connection that the next call uses
-        await until(lambda: world.arrived == ["first"] and not world.hops.out)
+        await until(lambda: world.arrived == ["first"] and not world.hops.in_flight)
         await world.blocked("late", left=2.0 if end == "deadline" else 6.0)
         if end == "drained":
             world.sender.list_changed(world.list(Readiness.DRAINING))
--- a/tests/test_next_hops.py
+++ b/tests/test_next_hops.py
@@ -45,7 +45,7 @@
     hops = HttpNextHops(owner, 0.5, 5.0, 8)
     hops.start(call(server.port, *bodies, limit=limit))
     await until(lambda: owner.done)
-    assert hops.out == 0
+    assert hops.in_flight == 0
     hops.close()
     await server.stop()
     return owner.done[0][1]
