--- a/tests/helper.py
+++ b/tests/helper.py
@@ -115,7 +115,7 @@
         raise NotImplementedError
 
 
-async def no_news(message: Message) -> bytes:
+async def reply_without_changes(message: Message) -> bytes:
     """What a discovery answers to a call for changes where there are none, once the call's wait is over."""
     assert message.start is not None
     _, _, query = message.start[1].partition("?")
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -12,7 +12,7 @@
 
 from mountgauge.http1 import Message, response
 from mountgauge.lab.ports import reserve_ports
-from tests.helper import HOST, HttpServer, no_news, run, until
+from tests.helper import HOST, HttpServer, reply_without_changes, run, until
 from tests.settings import message_class, settings
 
 START_LIMIT_S = 25.0  # within which a process must serve, even on a slow machine
@@ -38,7 +38,7 @@
                 notice = json.loads(line)
                 self.notices[notice["id"]] = notice["status"]
             return response(204, "No Content", {}, b"")
-        return await no_news(message)
+        return await reply_without_changes(message)
 
     async def answer_call(self, message: Message) -> bytes:
         msg_id = message.headers["x-trace-id"]
