--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -27,7 +27,7 @@
 from mountgauge.connections.settings import platform_settings
 from mountgauge.core.ports import Accepted, Submission
 from tests.crossings.test_attempts import reset
-from tests.helper import HOST, AmqpClient, Transport, World, read_frame, receive, run, until
+from tests.helper import HOST, AmqpClient, SenderHarness, Transport, read_frame, receive, run, until
 from tests.system_call_faults import Faults, FaultyCalls
 from tests.test_clients import command, enqueue
 
@@ -509,7 +509,7 @@
     """A publish behind `connection.close` is not taken on; more than one read of it lies there at the end."""
 
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             client = AmqpClient(world)
             await client.connect()
             client.task.cancel()
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -540,7 +540,7 @@
 
     async def main() -> None:
         extra = f'[console]\nlisten = "{HOST}:{reserve_ports(1)[0]}"\n'
-        async with helper.World(tmp_path, "http", extra=extra) as world:
+        async with helper.SenderHarness(tmp_path, "http", extra=extra) as world:
             hop = world.hops[0]
             hop.script = ["silent"]
             assert await world.client.take("a") is None
@@ -565,7 +565,7 @@
     """The timestamp of the file had been taken after it was read, so that a change in between was missed."""
 
     async def main() -> None:
-        world = helper.World(tmp_path, "http")
+        world = helper.SenderHarness(tmp_path, "http")
 
         def loaded(path: Path) -> Operator:
             found = load(path)
@@ -590,7 +590,7 @@
     tmp_path: Path, content: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        async with helper.World(tmp_path, "http") as world:
+        async with helper.SenderHarness(tmp_path, "http") as world:
             world.file.write_bytes(content)
             await until(lambda: "file-not-read" in [record.message for record in caplog.records])
             world.states = ["leaving"]
@@ -611,7 +611,7 @@
 
     async def main() -> None:
         extra = f'[console]\nlisten = "{HOST}:{reserve_ports(1)[0]}"\n'
-        async with helper.World(tmp_path, "http", extra=extra) as world:
+        async with helper.SenderHarness(tmp_path, "http", extra=extra) as world:
             admit, paused = world.runtime.sender.admit, list[str]()
 
             def late(call: Call, items: list[CallItem]) -> list[CallItem]:
--- a/tests/crossings/test_list_lease.py
+++ b/tests/crossings/test_list_lease.py
@@ -353,7 +353,7 @@
     read_text = Path.read_text
 
     async def main() -> None:
-        async with helper.World(tmp_path, "http") as world:
+        async with helper.SenderHarness(tmp_path, "http") as world:
             loop = asyncio.get_running_loop()
             healed_at = loop.time() + FAULT_S
 
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -253,7 +253,7 @@
 class RespClient:
     """Hands messages in over RESP2 and hears of ends as the platform would: by notice, or at the next hop."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SenderHarness) -> None:
         self.world = world
 
     async def connect(self) -> None:
@@ -287,7 +287,7 @@
 class AmqpClient:
     """A publisher with confirms, from the specification."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: SenderHarness) -> None:
         self.world = world
         self.ends: dict[str, str] = {}
 
@@ -366,7 +366,7 @@
         return self.ends[msg_id]
 
 
-class World:
+class SenderHarness:
     """One sender of an operator's file with its client and next hops: of one protocol, or "mixed"."""
 
     def __init__(self, folder: Path, protocol: str, hops: int = 1, extra: str = "") -> None:
@@ -413,7 +413,7 @@
         self.client = RespClient(self) if self.protocol == "http" else AmqpClient(self)
         await self.client.connect()
 
-    async def __aenter__(self) -> World:
+    async def __aenter__(self) -> SenderHarness:
         await self.platform.start()
         for hop in self.hops:
             await hop.start()
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -26,7 +26,7 @@
 from mountgauge.tenants.admission import QuotaAdmission
 from mountgauge.tenants.counts import Counts
 from mountgauge.tenants.store import Store, StoreError
-from tests.helper import HOST, AmqpClient, HttpServer, RespClient, World, run, until
+from tests.helper import HOST, AmqpClient, HttpServer, RespClient, SenderHarness, run, until
 from tests.test_product import FILE
 
 KEY = "sixteen characters and more"
@@ -93,7 +93,7 @@
 
 def test_resp_clients_log_in_and_cannot_name_their_tenant(tmp_path: Path) -> None:
     async def main() -> None:
-        async with World(tmp_path, "http", extra=TENANTS) as world:
+        async with SenderHarness(tmp_path, "http", extra=TENANTS) as world:
             client = world.client
             assert isinstance(client, RespClient)
             assert await client.command(b"PING") == b"+PONG\r\n"
@@ -121,7 +121,7 @@
     tmp_path: Path, login: str, vhost: str, code: int
 ) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp", extra=TENANTS) as world:
+        async with SenderHarness(tmp_path, "amqp", extra=TENANTS) as world:
             client = AmqpClient(world)
             client.reader, client.writer = await asyncio.open_connection(HOST, world.port)
             client.writer.write(codec.PROTOCOL_HEADER)
@@ -146,7 +146,7 @@
 ) -> None:
     async def main() -> None:
         extra = TENANTS.replace("rate = 5", "rate = 0.01").replace("burst = 10", "burst = 2")
-        async with World(tmp_path, protocol, extra=extra) as world:
+        async with SenderHarness(tmp_path, protocol, extra=extra) as world:
             if isinstance(world.client, RespClient):
                 assert await world.client.command(b"AUTH", b"u", b"p") == b"+OK\r\n"
             assert world.runtime.tenants is not None
@@ -175,8 +175,8 @@
         one, two = reserve_ports(2)
         for name in ("a", "b"):
             (tmp_path / name).mkdir()
-        first = World(tmp_path / "a", "http", extra=fleet(one, two) + TENANTS)
-        second = World(tmp_path / "b", "amqp", extra=fleet(two, one) + TENANTS)
+        first = SenderHarness(tmp_path / "a", "http", extra=fleet(one, two) + TENANTS)
+        second = SenderHarness(tmp_path / "b", "amqp", extra=fleet(two, one) + TENANTS)
         async with first, second:
             second.runtime.tenants.name = "w2"  # type: ignore[union-attr]
             assert isinstance(first.client, RespClient)
@@ -220,7 +220,7 @@
 def test_sighup_moves_quotas_peers_and_keys(tmp_path: Path) -> None:
     async def main() -> None:
         mine, peer = reserve_ports(2)
-        async with World(tmp_path, "http", extra=fleet(mine, peer) + TENANTS) as world:
+        async with SenderHarness(tmp_path, "http", extra=fleet(mine, peer) + TENANTS) as world:
             tenants = world.runtime.tenants
             assert tenants is not None and tenants.fleet is not None
             old = tenants.fleet.seal
@@ -277,7 +277,7 @@
             return {}
 
     async def hand_in(self, n: int, ids: list[str]) -> int:
-        client = RespClient(World(self.folder, "http"))
+        client = RespClient(SenderHarness(self.folder, "http"))
         client.reader, client.writer = await asyncio.open_connection(HOST, self.ports[n])
         await client.command(b"AUTH", b"v", b"q")
         taken = 0
@@ -416,7 +416,7 @@
 def test_what_the_page_answers_is_json_for_ten_thousand_tenants(tmp_path: Path) -> None:
     async def main() -> None:
         many = "".join(f'[[tenant]]\nname = "t{i}"\n' for i in range(10_000))
-        async with World(tmp_path, "http", extra=many) as world:
+        async with SenderHarness(tmp_path, "http", extra=many) as world:
             assert world.runtime.tenants is not None
             server = StatusServer(world.runtime.report, {"/tenants": world.runtime.tenants.report})
             await server.listen(Address(HOST, 0))
--- a/tests/test_both_protocols.py
+++ b/tests/test_both_protocols.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from tests.helper import Broker, World, run, until
+from tests.helper import Broker, SenderHarness, run, until
 
 pytestmark = pytest.mark.parametrize("protocol", ["http", "amqp", "mixed"])
 
 
 def test_delivers_unchanged(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
-        async with World(tmp_path, protocol) as world:
+        async with SenderHarness(tmp_path, protocol) as world:
             body = bytes(range(256)) * 200  # also over several AMQP frames
             assert await world.client.take("m1", "keyed", key="the-key", body=body) is None
             assert await world.client.end("m1") == "delivered"
@@ -35,7 +35,7 @@
 
 def test_repeats_only_as_the_class_allows(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
-        async with World(tmp_path, protocol) as world:
+        async with SenderHarness(tmp_path, protocol) as world:
             hop = world.hops[0]
             for fate in ("error", "reset"):
                 for grade, end, calls in (
@@ -64,7 +64,7 @@
     tmp_path: Path, protocol: str, fate: str, grade: str, end: str
 ) -> None:
     async def main() -> None:
-        async with World(tmp_path, protocol) as world:
+        async with SenderHarness(tmp_path, protocol) as world:
             world.hops[0].script = [fate]
             if fate == "down":
                 await world.hops[0].stop()
@@ -81,7 +81,7 @@
 
 def test_drain_is_honoured_in_250_ms(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
-        async with World(tmp_path, protocol, hops=2) as world:
+        async with SenderHarness(tmp_path, protocol, hops=2) as world:
             for number in range(8):
                 await world.client.take(f"a{number}")
                 await world.client.end(f"a{number}")
@@ -104,7 +104,7 @@
     tmp_path: Path, protocol: str, grade: str, end: str, calls: int
 ) -> None:
     async def main() -> None:
-        async with World(tmp_path, protocol) as world:
+        async with SenderHarness(tmp_path, protocol) as world:
             world.hops[0].script = ["silent", "ok"]
             assert await world.client.take("m1", grade) is None
             await until(lambda: world.calls)
@@ -122,7 +122,7 @@
     """Its message still gets its one end; the same id again gets that end, and no second delivery."""
 
     async def main() -> None:
-        async with World(tmp_path, protocol) as world:
+        async with SenderHarness(tmp_path, protocol) as world:
             world.hops[0].script = ["error", "ok"]
             assert await world.client.take("m1") is None
             await world.client.close()
@@ -140,7 +140,7 @@
     """Timed out, repeated once the call is given up, and its late end never taken for another's."""
 
     async def main() -> None:
-        async with World(tmp_path, protocol, hops=2) as world:
+        async with SenderHarness(tmp_path, protocol, hops=2) as world:
             for number in range(5):  # what answers vouch for is tried again at once
                 await world.client.take(f"w{number}")
                 await world.client.end(f"w{number}")
@@ -161,7 +161,7 @@
 
 def test_bad_messages_are_told_apart(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
-        async with World(tmp_path, protocol) as world:
+        async with SenderHarness(tmp_path, protocol) as world:
             assert await world.client.take("m1", "nosuch") == "undeliverable"
             assert await world.client.take("m2", key="two words") == "undeliverable"
             assert not world.calls and not world.runtime.journal.live
@@ -173,7 +173,7 @@
 
 def test_past_what_may_be_held_messages_are_deferred(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
-        async with World(tmp_path, protocol) as world:
+        async with SenderHarness(tmp_path, protocol) as world:
             world.hops[0].script = ["silent"]
             ends = [await world.client.take(f"m{number}") for number in range(220)]
             assert "deferred" in ends and "undeliverable" not in ends
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -25,7 +25,7 @@
 from mountgauge.snapshot import Snapshot
 from mountgauge.status import StatusServer, fetch_status
 from rillspindle.interface import Entry, Outcome
-from tests.helper import HOST, AmqpClient, Broker, HttpServer, World, read_frame, run, until
+from tests.helper import HOST, AmqpClient, Broker, HttpServer, SenderHarness, read_frame, run, until
 from tests.settings import settings
 
 FILE = """
@@ -67,7 +67,7 @@
     tmp_path: Path, data: bytes, code: int, hard: bool
 ) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             client = world.client
             assert isinstance(client, AmqpClient)
             client.task.cancel()
@@ -99,7 +99,7 @@
 
 def test_another_protocol_gets_the_expected_header_and_a_silent_client_is_closed(tmp_path: Path) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             reader, writer = await asyncio.open_connection(HOST, world.port)
             writer.write(b"GET / HT")
             assert await reader.read() == codec.PROTOCOL_HEADER
@@ -303,7 +303,7 @@
     """Guards against counts with enum keys: the report could not be encoded as JSON, and nothing answered."""
 
     async def main() -> None:
-        async with World(tmp_path, "http") as world:
+        async with SenderHarness(tmp_path, "http") as world:
             await world.client.take("m1")
             await world.client.end("m1")
             await until(lambda: not world.runtime.sender.pending)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -18,7 +18,7 @@
 from mountgauge.operator_file import load
 from mountgauge.platform.discovery import TransportMap
 from mountgauge.run.operator import OperatorRuntime
-from tests.helper import HOST, HttpServer, World, run, until
+from tests.helper import HOST, HttpServer, SenderHarness, run, until
 from tests.test_peers import NAMES, Owner, bounds, listing
 from tests.test_process import Platform
 
@@ -137,7 +137,7 @@
 
 def test_an_operators_sender_applies_its_changed_file(tmp_path: Path) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             text = world.file.read_text()
             world.file.write_text("name = ")
             world.runtime.reload()
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -14,7 +14,7 @@
 from mountgauge.clients import Clients, connection
 from mountgauge.core.ports import Accepted, MessageOutcome, Status, Submission
 from rillspindle.interface import Readiness
-from tests.helper import HOST, AmqpClient, World, read_frame, run
+from tests.helper import HOST, AmqpClient, SenderHarness, read_frame, run
 from tests.test_clients import command, enqueue
 from tests.test_sender import Bench
 
@@ -276,7 +276,7 @@
 
 def test_amqp_half_a_message_and_half_an_opening_end_in_time(tmp_path: Path) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             silent = await asyncio.open_connection(HOST, world.port)
             client = AmqpClient(world)
             await client.connect()
@@ -311,7 +311,7 @@
     monkeypatch.setattr(amqp_clients, "_QUIET", 0.2)
 
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             front = world.runtime.listeners[0][0]
             assert isinstance(front, amqp_clients.AmqpClients)
             front.admission.bounds = replace(front.admission.bounds, most=2)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -33,7 +33,7 @@
 from rillspindle.interface import Outcome
 from tests.connections.test_hard import SETTINGS
 from tests.crossings.test_attempts import Peer, kept
-from tests.helper import HOST, Broker, HttpHop, HttpServer, World, until
+from tests.helper import HOST, Broker, HttpHop, HttpServer, SenderHarness, until
 from tests.system_call_faults import (
     BROKEN,
     LOCAL_SHORTAGES,
@@ -419,7 +419,7 @@
     """One that has time is delivered by one call; one that has none has not run, and its end says so."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with World(tmp_path, protocol) as world:
+        async with SenderHarness(tmp_path, protocol) as world:
             faults.always("socket", errno.EMFILE)
             assert await world.client.take("long", "once", key="a") is None
             assert await world.client.take("short", "once", left=1.5, key="b") is None
--- a/tests/test_unreadable_files.py
+++ b/tests/test_unreadable_files.py
@@ -17,7 +17,7 @@
 from mountgauge.relay.service import RelayService
 from mountgauge.run.platform import PlatformRuntime
 from mountgauge.run.serve import make_with_retries
-from tests.helper import HOST, World, run, until
+from tests.helper import HOST, SenderHarness, run, until
 from tests.settings import settings
 from tests.sharding.test_relay_service import MEMBERS, relay_file
 
@@ -107,7 +107,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def main() -> None:
-        async with World(tmp_path, "http") as world:
+        async with SenderHarness(tmp_path, "http") as world:
             before = world.runtime.operator
             unreadable(monkeypatch, world.file, 3)
             world.runtime.reload()
