--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -543,7 +543,7 @@
         async with helper.SenderHarness(tmp_path, "http", extra=extra) as world:
             hop = world.hops[0]
             hop.script = ["silent"]
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await until(lambda: len(hop.calls) == 1)
             beside = Journal(tmp_path / "state", 1_000_000)  # its slot comes after this process's
             await world.client.close()
@@ -576,7 +576,7 @@
         monkeypatch.setattr(helper, "load", loaded)
         async with world:
             await asyncio.sleep(GRACE)
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await asyncio.sleep(GRACE)
             assert not world.calls
 
@@ -596,7 +596,7 @@
             world.states = ["leaving"]
             world.write()
             await asyncio.sleep(GRACE)
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await asyncio.sleep(GRACE)
             assert not world.calls
 
@@ -626,7 +626,7 @@
                 return admit(call, items)
 
             setattr(world.runtime.sender, "admit", late)  # noqa: B010
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await until(lambda: paused)
             await asyncio.sleep(GRACE)
             assert not world.calls
--- a/tests/crossings/test_list_lease.py
+++ b/tests/crossings/test_list_lease.py
@@ -366,7 +366,7 @@
             world.states = ["leaving"]
             world.write()
             await asyncio.sleep(GRACE_S)
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await asyncio.sleep(healed_at - loop.time())
             await until(lambda: not world.runtime.sender.attempts.parked)
             await asyncio.sleep(GRACE_S)
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -267,7 +267,7 @@
         self.writer.write(b"*%d\r\n" % len(args) + parts)
         return await self.reader.readline()
 
-    async def take(
+    async def submit(
         self, msg_id: str, grade: str = "safe", left: float = 8.0, key: str = "k1", body: bytes = b"hello"
     ) -> str | None:
         """Hand it in: None once it is taken on, else its end."""
@@ -277,7 +277,7 @@
             answer[:1] if answer[:1] == b"+" else answer[:5], "undeliverable"
         )
 
-    async def end(self, msg_id: str) -> str:
+    async def outcome(self, msg_id: str) -> str:
         world = self.world
         delivered = [hop.delivered for hop in world.hops]
         await until(lambda: msg_id in world.notices or any(msg_id in one for one in delivered))
@@ -341,7 +341,7 @@
             await asyncio.sleep(0.05)
         self.writer.close()
 
-    async def take(
+    async def submit(
         self, msg_id: str, grade: str = "safe", left: float = 8.0, key: str = "k1", body: bytes = b"hello"
     ) -> str | None:
         self.tag += 1
@@ -361,7 +361,7 @@
         await until(lambda: msg_id in journal.live or msg_id in journal.outcomes or msg_id in self.ends)
         return None if msg_id in journal.live or msg_id in journal.outcomes else self.ends.get(msg_id)
 
-    async def end(self, msg_id: str) -> str:
+    async def outcome(self, msg_id: str) -> str:
         await until(lambda: msg_id in self.ends)
         return self.ends[msg_id]
 
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -152,13 +152,13 @@
             assert world.runtime.tenants is not None
             admission = world.runtime.tenants.admission
             admission._started -= 10_000  # it has long been up: the burst is there
-            ends = [await world.client.take(f"m{i}") for i in range(4)]
+            ends = [await world.client.submit(f"m{i}") for i in range(4)]
             assert ends == [None, None, "deferred", "deferred"]
-            assert [await world.client.end(f"m{i}") for i in range(2)] == ["delivered"] * 2
+            assert [await world.client.outcome(f"m{i}") for i in range(2)] == ["delivered"] * 2
             assert not world.notices  # nothing taken on was given up
             assert world.runtime.sender.counts["refused", "quota"] == 2
             # Known already: no second count, and no refusal of what was promised.
-            assert await world.client.take("m0") is None and admission.taken_here == 2
+            assert await world.client.submit("m0") is None and admission.taken_here == 2
 
     run(main())
 
@@ -182,8 +182,8 @@
             assert isinstance(first.client, RespClient)
             await first.client.command(b"AUTH", b"v", b"q")
             for number in range(20):
-                assert await first.client.take(f"m{number}") is None
-            assert await second.client.take("n0") is None
+                assert await first.client.submit(f"m{number}") is None
+            assert await second.client.submit("n0") is None
             admissions = [world.runtime.tenants.admission for world in (first, second)]  # type: ignore[union-attr]
             for admission in admissions:
                 places = [admission.names["verdi"], admission.names["rossi"]]
--- a/tests/test_both_protocols.py
+++ b/tests/test_both_protocols.py
@@ -20,14 +20,14 @@
     async def main() -> None:
         async with SenderHarness(tmp_path, protocol) as world:
             body = bytes(range(256)) * 200  # also over several AMQP frames
-            assert await world.client.take("m1", "keyed", key="the-key", body=body) is None
-            assert await world.client.end("m1") == "delivered"
+            assert await world.client.submit("m1", "keyed", key="the-key", body=body) is None
+            assert await world.client.outcome("m1") == "delivered"
             assert [call[1:] for call in world.calls] == [("m1", "the-key", body)]
             assert not world.notices
             # Connections are reused: new ones cost the partner work.
             for number in range(5):
-                await world.client.take(f"n{number}")
-                assert await world.client.end(f"n{number}") == "delivered"
+                await world.client.submit(f"n{number}")
+                assert await world.client.outcome(f"n{number}") == "delivered"
             assert world.hops[0].connections == 1
 
     run(main())
@@ -45,11 +45,11 @@
                 ):
                     msg_id, hop.script = f"{fate}-{grade}", ["ok"]
                     for number in range(4):  # to a next hop that fails, nothing unsafe goes
-                        await world.client.take(f"{msg_id}-up{number}")
-                        assert await world.client.end(f"{msg_id}-up{number}") == "delivered"
+                        await world.client.submit(f"{msg_id}-up{number}")
+                        assert await world.client.outcome(f"{msg_id}-up{number}") == "delivered"
                     hop.script, hop.calls = [fate, "ok"], []
-                    assert await world.client.take(msg_id, grade) is None
-                    assert await world.client.end(msg_id) == end
+                    assert await world.client.submit(msg_id, grade) is None
+                    assert await world.client.outcome(msg_id) == end
                     assert [call[1:3] for call in hop.calls] == [(msg_id, "k1")] * calls
 
     run(main(), 40)
@@ -70,8 +70,8 @@
                 await world.hops[0].stop()
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert await world.client.take("m1", grade, left=1.5) is None
-            assert await world.client.end("m1") == end
+            assert await world.client.submit("m1", grade, left=1.5) is None
+            assert await world.client.outcome("m1") == end
             assert loop.time() - began < 1.8
             assert not world.hops[0].delivered
             await until(lambda: not world.runtime.sender.pending)  # the notice's 204 is on its way
@@ -83,15 +83,15 @@
     async def main() -> None:
         async with SenderHarness(tmp_path, protocol, hops=2) as world:
             for number in range(8):
-                await world.client.take(f"a{number}")
-                await world.client.end(f"a{number}")
+                await world.client.submit(f"a{number}")
+                await world.client.outcome(f"a{number}")
             used = 0 if world.hops[0].calls else 1
             world.states[used] = "leaving"
             world.write()
             told = asyncio.get_running_loop().time()
             for number in range(20):
-                await world.client.take(f"b{number}")
-                assert await world.client.end(f"b{number}") == "delivered"
+                await world.client.submit(f"b{number}")
+                assert await world.client.outcome(f"b{number}") == "delivered"
                 await asyncio.sleep(0.02)
             assert all(at < told + 0.25 for at, *_ in world.hops[used].calls)
             assert max(at for at, *_ in world.hops[1 - used].calls) > told + 0.25
@@ -106,13 +106,13 @@
     async def main() -> None:
         async with SenderHarness(tmp_path, protocol) as world:
             world.hops[0].script = ["silent", "ok"]
-            assert await world.client.take("m1", grade) is None
+            assert await world.client.submit("m1", grade) is None
             await until(lambda: world.calls)
             await world.kill()
             await world.start()
             if world.protocol == "amqp":  # its channel went with the process: the same id asks again
-                await world.client.take("m1", grade)
-            assert await world.client.end("m1") == end
+                await world.client.submit("m1", grade)
+            assert await world.client.outcome("m1") == end
             assert [call[1:3] for call in world.calls] == [("m1", "k1")] * calls
 
     run(main())
@@ -124,13 +124,13 @@
     async def main() -> None:
         async with SenderHarness(tmp_path, protocol) as world:
             world.hops[0].script = ["error", "ok"]
-            assert await world.client.take("m1") is None
+            assert await world.client.submit("m1") is None
             await world.client.close()
             await until(lambda: world.hops[0].delivered == ["m1"])
             await until(lambda: not world.runtime.sender.pending)
             await world.client.connect()
-            await world.client.take("m1")
-            assert await world.client.end("m1") == "delivered"
+            await world.client.submit("m1")
+            assert await world.client.outcome("m1") == "delivered"
             assert len(world.calls) == 2 and world.hops[0].delivered == ["m1"]
 
     run(main())
@@ -142,12 +142,12 @@
     async def main() -> None:
         async with SenderHarness(tmp_path, protocol, hops=2) as world:
             for number in range(5):  # what answers vouch for is tried again at once
-                await world.client.take(f"w{number}")
-                await world.client.end(f"w{number}")
+                await world.client.submit(f"w{number}")
+                await world.client.outcome(f"w{number}")
             for hop in world.hops:
                 hop.script, hop.calls = ["silent", "ok"], []
-            assert await world.client.take("m1") is None
-            assert await world.client.end("m1") == "delivered"
+            assert await world.client.submit("m1") is None
+            assert await world.client.outcome("m1") == "delivered"
             counts = world.runtime.sender.counts
             assert counts["attempt", "timeout"] == len(world.calls) - 1 >= 1
             times = [at for at, *_ in world.calls]
@@ -162,11 +162,11 @@
 def test_bad_messages_are_told_apart(tmp_path: Path, protocol: str) -> None:
     async def main() -> None:
         async with SenderHarness(tmp_path, protocol) as world:
-            assert await world.client.take("m1", "nosuch") == "undeliverable"
-            assert await world.client.take("m2", key="two words") == "undeliverable"
+            assert await world.client.submit("m1", "nosuch") == "undeliverable"
+            assert await world.client.submit("m2", key="two words") == "undeliverable"
             assert not world.calls and not world.runtime.journal.live
-            assert await world.client.take("m3") is None  # the connection goes on
-            assert await world.client.end("m3") == "delivered"
+            assert await world.client.submit("m3") is None  # the connection goes on
+            assert await world.client.outcome("m3") == "delivered"
 
     run(main())
 
@@ -175,7 +175,7 @@
     async def main() -> None:
         async with SenderHarness(tmp_path, protocol) as world:
             world.hops[0].script = ["silent"]
-            ends = [await world.client.take(f"m{number}") for number in range(220)]
+            ends = [await world.client.submit(f"m{number}") for number in range(220)]
             assert "deferred" in ends and "undeliverable" not in ends
             assert len(world.runtime.sender.policy.messages) <= 200
 
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -87,8 +87,8 @@
                 client.say(1, "confirm.select")
                 await client.expect("confirm.select-ok")
                 client.tag, client.task = 0, asyncio.create_task(client.listen())
-                await client.take("m")
-                assert await client.end("m") == "delivered"
+                await client.submit("m")
+                assert await client.outcome("m") == "delivered"
             else:
                 client.say(0, "connection.close-ok")
                 rest = await client.reader.read()  # only heartbeats follow
@@ -304,8 +304,8 @@
 
     async def main() -> None:
         async with SenderHarness(tmp_path, "http") as world:
-            await world.client.take("m1")
-            await world.client.end("m1")
+            await world.client.submit("m1")
+            await world.client.outcome("m1")
             await until(lambda: not world.runtime.sender.pending)
             server = StatusServer(world.runtime.report)
             await server.listen(Address(HOST, 0))
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -151,7 +151,7 @@
                 raise AssertionError("an old password is still accepted")
             except (AssertionError, asyncio.IncompleteReadError) as error:
                 assert "403" in str(error)
-            assert await world.client.take("m1") is None and await world.client.end("m1") == "delivered"
+            assert await world.client.submit("m1") is None and await world.client.outcome("m1") == "delivered"
 
     run(main())
 
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -292,7 +292,7 @@
             await world.client.close()
             world.client = AmqpClient(world)  # the usual ones go on
             await world.client.connect()
-            assert await world.client.take("m1") is None and await world.client.end("m1") == "delivered"
+            assert await world.client.submit("m1") is None and await world.client.outcome("m1") == "delivered"
 
     async def beat(writer: asyncio.StreamWriter) -> None:
         while True:
@@ -320,10 +320,10 @@
             await client.connect()  # in the place of the one that has not opened
             assert await said(unopened, 0.5) == b""
             await asyncio.sleep(0.3)
-            assert await client.take("m1") is None and await client.end("m1") == "delivered"
+            assert await client.submit("m1") is None and await client.outcome("m1") == "delivered"
             late = AmqpClient(world)
             await late.connect()  # in the place of the one that was quiet longest
-            assert await late.take("m2") is None and await late.end("m2") == "delivered"
+            assert await late.submit("m2") is None and await late.outcome("m2") == "delivered"
             assert len(front.admission) == 2
             await late.close()
             await client.close()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -421,13 +421,13 @@
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with SenderHarness(tmp_path, protocol) as world:
             faults.always("socket", errno.EMFILE)
-            assert await world.client.take("long", "once", key="a") is None
-            assert await world.client.take("short", "once", left=1.5, key="b") is None
+            assert await world.client.submit("long", "once", key="a") is None
+            assert await world.client.submit("short", "once", left=1.5, key="b") is None
             await until(lambda: world.runtime.sender.counts["end", "deferred"])
             assert faults.count["socket"] > 1
             faults.always("socket", None)
-            assert await world.client.end("short") == "deferred"
-            assert await world.client.end("long") == "delivered"
+            assert await world.client.outcome("short") == "deferred"
+            assert await world.client.outcome("long") == "delivered"
             assert [one for _, one, *_ in world.calls] == ["long"]
             assert not world.runtime.sender.counts["attempt", "connect_failed"]
 
