--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -27,7 +27,7 @@
 from mountgauge.operator_file import load
 from mountgauge.tenants.wire import MOST, RefusedDatagramError, Seal
 from tests.helper import run
-from tests.visits import watch
+from tests.visits import count_all_iterations
 
 INF = math.inf
 RATE = Budget("a-rate", Kind.RATE, 20, burst=6)
@@ -112,7 +112,7 @@
     one = gate(parts, *(Budget(name, Kind.RATE, 20, burst=6, of=Of(n)) for n, name in enumerate(parts)))
     one.settle(0.0)
     visits: list[object] = []
-    watch(one, visits)
+    count_all_iterations(one, visits)
     one.offered(7, "x", 1.0)
     assert one.start(7, "x", 1.0) == 0 and one.take(7, "x", 1.0) and not visits
     one.ended(7, "x", 2.0, True)
--- a/tests/test_hop_table.py
+++ b/tests/test_hop_table.py
@@ -18,7 +18,7 @@
 from rillspindle.interface import Entry, ListKind, Readiness, Targets
 from tests.helper import run
 from tests.test_sender import Bench
-from tests.visits import counting, watch
+from tests.visits import count_all_iterations, count_iterations
 
 STATES = [Readiness.READY] * 4 + [Readiness.DRAINING, Readiness.GONE, Readiness.GONE]
 
@@ -233,8 +233,8 @@
     for n in range(listed):
         sender.waits[n] = bench.time + 60.0
     sender.set_budget_shares({9: 2.0})  # the first call may visit all of them
-    watch(sender.table, visits)
-    sender.waits = counting(sender.waits, visits)
+    count_all_iterations(sender.table, visits)
+    sender.waits = count_iterations(sender.waits, visits)
     found = []
     for step in (
         MapUpdate(2, False, (next_hop(5, Readiness.DRAINING, owner=5),)),
@@ -267,7 +267,7 @@
     plain.apply_update(
         MapUpdate(0, True, tuple(next_hop(n, owner=n) for n in range(1_000))), ListKind.CACHED, 1.0
     )
-    watch(plain, visits)
+    count_all_iterations(plain, visits)
     plain.set_budget_shares({9: 3.0}, 0)
     assert len(visits) == 1_000
 
@@ -310,7 +310,7 @@
                 idle = Idle(hops._lost((hop.id, hop.host, hop.port)))
                 hops._rest(SimpleNamespace(call=SimpleNamespace(hop=hop), last=False), idle)  # type: ignore[arg-type]
                 made.append(idle)
-        watch(hops, visits)
+        count_all_iterations(hops, visits)
         hops.close_idle("h7")
         hops.close_idle("h7")
         assert closed == made[14:16] and len(visits) <= 4 and len(hops._pools) == 2 * listed - 2
--- a/tests/visits.py
+++ b/tests/visits.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 
-def counting(found: Any, visits: list[object]) -> Any:
+def count_iterations(found: Any, visits: list[object]) -> Any:
     """The same mapping or set; each element that is walked over is noted."""
 
     class Counting(type(found)):  # type: ignore[misc]
@@ -27,8 +27,8 @@
     return Counting(found)
 
 
-def watch(holder: object, visits: list[object]) -> None:
+def count_all_iterations(holder: object, visits: list[object]) -> None:
     """Count in all maps and sets that an object holds."""
     for name, value in vars(holder).items():
         if isinstance(value, dict | set):
-            setattr(holder, name, counting(value, visits))
+            setattr(holder, name, count_iterations(value, visits))
