--- a/tests/crossings/test_list_lease.py
+++ b/tests/crossings/test_list_lease.py
@@ -26,7 +26,7 @@
 from tests.crossings.test_watches import Discovery, no_changes
 from tests.helper import HOST, until
 from tests.settings import settings
-from tests.system_call_faults import Faults, FaultyLoop, name_of, run_faulty
+from tests.system_call_faults import Faults, FaultyLoop, errno_name, run_faulty
 from tests.test_peers import NAMES, Owner, bounds, listing
 
 LEAVES = listing(6, False, state="leaving")
@@ -98,7 +98,7 @@
         await asyncio.sleep(0)
 
 
-@pytest.mark.parametrize("error", UNREACHED, ids=name_of)
+@pytest.mark.parametrize("error", UNREACHED, ids=errno_name)
 def test_after_a_lost_answer_calls_are_held_back_while_no_connection_is_established(error: int) -> None:
     """The end of the exchange had also discarded the fact that an answer may have been written."""
 
--- a/tests/system_call_faults.py
+++ b/tests/system_call_faults.py
@@ -12,14 +12,14 @@
 
 __all__ = [
     "BROKEN", "LOCAL_SHORTAGES", "UNREACHABLE", "Faults", "FaultyCalls", "FaultyLoop", "FaultySocket",
-    "name_of", "run_faulty",
+    "errno_name", "run_faulty",
 ]  # fmt: skip
 
 LOCAL_SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL)
 UNREACHABLE = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ECONNREFUSED, errno.ETIMEDOUT)
 BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
 
-name_of = errno.errorcode.__getitem__
+errno_name = errno.errorcode.__getitem__
 
 
 class FaultyLoop(system_calls.FaultyLoop):
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -41,7 +41,7 @@
     Faults,
     FaultyCalls,
     FaultyLoop,
-    name_of,
+    errno_name,
     run_faulty,
 )
 from tests.test_clients import command, enqueue
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("crowd", [False, True])
-@pytest.mark.parametrize("error", ACCEPT_ERRORS, ids=name_of)
+@pytest.mark.parametrize("error", ACCEPT_ERRORS, ids=errno_name)
 def test_clients_are_accepted_after_each_failure(error: int, crowd: bool) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with fronted(faults, crowd) as held:
@@ -120,7 +120,7 @@
     run_faulty(main)
 
 
-@pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS], ids=name_of)
+@pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS], ids=errno_name)
 def test_a_shortage_that_lasts_is_not_asked_about_in_each_turn(error: int) -> None:
     """The listening socket stays readable for as long: it is left alone for a while."""
 
@@ -157,7 +157,7 @@
 
 @pytest.mark.parametrize("crowd", [False, True])
 @pytest.mark.parametrize("how", ["read", "write", "rest of a write"])
-@pytest.mark.parametrize("error", BROKEN, ids=name_of)
+@pytest.mark.parametrize("error", BROKEN, ids=errno_name)
 def test_a_clients_connection_that_breaks_ends_alone(error: int, how: str, crowd: bool) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with fronted(faults, crowd) as held:
@@ -200,7 +200,7 @@
 
 @pytest.mark.parametrize("wire", ["http", "amqp"])
 @pytest.mark.parametrize("step", ["socket", "connect", "connected"])
-@pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=name_of)
+@pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=errno_name)
 def test_a_shortage_that_passes_costs_no_attempt(error: int, step: str, wire: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
@@ -218,7 +218,7 @@
 
 @pytest.mark.parametrize("wire", ["http", "amqp"])
 @pytest.mark.parametrize("end", ["its time", "a cancel"])
-@pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=name_of)
+@pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=errno_name)
 def test_a_lasting_shortage_is_no_failure_of_the_endpoint(error: int, end: str, wire: str) -> None:
     """The call has not been sent; it ends once, and the shortage is not asked about in each turn."""
 
@@ -249,7 +249,7 @@
 
 @pytest.mark.parametrize("wire", ["http", "amqp"])
 @pytest.mark.parametrize("step", ["connect", "connected"])
-@pytest.mark.parametrize("error", UNREACHABLE, ids=name_of)
+@pytest.mark.parametrize("error", UNREACHABLE, ids=errno_name)
 def test_an_endpoint_that_cannot_be_reached_is_told_at_once(error: int, step: str, wire: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
@@ -321,7 +321,7 @@
 
 
 @pytest.mark.parametrize("wire", ["http", "amqp"])
-@pytest.mark.parametrize("error", BROKEN, ids=name_of)
+@pytest.mark.parametrize("error", BROKEN, ids=errno_name)
 def test_a_connection_that_breaks_under_a_call_is_reset_and_not_silent(error: int, wire: str) -> None:
     """The call was written and may have run; ETIMEDOUT from the system is no time-out of the call."""
 
@@ -346,7 +346,7 @@
 
 @pytest.mark.parametrize("wire", ["http", "amqp"])
 @pytest.mark.parametrize("written", [0, 20])
-@pytest.mark.parametrize("error", BROKEN, ids=name_of)
+@pytest.mark.parametrize("error", BROKEN, ids=errno_name)
 def test_a_call_whose_last_byte_did_not_leave_never_ran(error: int, written: int, wire: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
@@ -462,7 +462,7 @@
     await server.stop()
 
 
-@pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=name_of)
+@pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=errno_name)
 def test_a_shortage_here_is_no_failure_of_discovery(error: int) -> None:
     """No back-off grows by it: the list is asked for as soon as there is something to ask with."""
 
@@ -477,7 +477,7 @@
     run_faulty(main)
 
 
-@pytest.mark.parametrize("error", BROKEN, ids=name_of)
+@pytest.mark.parametrize("error", BROKEN, ids=errno_name)
 def test_a_watch_whose_connection_breaks_is_made_anew(error: int) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with followed(listing(4, True)) as (server, owner, found):
@@ -508,7 +508,7 @@
 TOLD = response(204, "No Content", {}, b"")
 
 
-@pytest.mark.parametrize("error", [errno.EMFILE, errno.EADDRNOTAVAIL], ids=name_of)
+@pytest.mark.parametrize("error", [errno.EMFILE, errno.EADDRNOTAVAIL], ids=errno_name)
 def test_a_notice_is_told_as_soon_as_a_shortage_is_over(error: int) -> None:
     """A back-off that doubled with each failure would pass the time in which its end has to be known."""
 
@@ -530,7 +530,7 @@
 
 
 @pytest.mark.parametrize("call", ["read", "write", "connect", "connected"])
-@pytest.mark.parametrize("error", BROKEN, ids=name_of)
+@pytest.mark.parametrize("error", BROKEN, ids=errno_name)
 def test_a_notice_whose_connection_breaks_is_told_again(error: int, call: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async def reply(message: Message) -> bytes:
@@ -605,7 +605,7 @@
     return int(head.split()[1]), orjson.loads(body)
 
 
-@pytest.mark.parametrize("error", ACCEPT_ERRORS, ids=name_of)
+@pytest.mark.parametrize("error", ACCEPT_ERRORS, ids=errno_name)
 def test_the_console_answers_after_each_failure_to_accept(error: int) -> None:
     """asyncio's own server: it rests for a second, or tells the loop of the error, and goes on."""
 
@@ -631,7 +631,7 @@
 
 
 @pytest.mark.parametrize("call", ["read", "write"])
-@pytest.mark.parametrize("error", BROKEN, ids=name_of)
+@pytest.mark.parametrize("error", BROKEN, ids=errno_name)
 def test_a_callers_connection_that_breaks_ends_alone(error: int, call: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with console(loop, Reply(200, "ready")) as address:
