--- a/mountgauge/agent.py
+++ b/mountgauge/agent.py
@@ -48,9 +48,9 @@
         files = []
         for table in top.tables("instance"):
             files.append(path.parent / table.get("file", str))
-            table.done()
-        agent.done()
-        top.done()
+            table.reject_unknown()
+        agent.reject_unknown()
+        top.reject_unknown()
         if not files:
             raise ConfigError("instance: at least one is needed")
     instances = tuple(load(file) for file in files)
--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -89,7 +89,7 @@
         int(table.get("until", int, default=FOREVER)), bool(table.get("ended", bool, default=False)),
         bool(table.get("voter", bool, default=True)),
     )  # fmt: skip
-    table.done()
+    table.reject_unknown()
     return found
 
 
@@ -118,7 +118,7 @@
     dest = of.get("dest", int) if "dest" in of.raw else None
     endpoint = of.get("endpoint", str) if "endpoint" in of.raw else None
     tenant = of.get("tenant", str) if "tenant" in of.raw else None
-    of.done()
+    of.reject_unknown()
     if tenant is not None and tenant not in tenants:
         raise ConfigError(f"{table.name}.of.tenant: no tenant is '{tenant}'")
     if tenant is not None and len(of.raw) > 1:
@@ -139,5 +139,5 @@
         table.positive("weight", 1.0), lease, _number(table, "ends_within", 0.0),
         table.positive("period", 86_400.0),
     )  # fmt: skip
-    table.done()
+    table.reject_unknown()
     return found
--- a/mountgauge/connections/settings.py
+++ b/mountgauge/connections/settings.py
@@ -107,5 +107,5 @@
         when_full == "displace", resp, amqp, buffers, seconds("patience", 0.25) if "patience" in table.raw
         else 0.1,
     )  # fmt: skip
-    table.done()
+    table.reject_unknown()
     return found
--- a/mountgauge/lab/rig/schedule.py
+++ b/mountgauge/lab/rig/schedule.py
@@ -279,7 +279,7 @@
         budgets=budgets,
         faults=faults,
     )
-    top.done()
+    top.reject_unknown()
     return found
 
 
@@ -301,7 +301,7 @@
             and not key.endswith("_s")
         ):
             raise ConfigError(f"{table.name}.{key}: must not be below 0")
-    table.done()
+    table.reject_unknown()
     return kind(**values)
 
 
@@ -382,7 +382,7 @@
     )
     if isinstance(who, int) and who > fleet.members:
         raise ConfigError(f"{where}.who: the fleet has {fleet.members} members")
-    table.done()
+    table.reject_unknown()
     return found
 
 
--- a/mountgauge/lab/scale/settings.py
+++ b/mountgauge/lab/scale/settings.py
@@ -175,7 +175,7 @@
         _count(table, "destinations", 0, 1, MOST_DESTINATIONS),
         _count(table, "shards", DEFAULT_SHARDS, 1, 1 << 20),
     )
-    table.done()
+    table.reject_unknown()
     return size
 
 
@@ -272,7 +272,7 @@
 def _part(top: Table, key: str, parse_part: Callable[[Table], _T]) -> _T:
     table = top.table(key) or Table({}, key)
     part = parse_part(table)
-    table.done()
+    table.reject_unknown()
     return part
 
 
@@ -301,7 +301,7 @@
         real=_part(top, "real", _real),
         bounds=_part(top, "bounds", _bounds),
     )
-    top.done()
+    top.reject_unknown()
     if not 1 <= settings.workers <= 8:
         raise ConfigError("workers: must be 1 to 8")
     if settings.faults.region_cut_s >= duration_s and settings.faults.region_cuts:
--- a/mountgauge/lab/scale/size.py
+++ b/mountgauge/lab/scale/size.py
@@ -114,7 +114,7 @@
         upper_relays=_count(sharding, "upper_relays"),
     )
     for table in (fleet, destinations, configuration, control, failures, sharding, network, top):
-        table.done()
+        table.reject_unknown()
     if found.zones < found.regions:
         raise ConfigError("fleet.zones: fewer than regions")
     return found
--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -161,7 +161,7 @@
         clients = read_clients(table, room, config.limits.memory_bytes)
     for table in (top, limits, resp, status, console, comeback):
         if table is not None:
-            table.done()
+            table.reject_unknown()
     return Operator(
         path, config, hops, resp_listen, amqp.front, notices, status_listen, export, access, tenants,
         clients, enabled, budgets, sharding,
@@ -180,7 +180,7 @@
     heartbeat = int(table.get("heartbeat", int, default=30))
     vhost = table.get("vhost", str, default="/")
     front = AmqpFront(listen, heartbeat, table.get("exchange", str, default="mountgauge"))
-    table.done()
+    table.reject_unknown()
     return _Amqp(front, users, vhost)
 
 
@@ -284,7 +284,7 @@
         "/" + (path.rstrip("/") + "/v1/metrics").lstrip("/"),
         table.positive("interval", 10),
     )
-    table.done()
+    table.reject_unknown()
     return found
 
 
@@ -321,7 +321,7 @@
             )
         entry = Entry(_STATES[state], 0.0, rate, 0, dest, 0, hop_id.encode())
         hops.append(NextHop(hop_id, address.host, address.port, entry))
-        table.done()
+        table.reject_unknown()
     return Hops(MapUpdate(version, True, tuple(hops)), protocols, accounts)
 
 
@@ -344,7 +344,7 @@
             "worth": table.positive("worth", 1.0), "repeatWindow": table.positive("repeat_window", deadline),
             "lateWorth": float(table.get("late_worth", int, float, default=0.3)),
         })  # fmt: skip
-        table.done()
+        table.reject_unknown()
     if not grades:
         raise ConfigError("class: at least one is needed")
     settings = {
@@ -367,5 +367,5 @@
         },
         "report": {"fields": [], "via": "off"},
     }  # fmt: skip
-    rules.done()
+    rules.reject_unknown()
     return settings
--- a/mountgauge/relay/settings.py
+++ b/mountgauge/relay/settings.py
@@ -131,7 +131,7 @@
     shards_table = top.table("shards") or Table({}, "shards")
     shards = _shards(shards_table, "count")
     log_limit = _integer(shards_table, "changes_kept", DEFAULT_LOG_LIMIT, 1, _MAX_COUNT)
-    shards_table.done()
+    shards_table.reject_unknown()
     upstream = top.table("upstream")
     if upstream is None:
         raise ConfigError("upstream: missing: set upstream.discovery, or [[upstream.relay]]")
@@ -142,7 +142,7 @@
     placement_table = top.table("placement") or Table({}, "placement")
     step_moves = _integer(placement_table, "step_moves", DEFAULT_STEP_MOVES, 1, _MAX_COUNT)
     step_s = placement_table.positive("step_s", 1.0)
-    placement_table.done()
+    placement_table.reject_unknown()
     server_limits, relay = _limits(top.table("limits") or Table({}, "limits"))
     state = path.parent / top.get("state", str) if "state" in top.raw else None
     status, otlp = top.table("status"), top.table("otlp")
@@ -157,7 +157,7 @@
     )  # fmt: skip
     for table in (top, status):
         if table is not None:
-            table.done()
+            table.reject_unknown()
     return file
 
 
@@ -167,11 +167,11 @@
         relays = read_relays(table, "upstream.relay")
         if own_name in relays.addresses:
             raise ConfigError(f"upstream.relay: '{own_name}' is this relay itself")
-        table.done()
+        table.reject_unknown()
         return None, relays
     if "relay" in table.raw:
         raise ConfigError("upstream: discovery and relay can't both be set")
-    table.done()
+    table.reject_unknown()
     return discovery, None
 
 
@@ -191,7 +191,7 @@
         snapshot_burst=_integer(table, "snapshot_burst", relay.snapshot_burst, 1, _MAX_COUNT),
         max_held_asks=_integer(table, "polls", relay.max_held_asks, 1, _MAX_COUNT),
     )
-    table.done()
+    table.reject_unknown()
     return server_limits, settings
 
 
@@ -208,7 +208,7 @@
         _check_member(members, name, zone)
         check_zones(members, [relay.zone for relay in relays.entries])
     sharding = SenderSharding(zone, shards, relays, _timing(table, Timing()), rate, path)
-    table.done()
+    table.reject_unknown()
     return sharding
 
 
@@ -220,7 +220,7 @@
         if address is None:
             raise ConfigError(f"{name}: at: missing")
         entries.append(RelayAddress(_name(relay_table, "name"), _name(relay_table, "zone"), address))
-        relay_table.done()
+        relay_table.reject_unknown()
     if not entries:
         raise ConfigError(f"{name}: at least one is needed")
     names = [entry.name for entry in entries]
--- a/mountgauge/settings_table.py
+++ b/mountgauge/settings_table.py
@@ -50,7 +50,7 @@
             raise ConfigError(f"{key}: not a list of tables")
         return [Table(one, f"{key}[{place}]") for place, one in enumerate(found)]
 
-    def done(self) -> None:
+    def reject_unknown(self) -> None:
         if unknown := sorted(set(self.raw) - self.seen):
             raise ConfigError(f"{self.name + '.' if self.name else ''}{unknown[0]}: unknown setting")
 
--- a/mountgauge/tenants/settings.py
+++ b/mountgauge/tenants/settings.py
@@ -103,7 +103,7 @@
     users = table.get("users", dict, default={})
     if not all(isinstance(word, str) and word for word in users.values()):
         raise ConfigError(f"{table.name}.users: passwords are text, not empty")
-    table.done()
+    table.reject_unknown()
     named = {user: User(word, name) for user, word in users.items()}
     return TenantSettings(name, None if strict else quota, named, quota if strict else None)
 
@@ -141,7 +141,7 @@
         raise ConfigError("fleet: 2 * interval <= suspect < gone < forget is needed")
     for key in FOR_BUDGETS:
         table.get(key, int, float, default=0)
-    table.done()
+    table.reject_unknown()
     return FleetSettings(
         name, listen, tuple(keys),
         Plan(tuple(peers), interval, fanout, Timing(suspect, gone, forget, linger), FLUSH),
