--- a/mountgauge/access.py
+++ b/mountgauge/access.py
@@ -53,5 +53,5 @@
             return None
         return self.tenant(parts[1], parts[2])
 
-    def opens(self, vhost: str) -> bool:
+    def may_open(self, vhost: str) -> bool:
         return not self.users or vhost == self.vhost
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -240,7 +240,7 @@
             self.beat_every(args["heartbeat"], self._front.phase())
             self.state = State.OPEN
         elif (self.state, name) == (State.OPEN, "connection.open"):
-            if not self._front.access.opens(args["vhost"]):
+            if not self._front.access.may_open(args["vhost"]):
                 raise AmqpError(530, "NOT_ALLOWED - no such virtual host", True, 10, 40)
             self.state = State.READY
             self.opened_by = math.inf
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -158,7 +158,7 @@
 def test_access_checks_users_and_virtual_hosts() -> None:
     access = Access({"u": User("p", "rossi"), "v": User("q")}, "/vans")
     assert access.login("PLAIN", b"\0u\0p") == "rossi" and access.login("PLAIN", b"\0v\0q") == DEFAULT_TENANT
-    assert access.opens("/vans") and not access.opens("/") and Access().opens("any")
+    assert access.may_open("/vans") and not access.may_open("/") and Access().may_open("any")
     for mechanism, credentials in (
         ("PLAIN", b"\0u\0q"),
         ("PLAIN", b"\0v\0p"),
