--- a/mountgauge/agent.py
+++ b/mountgauge/agent.py
@@ -14,7 +14,7 @@
 
 from mountgauge.core.config import Address, ConfigError
 from mountgauge.log import kv
-from mountgauge.operator_file import Operator, load
+from mountgauge.operator_file import OperatorFile, load
 from mountgauge.run import block_signals
 from mountgauge.run.reload_retry import ReloadRetry
 from mountgauge.settings_table import Table, config_errors_in, read_toml
@@ -34,7 +34,7 @@
     """An agent's file, checked: where its status listens, and the instances that it runs."""
 
     listen: Address
-    instances: tuple[Operator, ...]
+    instances: tuple[OperatorFile, ...]
 
 
 def load_agent(path: Path) -> AgentFile:
@@ -152,7 +152,7 @@
         self._reloading: asyncio.Task[None] | None = None
 
     @staticmethod
-    def _instance(one: Operator) -> Instance:
+    def _instance(one: OperatorFile) -> Instance:
         return Instance(one.config.name, [sys.executable, "-m", "mountgauge", "run", str(one.path)])
 
     async def reload(self, path: Path) -> None:
--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -12,7 +12,7 @@
 from mountgauge.core.list_lease import LeaseEnd, LeaseTerms, ListLease
 from mountgauge.lease_log import LeaseLog
 from mountgauge.log import kv
-from mountgauge.operator_file import Hops, Operator, load_hops
+from mountgauge.operator_file import Hops, OperatorFile, load_hops
 from mountgauge.platform.discovery import MapOwner
 
 log = logging.getLogger("mountgauge.file_map")
@@ -26,7 +26,7 @@
 class FileMap:
     """The transport map that an operator's file holds; the file is looked at now and then."""
 
-    def __init__(self, owner: MapOwner, operator: Operator, learn: Callable[[Hops], None]) -> None:
+    def __init__(self, owner: MapOwner, operator: OperatorFile, learn: Callable[[Hops], None]) -> None:
         self._owner, self._path, self._learn = owner, operator.path, learn
         self._last = operator.hops
         self._stamp = _NO_FILE  # what was loaded may be an older one
--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Operator:
+class OperatorFile:
     """An operator's file, checked."""
 
     path: Path
@@ -95,7 +95,7 @@
     sharding: SenderSharding | None = None
 
 
-def load(path: Path) -> Operator:
+def load(path: Path) -> OperatorFile:
     """The operator's file, checked; ConfigError names the file and the first fault."""
     with config_errors_in(path):
         return _operator(path, Table(read_toml(path), ""))
@@ -106,7 +106,7 @@
     return _hops(Table(read_toml(path), ""), version)
 
 
-def _operator(path: Path, top: Table) -> Operator:
+def _operator(path: Path, top: Table) -> OperatorFile:
     hops = _hops(top, 1)
     sharding = _sharding(top, path, hops)
     settings = _settings(top, len(hops.update.hops), sharding)
@@ -162,7 +162,7 @@
     for table in (top, limits, resp, status, console, comeback):
         if table is not None:
             table.reject_unknown()
-    return Operator(
+    return OperatorFile(
         path, config, hops, resp_listen, amqp.front, notices, status_listen, export, access, tenants,
         clients, enabled, budgets, sharding,
     )  # fmt: skip
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -20,7 +20,7 @@
 from mountgauge.log import kv
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.notices import Notices
-from mountgauge.operator_file import Hops, Operator, Otlp, load
+from mountgauge.operator_file import Hops, OperatorFile, Otlp, load
 from mountgauge.otlp import Exporter
 from mountgauge.router import Router
 from mountgauge.run.base import Runtime, Source, socket_shares
@@ -49,7 +49,7 @@
     async def start(self) -> None:
         self.tenants.start()
 
-    def reload(self, file: Operator) -> list[str]:
+    def reload(self, file: OperatorFile) -> list[str]:
         return self.tenants.reload(file.tenants) if file.tenants is not None else ["tenant"]
 
     async def drain(self) -> None:
@@ -117,7 +117,7 @@
         self.exporter.close()
 
 
-def make_operator_runtime(operator: Operator, watch: TurnWatch | None = None) -> OperatorRuntime:
+def make_operator_runtime(operator: OperatorFile, watch: TurnWatch | None = None) -> OperatorRuntime:
     """Create a file's sender, limited to the descriptors that this process may have."""
     limits = operator.config.limits
     if (had := raise_soft(limits.sockets)) < limits.sockets:
@@ -130,7 +130,7 @@
 class OperatorRuntime(Runtime):
     """A sender that an operator's file configures."""
 
-    def __init__(self, operator: Operator, watch: TurnWatch | None = None) -> None:
+    def __init__(self, operator: OperatorFile, watch: TurnWatch | None = None) -> None:
         super().__init__(operator.config, operator.notices)
         self.operator = operator
         self.tenants: Tenants | None = None
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -30,7 +30,7 @@
 from mountgauge.http1 import Message, response
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.next_hops import HttpNextHops
-from mountgauge.operator_file import Operator, load
+from mountgauge.operator_file import OperatorFile, load
 from mountgauge.platform.discovery import TransportMap
 from mountgauge.run import serve
 from mountgauge.run.base import LoopClock
@@ -567,7 +567,7 @@
     async def main() -> None:
         world = helper.SenderHarness(tmp_path, "http")
 
-        def loaded(path: Path) -> Operator:
+        def loaded(path: Path) -> OperatorFile:
             found = load(path)
             world.states = ["leaving"]
             world.write()
