--- a/mountgauge/console/listener.py
+++ b/mountgauge/console/listener.py
@@ -112,7 +112,7 @@
     def left(self, caller: _Caller) -> None:
         self._callers.pop(caller, None)
 
-    def peer(self) -> asyncio.BaseProtocol:
+    def make_protocol(self) -> asyncio.BaseProtocol:
         return _Caller(self)
 
     def close(self) -> None:
--- a/mountgauge/status.py
+++ b/mountgauge/status.py
@@ -62,12 +62,12 @@
 
     _server: asyncio.Server | None = None
 
-    def peer(self) -> asyncio.BaseProtocol:
+    def make_protocol(self) -> asyncio.BaseProtocol:
         raise NotImplementedError
 
     async def listen(self, address: Address) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(self.peer, address.host, address.port)
+        self._server = await loop.create_server(self.make_protocol, address.host, address.port)
 
     @property
     def port(self) -> int:
@@ -88,7 +88,7 @@
         self.pages: dict[str, Report] = {"/status": report, **(pages or {})}
         self.open = 0
 
-    def peer(self) -> asyncio.BaseProtocol:
+    def make_protocol(self) -> asyncio.BaseProtocol:
         return _Peer(self)
 
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -589,7 +589,7 @@
         return reply
 
     served = Console(carry_out)
-    server = await loop.create_faulty_server(served.peer)
+    server = await loop.create_faulty_server(served.make_protocol)
     yield Address(HOST, int(server.sockets[0].getsockname()[1]))
     served.close()
     server.close()
