--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -312,7 +312,7 @@
             receive(connection, codec.PROTOCOL_HEADER)
             word = "\0rossi\0p"
             receive(connection, codec.method(0, "connection.start-ok", mechanism="PLAIN", response=word))
-            codes.append([(name, code) for _, name, code in methods(transport.take())][1])
+            codes.append([(name, code) for _, name, code in methods(transport.take_written())][1])
         assert codes == [("connection.tune", 0), ("connection.close", 530)]
 
     run(main())
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -44,7 +44,7 @@
         if not self.closing:
             self.written += data
 
-    def take(self) -> bytes:
+    def take_written(self) -> bytes:
         written, self.written = bytes(self.written), bytearray()
         return written
 
--- a/tests/test_amqp_states.py
+++ b/tests/test_amqp_states.py
@@ -63,7 +63,7 @@
         connection.connection_made(transport)
         for data, answer in zip(OPENING, ANSWERS, strict=True):
             receive(connection, data)
-            assert [name for _, name, _ in methods(transport.take())] == ([answer] if answer else [])
+            assert [name for _, name, _ in methods(transport.take_written())] == ([answer] if answer else [])
         tags: dict[int, int] = {}  # open channels, with the last tag
         lives: dict[int, int] = {}  # how often a channel was opened: an end finds its own life only
         owed: list[tuple[str, int, int, int]] = []  # id, channel, life, tag
@@ -112,11 +112,11 @@
                         else:
                             code = 313 if end.status is Status.DEFERRED else 312
                             wanted += [(number, "basic.return", code), (number, "basic.nack", tag)]
-            assert methods(transport.take()) == wanted
+            assert methods(transport.take_written()) == wanted
             assert connection.unsettled == len(owed) and not transport.closing
         connection.connection_lost(None)
         for msg_id in taken:  # the way back is gone: nothing is written, nobody fails
             clients.report_outcome(msg_id, ENDS[0], lambda: None)
-        assert not transport.take()
+        assert not transport.take_written()
 
     asyncio.run(main())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -47,7 +47,7 @@
         connection, transport = ClientConnection(Clients(lambda one: None, ("note",), 9)), Transport()
         connection.connection_made(transport)
         receive(connection, command(b"PING") + data)
-        written = transport.take()
+        written = transport.take_written()
         assert written.startswith(b"+PONG\r\n-ERR Protocol error") and transport.ended
         receive(connection, command(b"PING") * 9)
         assert not transport.written
@@ -67,7 +67,7 @@
         connection, transport = ClientConnection(Clients(taken.append, ("note",), 9)), Transport()
         connection.connection_made(transport)
         receive(connection, data + command(b"PING"))
-        written = transport.take()
+        written = transport.take_written()
         assert (
             written.startswith(b"-ERR ")
             and written.endswith(b"\r\n+PONG\r\n")
