--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/worlds.py
@@ -107,8 +107,8 @@
 
     def snapshot(self) -> None: ...
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
+        on_delivered()
 
     def run_due(self) -> None:
         """The turns that the core asked for, a tick later."""
--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -131,10 +131,10 @@
             waiter.connection.tenant,
         )
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
         for waiter in self._waiters.pop(msg_id, ()):
-            waiter.connection.settle(waiter, end)
-        told()
+            waiter.connection.settle(waiter, outcome)
+        on_delivered()
 
 
 def _token(raw: object, name: str) -> str:
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -41,12 +41,12 @@
         """How many outcomes the platform has not acknowledged yet."""
         return len(self._unacknowledged)
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        """Report the outcome of a message; `told` is called once the platform has acknowledged it."""
-        if end.status in (Status.DELIVERED, Status.FINISHED):  # the platform knows these itself
-            told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
+        """Report the outcome of a message; `on_delivered` is called once the platform has acknowledged it."""
+        if outcome.status in (Status.DELIVERED, Status.FINISHED):  # the platform knows these itself
+            on_delivered()
             return
-        self._unacknowledged[msg_id] = (end, told)
+        self._unacknowledged[msg_id] = (outcome, on_delivered)
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -86,9 +86,9 @@
 
     unacknowledged = 0
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.retry_after_ms))
-        told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
+        log.info("end", extra=kv(id=msg_id, status=outcome.status.value, again_ms=outcome.retry_after_ms))
+        on_delivered()
 
     def close(self) -> None: ...
 
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -121,8 +121,8 @@
         await asyncio.sleep(0)
         self.journal.close()
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
-        told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Any) -> None:
+        on_delivered()
 
     def line(self, state: str, hop: int = 0, **fields: Any) -> dict[str, Any]:
         return {"id": f"e{hop}", "addr": f"{HOST}:{self.hops[hop].port}", "zone": "near", "kind": "one",
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -136,8 +136,8 @@
 
     def snapshot(self) -> None: ...
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
-        told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Any) -> None:
+        on_delivered()
 
     async def submit(self, name: str, left: float = 6.0, body: bytes = b"x") -> None:
         count = len(self.answers)
