--- a/mountgauge/__main__.py
+++ b/mountgauge/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mountgauge`: the command line; without a command, one sender on the platform (GW_*)."""
+"""`python -m mountgauge`: the command line; without a command, one sender configured by GW_* variables."""
 
 from __future__ import annotations
 
--- a/mountgauge/agent.py
+++ b/mountgauge/agent.py
@@ -1,4 +1,4 @@
-"""The agent: runs the instances of an operator's file, starts crashed ones again, stops them in order."""
+"""The agent: runs the instances listed in its file, restarts those that crash, and stops them in order."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 
 log = logging.getLogger("mountgauge.agent")
 
-_BACK_OFF, _BACK_OFF_MOST = 0.5, 30.0
-_STEADY = 30.0  # s up after which a crash counts as the first again
-_STOP_LIMIT = 5.0  # s from SIGTERM to SIGKILL; an instance ends by itself before 3.7 s
-_BAD_CONFIG = 2
-_READY = 2.0  # s in which a started instance surely heeds SIGHUP
+_FIRST_BACK_OFF_S, _MAX_BACK_OFF_S = 0.5, 30.0
+_STABLE_AFTER_S = 30.0  # of uptime, after which the back-off starts from its first value again
+_STOP_TIMEOUT_S = 5.0  # from SIGTERM to SIGKILL; an instance exits by itself within 3.7 s
+_EXIT_BAD_CONFIG = 2
+_SIGNAL_HANDLERS_READY_S = 2.0  # after which a started instance has its SIGHUP handler
 
 
 @dataclass(frozen=True, slots=True)
 class AgentFile:
-    """An agent's file, checked: where its status listens, and the instances that it runs."""
+    """A validated agent's file: the address of its status page, and the instances that it runs."""
 
     listen: Address
     instances: tuple[OperatorFile, ...]
 
 
 def load_agent(path: Path) -> AgentFile:
-    """The agent's file and all that it names: a fault in any of them shows before anything starts."""
+    """Load the agent's file and all files that it names, so that errors show before anything is started."""
     top = Table(read_toml(path), "")
     with config_errors_in(path):
         agent = top.table("agent") or Table({}, "agent")
@@ -54,37 +54,40 @@
         if not files:
             raise ConfigError("instance: at least one is needed")
     instances = tuple(load(file) for file in files)
-    for what, values in (
+    for setting, values in (
         ("name", [one.config.name for one in instances]),
         ("state", [str(one.config.state.resolve()) for one in instances]),
     ):
         if len(set(values)) < len(values):
-            raise ConfigError(f"{path}: two instances have the same {what}")
+            raise ConfigError(f"{path}: two instances have the same {setting}")
     return AgentFile(listen, instances)
 
 
 class Instance:
-    """STARTING or RUNNING, BACKING-OFF after a crash, STOPPED or FAILED (it cannot use its file)."""
+    """One sender process, and its state: "starting" or "running", "backing-off" after a crash, "stopped", or
+    "failed" if its file is invalid.
+    """
 
     def __init__(self, name: str, command: list[str]) -> None:
         self.name, self.command = name, command
         self.state, self.restarts = "starting", 0
         self.exit: int | None = None
-        self.since = time.time()  # for those who read the report
-        self._began = time.monotonic()  # of this state
+        self.since = time.time()  # wall-clock start of this state, for the report
+        self._state_began = time.monotonic()
         self._process: asyncio.subprocess.Process | None = None
         self._task: asyncio.Task[None] | None = None
         self._stopping = False
 
     def start(self) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._keep())
+        """Start the process, and restart it each time that it exits."""
+        self._task = asyncio.get_running_loop().create_task(self._supervise())
 
-    def _become(self, state: str) -> None:
-        self.state, self.since, self._began = state, time.time(), time.monotonic()
+    def _set_state(self, state: str) -> None:
+        self.state, self.since, self._state_began = state, time.time(), time.monotonic()
         log.info("instance", extra=kv(name=self.name, state=state, restarts=self.restarts, exit=self.exit))
 
-    async def _keep(self) -> None:
-        delay = _BACK_OFF
+    async def _supervise(self) -> None:
+        delay = _FIRST_BACK_OFF_S
         while not self._stopping:
             try:
                 self._process = await asyncio.create_subprocess_exec(*self.command)
@@ -93,27 +96,28 @@
                 self.exit = None
             else:
                 began = time.monotonic()
-                self._become("running")
+                self._set_state("running")
                 self.exit = await self._process.wait()
                 self._process = None
-                if time.monotonic() - began >= _STEADY:
-                    delay = _BACK_OFF
-                if self.exit == _BAD_CONFIG:  # starting it again would change nothing
-                    self._become("failed")
+                if time.monotonic() - began >= _STABLE_AFTER_S:
+                    delay = _FIRST_BACK_OFF_S
+                if self.exit == _EXIT_BAD_CONFIG:  # a restart would fail the same way
+                    self._set_state("failed")
                     return
             if self._stopping:
                 break
             self.restarts += 1
-            self._become("backing-off")
+            self._set_state("backing-off")
             await asyncio.sleep(delay)
-            delay = min(2 * delay, _BACK_OFF_MOST)
+            delay = min(2 * delay, _MAX_BACK_OFF_S)
 
     async def stop(self) -> None:
+        """Terminate the process, and kill it if it has not exited within `_STOP_TIMEOUT_S`."""
         self._stopping = True
         if (process := self._process) is not None:
             process.terminate()
             try:
-                async with asyncio.timeout(_STOP_LIMIT):
+                async with asyncio.timeout(_STOP_TIMEOUT_S):
                     await process.wait()
             except TimeoutError:
                 process.kill()
@@ -122,18 +126,20 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         if self.state != "failed":
-            self._become("stopped")
+            self._set_state("stopped")
 
     async def reload(self) -> None:
-        """Pass SIGHUP on; one that could not use its file is tried again."""
+        """Forward SIGHUP to the process, or start it again if its file was invalid before."""
         if self.state == "failed":
             self.start()
         elif (process := self._process) is not None:
-            await asyncio.sleep(self._began + _READY - time.monotonic())  # it must have its handler by then
+            # SIGHUP would end a process that has not installed its handler yet.
+            await asyncio.sleep(self._state_began + _SIGNAL_HANDLERS_READY_S - time.monotonic())
             if process is self._process:
                 process.send_signal(signal.SIGHUP)
 
     def report(self) -> Mapping[str, Any]:
+        """Return the instance's entry of the agent's status page."""
         return {
             "name": self.name, "state": self.state, "restarts": self.restarts, "exit": self.exit,
             "pid": self._process.pid if self._process is not None else None, "since": round(self.since, 3),
@@ -141,14 +147,14 @@
 
 
 class Agent:
-    """Runs the instances of a file as processes, and starts again those that crash."""
+    """Runs the instances of a file as processes, and restarts those that crash."""
 
     def __init__(self, file: AgentFile) -> None:
         self.listen = file.listen
         self.instances = [self._instance(one) for one in file.instances]
         self.status = StatusServer(lambda: {"instances": [one.report() for one in self.instances]})
         self._reload_retry = ReloadRetry(lambda: self.reloads.put_nowait(None), "the old instances", log)
-        self.reloads: asyncio.Queue[None] = asyncio.Queue()  # made one after another
+        self.reloads: asyncio.Queue[None] = asyncio.Queue()  # requests, carried out one after another
         self._reloading: asyncio.Task[None] | None = None
 
     @staticmethod
@@ -156,7 +162,7 @@
         return Instance(one.config.name, [sys.executable, "-m", "mountgauge", "run", str(one.path)])
 
     async def reload(self, path: Path) -> None:
-        """Read the file again: stop what it no longer names, start what is new, pass SIGHUP to the rest."""
+        """Read the file again: stop removed instances, start new ones, and forward SIGHUP to the others."""
         try:
             file = load_agent(path)
         except ConfigError as error:
@@ -164,32 +170,32 @@
             return
         wanted = [self._instance(one) for one in file.instances]
         known = {(one.name, *one.command): one for one in self.instances}
-        kept = [known.pop((one.name, *one.command), one) for one in wanted]
-        gone, fresh = list(known.values()), [one for one in kept if one in wanted]
-        self.instances = kept
+        instances = [known.pop((one.name, *one.command), one) for one in wanted]
+        removed, added = list(known.values()), [one for one in instances if one in wanted]
+        self.instances = instances
         needs = "listen" if file.listen != self.listen else "nothing"
-        counts = kv(instances=len(kept), gone=len(gone), new=len(fresh), needs_restart=needs)
+        counts = kv(instances=len(instances), gone=len(removed), new=len(added), needs_restart=needs)
         log.info("reloaded", extra=counts)
-        for instance in gone:  # first, as a new one may take over its state or its address
+        for instance in removed:  # first, as a new one may use the same state folder or address
             await instance.stop()
-        for instance in fresh:
+        for instance in added:
             instance.start()
-        await asyncio.gather(*(one.reload() for one in kept if one not in fresh))
+        await asyncio.gather(*(one.reload() for one in instances if one not in added))
 
     async def start(self, path: Path) -> None:
-        """Start the instances, and heed reloads of the file at this path."""
-        self._reloading = asyncio.get_running_loop().create_task(self._reload_each(path))
+        """Start the instances, and from now on reload the file at `path` on request."""
+        self._reloading = asyncio.get_running_loop().create_task(self._handle_reloads(path))
         await self.status.listen(self.listen)
         for instance in self.instances:
             instance.start()
 
-    async def _reload_each(self, path: Path) -> None:
+    async def _handle_reloads(self, path: Path) -> None:
         while True:
             await self.reloads.get()
             await self.reload(path)
 
     async def stop(self) -> None:
-        """In the file's order reversed, one after another, so that the others go on serving meanwhile."""
+        """Stop the instances in reverse order of the file, one at a time, so that the others keep serving."""
         self._reload_retry.cancel()
         if self._reloading is not None:
             self._reloading.cancel()
@@ -199,16 +205,16 @@
 
 
 async def serve(file: AgentFile, path: Path) -> None:
-    """Run an agent until it is told to end; SIGHUP reads its file anew."""
-    loop, asked = asyncio.get_running_loop(), asyncio.Event()
+    """Run an agent until SIGTERM or SIGINT; SIGHUP reloads its file."""
+    loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked.set)
+        loop.add_signal_handler(number, stop_requested.set)
     agent = Agent(file)
     loop.add_signal_handler(signal.SIGHUP, agent.reloads.put_nowait, None)
     await agent.start(path)
     log.info(
         "ready", extra=kv(instances=len(agent.instances), listen=f"{agent.listen.host}:{agent.listen.port}")
     )
-    await asked.wait()
+    await stop_requested.wait()
     await agent.stop()
     block_signals()
