--- a/mountgauge/connecting.py
+++ b/mountgauge/connecting.py
@@ -1,4 +1,4 @@
-"""Connecting to a peer, where what fails on this machine is told apart from a peer that is not there."""
+"""Connects to a peer, and distinguishes failures of this machine from a peer that cannot be reached."""
 
 from __future__ import annotations
 
@@ -11,56 +11,58 @@
 
 from mountgauge.leased_socket import LeasedSocket, LeaseSlot
 
-SHORTAGE_RETRY_S = 0.05  # s until a connection that found this machine short of something is tried again
+SHORTAGE_RETRY_S = 0.05  # until the next attempt after one that failed for a shortage on this machine
 
-_SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+_SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
 
 def is_local_shortage(error: BaseException) -> bool:
-    """Whether this machine lacks descriptors, ports or buffers: it says nothing of the peer."""
-    return isinstance(error, OSError) and error.errno in _SHORTAGES
+    """Whether this machine lacks descriptors, ports or buffers, which says nothing about the peer."""
+    return isinstance(error, OSError) and error.errno in _SHORTAGE_ERRNOS
 
 
 async def connect(
-    make: Callable[[], asyncio.BaseProtocol],
+    make_protocol: Callable[[], asyncio.BaseProtocol],
     host: str,
     port: int,
-    limit: float | None,
+    timeout_s: float | None,
     on_shortage: Callable[[], bool] = lambda: True,
     slot: LeaseSlot | None = None,
 ) -> None:
-    """Connect, each try within `limit` (s); None: the caller gives it up. What is written is under the lease
-    in `slot`.
+    """Connect, with `timeout_s` for each attempt (None: no limit, the caller cancels). Data is written under
+    the lease in `slot`.
 
-    A local shortage is told to `on_shortage`, which may close what it can do without and says whether to try
-    again after a pause; else its error is raised. TimeoutError means that nothing came in time: where the
-    system reports ETIMEDOUT, that is a connection that broke.
+    On a local shortage `on_shortage` is called. It may close connections that are not needed, and returns
+    whether to try again after a pause; if not, the error is raised. TimeoutError means only that `timeout_s`
+    has passed: ETIMEDOUT from the system means a broken connection and raises ConnectionAbortedError.
     """
     while True:
         try:
-            async with asyncio.timeout(limit) as within:
-                await _open(make, host, port, slot or LeaseSlot())
+            async with asyncio.timeout(timeout_s) as deadline:
+                await _open(make_protocol, host, port, slot or LeaseSlot())
             return
         except OSError as error:
-            if isinstance(error, TimeoutError) and not within.expired():
-                raise ConnectionAbortedError(error.errno, "the system gave the connection up") from error
+            if isinstance(error, TimeoutError) and not deadline.expired():
+                raise ConnectionAbortedError(error.errno, "the system timed the connection out") from error
             if not is_local_shortage(error) or not on_shortage():
                 raise
         await asyncio.sleep(SHORTAGE_RETRY_S)
 
 
-async def _open(make: Callable[[], asyncio.BaseProtocol], host: str, port: int, slot: LeaseSlot) -> None:
-    """To the first of the host's addresses that takes the connection; OSError of the last one where none."""
+async def _open(
+    make_protocol: Callable[[], asyncio.BaseProtocol], host: str, port: int, slot: LeaseSlot
+) -> None:
+    """Connect to the first of the host's addresses that accepts; if none does, raise the last OSError."""
     loop = asyncio.get_running_loop()
     addresses = await _addresses(host, port)
-    for place, (family, address) in enumerate(addresses):
+    for index, (family, address) in enumerate(addresses):
         sock = LeasedSocket(slot, family)
         try:
             await loop.sock_connect(sock, address)
-            await loop.create_connection(make, sock=sock)
+            await loop.create_connection(make_protocol, sock=sock)
         except OSError:
             sock.close()
-            if place + 1 == len(addresses):
+            if index + 1 == len(addresses):
                 raise
         except BaseException:
             sock.close()
@@ -70,7 +72,7 @@
 
 
 async def _addresses(host: str, port: int) -> list[tuple[int, Any]]:
-    """Family and address of each place that the host's name stands for; a number stands for itself."""
+    """Return the family and address of each address of a host; an IP address is not looked up."""
     try:
         version = ipaddress.ip_address(host).version
     except ValueError:
--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -1,4 +1,4 @@
-"""The transport map of an operator's file: looked at again whenever the file changes."""
+"""The transport map of an operator's file, read again whenever the file changes."""
 
 from __future__ import annotations
 
@@ -17,43 +17,44 @@
 
 log = logging.getLogger("mountgauge.file_map")
 
-LOOK_S = 0.05  # between looks: a drain must be heeded 250 ms after it was told
+CHECK_INTERVAL_S = 0.05  # a drain must be applied within 250 ms of its notification
 
 
 _NO_FILE = (0, 0, 0)
 
 
 class FileMap:
-    """The transport map that an operator's file holds; the file is looked at now and then."""
+    """The transport map in an operator's file, which is checked for changes at intervals."""
 
     def __init__(self, owner: MapOwner, operator: OperatorFile, learn: Callable[[Hops], None]) -> None:
+        """`learn` receives the next hops of each new version before `owner` does."""
         self._owner, self._path, self._learn = owner, operator.path, learn
         self._last = operator.hops
-        self._stamp = _NO_FILE  # what was loaded may be an older one
+        self._stamp = _NO_FILE  # unknown: the file may have changed since `operator` was loaded
         self._version = operator.config.known.version
         self._timer: asyncio.TimerHandle | None = None
-        # What the file says counts from the look at which it could be read.
-        self._lease = ListLease(LeaseTerms(LOOK_S, operator.config.rules.drain_grace))
+        # The file's content counts as notified from the first check at which it could be read.
+        self._lease = ListLease(LeaseTerms(CHECK_INTERVAL_S, operator.config.rules.drain_grace))
         self._lease_log = LeaseLog()
-        self._held_back = False  # calls have been, and are to be let go
-        self.on_lease_renewed: Callable[[], None] = lambda: None  # told that calls may go again
+        self._calls_held_back = False  # since the lease ended; on its renewal they are released
+        self.on_lease_renewed: Callable[[], None] = lambda: None  # called when calls may be sent again
 
     @property
     def counts(self) -> Counter[tuple[str, str]]:
-        """What ended the lease on the file."""
+        """The causes that ended the lease on the file."""
         return self._lease_log.counts
 
     def state(self) -> Mapping[str, Any]:
-        """For the state line: whether calls may go by the file, and how old the newest look is."""
+        """Return the fields of the state line: whether the list may be used, and the age of its evidence."""
         return self._lease_log.state(self._now() - self._lease.evidence_at)
 
     def lease_ended(self, dest: int) -> LeaseEnd | None:
-        """Why calls may not go by what is known of the file: a look that is late is made up for at once."""
+        """Return why the list may not be used, or None if it may. A check that is late is made first."""
         if self._lease.ended(self._now()) is not None:
-            self._look()
+            self._read_if_changed()
         ended = self._lease.ended(self._now())
         self._lease_log.record(ended, self._now() - self._lease.evidence_at)
-        self._held_back = self._held_back or ended is not None
+        self._calls_held_back = self._calls_held_back or ended is not None
         return ended
 
     @staticmethod
@@ -61,40 +62,44 @@
         return asyncio.get_running_loop().time()
 
     def watch(self, on: bool) -> None:
+        """Start or stop the checks at intervals."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
         if on:
-            self._again()
+            self._check_at_intervals()
 
     def snapshot(self) -> None:
-        looked_at = self._now()
+        """Read the file whether or not it has changed."""
+        checked_at = self._now()
         if self._read():
-            self._lease.confirm(looked_at)
+            self._lease.confirm(checked_at)
 
     def close(self) -> None:
+        """Stop the checks."""
         self.watch(False)
 
     def refresh_now(self) -> bool:
-        """The file as it is at this moment; it needs no waiting."""
+        """Check the file; the result is never pending."""
         self._check()
         return True
 
-    def _again(self) -> None:
-        self._timer = asyncio.get_running_loop().call_later(LOOK_S, self._again)  # whatever this look brings
+    def _check_at_intervals(self) -> None:
+        # Scheduled first, so that an error in this check does not end the series.
+        self._timer = asyncio.get_running_loop().call_later(CHECK_INTERVAL_S, self._check_at_intervals)
         self._check()
 
     def _check(self) -> None:
-        self._look()
-        if self._held_back and self._lease.ended(self._now()) is None:
-            self._held_back = False
+        self._read_if_changed()
+        if self._calls_held_back and self._lease.ended(self._now()) is None:
+            self._calls_held_back = False
             self.on_lease_renewed()
 
-    def _look(self) -> None:
-        """Read the file if it has changed. Only a look that the system lets through is evidence; between two
-        versions of the file, or where it has gone, the last list holds.
+    def _read_if_changed(self) -> None:
+        """Read the file if it has changed. Only a check without an error of the system is evidence. While the
+        file is replaced, or after it was removed, the last list remains in effect.
         """
-        looked_at = self._now()
+        checked_at = self._now()
         try:
             found = self._path.stat()
             stamp = (found.st_mtime_ns, found.st_size, found.st_ino)
@@ -104,15 +109,15 @@
             log.warning("file-not-read", extra=kv(error=error, again=True))
             return
         if stamp in (self._stamp, _NO_FILE):
-            self._lease.confirm(looked_at)
+            self._lease.confirm(checked_at)
             return
         self._stamp = stamp
         if self._read():
-            self._lease.confirm(looked_at)
+            self._lease.confirm(checked_at)
 
     def _read(self) -> bool:
-        """Whether the file could be read: one that is half-written or wrong says nothing, and the last list
-        holds.
+        """Read the file and apply its list; return False if it could not be read for now. A file that is
+        partly written or invalid changes nothing: the last list remains in effect.
         """
         try:
             hops = load_hops(self._path, self._version + 1)
@@ -120,7 +125,7 @@
             again = isinstance(error, FileUnreadableError) and error.passing
             log.warning("file-not-read", extra=kv(error=error, again=again))
             if again:
-                self._stamp = _NO_FILE  # at the next look
+                self._stamp = _NO_FILE  # read it again at the next check
             return not again
         if (hops.update.hops, hops.protocols, hops.accounts) == (
             self._last.update.hops,
--- a/mountgauge/log.py
+++ b/mountgauge/log.py
@@ -1,4 +1,4 @@
-"""Logging: one line an event, key=value."""
+"""Logging in key=value form, one line per event."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class KeyValue(logging.Formatter):
-    """`log.info("taken", extra={"kv": {...}})` becomes `ts=… level=info event=taken k=v`."""
+    """Formats a record and its `kv` pairs as one line: `ts=… level=info at=… event=… key=value`."""
 
     def format(self, record: logging.LogRecord) -> str:
         pairs: dict[str, object] = {
@@ -31,30 +31,30 @@
 
 
 def kv(**pairs: object) -> dict[str, dict[str, object]]:
-    """What a log record's `extra` has to be for these pairs to be in its line."""
+    """Return the `extra` of a log call that adds these pairs to its line."""
     return {"kv": pairs}
 
 
 class LogRateLimiter:
-    """Bounds how many lines of a kind are written, so that a bad time does not fill the log."""
+    """Limits the rate of log lines with a token bucket, so that a lasting fault does not fill the log."""
 
     def __init__(self, now: Callable[[], float], per_s: float = 20.0, burst: float = 100.0) -> None:
         self._now, self._per_s, self._burst = now, per_s, burst
-        self._left, self._at = burst, now()
+        self._tokens, self._updated_at = burst, now()
 
     def allow(self) -> bool:
-        """Whether one more line may be written."""
+        """Whether one more line may be written; if so, it is counted."""
         now = self._now()
-        self._left = min(self._burst, self._left + self._per_s * (now - self._at))
-        self._at = now
-        if self._left < 1.0:
+        self._tokens = min(self._burst, self._tokens + self._per_s * (now - self._updated_at))
+        self._updated_at = now
+        if self._tokens < 1.0:
             return False
-        self._left -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 def set_up_logging(level: str = "INFO") -> None:
-    """Log to stderr, a line for each event."""
+    """Configure the root logger to write one line per event to stderr."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValue())
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/mountgauge/router.py
+++ b/mountgauge/router.py
@@ -1,4 +1,4 @@
-"""Next hops by protocol: each call goes to the side that speaks what the transport map names for it."""
+"""Routes each call to the next hops of the protocol that the transport map names for its endpoint."""
 
 from __future__ import annotations
 
@@ -8,42 +8,51 @@
 from mountgauge.core.ports import Call, NextHops
 
 
-class Side(NextHops, Protocol):
+class ProtocolNextHops(NextHops, Protocol):
     """The next hops of one protocol."""
 
     opened: int
 
     @property
-    def in_flight(self) -> int: ...
+    def in_flight(self) -> int:
+        """The number of calls that have not finished."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """End all calls and connections."""
 
 
 class Router:
-    """Hands each call to the next hops of its protocol."""
+    """Passes each call to the next hops of its protocol."""
 
-    def __init__(self, sides: Mapping[str, Side], protocols: Mapping[str, str]) -> None:
-        self.sides, self.protocols = sides, protocols
+    def __init__(self, by_protocol: Mapping[str, ProtocolNextHops], protocols: Mapping[str, str]) -> None:
+        """`protocols`: the protocol of each next hop, by its id."""
+        self.by_protocol, self.protocols = by_protocol, protocols
 
     def start(self, call: Call) -> None:
-        self.sides[self.protocols.get(call.hop.id, "http")].start(call)
+        """Start a call."""
+        self.by_protocol[self.protocols.get(call.hop.id, "http")].start(call)
 
     def cancel(self, call: Call) -> None:
-        for side in self.sides.values():  # the one that does not have it passes over it
-            side.cancel(call)
+        """Cancel a call."""
+        for next_hops in self.by_protocol.values():  # ignored by those that don't have the call
+            next_hops.cancel(call)
 
     def close_idle(self, hop_id: str) -> None:
-        for side in self.sides.values():
-            side.close_idle(hop_id)
+        """Close the idle connections to this next hop, and those in use after their calls."""
+        for next_hops in self.by_protocol.values():
+            next_hops.close_idle(hop_id)
 
     @property
     def in_flight(self) -> int:
-        return sum(side.in_flight for side in self.sides.values())
+        """The number of calls that have not finished."""
+        return sum(next_hops.in_flight for next_hops in self.by_protocol.values())
 
     @property
     def opened(self) -> int:
-        return sum(side.opened for side in self.sides.values())
+        """The number of connections opened since the start."""
+        return sum(next_hops.opened for next_hops in self.by_protocol.values())
 
     def close(self) -> None:
-        for side in self.sides.values():
-            side.close()
+        """End all calls and connections."""
+        for next_hops in self.by_protocol.values():
+            next_hops.close()
