--- a/mountgauge/connecting.py
+++ b/mountgauge/connecting.py
@@ -25,20 +25,20 @@
     make_protocol: Callable[[], asyncio.BaseProtocol],
     host: str,
     port: int,
-    timeout_s: float | None,
+    limit: float | None,
     on_shortage: Callable[[], bool] = lambda: True,
     slot: LeaseSlot | None = None,
 ) -> None:
-    """Connect, with `timeout_s` for each attempt (None: no limit, the caller cancels). Data is written under
+    """Connect, with `limit` seconds for each attempt (None: the caller cancels). Data is written under
     the lease in `slot`.
 
     On a local shortage `on_shortage` is called. It may close connections that are not needed, and returns
-    whether to try again after a pause; if not, the error is raised. TimeoutError means only that `timeout_s`
+    whether to try again after a pause; if not, the error is raised. TimeoutError means only that `limit`
     has passed: ETIMEDOUT from the system means a broken connection and raises ConnectionAbortedError.
     """
     while True:
         try:
-            async with asyncio.timeout(timeout_s) as deadline:
+            async with asyncio.timeout(limit) as deadline:
                 await _open(make_protocol, host, port, slot or LeaseSlot())
             return
         except OSError as error:
