--- a/mountgauge/http1.py
+++ b/mountgauge/http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: a bounded incremental parser for both directions; connections that carry one call at a time."""
+"""HTTP/1.1: a bounded incremental parser for both directions, and connections with one call at a time."""
 
 from __future__ import annotations
 
@@ -16,64 +16,70 @@
 from mountgauge.connecting import connect
 from mountgauge.leased_socket import LeaseSlot, SendLease
 
-_MOST_HEAD = 16 * 1024  # bytes of a line
-_MOST_HEADERS = 100
-_MOST_DIGITS = 15  # of a length: far more than any bound, far less than int() takes long for
-_RECEIVE = bytearray(64 * 1024)  # shared: what arrives is copied out before the loop reads again
+_MAX_LINE_BYTES = 16 * 1024
+_MAX_HEADERS = 100
+_MAX_LENGTH_DIGITS = 15  # more than any permitted length needs, few enough for int() to be fast
+_RECEIVE_BUFFER = bytearray(64 * 1024)  # shared: the data is copied out before the event loop reads again
 
 
-_COUNT = struct.Struct("i")
-_HEX = re.compile(r"[0-9a-fA-F]{1,15}")
+_INT = struct.Struct("i")
+_CHUNK_SIZE = re.compile(r"[0-9a-fA-F]{1,15}")
 
 
 class HttpError(ValueError):
-    """Bytes that HTTP/1.1 does not allow, or more of them than a bound permits."""
+    """The data is not valid HTTP/1.1, or larger than a limit permits."""
 
 
 @dataclass(slots=True, eq=False)
 class Message:
-    """A request or a response, as far as it has come."""
+    """A request or a response, as far as it has been received."""
 
-    start: tuple[str, str, str] | None = None  # the first line's three parts
+    start: tuple[str, str, str] | None = None  # the three parts of the first line
     headers: dict[str, str] = field(default_factory=dict)  # names in lower case
     head_done: bool = False
     body: bytearray = field(default_factory=bytearray)
     complete: bool = False
-    unreadable: bool = False  # it cannot be read any further, or its rest has not come in time
+    unreadable: bool = False  # the remainder is invalid, or was not received in time
 
     @property
     def status(self) -> int:
-        """A response's code, 0 as long as its first line has not come."""
+        """The status code of a response, 0 until its first line has been received."""
         return int(self.start[1]) if self.start else 0
 
     @property
     def keep_alive(self) -> bool:
+        """Whether the sender keeps the connection open after this message."""
         if self.start is None:
             return False
         version = self.start[2] if self.start[2].startswith("HTTP/") else self.start[0]
-        said = self.headers.get("connection", "").lower()
-        return "close" not in said and (version == "HTTP/1.1" or "keep-alive" in said)
+        options = self.headers.get("connection", "").lower()
+        return "close" not in options and (version == "HTTP/1.1" or "keep-alive" in options)
 
 
 class Parser:
-    """Feed it what arrives; it returns the messages that have become whole."""
+    """Parses received data incrementally into messages."""
 
     def __init__(self, requests: bool = False, max_body_bytes: int = 1 << 20) -> None:
-        self._requests, self._most = requests, max_body_bytes
+        """`requests`: parse requests instead of responses."""
+        self._requests, self._max_body_bytes = requests, max_body_bytes
         self._buffer = bytearray()
         self.current = Message()
-        self._left = 0  # body bytes still to come
+        self._remaining = 0  # bytes still to be received of the body, or of its current chunk
         self._mode = "head"  # head, length, chunk-size, chunk, chunk-end, trailer, close
         self._trailers = 0
         self.error: HttpError | None = None
 
     @property
     def clean(self) -> bool:
-        """Nothing of a next message has come."""
+        """Whether nothing of a next message has been received."""
         return not self._buffer and self.current.start is None and self.error is None
 
     def feed(self, data: bytes | memoryview) -> list[Message]:
-        """What came whole before an error is still good: the error is raised where nothing did."""
+        """Parse more data and return the messages that it completes.
+
+        Messages that were complete before an error are valid and are returned; HttpError is raised only if
+        there are none. The error itself is kept in `error`.
+        """
         self._buffer += data
         done: list[Message] = []
         while self.error is None:
@@ -87,14 +93,14 @@
                     raise
                 break
             if self.current.complete:
-                # An interim answer (1xx) announces the real one.
+                # An interim response (1xx) precedes the final one.
                 if self._requests or self.current.status >= 200:
                     done.append(self.current)
                 self.current, self._mode = Message(), "head"
         return done
 
     def end(self) -> Message | None:
-        """The other side has ended: whole only if the body was to last until then."""
+        """Handle the end of the peer's data, which completes only a body that extends to it."""
         if self._mode == "close":
             self.current.complete = True
             return self.current
@@ -102,8 +108,8 @@
 
     def _line(self) -> str | None:
         at = self._buffer.find(b"\n")
-        if at < 0 or at > _MOST_HEAD:
-            if len(self._buffer) > _MOST_HEAD:
+        if at < 0 or at > _MAX_LINE_BYTES:
+            if len(self._buffer) > _MAX_LINE_BYTES:
                 raise HttpError("a line is too long")
             return None
         line = self._buffer[:at].rstrip(b"\r").decode("latin-1")
@@ -112,18 +118,18 @@
 
     def _step(self) -> bool:
         if self._mode in ("length", "chunk", "close"):
-            return self._take()
+            return self._read_body()
         if (line := self._line()) is None:
             return False
         if self._mode == "head":
             self._head_line(line)
         elif self._mode == "chunk-size":
             size = line.split(";")[0].strip()
-            if not _HEX.fullmatch(size):
+            if not _CHUNK_SIZE.fullmatch(size):
                 raise HttpError("bad chunk size")
-            self._left = int(size, 16)
-            self._bound(self._left)
-            self._mode = "chunk" if self._left else "trailer"
+            self._remaining = int(size, 16)
+            self._check_body_size(self._remaining)
+            self._mode = "chunk" if self._remaining else "trailer"
         elif self._mode == "chunk-end":
             if line:
                 raise HttpError("chunk without an end")
@@ -132,25 +138,25 @@
             self.current.complete, self._trailers = True, 0
         else:
             self._trailers += 1
-            if self._trailers > _MOST_HEADERS:
+            if self._trailers > _MAX_HEADERS:
                 raise HttpError("too many trailers")
         return True
 
-    def _bound(self, more: int) -> None:
-        if more < 0 or len(self.current.body) + more > self._most:
+    def _check_body_size(self, more: int) -> None:
+        if more < 0 or len(self.current.body) + more > self._max_body_bytes:
             raise HttpError("body too large")
 
-    def _take(self) -> bool:
+    def _read_body(self) -> bool:
         if not self._buffer:
             return False
-        count = len(self._buffer) if self._mode == "close" else min(self._left, len(self._buffer))
-        self._bound(count)
+        count = len(self._buffer) if self._mode == "close" else min(self._remaining, len(self._buffer))
+        self._check_body_size(count)
         self.current.body += self._buffer[:count]
         del self._buffer[:count]
-        self._left -= count
-        if self._mode == "length" and not self._left:
+        self._remaining -= count
+        if self._mode == "length" and not self._remaining:
             self.current.complete = True
-        elif self._mode == "chunk" and not self._left:
+        elif self._mode == "chunk" and not self._remaining:
             self._mode = "chunk-end"
         return True
 
@@ -168,11 +174,11 @@
             if name == "content-length" and message.headers.get(name, value.strip()) != value.strip():
                 raise HttpError("two lengths")
             message.headers[name] = value.strip()
-            if len(message.headers) > _MOST_HEADERS:
+            if len(message.headers) > _MAX_HEADERS:
                 raise HttpError("too many headers")
             return
         message.head_done = True
-        self._body_form()
+        self._choose_body_mode()
 
     def _start_line(self, line: str) -> None:
         parts = line.split(" ", 2)
@@ -187,7 +193,7 @@
             raise HttpError("bad status")
         self.current.start = (parts[0], parts[1], parts[2])
 
-    def _body_form(self) -> None:
+    def _choose_body_mode(self) -> None:
         message = self.current
         length = message.headers.get("content-length")
         no_body = not self._requests and (message.status < 200 or message.status in (204, 304))
@@ -196,12 +202,12 @@
         elif "chunked" in message.headers.get("transfer-encoding", "").lower():
             self._mode = "chunk-size"
         elif length is not None:
-            if not length.isdecimal() or len(length) > _MOST_DIGITS:
+            if not length.isdecimal() or len(length) > _MAX_LENGTH_DIGITS:
                 raise HttpError("bad length")
-            self._left = int(length)
-            self._bound(self._left)
+            self._remaining = int(length)
+            self._check_body_size(self._remaining)
             self._mode = "length"
-            message.complete = not self._left
+            message.complete = not self._remaining
         elif self._requests:
             message.complete = True
         else:
@@ -209,7 +215,7 @@
 
 
 def request(method: str, path: str, host: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """The bytes of a request."""
+    """Encode a request."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if body or method == "POST":
@@ -218,7 +224,7 @@
 
 
 def response(status: int, reason: str, headers: Mapping[str, str], body: bytes) -> bytes:
-    """The bytes of a response."""
+    """Encode a response."""
     lines = [f"HTTP/1.1 {status} {reason}", *(f"{name}: {value}" for name, value in headers.items())]
     if status != 204:
         lines.append(f"Content-Length: {len(body)}")
@@ -226,7 +232,7 @@
 
 
 def retry_after_s(message: Message) -> float:
-    """`Retry-After` in seconds, with decimals; 0 where there is none that can be read."""
+    """Parse `Retry-After`: seconds, which may have decimals; 0 if it is absent or invalid."""
     try:
         wait = float(message.headers.get("retry-after", "0"))
     except ValueError:
@@ -235,7 +241,7 @@
 
 
 class State(Enum):
-    """What a connection to a peer is doing."""
+    """The state of a connection to a peer."""
 
     CONNECTING = "connecting"
     IDLE = "idle"
@@ -243,37 +249,43 @@
     CLOSED = "closed"
 
 
-def _nobody(connection: Connection) -> None:
-    """Who hears of an end that has been told."""
+def _ignore(connection: Connection) -> None:
+    """Replaces `lost` once the end of the connection has been reported."""
 
 
 class Connection(asyncio.BufferedProtocol):
-    """A client's connection: CONNECTING, then IDLE and BUSY in turn, at last CLOSED."""
+    """A client's connection: first CONNECTING, then IDLE and BUSY alternately, finally CLOSED."""
 
     def __init__(
-        self, lost: Callable[[Connection], None], max_body_bytes: int = 1 << 20, rest: float | None = None
+        self,
+        lost: Callable[[Connection], None],
+        max_body_bytes: int = 1 << 20,
+        completion_timeout_s: float | None = None,
     ) -> None:
+        """`lost` is called once, when the connection is closed. An answer must be complete within
+        `completion_timeout_s` of its first data.
+        """
         self.state = State.CONNECTING
         self.idle_since = 0.0
         self.flushed = True  # the call's last byte has been written to the socket
-        self.overdue = False  # the rest of an answer has not come in time
-        self.slot = LeaseSlot()  # of the socket that it is to be connected with
+        self.overdue = False  # an answer was not complete in time
+        self.slot = LeaseSlot()  # for the socket of this connection
         self._lost = lost
-        self._most = max_body_bytes
-        self._most_rest = rest  # s in which an answer that has begun must be whole
+        self._max_body_bytes = max_body_bytes
+        self._completion_timeout_s = completion_timeout_s
         self._parser = Parser(max_body_bytes=max_body_bytes)
         self._transport: asyncio.Transport | None = None
         self._finished: Callable[[Message, bool], None] | None = None
-        self._rest: asyncio.TimerHandle | None = None  # runs while an answer is half there
+        self._completion_timer: asyncio.TimerHandle | None = None  # runs while an answer is incomplete
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(0)  # pause and resume then tell when all is written
+        self._transport.set_write_buffer_limits(0)  # so that resume_writing means that all data is written
         self.state, self.idle_since = State.IDLE, asyncio.get_running_loop().time()
 
     @property
     def has_no_unread_data(self) -> bool:
-        """Whether nothing waits to be read: what came unasked would pass for the next call's answer."""
+        """Whether no data waits in the socket. Unsolicited data would be taken for the next call's answer."""
         sock = self._transport.get_extra_info("socket") if self._transport is not None else None
         if sock is None:
             return True
@@ -283,38 +295,38 @@
 
     @property
     def answer_begun(self) -> bool:
-        """Whether a part of an answer has been read, and not all of it."""
+        """Whether an answer has been read in part."""
         return not self._parser.clean
 
     @property
     def answer_arrived(self) -> bool:
-        """Whether bytes of an answer that is not whole have arrived, read or not. It can be asked up to the
-        end of the connection, in the turn in which its call hears of it.
+        """Whether data of an incomplete answer has arrived, read or not. It is valid until the end of the
+        connection, and in the callback that reports this end to the call.
         """
         return self.answer_begun or self._unread_bytes() > 0
 
     def _unread_bytes(self) -> int:
-        """How many bytes wait in the socket; 0 where the system doesn't say."""
+        """The number of bytes that wait in the socket; 0 if the system does not report it."""
         sock = self._transport.get_extra_info("socket") if self._transport is not None else None
         if sock is None:
             return 0
         try:
-            found = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(_COUNT.size))
+            found = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(_INT.size))
         except (OSError, ValueError):
             return 0
-        return int(_COUNT.unpack(found)[0])
+        return int(_INT.unpack(found)[0])
 
     def begin(
         self, data: bytes, finished: Callable[[Message, bool], None], lease: SendLease | None = None
     ) -> None:
-        """Send a call under a lease. `finished` gets what came back and whether the last byte had been
-        written.
+        """Send a call under a lease. `finished` gets the answer as far as it was received, and whether the
+        call's last byte was written.
         """
         assert self.state is State.IDLE and self._transport is not None
         self.state, self._finished, self.flushed = State.BUSY, finished, True
         self.slot.arm(lease, len(data))
         self._transport.write(data)
-        if self._transport.is_closing():  # it broke as it was written to, and the system took nothing
+        if self._transport.is_closing():  # the write failed, and the system accepted nothing
             self.flushed = False
 
     def pause_writing(self) -> None:
@@ -324,63 +336,70 @@
         self.flushed = True
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        return _RECEIVE
+        return _RECEIVE_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        if self.state is not State.BUSY:  # nobody asked: an answer that could be taken for the next call's
+        if self.state is not State.BUSY:  # unsolicited data could be taken for the next call's answer
             self.close()
             return
         try:
-            done = self._parser.feed(memoryview(_RECEIVE)[:nbytes])
+            done = self._parser.feed(memoryview(_RECEIVE_BUFFER)[:nbytes])
         except HttpError:
             self.close()
             return
-        if self._rest is None and self._most_rest is not None and not done and not self._parser.clean:
-            self._rest = asyncio.get_running_loop().call_later(self._most_rest, self._overdue)
-        elif self._rest is not None and (done or self._parser.clean):
-            self._rest.cancel()
-            self._rest = None
+        if (
+            self._completion_timer is None
+            and self._completion_timeout_s is not None
+            and not done
+            and not self._parser.clean
+        ):
+            self._completion_timer = asyncio.get_running_loop().call_later(
+                self._completion_timeout_s, self._abort_overdue
+            )
+        elif self._completion_timer is not None and (done or self._parser.clean):
+            self._completion_timer.cancel()
+            self._completion_timer = None
         if done:
             if len(done) > 1 or not self._parser.clean or not done[0].keep_alive or not self.flushed:
-                self._shut()
+                self._abort_transport()
             else:
                 self.state, self.idle_since = State.IDLE, asyncio.get_running_loop().time()
             self._finish(done[0], True)
             if self.state is State.CLOSED:
-                self._let_go()
+                self._report_lost()
 
-    def _overdue(self) -> None:
+    def _abort_overdue(self) -> None:
         self._parser.current.unreadable = self.overdue = True
         self.close()
 
     def eof_received(self) -> bool:
         if (message := self._parser.end()) is not None:
-            self._shut()
+            self._abort_transport()
             self._finish(message, True)
-            self._let_go()
+            self._report_lost()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
         self.close()
 
     def close(self) -> None:
-        """End the connection, and with it the call that is out on it."""
+        """Close the connection, and end the call in flight on it."""
         if self.state is State.CLOSED:
             return
         partial, flushed = self._parser.current, self.flushed
-        self._shut()
+        self._abort_transport()
         self._finish(partial, flushed)
-        self._let_go()
+        self._report_lost()
 
-    def _let_go(self) -> None:
-        """Its holder hears of the end once, whoever else ended it while the call's answer was told."""
-        lost, self._lost = self._lost, _nobody
+    def _report_lost(self) -> None:
+        """Report the end of the connection once, even if the call's callback closed it as well."""
+        lost, self._lost = self._lost, _ignore
         lost(self)
 
-    def _shut(self) -> None:
+    def _abort_transport(self) -> None:
         self.state = State.CLOSED
-        if self._rest is not None:
-            self._rest.cancel()
+        if self._completion_timer is not None:
+            self._completion_timer.cancel()
         if self._transport is not None:
             self._transport.abort()
 
@@ -391,15 +410,21 @@
 
 
 class Client:
-    """One kept connection to one address, for exchanges that follow one another."""
+    """A client of one address that keeps one connection, for one exchange at a time."""
 
     def __init__(
-        self, host: str, port: int, max_body_bytes: int = 1 << 20, rest: float | None = None
+        self,
+        host: str,
+        port: int,
+        max_body_bytes: int = 1 << 20,
+        completion_timeout_s: float | None = None,
     ) -> None:
-        self.host, self.port, self._most, self._rest = host, port, max_body_bytes, rest
+        self.host, self.port = host, port
+        self._max_body_bytes, self._completion_timeout_s = max_body_bytes, completion_timeout_s
         self._connection: Connection | None = None
 
     def close(self) -> None:
+        """Close the connection."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
@@ -409,17 +434,17 @@
             self._connection = None
 
     async def exchange(self, data: bytes, limit: float, connect_limit: float = 1.5) -> Message:
-        """The whole answer; TimeoutError where nothing comes in time, another OSError where it broke."""
+        """Send a request and return the complete answer. TimeoutError if it is not received in time, another
+        OSError if the connection broke.
+        """
         loop = asyncio.get_running_loop()
         connection = self._connection
         if connection is None or connection.state is not State.IDLE or not connection.has_no_unread_data:
             self.close()
-            made = Connection(self._forget, self._most, self._rest)
-            patient_until = loop.time() + connect_limit
-            await connect(
-                lambda: made, self.host, self.port, connect_limit, lambda: loop.time() < patient_until
-            )
-            self._connection = connection = made
+            new = Connection(self._forget, self._max_body_bytes, self._completion_timeout_s)
+            retry_until = loop.time() + connect_limit
+            await connect(lambda: new, self.host, self.port, connect_limit, lambda: loop.time() < retry_until)
+            self._connection = connection = new
         answer: asyncio.Future[Message] = loop.create_future()
 
         def finished(message: Message, flushed: bool) -> None:
@@ -436,12 +461,12 @@
             connection.close()
             if not answer.done() or answer.cancelled():
                 raise
-            message = answer.result()  # it came in the very turn in which the time was over
+            message = answer.result()  # received in the same turn of the event loop as the timeout
         except asyncio.CancelledError:
             connection.close()
             raise
         if connection.overdue:
-            raise TimeoutError("the answer stopped half-way")
+            raise TimeoutError("the answer was not complete in time")
         if not message.complete:
-            raise ConnectionResetError("the answer broke off")
+            raise ConnectionResetError("the connection ended before the answer was complete")
         return message
