--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -1,4 +1,4 @@
-"""Next hops over HTTP: one call a connection, connections reused, every outcome as the protocol has it."""
+"""Next hops over HTTP: one call at a time per connection, connections reused, outcomes by the protocol."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 log = logging.getLogger("mountgauge.next_hops")
 
-_IDLE_MARGIN_S = 0.25  # s before connIdle at which an idle connection is dropped: past it a call is a reset
-_MOST_BODY_BYTES = 64 * 1024
-_ANSWER_REST_S = 0.5  # s in which an answer that has begun must be whole
-_MOST_ANSWER_BYTES = 128 * 1024  # bytes of body: past it nothing can be meant that is to be read
-_STATES = {
+# An idle connection is closed so long before connIdle, after which a call on it would be reset.
+_IDLE_MARGIN_S = 0.25
+_MAX_BODY_BYTES = 64 * 1024
+_ANSWER_COMPLETION_TIMEOUT_S = 0.5  # counted from the first data of an answer
+_MAX_ANSWER_BODY_BYTES = 128 * 1024  # more than any meaningful answer needs
+_RESULTS_BY_STATE = {
     "ok": AttemptResult(Outcome.OK),
     "error": AttemptResult(Outcome.ERROR),
     "later": AttemptResult(Outcome.FULL),
@@ -32,123 +33,131 @@
 }
 
 
-_IDLE_STEPS_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # s: bounds of the ranges that are told apart
-_REUSE_GAIN = 1 / 16  # weight of the newest use in a range's share of stale ones
-_MOST_STALE = 0.15  # share past which a new connection costs less than what a reset does
-_RETRIED_EVERY = 16  # of so many kept ones in a range that is left alone, one is used all the same
+_IDLE_RANGE_BOUNDS_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # of the idle times that are counted separately
+_STALE_SHARE_GAIN = 1 / 16  # weight of the newest use in a range's share of stale connections
+_MAX_STALE_SHARE = 0.15  # above it a new connection costs less than the resets
+_RETRIED_EVERY = 16  # one in so many connections of a range above that share is reused all the same
 
 
 class ReuseStatistics:
-    """How kept connections fared, by how long they had been idle: partners drop them sooner than they say."""
+    """Shares of reused connections that were stale, by their idle time before the reuse.
+
+    Partners close idle connections sooner than they declare.
+    """
 
     def __init__(self) -> None:
-        self._stale = [0.0] * (len(_IDLE_STEPS_S) + 1)
-        self._skipped = [0] * len(self._stale)
+        self._stale_shares = [0.0] * (len(_IDLE_RANGE_BOUNDS_S) + 1)
+        self._skipped = [0] * len(self._stale_shares)
 
-    def usable(self, idle: float) -> bool:
-        place = bisect(_IDLE_STEPS_S, idle)
-        if self._stale[place] <= _MOST_STALE:
+    def usable(self, idle_s: float) -> bool:
+        """Whether to reuse a connection that has been idle for so long."""
+        index = bisect(_IDLE_RANGE_BOUNDS_S, idle_s)
+        if self._stale_shares[index] <= _MAX_STALE_SHARE:
             return True
-        self._skipped[place] = (self._skipped[place] + 1) % _RETRIED_EVERY
-        return not self._skipped[place]
+        self._skipped[index] = (self._skipped[index] + 1) % _RETRIED_EVERY
+        return not self._skipped[index]
 
-    def fared(self, idle: float, stale: bool) -> None:
-        place = bisect(_IDLE_STEPS_S, idle)
-        self._stale[place] += _REUSE_GAIN * (stale - self._stale[place])
+    def record(self, idle_s: float, stale: bool) -> None:
+        """Record whether a connection that had been idle for so long was stale."""
+        index = bisect(_IDLE_RANGE_BOUNDS_S, idle_s)
+        self._stale_shares[index] += _STALE_SHARE_GAIN * (stale - self._stale_shares[index])
 
 
-Place = tuple[str, str, int]  # a next hop at an address: it may move
+PoolKey = tuple[str, str, int]  # id, host and port of a next hop, whose address may change
 
 
-def _place(hop: NextHop) -> Place:
+def _pool_key(hop: NextHop) -> PoolKey:
     return hop.id, hop.host, hop.port
 
 
 @dataclass(slots=True, eq=False)
 class _OpenCall:
-    """A call that is out: on a connection, or waiting for one."""
+    """A call that has not finished: in flight on a connection, or waiting for one."""
 
     call: Call
     timer: asyncio.TimerHandle
     connection: Connection | None = None
-    task: asyncio.Task[None] | None = None
-    going: list[CallItem] = field(default_factory=list)
-    stopped: Outcome | None = None
-    idle: float | None = None  # s that its connection had been kept, None for a new one
-    last: bool = False  # its endpoint has left meanwhile: the connection goes with the call
-    short: bool = False  # this machine had no descriptor or port for it, which says nothing of its endpoint
+    task: asyncio.Task[None] | None = None  # while it waits for a new connection
+    admitted: list[CallItem] = field(default_factory=list)
+    stopped: Outcome | None = None  # set if the sender itself ended the call
+    idle_s: float | None = None  # how long its reused connection had been idle; None for a new one
+    last: bool = False  # its endpoint was removed meanwhile: close the connection after the call
+    local_shortage: bool = False  # no descriptor or port on this machine: says nothing about its endpoint
 
 
 class HttpNextHops:
-    """Delivers calls over HTTP, on connections that are kept for the next ones."""
+    """Sends calls over HTTP, on connections that are kept for reuse."""
 
     def __init__(self, owner: CallOwner, connect_timeout: float, conn_idle: float, most: int) -> None:
+        """`most`: the maximum number of connections."""
         self._owner = owner
         self._connect_timeout = connect_timeout
-        self._idle = max(0.1, conn_idle - _IDLE_MARGIN_S)
-        self._most = most  # connections at once
-        self._pools: dict[Place, list[Connection]] = {}  # idle ones, the freshest last
-        self._places: dict[str, list[Place]] = {}  # of the pools, by next hop
+        self._max_idle_s = max(0.1, conn_idle - _IDLE_MARGIN_S)
+        self._max_connections = most
+        self._pools: dict[PoolKey, list[Connection]] = {}  # idle connections, the newest last
+        self._places: dict[str, list[PoolKey]] = {}  # by next hop
         self._open = 0
-        self._out: dict[Call, _OpenCall] = {}
+        self._open_calls: dict[Call, _OpenCall] = {}
         self._reuse = ReuseStatistics()
         self.opened = 0
 
     # The pool
 
-    def _pick(self, place: Place) -> Connection | None:
-        pool = self._pools.get(place, [])
+    def _take_idle(self, key: PoolKey) -> Connection | None:
+        pool = self._pools.get(key, [])
         now = asyncio.get_running_loop().time()
         while pool:
             connection = pool.pop()
-            fresh = connection.state is State.IDLE and now - connection.idle_since < self._idle
+            fresh = connection.state is State.IDLE and now - connection.idle_since < self._max_idle_s
             if fresh and connection.has_no_unread_data and self._reuse.usable(now - connection.idle_since):
                 return connection
             connection.close()
         return None
 
-    def _lost(self, place: Place) -> Callable[[Connection], None]:
+    def _lost(self, key: PoolKey) -> Callable[[Connection], None]:
         def lost(connection: Connection) -> None:
             self._open -= 1
-            pool = self._pools.get(place, [])
+            pool = self._pools.get(key, [])
             if connection in pool:
                 pool.remove(connection)
-            if not pool and self._pools.pop(place, None) is not None:
-                self._forget(place)
+            if not pool and self._pools.pop(key, None) is not None:
+                self._forget(key)
 
         return lost
 
-    def _forget(self, place: Place) -> None:
-        places = self._places[place[0]]
-        places.remove(place)
-        if not places:
-            del self._places[place[0]]
+    def _forget(self, key: PoolKey) -> None:
+        keys = self._places[key[0]]
+        keys.remove(key)
+        if not keys:
+            del self._places[key[0]]
 
-    def _rest(self, out: _OpenCall, connection: Connection) -> None:
-        """Its call is over: it is kept for the next one, unless it broke or its endpoint has left."""
+    def _rest(self, open_call: _OpenCall, connection: Connection) -> None:
+        """Keep the connection of a finished call for reuse, unless it broke or its endpoint was removed."""
         if connection.state is not State.IDLE:
             return
-        if out.last:
+        if open_call.last:
             connection.close()
             return
-        place = _place(out.call.hop)
-        if (pool := self._pools.get(place)) is None:
-            pool = self._pools[place] = []
-            self._places.setdefault(place[0], []).append(place)
+        key = _pool_key(open_call.call.hop)
+        if (pool := self._pools.get(key)) is None:
+            pool = self._pools[key] = []
+            self._places.setdefault(key[0], []).append(key)
         pool.append(connection)
-        asyncio.get_running_loop().call_later(self._idle, self._expire, place, connection)
+        asyncio.get_running_loop().call_later(self._max_idle_s, self._expire, key, connection)
 
-    def _expire(self, place: Place, connection: Connection) -> None:
-        pool = self._pools.get(place, [])
+    def _expire(self, key: PoolKey, connection: Connection) -> None:
+        pool = self._pools.get(key, [])
         now = asyncio.get_running_loop().time()
-        if connection in pool and now - connection.idle_since >= self._idle - 0.001:
+        if connection in pool and now - connection.idle_since >= self._max_idle_s - 0.001:
             connection.close()
 
     def _make_room(self) -> bool:
-        """Idle connections must not keep a call from going out when descriptors run short."""
-        if self._open >= self._most:
+        """Whether one more connection may be opened. If need be, an idle one is closed, as idle connections
+        must not prevent a call.
+        """
+        if self._open >= self._max_connections:
             self._close_oldest_idle()
-        return self._open < self._most
+        return self._open < self._max_connections
 
     def _close_oldest_idle(self) -> None:
         idle = [c for pool in self._pools.values() for c in pool]
@@ -156,86 +165,94 @@
             min(idle, key=lambda c: c.idle_since).close()
 
     def close_idle(self, hop_id: str) -> None:
-        """Those at rest now; one with a call out goes once that is answered."""
-        for out in self._out.values():
-            out.last = out.last or out.call.hop.id == hop_id
-        for place in list(self._places.get(hop_id, ())):
-            for connection in list(self._pools.get(place, [])):
+        """Close the idle connections to this next hop, and each that carries a call after its answer."""
+        for open_call in self._open_calls.values():
+            open_call.last = open_call.last or open_call.call.hop.id == hop_id
+        for key in list(self._places.get(hop_id, ())):
+            for connection in list(self._pools.get(key, [])):
                 connection.close()
 
     # Calls
 
     def start(self, call: Call) -> None:
+        """Send a call on an idle connection, or on a new one if there is none."""
         loop = asyncio.get_running_loop()
-        out = _OpenCall(call, loop.call_at(call.times_out_at, self._give_up, call))
-        self._out[call] = out
-        if (connection := self._pick(_place(call.hop))) is not None:
-            out.connection = connection
-            out.idle = loop.time() - connection.idle_since
-            self._send(out)
+        open_call = _OpenCall(call, loop.call_at(call.times_out_at, self._give_up, call))
+        self._open_calls[call] = open_call
+        if (connection := self._take_idle(_pool_key(call.hop))) is not None:
+            open_call.connection = connection
+            open_call.idle_s = loop.time() - connection.idle_since
+            self._send(open_call)
         elif self._make_room():
             self._open += 1
             self.opened += 1
-            connection = Connection(self._lost(_place(call.hop)), _MOST_ANSWER_BYTES, _ANSWER_REST_S)
-            out.task = loop.create_task(self._connect(out, connection))
-            out.task.add_done_callback(lambda task: self._tried(connection))
+            connection = Connection(
+                self._lost(_pool_key(call.hop)), _MAX_ANSWER_BODY_BYTES, _ANSWER_COMPLETION_TIMEOUT_S
+            )
+            open_call.task = loop.create_task(self._connect(open_call, connection))
+            open_call.task.add_done_callback(lambda task: self._connect_ended(connection))
         else:
-            loop.call_soon(self._finish, out, {})  # not sent
+            loop.call_soon(self._finish, open_call, {})  # not sent
 
-    def _tried(self, connection: Connection) -> None:
-        """One counter for each descriptor: where a connection has come up, `_lost` counts it out; where the
-        attempt has ended without one, also before its first step, none will, and it is counted out here.
+    def _connect_ended(self, connection: Connection) -> None:
+        """Release the slot of a connection that was not established, also if connecting never began. The slot
+        of an established one is released by `_lost`.
         """
         if connection.state is State.CONNECTING:
             self._open -= 1
 
-    async def _connect(self, out: _OpenCall, connection: Connection) -> None:
-        hop = out.call.hop
+    async def _connect(self, open_call: _OpenCall, connection: Connection) -> None:
+        hop = open_call.call.hop
 
         def on_shortage() -> bool:
-            out.short = True
+            open_call.local_shortage = True
             self._close_oldest_idle()
-            return True  # until the call is given up
+            return True  # try again until the call times out
 
         try:
             await connect(
                 lambda: connection, hop.host, hop.port, self._connect_timeout, on_shortage, connection.slot
             )
         except OSError:
-            self._finish(out, {item.number: AttemptResult(Outcome.CONNECT_FAILED) for item in out.call.items})
+            self._finish(
+                open_call,
+                {item.number: AttemptResult(Outcome.CONNECT_FAILED) for item in open_call.call.items},
+            )
             return
-        except asyncio.CancelledError:  # given up, before a byte was written
+        except asyncio.CancelledError:  # timed out or cancelled, before a byte was written
             if connection.state is not State.CONNECTING:
                 connection.close()
             raise
-        out.task = None
-        out.connection = connection
-        self._send(out)
+        open_call.task = None
+        open_call.connection = connection
+        self._send(open_call)
 
-    def _send(self, out: _OpenCall) -> None:
-        call, connection = out.call, out.connection
+    def _send(self, open_call: _OpenCall) -> None:
+        call, connection = open_call.call, open_call.connection
         assert connection is not None
         if connection.state is not State.IDLE:  # broke before the first byte
-            self._finish(out, {item.number: AttemptResult(Outcome.CONNECT_FAILED) for item in call.items})
+            self._finish(
+                open_call, {item.number: AttemptResult(Outcome.CONNECT_FAILED) for item in call.items}
+            )
             return
-        going = self._owner.admit(call, _fitting(call.items))
-        if not going:
-            self._rest(out, connection)
-            self._finish(out, {})
+        admitted = self._owner.admit(call, _fitting(call.items))
+        if not admitted:
+            self._rest(open_call, connection)
+            self._finish(open_call, {})
             return
-        out.going = going
-        # One answer ends them all, so none is waited for past the time of another.
+        open_call.admitted = admitted
+        # One answer ends the call for all its messages, so it times out when the first of them expires.
         loop = asyncio.get_running_loop()
-        first = min(item.expires for item in going)
-        if first < call.times_out_at:
-            call.times_out_at = first
-            out.timer.cancel()
-            out.timer = loop.call_at(first, self._give_up, call)
-        left = max(1, math.floor((call.times_out_at - loop.time()) * 1000))
+        first_expiry = min(item.expires for item in admitted)
+        if first_expiry < call.times_out_at:
+            call.times_out_at = first_expiry
+            open_call.timer.cancel()
+            open_call.timer = loop.call_at(first_expiry, self._give_up, call)
+        remaining_ms = max(1, math.floor((call.times_out_at - loop.time()) * 1000))
         host = f"{call.hop.host}:{call.hop.port}"
-        headers = {"X-Expires-In-Ms": str(left)}
-        if len(going) == 1:
-            item = going[0]
+        headers = {"X-Expires-In-Ms": str(remaining_ms)}
+        if len(admitted) == 1:
+            item = admitted[0]
             headers["X-Trace-Id"] = item.id
             if item.key:
                 headers["Idempotency-Key"] = item.key
@@ -243,86 +260,101 @@
             data = request("POST", "/hook", host, headers, item.body)
         else:
             headers["Content-Type"] = "application/json"
-            data = request("POST", "/hook/batch", host, headers, _batch(going))
-        connection.begin(data, lambda message, flushed: self._answered(out, message, flushed), call.lease)
+            data = request("POST", "/hook/batch", host, headers, _batch(admitted))
+        connection.begin(
+            data, lambda message, flushed: self._answered(open_call, message, flushed), call.lease
+        )
         if not connection.flushed and call.lease is not None:
-            loop.call_at(call.lease.permit.until, self._end_lease, out)
+            loop.call_at(call.lease.permit.until, self._end_lease, open_call)
 
-    def _end_lease(self, out: _OpenCall) -> None:
-        """What has not left in full by the end of its lease never begins at the next hop."""
-        if out.call in self._out and out.connection is not None and not out.connection.flushed:
-            out.connection.close()
-
-    def _answered(self, out: _OpenCall, message: Message, flushed: bool) -> None:
+    def _end_lease(self, open_call: _OpenCall) -> None:
+        """Close the connection of a call that was not sent in full by the end of its lease, so that the next
+        hop never begins it.
+        """
+        if (
+            open_call.call in self._open_calls
+            and open_call.connection is not None
+            and not open_call.connection.flushed
+        ):
+            open_call.connection.close()
+
+    def _answered(self, open_call: _OpenCall, message: Message, flushed: bool) -> None:
         results: dict[int, AttemptResult] = {}
-        lost = message.start is None and out.stopped is None and not message.unreadable
-        if out.idle is not None:
-            self._reuse.fared(out.idle, lost)
-        cut = not message.head_done and not message.unreadable and message.status != 200
-        if cut or (message.status == 0 and not (message.unreadable and flushed)):
-            # With its last byte not written, the call has not begun at the next hop.
-            result = AttemptResult((out.stopped or Outcome.RESET) if flushed else self._unsent(out))
-            result = result._replace(stale=lost and out.idle is not None)
-            results = {item.number: result for item in out.going}
-        elif message.unreadable and (len(out.going) > 1 or message.status != 200):
-            # The next hop is there and has read the call: an error, not an outage. A wait came with the head.
+        lost = message.start is None and open_call.stopped is None and not message.unreadable
+        if open_call.idle_s is not None:
+            self._reuse.record(open_call.idle_s, lost)
+        cut_off = not message.head_done and not message.unreadable and message.status != 200
+        if cut_off or (message.status == 0 and not (message.unreadable and flushed)):
+            # If its last byte was not written, the next hop has not begun the call.
+            result = AttemptResult(
+                (open_call.stopped or Outcome.RESET) if flushed else self._unsent(open_call)
+            )
+            result = result._replace(stale=lost and open_call.idle_s is not None)
+            results = {item.number: result for item in open_call.admitted}
+        elif message.unreadable and (len(open_call.admitted) > 1 or message.status != 200):
+            # The next hop is up and has read the call: an error, not an outage. The headers may hold a wait.
             result = AttemptResult(Outcome.ERROR, required_wait_s=retry_after_s(message))
-            results = {item.number: result for item in out.going}
-        elif len(out.going) > 1 and message.status == 200:
-            results = _batch_results(out, message)
+            results = {item.number: result for item in open_call.admitted}
+        elif len(open_call.admitted) > 1 and message.status == 200:
+            results = _batch_results(open_call, message)
         else:
             result = _result(message)
-            results = {item.number: result for item in out.going}
-        if out.connection is not None:
-            self._rest(out, out.connection)
-        self._finish(out, results)
+            results = {item.number: result for item in open_call.admitted}
+        if open_call.connection is not None:
+            self._rest(open_call, open_call.connection)
+        self._finish(open_call, results)
 
     @staticmethod
-    def _unsent(out: _OpenCall) -> Outcome:
-        """The outcome of a call that did not leave in full: an ended lease says nothing of its next hop."""
-        lease = out.call.lease
+    def _unsent(open_call: _OpenCall) -> Outcome:
+        """Return the outcome of a call that was not sent in full. An ended lease is no fault of its hop."""
+        lease = open_call.call.lease
         return Outcome.MOOT if lease is not None and lease.refusal is not None else Outcome.CONNECT_FAILED
 
     def _give_up(self, call: Call, outcome: Outcome = Outcome.TIMEOUT) -> None:
-        """Stop waiting. The connection goes too: its late answer would be taken for the next call's."""
-        out = self._out.get(call)
-        if out is None:
+        """Time out or cancel a call. Its connection is closed too, because a late answer would be taken for
+        the answer to the next call.
+        """
+        open_call = self._open_calls.get(call)
+        if open_call is None:
             return
-        if out.task is not None:
-            out.task.cancel()
-            moot = out.short or outcome == Outcome.CANCELLED
-            never = Outcome.MOOT if moot else Outcome.CONNECT_FAILED
-            self._finish(out, {item.number: AttemptResult(never) for item in call.items})
-        elif out.connection is not None:
-            out.stopped = outcome
-            out.connection.close()
+        if open_call.task is not None:
+            open_call.task.cancel()
+            moot = open_call.local_shortage or outcome == Outcome.CANCELLED
+            not_sent = Outcome.MOOT if moot else Outcome.CONNECT_FAILED
+            self._finish(open_call, {item.number: AttemptResult(not_sent) for item in call.items})
+        elif open_call.connection is not None:
+            open_call.stopped = outcome
+            open_call.connection.close()
 
     def cancel(self, call: Call) -> None:
+        """Cancel a call, if it has not finished."""
         self._give_up(call, Outcome.CANCELLED)
 
-    def _finish(self, out: _OpenCall, results: dict[int, AttemptResult]) -> None:
-        if self._out.pop(out.call, None) is not None:
-            out.timer.cancel()
-            self._owner.finished(out.call, results)
+    def _finish(self, open_call: _OpenCall, results: dict[int, AttemptResult]) -> None:
+        if self._open_calls.pop(open_call.call, None) is not None:
+            open_call.timer.cancel()
+            self._owner.finished(open_call.call, results)
 
     @property
     def in_flight(self) -> int:
-        return len(self._out)
+        """The number of calls that have not finished."""
+        return len(self._open_calls)
 
     def close(self) -> None:
-        for out in list(self._out.values()):
-            self._give_up(out.call, Outcome.RESET)
+        """End all calls as reset, and close the idle connections."""
+        for open_call in list(self._open_calls.values()):
+            self._give_up(open_call.call, Outcome.RESET)
         for pool in list(self._pools.values()):
             for connection in list(pool):
                 connection.close()
 
 
 def _fitting(items: list[CallItem]) -> list[CallItem]:
-    """A batch of large bodies would pass the bound on a call's body: its tail goes with a later one."""
+    """Return the first items that fit into the body of one call; a later call sends the others."""
     size, count = 2, 0
     for item in items:
         size += 4 * -(-len(item.body) // 3) + len(item.id) + len(item.key) + 40
-        if count and size > _MOST_BODY_BYTES:
+        if count and size > _MAX_BODY_BYTES:
             break
         count += 1
     return items[:count]
@@ -339,7 +371,7 @@
 
 
 def _result(message: Message) -> AttemptResult:
-    """The protocol's table, from the first line on: headers may still be missing."""
+    """Return the result by the protocol's table. The status line is enough: headers may be missing."""
     match message.status:
         case 200:
             return AttemptResult(Outcome.OK, required_wait_s=retry_after_s(message))
@@ -357,22 +389,26 @@
             return AttemptResult(Outcome.ERROR, required_wait_s=retry_after_s(message))
 
 
-def _batch_results(out: _OpenCall, message: Message) -> dict[int, AttemptResult]:
-    """Per item; one that the answer does not name, or an answer cut short, may have run."""
+def _batch_results(open_call: _OpenCall, message: Message) -> dict[int, AttemptResult]:
+    """Return a result for each item. An item that the answer omits, or whose answer was cut off, may have
+    been carried out.
+    """
     states: dict[str, str] = {}
     if message.complete:
         try:
             for line in orjson.loads(message.body):
                 msg_id, state = str(line["id"]), str(line["state"])
-                # Named twice with two states, neither proves anything: it may have run.
+                # An item with two different states proves neither: it may have been carried out.
                 states[msg_id] = state if states.get(msg_id, state) == state else ""
         except (ValueError, TypeError, KeyError):
             log.warning("bad-batch-answer")
     missing = (
-        AttemptResult(Outcome.ERROR) if message.complete else AttemptResult(out.stopped or Outcome.RESET)
+        AttemptResult(Outcome.ERROR)
+        if message.complete
+        else AttemptResult(open_call.stopped or Outcome.RESET)
     )
     wait = retry_after_s(message)
     return {
-        item.number: _STATES.get(states.get(item.id, ""), missing)._replace(required_wait_s=wait)
-        for item in out.going
+        item.number: _RESULTS_BY_STATE.get(states.get(item.id, ""), missing)._replace(required_wait_s=wait)
+        for item in open_call.admitted
     }
