--- a/benchmarks/slopes/hops.py
+++ b/benchmarks/slopes/hops.py
@@ -25,7 +25,7 @@
     """One idle connection."""
     place = (hop_id, "127.0.0.1", 1024)
     http._pools[place] = [Connection(_forgotten)]
-    http._places[hop_id] = [place]
+    http._pool_keys[hop_id] = [place]
 
 
 def _close_idle(count: int) -> Sample:
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -95,7 +95,7 @@
         self._max_idle_s = max(0.1, conn_idle - _IDLE_MARGIN_S)
         self._max_connections = most
         self._pools: dict[PoolKey, list[Connection]] = {}  # idle connections, the newest last
-        self._places: dict[str, list[PoolKey]] = {}  # by next hop
+        self._pool_keys: dict[str, list[PoolKey]] = {}  # by next hop
         self._open = 0
         self._open_calls: dict[Call, _OpenCall] = {}
         self._reuse = ReuseStatistics()
@@ -126,10 +126,10 @@
         return lost
 
     def _forget(self, key: PoolKey) -> None:
-        keys = self._places[key[0]]
+        keys = self._pool_keys[key[0]]
         keys.remove(key)
         if not keys:
-            del self._places[key[0]]
+            del self._pool_keys[key[0]]
 
     def _rest(self, open_call: _OpenCall, connection: Connection) -> None:
         """Keep the connection of a finished call for reuse, unless it broke or its endpoint was removed."""
@@ -141,7 +141,7 @@
         key = _pool_key(open_call.call.hop)
         if (pool := self._pools.get(key)) is None:
             pool = self._pools[key] = []
-            self._places.setdefault(key[0], []).append(key)
+            self._pool_keys.setdefault(key[0], []).append(key)
         pool.append(connection)
         asyncio.get_running_loop().call_later(self._max_idle_s, self._expire, key, connection)
 
@@ -168,7 +168,7 @@
         """Close the idle connections to this next hop, and each that carries a call after its answer."""
         for open_call in self._open_calls.values():
             open_call.last = open_call.last or open_call.call.hop.id == hop_id
-        for key in list(self._places.get(hop_id, ())):
+        for key in list(self._pool_keys.get(hop_id, ())):
             for connection in list(self._pools.get(key, [])):
                 connection.close()
 
--- a/tests/test_hop_table.py
+++ b/tests/test_hop_table.py
@@ -316,6 +316,6 @@
         assert closed == made[14:16] and len(visits) <= 4 and len(hops._pools) == 2 * listed - 2
         for idle in [one for one in made if one not in closed]:
             idle.close()
-        assert not hops._pools and not hops._places
+        assert not hops._pools and not hops._pool_keys
 
     run(main())
