--- a/benchmarks/slopes/hops.py
+++ b/benchmarks/slopes/hops.py
@@ -43,12 +43,12 @@
     http._open = 2
     for number in range(count):
         _keep(http, f"hop-{number}")
-    return lambda: timed(http._make_room)
+    return lambda: timed(http._free_slot)
 
 
 PROBES = (
     Probe("hops-close-idle", _close_idle, "mountgauge.next_hops.HttpNextHops.close_idle",
           axis=Axis.CONNECTIONS, sizes=_SIZES),
-    Probe("hops-make-room", _make_room, "mountgauge.next_hops.HttpNextHops._make_room",
+    Probe("hops-make-room", _make_room, "mountgauge.next_hops.HttpNextHops._free_slot",
           axis=Axis.CONNECTIONS, sizes=_SIZES),
 )  # fmt: skip
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -151,7 +151,7 @@
         if connection in pool and now - connection.idle_since >= self._max_idle_s - 0.001:
             connection.close()
 
-    def _make_room(self) -> bool:
+    def _free_slot(self) -> bool:
         """Whether one more connection may be opened. If need be, an idle one is closed, as idle connections
         must not prevent a call.
         """
@@ -183,7 +183,7 @@
             open_call.connection = connection
             open_call.idle_s = loop.time() - connection.idle_since
             self._send(open_call)
-        elif self._make_room():
+        elif self._free_slot():
             self._open += 1
             self.opened += 1
             connection = Connection(
