--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -81,7 +81,7 @@
     admitted: list[CallItem] = field(default_factory=list)
     stopped: Outcome | None = None  # set if the sender itself ended the call
     idle_s: float | None = None  # how long its reused connection had been idle; None for a new one
-    last: bool = False  # its endpoint was removed meanwhile: close the connection after the call
+    close_after: bool = False  # its endpoint was removed meanwhile: close the connection after the call
     local_shortage: bool = False  # no descriptor or port on this machine: says nothing about its endpoint
 
 
@@ -131,11 +131,11 @@
         if not keys:
             del self._pool_keys[key[0]]
 
-    def _rest(self, open_call: _OpenCall, connection: Connection) -> None:
+    def _release(self, open_call: _OpenCall, connection: Connection) -> None:
         """Keep the connection of a finished call for reuse, unless it broke or its endpoint was removed."""
         if connection.state is not State.IDLE:
             return
-        if open_call.last:
+        if open_call.close_after:
             connection.close()
             return
         key = _pool_key(open_call.call.hop)
@@ -167,7 +167,7 @@
     def close_idle(self, hop_id: str) -> None:
         """Close the idle connections to this next hop, and each that carries a call after its answer."""
         for open_call in self._open_calls.values():
-            open_call.last = open_call.last or open_call.call.hop.id == hop_id
+            open_call.close_after = open_call.close_after or open_call.call.hop.id == hop_id
         for key in list(self._pool_keys.get(hop_id, ())):
             for connection in list(self._pools.get(key, [])):
                 connection.close()
@@ -237,7 +237,7 @@
             return
         admitted = self._owner.admit(call, _fitting(call.items))
         if not admitted:
-            self._rest(open_call, connection)
+            self._release(open_call, connection)
             self._finish(open_call, {})
             return
         open_call.admitted = admitted
@@ -301,7 +301,7 @@
             result = _result(message)
             results = {item.number: result for item in open_call.admitted}
         if open_call.connection is not None:
-            self._rest(open_call, open_call.connection)
+            self._release(open_call, open_call.connection)
         self._finish(open_call, results)
 
     @staticmethod
--- a/tests/test_hop_table.py
+++ b/tests/test_hop_table.py
@@ -308,7 +308,7 @@
             for port in (1, 2):
                 hop = next_hop(n, port=port)
                 idle = Idle(hops._lost((hop.id, hop.host, hop.port)))
-                hops._rest(SimpleNamespace(call=SimpleNamespace(hop=hop), last=False), idle)  # type: ignore[arg-type]
+                hops._release(SimpleNamespace(call=SimpleNamespace(hop=hop), close_after=False), idle)  # type: ignore[arg-type]
                 made.append(idle)
         count_all_iterations(hops, visits)
         hops.close_idle("h7")
