--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -1,4 +1,4 @@
-"""An operator's file (TOML): one sender with the fronts, next hops and classes that the operator sets up."""
+"""Reads an operator's file (TOML): one sender with its fronts, next hops and message classes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     SettingNames,
 )
 from mountgauge.core.ports import NextHop
-from mountgauge.recovery.state_file import RESERVED_DISK_BYTES as RECOVERY_ROOM
+from mountgauge.recovery.state_file import RESERVED_DISK_BYTES as RECOVERY_DISK_BYTES
 from mountgauge.settings_table import Table, config_errors_in, read_toml
 from rillspindle.interface import Entry, Readiness, Settings
 
@@ -32,10 +32,10 @@
 _STATES = {"active": Readiness.READY, "leaving": Readiness.DRAINING}
 _PROTOCOLS = ("http", "amqp")
 _KIND = "next-hop"
-BUDGETS_ROOM = 512 * 1024  # bytes of disk for what was promised: twice `budgets.files.MOST_BYTES`
-SHARDS_ROOM = 2 * 1024 * 1024  # bytes of disk for the last shards: twice `relay.kept_list.MAX_BYTES`
-_SHARDED_SLOTS = 64  # where how many next hops there are is not known beforehand
-_LEAST_JOURNAL = 512 * 1024  # bytes of disk that the journal keeps beside the counts of tenants
+BUDGETS_DISK_BYTES = 512 * 1024  # for the file of promises: twice `budgets.files.MOST_BYTES`
+SHARDS_DISK_BYTES = 2 * 1024 * 1024  # for the file of the last shards: twice `relay.kept_list.MAX_BYTES`
+_SHARDED_SLOTS = 64  # with shards the number of next hops is not known beforehand
+_MIN_JOURNAL_BYTES = 512 * 1024  # of disk, which the other files must leave to the journal
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Amqp:
-    """What `[amqp]` says: its front, None where there is none, and who may log in there."""
+    """The settings of `[amqp]`: its front, None if there is none, and the users that may log in there."""
 
     front: AmqpFront | None
     users: Mapping[str, str]
@@ -58,26 +58,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Hops:
-    """The file's next hops: the list itself, and how to speak to each."""
+    """The file's next hops: the list itself, and the protocol and AMQP account of each."""
 
     update: MapUpdate
-    protocols: Mapping[str, str]
-    accounts: Mapping[str, Account]
+    protocols: Mapping[str, str]  # by the next hop's id
+    accounts: Mapping[str, Account]  # by the next hop's id
 
 
 @dataclass(frozen=True, slots=True)
 class Otlp:
-    """`[otlp]`: the collector, and the s between two exports."""
+    """`[otlp]`: the collector, and the interval of exports."""
 
     host: str
     port: int
     path: str
-    interval: float
+    interval: float  # seconds
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """An operator's file, checked."""
+    """A validated operator's file."""
 
     path: Path
     config: Config
@@ -96,13 +96,13 @@
 
 
 def load(path: Path) -> OperatorFile:
-    """The operator's file, checked; ConfigError names the file and the first fault."""
+    """Read and validate an operator's file. ConfigError names the file and the first error in it."""
     with config_errors_in(path):
         return _operator(path, Table(read_toml(path), ""))
 
 
 def load_hops(path: Path, version: int) -> Hops:
-    """The next hops alone, as the file has them now."""
+    """Read only the next hops from the file."""
     return _hops(Table(read_toml(path), ""), version)
 
 
@@ -121,18 +121,18 @@
         raise ConfigError("no front: set amqp.listen or resp.listen")
     notices = resp.address("notices") if resp is not None else None
     tenants = _tenants(top)
-    disk = _disk_beside_counts(int(limits.positive("disk_mb", 16) * 1_000_000), tenants)
+    disk = _disk_left_by_counts(int(limits.positive("disk_mb", 16) * 1_000_000), tenants)
     comeback = top.table("comeback") or Table({}, "comeback")
     enabled = bool(comeback.get("enabled", bool, default=True))
     settings["extra"]["ramp"] = enabled
-    disk -= RECOVERY_ROOM if enabled else 0
+    disk -= RECOVERY_DISK_BYTES if enabled else 0
     budgets = _budgets(top, name, hops, tenants)
     if budgets is not None:
         if tenants is None or tenants.fleet is None:
             raise ConfigError("budget: needs [fleet]")
-        disk = _disk_beside(disk, BUDGETS_ROOM, "budgets")
+        disk = _disk_left(disk, BUDGETS_DISK_BYTES, "budgets")
     if sharding is not None:
-        disk = _disk_beside(disk, SHARDS_ROOM, "shards")
+        disk = _disk_left(disk, SHARDS_DISK_BYTES, "shards")
     access = _access(amqp.users, amqp.vhost, tenants, resp)
     status_listen = _status_listen(status)
     export = read_otlp(otlp) if otlp is not None else None
@@ -142,7 +142,7 @@
         listen=resp_listen or Address("127.0.0.1", 0),
         discovery=Address("127.0.0.1", 0),
         state=state,
-        seed=hash_name(name),
+        seed=seed_from_name(name),
         limits=Limits(
             int(limits.positive("memory_mb", 192) * 1_000_000),
             int(limits.positive("sockets", 1024)),
@@ -151,14 +151,14 @@
         known=hops.update,
         settings=settings,
         rules=Settings.from_mapping(settings),
-        names=SettingNames(tuple(grade["name"] for grade in settings["grades"]), (), (_KIND,)),
+        names=SettingNames(tuple(one["name"] for one in settings["grades"]), (), (_KIND,)),
         conn_idle=settings["ceilings"]["connIdle"],
         console=console_listen,
     )
     clients = None
     if (table := top.table("clients")) is not None:
-        room, _ = shares(config.limits.sockets, config.rules.workers)
-        clients = read_clients(table, room, config.limits.memory_bytes)
+        sockets, _ = shares(config.limits.sockets, config.rules.workers)
+        clients = read_clients(table, sockets, config.limits.memory_bytes)
     for table in (top, limits, resp, status, console, comeback):
         if table is not None:
             table.reject_unknown()
@@ -175,7 +175,7 @@
     if listen is None:
         raise ConfigError("amqp.listen: missing")
     users = table.get("users", dict, default={})
-    if not all(isinstance(word, str) for word in users.values()):
+    if not all(isinstance(password, str) for password in users.values()):
         raise ConfigError("amqp.users: passwords are text")
     heartbeat = int(table.get("heartbeat", int, default=30))
     vhost = table.get("vhost", str, default="/")
@@ -184,28 +184,28 @@
     return _Amqp(front, users, vhost)
 
 
-def _disk_beside_counts(disk: int, tenants: TenantFile | None) -> int:
-    """Bytes of disk that are left beside the counts of these tenants."""
+def _disk_left_by_counts(disk: int, tenants: TenantFile | None) -> int:
+    """Return the bytes of disk that the counts of these tenants leave."""
     if tenants is None:
         return disk
-    need = _disk_for(tenants)
-    if disk - need < _LEAST_JOURNAL:
-        least = (need + _LEAST_JOURNAL) / 1e6
-        raise ConfigError(f"limits.disk_mb: {least:.1f} at least, for the counts of so many tenants")
-    return disk - need
+    needed = _disk_for(tenants)
+    if disk - needed < _MIN_JOURNAL_BYTES:
+        min_mb = (needed + _MIN_JOURNAL_BYTES) / 1e6
+        raise ConfigError(f"limits.disk_mb: {min_mb:.1f} at least, for the counts of these tenants")
+    return disk - needed
 
 
-def _disk_beside(disk: int, room: int, whose: str) -> int:
-    """Bytes of disk that are left beside a file that takes `room` of them."""
-    if disk - room < _LEAST_JOURNAL:
-        raise ConfigError(f"limits.disk_mb: too little for the {whose}' file beside the journal")
-    return disk - room
+def _disk_left(disk: int, reserved: int, content: str) -> int:
+    """Return the bytes of disk that a file with `reserved` bytes leaves."""
+    if disk - reserved < _MIN_JOURNAL_BYTES:
+        raise ConfigError(f"limits.disk_mb: too small for the journal and the file of {content}")
+    return disk - reserved
 
 
 def _status_listen(table: Table | None) -> Address | None:
     listen = table.address("listen") if table is not None else None
     if listen is not None and not listen.host.startswith("127."):
-        raise ConfigError("status.listen: only on loopback")
+        raise ConfigError("status.listen: must be a loopback address")
     return listen
 
 
@@ -219,7 +219,7 @@
 def _tenants(top: Table) -> TenantFile | None:
     if not {"fleet", "tenant"} & set(top.raw):
         return None
-    try:  # with its libraries: only where it is asked for
+    try:  # imported only if configured: it has optional dependencies
         from mountgauge.tenants.settings import read_tenants
     except ModuleNotFoundError as error:
         raise ConfigError(f"fleet, tenant: {error.name} is missing: see requirements-fleet.txt") from None
@@ -232,21 +232,21 @@
         return None
     if hops.update.hops:
         raise ConfigError("next_hop: with [sharding] they come from the relays")
-    from mountgauge.relay.settings import read_sharding  # only where it is asked for
+    from mountgauge.relay.settings import read_sharding  # imported only if configured
 
     return read_sharding(table, path.parent, top.get("name", str))
 
 
 def _budgets(top: Table, name: str, hops: Hops, tenants: TenantFile | None) -> BudgetFile | None:
-    named = tenants.tenants if tenants is not None else ()
-    if not {"budget", "member"} & set(top.raw) and all(one.strict is None for one in named):
+    named_tenants = tenants.tenants if tenants is not None else ()
+    if not {"budget", "member"} & set(top.raw) and all(one.strict is None for one in named_tenants):
         return None
-    try:  # with its libraries: only where it is asked for
+    try:  # imported only if configured: it has optional dependencies
         from mountgauge.budgets.settings import read_budgets
     except ModuleNotFoundError as error:
         raise ConfigError(f"budget: {error.name} is missing: see requirements-fleet.txt") from None
     dests = {hop.entry.owner for hop in hops.update.hops}
-    return read_budgets(top, name, dests, set(hops.protocols), named)
+    return read_budgets(top, name, dests, set(hops.protocols), named_tenants)
 
 
 def _disk_for(tenants: TenantFile) -> int:
@@ -256,36 +256,38 @@
 
 
 def _access(users: Mapping[str, str], vhost: str, tenants: TenantFile | None, resp: Table | None) -> Access:
-    """One table of users for both fronts; those of `[amqp]` belong to no tenant."""
-    found = {name: User(word) for name, word in users.items()}
-    named = tenants.users if tenants is not None else {}
-    if twice := set(found) & set(named):
-        raise ConfigError(f"amqp.users: '{min(twice)}' is a tenant's user too")
-    anonymous = bool(resp.get("anonymous", bool, default=not named)) if resp is not None else not named
-    return Access({**found, **named}, vhost, anonymous)
+    """Return one table of users for both fronts. The users of `[amqp]` belong to the default tenant."""
+    amqp_users = {name: User(password) for name, password in users.items()}
+    tenant_users = tenants.users if tenants is not None else {}
+    if duplicates := set(amqp_users) & set(tenant_users):
+        raise ConfigError(f"amqp.users: '{min(duplicates)}' is a tenant's user too")
+    anonymous = (
+        bool(resp.get("anonymous", bool, default=not tenant_users)) if resp is not None else not tenant_users
+    )
+    return Access({**amqp_users, **tenant_users}, vhost, anonymous)
 
 
-def hash_name(name: str) -> int:
-    """The same for the same name at each start: nothing here needs a secret seed."""
+def seed_from_name(name: str) -> int:
+    """Return the same seed for the same name at each start; it need not be secret."""
     return int.from_bytes(name.encode()[:8].ljust(8, b"\0"), "big")
 
 
 def read_otlp(table: Table) -> Otlp:
-    """Where metrics are sent."""
-    text = table.get("endpoint", str)
-    if not text.startswith("http://"):
+    """Read `[otlp]`: the collector that metrics are sent to."""
+    url = table.get("endpoint", str)
+    if not url.startswith("http://"):
         raise ConfigError("otlp.endpoint: not an http:// address")
-    place, _, path = text.removeprefix("http://").partition("/")
-    address = Address.parse(place, "otlp.endpoint")
-    # As the exporter's specification has it: the signal's path follows a base address.
-    found = Otlp(
+    host_port, _, path = url.removeprefix("http://").partition("/")
+    address = Address.parse(host_port, "otlp.endpoint")
+    # The OTLP exporter specification appends the signal's path to a base address.
+    settings = Otlp(
         address.host,
         address.port,
         "/" + (path.rstrip("/") + "/v1/metrics").lstrip("/"),
         table.positive("interval", 10),
     )
     table.reject_unknown()
-    return found
+    return settings
 
 
 def _hops(top: Table, version: int) -> Hops:
@@ -296,7 +298,7 @@
         if address is None:
             raise ConfigError(f"{table.name}.addr: missing")
         if hop_id in protocols:
-            raise ConfigError(f"{table.name}.id: '{hop_id}' stands twice")
+            raise ConfigError(f"{table.name}.id: '{hop_id}' is used twice")
         protocol = table.get("protocol", str, default="http")
         if protocol not in _PROTOCOLS:
             raise ConfigError(f"{table.name}.protocol: not one of {', '.join(_PROTOCOLS)}")
@@ -326,31 +328,31 @@
 
 
 def _settings(top: Table, hops: int, sharding: SenderSharding | None) -> dict[str, Any]:
-    """The module's settings, with defaults for what an operator need not say. Who divide a destination's
-    limit are all senders, or with shards its replicas.
+    """Return the settings of the decision module, with defaults for what the file may omit. The limit of a
+    destination is divided among all senders, or with shards among the replicas of its shard.
     """
     senders = sharding.shards.replicas if sharding is not None else 1
     slots = _SHARDED_SLOTS if sharding is not None else max(4, 4 * hops)
     rules = top.table("rules") or Table({}, "rules")
-    grades = []
+    classes = []
     for table in top.tables("class"):
         semantics = table.get("semantics", str)
         if semantics not in ("idempotent", "deduplicated", "at_most_once"):
-            raise ConfigError(f"{table.name}.semantics: idempotent, deduplicated or at_most_once")
+            raise ConfigError(f"{table.name}.semantics: must be idempotent, deduplicated or at_most_once")
         deadline = table.positive("deadline")
-        grades.append({
+        classes.append({
             "name": table.get("name", str), "semantics": semantics, "deadline": deadline, "group": "all",
             "aim": min(deadline, table.positive("aim", deadline)), "stream": False,
             "worth": table.positive("worth", 1.0), "repeatWindow": table.positive("repeat_window", deadline),
             "lateWorth": float(table.get("late_worth", int, float, default=0.3)),
         })  # fmt: skip
         table.reject_unknown()
-    if not grades:
+    if not classes:
         raise ConfigError("class: at least one is needed")
     settings = {
         "balancers": int(rules.positive("senders", senders)),
         "zone": 0, "tick": 0.005, "discovery": "subscribe", "weights": "nominal",
-        "grades": grades, "localities": [], "shapes": [_KIND],
+        "grades": classes, "localities": [], "shapes": [_KIND],
         "ceilings": {
             "attemptsCap": int(rules.positive("attempts", 8)), "cancel": True,
             "connIdle": rules.positive("conn_idle", 5.0),
--- a/mountgauge/otlp.py
+++ b/mountgauge/otlp.py
@@ -1,7 +1,7 @@
-"""OTLP over HTTP: metrics as JSON, exported at an interval to a collector. Off unless configured.
+"""Exports metrics to a collector over OTLP/HTTP with JSON encoding, at intervals. Off unless configured.
 
-Delivery never waits for it: one export at a time, each bounded in time, and one that fails is dropped, as
-the counters are cumulative and the next export says it all again.
+Delivery never waits for an export. There is one at a time, each with a timeout, and one that fails is
+dropped, because the counters are cumulative and the next export contains them again.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 
 log = logging.getLogger("mountgauge.otlp")
 
-_LIMIT = 3.0  # s for one export
-_CUMULATIVE = 2
+_EXPORT_TIMEOUT_S = 3.0
+_CUMULATIVE = 2  # AGGREGATION_TEMPORALITY_CUMULATIVE
 
 
 def _sum(name: str, unit: str, start: int, now: int, points: dict[str, int], label: str) -> dict[str, Any]:
@@ -57,7 +57,7 @@
 
 def _points(name: str, unit: str, start: int, now: int, points: list[tuple[dict[str, str], Any]],
             monotonic: bool) -> dict[str, Any]:  # fmt: skip
-    """A sum where the values only grow, else a gauge, with attributes by point."""
+    """Encode a sum if `monotonic`, else a gauge, with the attributes of each point."""
     data = [
         {
             "attributes": [{"key": k, "value": {"stringValue": v}} for k, v in attributes.items()],
@@ -69,30 +69,30 @@
     ]
     if not monotonic:
         return {"name": name, "unit": unit, "gauge": {"dataPoints": data}}
-    kind = {"aggregationTemporality": _CUMULATIVE, "isMonotonic": True, "dataPoints": data}
-    return {"name": name, "unit": unit, "sum": kind}
+    body = {"aggregationTemporality": _CUMULATIVE, "isMonotonic": True, "dataPoints": data}
+    return {"name": name, "unit": unit, "sum": body}
 
 
 def tenant_metrics(report: Mapping[str, Any], start: int, now: int) -> list[dict[str, Any]]:
-    """What `mountgauge tenants` shows, for a collector: the counts are the fleet's, bounded on both sides."""
-    by = [({"mountgauge.tenant": one["tenant"]}, one) for one in report["tenants"]]
+    """Encode the report of `mountgauge tenants`: the fleet's counts, with a lower and an upper bound."""
+    by_tenant = [({"mountgauge.tenant": one["tenant"]}, one) for one in report["tenants"]]
 
-    def of(key: str) -> list[tuple[dict[str, str], Any]]:
-        return [(attributes, one[key]) for attributes, one in by if one[key] is not None]
+    def points_of(key: str) -> list[tuple[dict[str, str], Any]]:
+        return [(attributes, one[key]) for attributes, one in by_tenant if one[key] is not None]
 
     members = [({"mountgauge.member": m["name"], "mountgauge.presence": m["presence"]}, float(m["age_s"]))
                for m in report["members"]]  # fmt: skip
     dropped = [({"mountgauge.reason": reason}, n)
                for reason, n in report.get("gossip", {}).get("dropped", {}).items()]  # fmt: skip
-    states: list[tuple[dict[str, str], Any]] = [({}, int(report["split"]))]
+    split: list[tuple[dict[str, str], Any]] = [({}, int(report["split"]))]
     return [
-        _points("mountgauge.tenant.used", "{message}", 0, now, of("used"), True),
-        _points("mountgauge.tenant.used.high", "{message}", 0, now, of("high"), False),
-        _points("mountgauge.tenant.rate", "{message}/s", start, now, of("rate"), False),
-        _points("mountgauge.tenant.quota", "{message}/s", start, now, of("quota"), False),
-        _points("mountgauge.tenant.refused", "{message}", start, now, of("refused_here"), True),
+        _points("mountgauge.tenant.used", "{message}", 0, now, points_of("used"), True),
+        _points("mountgauge.tenant.used.high", "{message}", 0, now, points_of("high"), False),
+        _points("mountgauge.tenant.rate", "{message}/s", start, now, points_of("rate"), False),
+        _points("mountgauge.tenant.quota", "{message}/s", start, now, points_of("quota"), False),
+        _points("mountgauge.tenant.refused", "{message}", start, now, points_of("refused_here"), True),
         _points("mountgauge.fleet.word.age", "s", start, now, members, False),
-        _points("mountgauge.fleet.split", "1", start, now, states, False),
+        _points("mountgauge.fleet.split", "1", start, now, split, False),
         _points("mountgauge.fleet.dropped", "{datagram}", start, now, dropped, True),
     ]
 
@@ -105,14 +105,14 @@
     tenants: Mapping[str, Any] | None = None,
     measured: Sequence[Metric] = (),
 ) -> bytes:
-    """An ExportMetricsServiceRequest in its JSON form. Integers of 64 bits are text there."""
-    ends = {status: n for (kind, status), n in snapshot.counts.items() if kind == "end"}
+    """Encode an ExportMetricsServiceRequest as JSON, where 64-bit integers are strings."""
+    outcomes = {status: n for (kind, status), n in snapshot.counts.items() if kind == "end"}
     attempts = {outcome: n for (kind, outcome), n in snapshot.counts.items() if kind == "attempt"}
-    withheld = {why: n for (kind, why), n in snapshot.counts.items() if kind == "withheld"}
+    withheld = {reason: n for (kind, reason), n in snapshot.counts.items() if kind == "withheld"}
     calls = {event: n for (kind, event), n in snapshot.counts.items() if kind == CALL}
-    lease_ends = {why: n for (kind, why), n in snapshot.counts.items() if kind == LEASE}
+    lease_ends = {cause: n for (kind, cause), n in snapshot.counts.items() if kind == LEASE}
     metrics = [
-        _sum("mountgauge.messages.ended", "{message}", start, now, ends, "mountgauge.end"),
+        _sum("mountgauge.messages.ended", "{message}", start, now, outcomes, "mountgauge.end"),
         _sum("mountgauge.attempts", "{attempt}", start, now, attempts, "mountgauge.outcome"),
         _sum("mountgauge.withheld", "{message}", start, now, withheld, "mountgauge.why"),
         _sum("mountgauge.list.calls", "{call}", start, now, calls, "mountgauge.event"),
@@ -124,7 +124,7 @@
         _gauge("mountgauge.slots.used", "{slot}", now, snapshot.slots_used),
         _gauge("mountgauge.slots.limit", "{slot}", now, snapshot.slots),
         *(tenant_metrics(tenants, start, now) if tenants else ()),
-        *(_points(name, unit, start, now, points, grows) for name, unit, grows, points in measured),
+        *(_points(name, unit, start, now, points, monotonic) for name, unit, monotonic, points in measured),
     ]
     resource = [
         {"key": "service.name", "value": {"stringValue": "mountgauge"}},
@@ -142,7 +142,7 @@
 
 
 class Exporter:
-    """Sends the metrics to a collector at intervals; an export that fails is counted."""
+    """Sends the metrics to a collector at intervals, and counts the exports that fail."""
 
     def __init__(
         self,
@@ -164,9 +164,11 @@
         self.exported = self.failed = 0
 
     def start(self) -> None:
+        """Start to export at intervals."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
+        """Stop the exports."""
         if self._task is not None:
             self._task.cancel()
         self._client.close()
@@ -177,20 +179,21 @@
             await self.export()
 
     async def export(self) -> bool:
+        """Export once; return whether the collector accepted it."""
         body = encode(
             self._instance, self._snapshot(), self._start, time.time_ns(), self._tenants(), self._measured()
         )
         try:
             answer = await self._client.exchange(
-                request("POST", self._path, self._host, {"Content-Type": "application/json"}, body), _LIMIT
+                request("POST", self._path, self._host, {"Content-Type": "application/json"}, body),
+                _EXPORT_TIMEOUT_S,
             )
             if answer.status != 200:
                 raise ValueError(f"status {answer.status}")
         except (OSError, ValueError) as error:
             self.failed += 1
-            if (
-                self.failed in (1, 10, 100) or self.failed % 1000 == 0
-            ):  # a lasting outage must not fill the log
+            # Log only some of the failures: a lasting outage must not fill the log.
+            if self.failed in (1, 10, 100) or self.failed % 1000 == 0:
                 log.warning("export-failed", extra=kv(times=self.failed, error=error))
             return False
         self.exported += 1
