--- a/mountgauge/agent.py
+++ b/mountgauge/agent.py
@@ -44,7 +44,7 @@
         agent = top.table("agent") or Table({}, "agent")
         listen = agent.address("listen") or Address("127.0.0.1", 9100)
         if not listen.host.startswith("127."):
-            raise ConfigError("agent.listen: only on loopback")
+            raise ConfigError("agent.listen: must be a loopback address")
         files = []
         for table in top.tables("instance"):
             files.append(path.parent / table.get("file", str))
--- a/mountgauge/settings_table.py
+++ b/mountgauge/settings_table.py
@@ -1,4 +1,4 @@
-"""Tables of a settings file (TOML): typed access, one plain line on what is unknown or of the wrong type."""
+"""Typed access to the tables of a settings file (TOML), with errors of one line."""
 
 from __future__ import annotations
 
@@ -14,50 +14,59 @@
 
 @dataclass(slots=True)
 class Table:
-    """One table of the file: typed access, and a plain word on anything unknown or of the wrong type."""
+    """One table of the file. ConfigError names the setting that is missing, unknown or of the wrong type."""
 
     raw: Mapping[str, Any]
-    name: str
-    seen: set[str] = field(default_factory=set)
+    name: str  # "" for the top of the file
+    seen: set[str] = field(default_factory=set)  # the keys that were read
 
-    def get(self, key: str, *kinds: type, default: Any = None) -> Any:
+    def get(self, key: str, *types: type, default: Any = None) -> Any:
+        """Return a setting of one of these types, or the default if it is absent."""
         self.seen.add(key)
         value = self.raw.get(key, default)
-        where = f"{self.name}.{key}" if self.name else key
+        setting = f"{self.name}.{key}" if self.name else key
         if value is None:
-            raise ConfigError(f"{where}: missing")
-        if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-            raise ConfigError(f"{where}: wrong type")
+            raise ConfigError(f"{setting}: missing")
+        if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
+            raise ConfigError(f"{setting}: wrong type")
         return value
 
     def positive(self, key: str, default: float | None = None) -> float:
+        """Return a number above 0."""
         value = float(self.get(key, int, float, default=default))
         if value <= 0:
             raise ConfigError(f"{self.name}.{key}: must be above 0")
         return value
 
     def address(self, key: str) -> Address | None:
+        """Return an address, or None if the setting is absent."""
         if key not in self.raw:
             return None
         return Address.parse(self.get(key, str), f"{self.name}.{key}" if self.name else key)
 
     def table(self, key: str) -> Table | None:
+        """Return a subtable, or None if it is absent."""
         return Table(self.get(key, dict), key) if key in self.raw else None
 
     def tables(self, key: str) -> list[Table]:
-        found = self.get(key, list, default=[])
-        if not all(isinstance(one, dict) for one in found):
+        """Return an array of tables, empty if it is absent."""
+        tables = self.get(key, list, default=[])
+        if not all(isinstance(one, dict) for one in tables):
             raise ConfigError(f"{key}: not a list of tables")
-        return [Table(one, f"{key}[{place}]") for place, one in enumerate(found)]
+        return [Table(one, f"{key}[{index}]") for index, one in enumerate(tables)]
 
     def reject_unknown(self) -> None:
+        """Raise ConfigError if the table has a setting that was never read."""
         if unknown := sorted(set(self.raw) - self.seen):
             raise ConfigError(f"{self.name + '.' if self.name else ''}{unknown[0]}: unknown setting")
 
 
 @contextmanager
 def config_errors_in(path: Path) -> Iterator[None]:
-    """ConfigError that leaves this block names the file, in one line; FileUnreadableError stays as it is."""
+    """Add the file's name to a ConfigError raised in this block, and reduce it to one line.
+
+    FileUnreadableError names the file already, and passes unchanged.
+    """
     try:
         yield
     except FileUnreadableError:
@@ -68,12 +77,12 @@
 
 
 def read_toml(path: Path) -> dict[str, Any]:
-    """The tables of a TOML file; ConfigError where they can't be read, `FileUnreadableError` where the system
-    does not let it be.
+    """Read a TOML file. ConfigError if its content is invalid, FileUnreadableError if the system fails to
+    read it.
     """
     try:
         return tomllib.loads(path.read_text())
     except OSError as error:
         raise FileUnreadableError(path, error) from None
-    except (ValueError, RecursionError) as error:  # not TOML or UTF-8; numbers or nesting without end
+    except (ValueError, RecursionError) as error:  # not TOML or UTF-8, or excessive numbers or nesting
         raise ConfigError(f"{path}: {error}") from None
--- a/mountgauge/sockets.py
+++ b/mountgauge/sockets.py
@@ -1,18 +1,18 @@
-"""Reading on from a peer that is not heard any more."""
+"""Discards what a peer still sends on a connection that is being closed."""
 
 from __future__ import annotations
 
 import asyncio
 
-_SINK = bytearray(256 * 1024)
-_PAUSE = 0.02  # s between two reads of what is thrown away
-LINGER_S = 1.0  # s in which a peer may read why it is let go
+_DISCARDED = bytearray(256 * 1024)  # shared by all connections: nobody reads it
+_READ_PAUSE_S = 0.02  # between two reads
+LINGER_S = 1.0  # a peer has so long to read the reason why its connection is closed
 
 
 class InputDiscarder:
-    """Reads on and throws away, at a bounded pace, while the peer has time to read the last words: LINGER_S.
+    """Reads and discards input at a bounded rate, while the peer has LINGER_S to read the last answer.
 
-    Closed with bytes unread, a connection is reset, and what was said last may be lost with it.
+    A connection that is closed with unread data is reset, and the peer may lose the last answer.
     """
 
     def __init__(self, transport: asyncio.Transport) -> None:
@@ -20,13 +20,15 @@
 
     @staticmethod
     def buffer() -> bytearray:
-        return _SINK
+        """The buffer to read into."""
+        return _DISCARDED
 
     def on_data(self) -> None:
+        """Pause reading after data has arrived."""
         if not self._transport.is_closing():
             self._transport.pause_reading()
-            asyncio.get_running_loop().call_later(_PAUSE, self._on)
+            asyncio.get_running_loop().call_later(_READ_PAUSE_S, self._resume)
 
-    def _on(self) -> None:
+    def _resume(self) -> None:
         if not self._transport.is_closing():
             self._transport.resume_reading()
--- a/mountgauge/status_table.py
+++ b/mountgauge/status_table.py
@@ -1,4 +1,4 @@
-"""What several instances say of themselves, asked at once and shown as one table, once or again and again."""
+"""Fetches a status page from several instances and shows the answers as one table, once or repeatedly."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 from mountgauge.core.config import Address
 from mountgauge.status import fetch_status
 
-RENEWED_EVERY_S = 1.0
+REFRESH_INTERVAL_S = 1.0
 _CLEAR_SCREEN = "\x1b[H\x1b[2J"
-Answers = Mapping[str, Mapping[str, Any] | None]  # by address: its page, None where it does not answer
+Answers = Mapping[str, Mapping[str, Any] | None]  # the page by address, None if there was no answer
 
 
 def align_columns(headings: Sequence[str], rows: Sequence[Sequence[str]]) -> list[str]:
-    """The rows under their headings, in columns; each row has a cell for each heading."""
-    whole = [headings, *rows]
-    widths = [max(len(one[place]) for one in whole) for place in range(len(headings))]
-    return ["  ".join(map(str.ljust, one, widths)).rstrip() for one in whole]
+    """Return the lines of a table with aligned columns. Each row has a cell for each heading."""
+    all_rows = [headings, *rows]
+    widths = [max(len(one[column]) for one in all_rows) for column in range(len(headings))]
+    return ["  ".join(map(str.ljust, one, widths)).rstrip() for one in all_rows]
 
 
 @dataclass(frozen=True, slots=True)
 class StatusTable:
-    """A page that instances serve, how its answers are judged, and how they are shown."""
+    """A page that instances serve, and how its answers are evaluated and shown."""
 
     page: str  # path on the status address
-    verdict: str  # what the judgement is called in JSON
-    instances: str  # what those that are asked are called in JSON
+    verdict: str  # JSON key of the result of `is_good`
+    instances: str  # JSON key of the answers
     is_good: Callable[[Answers], bool]
     lines: Callable[[Answers], list[str]]
 
     async def fetch_all(self, addresses: Sequence[str]) -> Answers:
-        """What each address says now."""
-        pages = await asyncio.gather(*map(self._ask, addresses))
+        """Fetch the page from all addresses concurrently."""
+        pages = await asyncio.gather(*map(self._fetch, addresses))
         return dict(zip(addresses, pages, strict=True))
 
-    async def _ask(self, address: str) -> Mapping[str, Any] | None:
+    async def _fetch(self, address: str) -> Mapping[str, Any] | None:
         try:
             return await fetch_status(Address.parse(address, "address"), page=self.page)
         except (OSError, ValueError):
             return None
 
     def show(self, addresses: Sequence[str], as_json: bool, watch: bool) -> int:
-        """Print what is so, once or again and again. 0 where the judgement is good, else 1; ConfigError for
-        what is no address, before anything is shown.
+        """Print the answers once, or repeatedly with `watch`. Return 0 if they are good, else 1. ConfigError
+        for an invalid address, before anything is printed.
         """
         for address in addresses:
             Address.parse(address, "address")
@@ -62,4 +62,4 @@
                 print(clear + "\n".join(self.lines(answers)), flush=True)
             if not watch:
                 return 0 if good else 1
-            time.sleep(RENEWED_EVERY_S)
+            time.sleep(REFRESH_INTERVAL_S)
