--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The HTTP parser under any cut, and a connection's states against a model."""
+"""The HTTP parser with data split at any point, and the states of a connection against a model."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
     st.lists(st.tuples(st.sampled_from([200, 204, 429, 503]), BODIES, st.booleans()), max_size=4),
     st.integers(1, 50),
 )
-def test_answers_are_the_same_however_they_arrive(answers: list[tuple[int, bytes, bool]], step: int) -> None:
-    data, wanted = b"HTTP/1.1 100 Continue\r\n\r\n", []
+def test_answers_are_parsed_alike_however_they_are_split(
+    answers: list[tuple[int, bytes, bool]], step: int
+) -> None:
+    data, expected = b"HTTP/1.1 100 Continue\r\n\r\n", []
     for status, body, chunked in answers:
         if chunked and status != 204:
             data += b"HTTP/1.1 %d X\r\nTransfer-Encoding: chunked\r\n\r\n" % status
@@ -29,11 +31,11 @@
         else:
             body = b"" if status == 204 else body
             data += response(status, "X", {}, body)
-        wanted.append((status, body))
-    parser, found = Parser(), []
+        expected.append((status, body))
+    parser, parsed = Parser(), []
     for at in range(0, len(data), step):
-        found += parser.feed(data[at : at + step])
-    assert [(m.status, bytes(m.body)) for m in found] == wanted
+        parsed += parser.feed(data[at : at + step])
+    assert [(m.status, bytes(m.body)) for m in parsed] == expected
     assert parser.clean
 
 
@@ -44,33 +46,33 @@
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffff\r\n",
 ])  # fmt: skip
-def test_bad_or_endless_answers_are_refused(data: bytes) -> None:
+def test_invalid_or_oversized_answers_are_rejected(data: bytes) -> None:
     with pytest.raises(HttpError):
         Parser(max_body_bytes=1000).feed(data)
 
 
 @pytest.mark.parametrize(("text", "wait"), [("0.35", 0.35), ("2", 2.0), ("soon", 0), ("-1", 0), ("nan", 0),
                                             ("inf", 0), ("", 0)])  # fmt: skip
-def test_waits_have_decimals(text: str, wait: float) -> None:
+def test_retry_after_may_have_decimals_and_is_0_if_invalid(text: str, wait: float) -> None:
     assert retry_after_s(Message(headers={"retry-after": text})) == wait
 
 
 STEPS = st.sampled_from(
-    ["begin", "answer", "part", "close-answer", "stray", "lost", "eof", "choke", "flow", "junk"]
+    ["begin", "answer", "part", "close-answer", "stray", "lost", "eof", "pause", "resume", "junk"]
 )
 
 
 @settings(derandomize=True, deadline=None, max_examples=200)
 @given(st.lists(STEPS, max_size=12))
-def test_connection_against_its_model(steps: list[str]) -> None:
-    """Each call ends once; an answer belongs to the call that is out; nothing leaves on a dead connection."""
+def test_a_connection_behaves_as_its_model(steps: list[str]) -> None:
+    """Each call finishes once, an answer belongs to the call in flight, and the end is reported once."""
 
     async def main() -> None:
         lost: list[Connection] = []
         connection, transport = Connection(lost.append), Transport()
         connection.connection_made(transport)
         state, part, begun, flushed = State.IDLE, False, 0, True
-        ends: list[tuple[int, bool, bool]] = []  # status, whole, flushed
+        ends: list[tuple[int, bool, bool]] = []  # status, complete, flushed
         for step in steps:
             ended = len(ends)
             if step == "begin" and state is State.IDLE:
@@ -79,8 +81,8 @@
                     lambda m, f: ends.append((m.status, m.complete, f)),
                 )
                 begun, state, part, flushed = begun + 1, State.BUSY, False, True
-            elif step in ("choke", "flow") and state is State.BUSY:
-                flushed = step == "flow"
+            elif step in ("pause", "resume") and state is State.BUSY:
+                flushed = step == "resume"
                 connection.resume_writing() if flushed else connection.pause_writing()
             elif step == "part" and state is State.BUSY and not part:
                 receive(connection, b"HTTP/1.1 200 OK\r\nContent-")
@@ -91,7 +93,7 @@
                 receive(connection, data)
                 if state is State.BUSY:
                     assert ends[ended:] == [(200, True, True)]
-                # Unasked, it must not be taken for the answer to the next call.
+                # An unsolicited answer must not be taken for that of the next call.
                 state = State.IDLE if state is State.BUSY and step == "answer" and flushed else State.CLOSED
                 part = False
             elif step in ("stray", "junk") and state is not State.CLOSED:
--- a/tests/test_next_hops.py
+++ b/tests/test_next_hops.py
@@ -1,4 +1,4 @@
-"""Outcomes of calls over HTTP, by the protocol's table, against a stand-in that does each thing."""
+"""Outcomes of calls over HTTP by the protocol's table, against a stand-in that gives each kind of answer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Owner:
-    """The core's place: admits items, or none, and keeps the results."""
+    """A stand-in for the core, which admits all items or none and records the results."""
 
     def __init__(self, admits: bool = True) -> None:
         self.admits = admits
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize(("data", "result"), [
     (response(200, "OK", {}, b"any"), AttemptResult(Outcome.OK)),
-    # the first line delivers, though the rest never comes
+    # the status line alone means that the message was delivered
     (b"HTTP/1.1 200 OK\r\n", AttemptResult(Outcome.OK)),
     (response(500, "E", {}, b""), AttemptResult(Outcome.ERROR)),
     (response(429, "E", {"Retry-After": "0.35"}, b""), AttemptResult(Outcome.FULL, required_wait_s=0.35)),
@@ -63,18 +63,20 @@
     (response(504, "E", {}, b""), AttemptResult(Outcome.MOOT)),
     (response(410, "E", {}, b""), AttemptResult(Outcome.MOOT, finished=True)),
     (b"HTTP/1.1 2", AttemptResult(Outcome.RESET)),
-    (b"junk\r\n", AttemptResult(Outcome.ERROR)),  # it has read the call, so it is there: no outage
-    (b"HTTP/1.1 503 E\r\nRetry-", AttemptResult(Outcome.RESET)),  # cut short: the rest might have said more
+    (b"junk\r\n", AttemptResult(Outcome.ERROR)),  # it has read the call, so it is up: no outage
+    (b"HTTP/1.1 503 E\r\nRetry-", AttemptResult(Outcome.RESET)),  # cut off: the remainder may have had a wait
     (None, AttemptResult(Outcome.RESET)),
 ])  # fmt: skip
-def test_table(data: bytes | None, result: AttemptResult) -> None:
+def test_each_answer_has_the_outcome_of_the_protocols_table(
+    data: bytes | None, result: AttemptResult
+) -> None:
     async def reply(message: Message) -> bytes | None:
         assert message.start is not None and message.start[:2] == ("POST", "/hook")
         assert message.headers["x-trace-id"] == "id0" and message.headers["idempotency-key"] == "key"
         assert 0 < int(message.headers["x-expires-in-ms"]) <= 1000
         return data
 
-    class Ending(HttpServer):
+    class ClosingServer(HttpServer):
         async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\nx")
             writer.write(data or b"")
@@ -82,11 +84,11 @@
             writer.close()
 
     async def main() -> None:
-        whole = data is not None and data.endswith((b"\r\n\r\n", b"any"))
-        if whole:
+        complete = data is not None and data.endswith((b"\r\n\r\n", b"any"))
+        if complete:
             assert await outcome(reply) == {0: result}
             return
-        server, owner = Ending(reply), Owner()
+        server, owner = ClosingServer(reply), Owner()
         await server.start()
         hops = HttpNextHops(owner, 0.5, 5.0, 8)
         hops.start(call(server.port))
@@ -98,47 +100,49 @@
 
 
 GOOD = response(200, "OK", {}, b"any")
-OK, SPOILT = Outcome.OK, Outcome.ERROR
-
-
-@pytest.mark.parametrize(("data", "one", "two"), [
-    (b"\x00\x01 noise" * 40 + b"\r\n", SPOILT, SPOILT),
-    (b"HTTP/1.1 200 OK\r\n\x07\x07\r\n\r\n", OK, SPOILT),  # a single call's first line is true all the same
-    (b"HTTP/1.1 503 Full\r\nno colon\r\n", SPOILT, SPOILT),
-    (b"HTTP/1.1 410 Gone\r\nContent-Length: x\r\n\r\n", SPOILT, SPOILT),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: " + b"9" * 5000 + b"\r\n\r\n", OK, SPOILT),
-    (b"HTTP/1.1 500 E\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 999, SPOILT, SPOILT),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nshort", OK, SPOILT),  # its rest never comes
-    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1_0\r\n", OK, SPOILT),
-    (b"HTTP/1.1 500 E\r\nX-Never: ends", SPOILT, SPOILT),
-    (b"HTTP/1.1 099 Early\r\n\r\n", SPOILT, SPOILT),
-    (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + GOOD, OK, SPOILT),
-    (GOOD + b"\x00noise\r\n\r\n", OK, SPOILT),  # what came whole before the noise is good
-    (GOOD + GOOD, OK, SPOILT),
+OK, ERROR = Outcome.OK, Outcome.ERROR
+
+
+@pytest.mark.parametrize(("data", "single", "batch"), [
+    (b"\x00\x01 noise" * 40 + b"\r\n", ERROR, ERROR),
+    (b"HTTP/1.1 200 OK\r\n\x07\x07\r\n\r\n", OK, ERROR),  # the status line of a single call is valid
+    (b"HTTP/1.1 503 Full\r\nno colon\r\n", ERROR, ERROR),
+    (b"HTTP/1.1 410 Gone\r\nContent-Length: x\r\n\r\n", ERROR, ERROR),
+    (b"HTTP/1.1 200 OK\r\nContent-Length: " + b"9" * 5000 + b"\r\n\r\n", OK, ERROR),
+    (b"HTTP/1.1 500 E\r\nContent-Length: 3000000000\r\n\r\n" + b"x" * 999, ERROR, ERROR),
+    (b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\nshort", OK, ERROR),  # the remainder is never sent
+    (b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1_0\r\n", OK, ERROR),
+    (b"HTTP/1.1 500 E\r\nX-Never: ends", ERROR, ERROR),
+    (b"HTTP/1.1 099 Early\r\n\r\n", ERROR, ERROR),
+    (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 102 P\r\n\r\n" + GOOD, OK, ERROR),
+    (GOOD + b"\x00noise\r\n\r\n", OK, ERROR),  # the answer was complete before the noise
+    (GOOD + GOOD, OK, ERROR),
 ])  # fmt: skip
-def test_spoilt_answers_may_have_run_and_are_no_outage(data: bytes, one: Outcome, two: Outcome) -> None:
-    """The connection stays open after them: the call must end all the same, and soon."""
+def test_a_call_with_an_unreadable_answer_may_have_run_and_is_no_outage(
+    data: bytes, single: Outcome, batch: Outcome
+) -> None:
+    """The connection stays open after such an answer, and the call must still finish soon."""
 
     async def reply(message: Message) -> bytes:
         return data
 
     async def main() -> None:
         began = asyncio.get_running_loop().time()
-        assert await outcome(reply, limit=5.0) == {0: AttemptResult(one)}
+        assert await outcome(reply, limit=5.0) == {0: AttemptResult(single)}
         results = await outcome(reply, b"a", b"b", limit=5.0)
-        assert results == {0: AttemptResult(two), 1: AttemptResult(two)}
+        assert results == {0: AttemptResult(batch), 1: AttemptResult(batch)}
         assert asyncio.get_running_loop().time() - began < 2.0
 
     run(main())
 
 
-def test_an_answer_that_came_unasked_is_not_the_next_calls() -> None:
-    """A second copy may lie unread when the connection is taken again."""
+def test_an_unsolicited_answer_is_not_taken_for_that_of_the_next_call() -> None:
+    """A second copy of an answer may be unread when its connection is reused."""
 
     async def main() -> None:
         count = 0
 
-        class Twice(HttpServer):
+        class RepeatingServer(HttpServer):
             async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 nonlocal count
                 while await reader.readuntil(b"\r\n\r\nx"):
@@ -150,11 +154,11 @@
                         writer.write(GOOD)
                         written.set()
 
-        server, owner, written = Twice(lambda m: asyncio.sleep(0, None)), Owner(), asyncio.Event()
+        server, owner, written = RepeatingServer(lambda m: asyncio.sleep(0, None)), Owner(), asyncio.Event()
         await server.start()
         hops = HttpNextHops(owner, 0.5, 5.0, 8)
         hops.start(call(server.port))
-        await written.wait()  # in the same turn of the loop: the copy has come and is not read yet
+        await written.wait()  # in this turn of the event loop the copy has arrived and is not read yet
         hops.start(call(server.port))
         await until(lambda: len(owner.done) == 2)
         assert [results[0].outcome for _, results in owner.done] == [OK, Outcome.ERROR]
@@ -165,7 +169,7 @@
     run(main())
 
 
-def test_batch_states_for_each_item() -> None:
+def test_the_answer_to_a_batch_gives_a_result_for_each_item() -> None:
     async def reply(message: Message) -> bytes:
         lines = orjson.loads(message.body)
         assert message.start is not None and message.start[1] == "/hook/batch"
@@ -190,7 +194,7 @@
     run(main())
 
 
-def test_large_batch_sends_what_fits() -> None:
+def test_a_large_batch_sends_only_the_items_that_fit_into_a_call() -> None:
     async def reply(message: Message) -> bytes:
         assert len(message.body) <= 64 * 1024
         lines = orjson.loads(message.body)
@@ -206,7 +210,7 @@
     run(main())
 
 
-def test_refused_and_unreachable_are_could_not_connect() -> None:
+def test_a_refused_connection_is_a_failure_to_connect() -> None:
     async def main() -> None:
         server, owner = HttpServer(lambda m: asyncio.sleep(0, b"")), Owner()
         await server.start()
@@ -219,7 +223,7 @@
     run(main())
 
 
-def test_giving_up_closes_so_that_no_stale_answer_reaches_the_next_call() -> None:
+def test_a_timeout_closes_the_connection_so_that_no_late_answer_reaches_the_next_call() -> None:
     async def main() -> None:
         slow = [True]
 
@@ -245,38 +249,40 @@
     run(main())
 
 
-def test_a_reset_on_a_kept_connection_is_told_apart_and_learnt_from() -> None:
-    """Partners drop kept connections long before they say so: each cost a reset, taken for an outage."""
+def test_a_reset_on_a_reused_connection_is_marked_stale_and_limits_further_reuse() -> None:
+    """Partners close idle connections long before the time that they declare. Each reuse of such a connection
+    was reset, which was taken for an outage.
+    """
 
     async def main() -> None:
-        class Forgetful(HttpServer):
+        class EarlyClosingServer(HttpServer):
             async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 began = 0.0
                 for last in (False, True):
                     await reader.readuntil(b"\r\n\r\nx")
                     if last and asyncio.get_running_loop().time() - began > 0.05:
-                        return  # kept too long, by its own count
+                        return  # the connection was idle for too long
                     began = asyncio.get_running_loop().time()
                     writer.write(GOOD)
 
-        server, owner = Forgetful(lambda m: asyncio.sleep(0, None)), Owner()
+        server, owner = EarlyClosingServer(lambda m: asyncio.sleep(0, None)), Owner()
         await server.start()
         hops = HttpNextHops(owner, 0.5, 5.0, 8)
         for n in range(24):
             hops.start(call(server.port))
             await until(lambda n=n: len(owner.done) == n + 1)  # type: ignore[misc]
             await asyncio.sleep(0.06)
-        found = [results[0] for _, results in owner.done]
-        stale = [n for n, result in enumerate(found) if result.outcome == Outcome.RESET]
-        assert stale and all(found[n].stale for n in stale)
-        assert len(stale) <= 4 and not any(result.stale for result in found if result.outcome == OK)
+        results = [by_item[0] for _, by_item in owner.done]
+        stale = [n for n, result in enumerate(results) if result.outcome == Outcome.RESET]
+        assert stale and all(results[n].stale for n in stale)
+        assert len(stale) <= 4 and not any(result.stale for result in results if result.outcome == OK)
         hops.close()
         await server.stop()
 
     run(main())
 
 
-def test_idle_connections_go_before_the_other_side_closes_them() -> None:
+def test_idle_connections_are_closed_before_the_other_side_closes_them() -> None:
     async def main() -> None:
         server, owner = HttpServer(lambda m: asyncio.sleep(0, response(200, "OK", {}, b""))), Owner()
         await server.start()
@@ -293,7 +299,7 @@
     run(main())
 
 
-def test_connections_are_bounded_and_what_may_not_go_is_not_sent() -> None:
+def test_connections_are_bounded_and_rejected_items_are_not_sent() -> None:
     async def main() -> None:
         served: list[Message] = []
 
@@ -319,8 +325,8 @@
 
 
 @pytest.mark.parametrize(("status", "bodies"), [(429, [b"x"]), (503, [b"x"]), (200, [b"x", b"y"])])
-def test_a_wait_is_heeded_though_the_body_behind_it_cannot_be_read(status: int, bodies: list[bytes]) -> None:
-    """It was told with the headers."""
+def test_a_required_wait_is_applied_even_if_the_body_is_unreadable(status: int, bodies: list[bytes]) -> None:
+    """The wait is in the headers, which were complete."""
 
     async def reply(message: Message) -> bytes:
         head = f"HTTP/1.1 {status} -\r\nRetry-After: 0.35\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The transport map and notices against stand-ins of the platform."""
+"""The client of discovery, the parser of its lists, and notices, against stand-ins for the platform."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Owner:
-    """The core's place: keeps the lists that it is told; word that nothing has changed moves no list."""
+    """A stand-in for the core, which records the lists that it receives, except answers without changes."""
 
     def __init__(self, version: int) -> None:
         self.version = version
@@ -36,19 +36,20 @@
 
 
 def bounds(ask_within_s: float, **extra: Any) -> WatchBounds:
-    """The bounds of a sender that asks discovery, of a fleet of two."""
+    """Return the bounds of a sender that watches discovery, in a fleet of two."""
     env = settings(discovery="subscribe", **extra)
     env["obligations"] |= {"askWithin": ask_within_s}
     return WatchBounds.of(Settings.from_mapping(env))
 
 
 def listing(version: int, full: bool, **line: Any) -> bytes:
+    """Return discovery's answer with one endpoint, whose fields `line` overrides."""
     one = {"id": "s-1", "addr": "127.0.0.1:80", "zone": "b", "kind": "m2", "cell": 3, "state": "active",
            "weight": 2.5, "started_ms": 0, **line}  # fmt: skip
     return response(200, "OK", {}, orjson.dumps({"version": version, "full": full, "servers": [one]}))
 
 
-def test_watches_on_at_once_and_asks_again_after_failures() -> None:
+def test_a_new_watch_follows_each_answer_and_each_failure() -> None:
     async def main() -> None:
         paths: list[tuple[float, str]] = []
 
@@ -63,7 +64,7 @@
                 case 3:
                     return response(503, "down", {}, b"")
                 case 4:
-                    return listing(7, True, kind="unknown")  # cannot be used: as a failed call
+                    return listing(7, True, kind="unknown")  # unusable, which counts as a failed call
                 case 5 | 6:
                     return None
                 case 7:
@@ -75,12 +76,12 @@
         await server.start()
         watched = TransportMap(owner, Address(HOST, server.port), NAMES, bounds(3.0))
         watched.watch(True)
-        watched.watch(True)  # already watching: no second call
+        watched.watch(True)  # it is watching already: no second call
         await until(lambda: len(paths) == 8)
-        # Version 0 is a version like any other: asking for the whole list instead would never wait. The first
-        # call and those after a failure are to be answered at once, until one has been.
-        asked = ["0&wait=1", "5&wait=3000", "6&wait=3000", *["6&wait=1"] * 4, "8&wait=3000"]
-        assert [path for _, path in paths] == [f"/registry/instances?index={one}" for one in asked]
+        # Version 0 is an ordinary version: a request for the full list instead would never wait. The first
+        # call, and those after a failure until the next answer, request an immediate answer.
+        queries = ["0&wait=1", "5&wait=3000", "6&wait=3000", *["6&wait=1"] * 4, "8&wait=3000"]
+        assert [path for _, path in paths] == [f"/registry/instances?index={one}" for one in queries]
         assert [(u.version, u.full, u.hops[0].entry.readiness) for u in owner.updates] == [
             (5, True, Readiness.READY),
             (6, False, Readiness.GONE),
@@ -104,7 +105,7 @@
     for one in bad:
         update = NAMES.update({"version": 3, "full": True, "servers": [one, line]})
         assert [hop.id for hop in update.hops if hop.entry.readiness == Readiness.READY] == ["s-1"]
-        # Nothing new goes to one that was known and has become unreadable.
+        # No new call is sent to a known endpoint whose entry has become unreadable.
         gone = [hop.id for hop in update.hops if hop.entry.readiness == Readiness.GONE]
         assert gone == ([one["id"]] if isinstance(one, dict) and "id" in one else [])
 
@@ -121,13 +122,13 @@
 
         server = HttpServer(reply)
         await server.start()
-        notices, told = Notices(Address(HOST, server.port)), []
-        notices.report_outcome("a", MessageOutcome(Status.UNDELIVERABLE), lambda: told.append("a"))
-        notices.report_outcome("b", MessageOutcome(Status.DEFERRED, 500), lambda: told.append("b"))
-        notices.report_outcome("c", MessageOutcome(Status.DELIVERED), lambda: told.append("c"))
-        assert told == ["c"] and notices.unacknowledged == 2
+        notices, acknowledged = Notices(Address(HOST, server.port)), []
+        notices.report_outcome("a", MessageOutcome(Status.UNDELIVERABLE), lambda: acknowledged.append("a"))
+        notices.report_outcome("b", MessageOutcome(Status.DEFERRED, 500), lambda: acknowledged.append("b"))
+        notices.report_outcome("c", MessageOutcome(Status.DELIVERED), lambda: acknowledged.append("c"))
+        assert acknowledged == ["c"] and notices.unacknowledged == 2
         await until(lambda: not notices.unacknowledged)
-        assert told == ["c", "a", "b"] and len(lines) == 3
+        assert acknowledged == ["c", "a", "b"] and len(lines) == 3
         assert lines[2] == [
             {"id": "a", "status": "undeliverable"},
             {"id": "b", "status": "deferred", "again_ms": 500},
@@ -138,18 +139,22 @@
     run(main())
 
 
-def test_a_notice_that_cannot_be_read_does_not_hold_up_the_others() -> None:
+def test_a_notice_that_is_rejected_does_not_delay_the_others() -> None:
     async def main() -> None:
         async def reply(message: Message) -> bytes:
             return response(400 if b'"bad"' in message.body else 204, "x", {}, b"")
 
         server = HttpServer(reply)
         await server.start()
-        notices, told = Notices(Address(HOST, server.port)), list[str]()
+        notices, acknowledged = Notices(Address(HOST, server.port)), list[str]()
         for name in ("bad", "a", "b"):
-            notices.report_outcome(name, MessageOutcome(Status.DEFERRED), lambda name=name: told.append(name))  # type: ignore[misc]
-        await until(lambda: len(told) == 2)
-        assert sorted(told) == ["a", "b"] and notices.unacknowledged == 1
+            notices.report_outcome(
+                name,
+                MessageOutcome(Status.DEFERRED),
+                lambda name=name: acknowledged.append(name),  # type: ignore[misc]
+            )
+        await until(lambda: len(acknowledged) == 2)
+        assert sorted(acknowledged) == ["a", "b"] and notices.unacknowledged == 1
         notices.close()
         await server.stop()
 
@@ -163,24 +168,24 @@
     (7, True), ({}, True), (None, True), ([], True), ("s-2", True), ({**LINE, "id": None}, True),
     ({**LINE, "id": ""}, True), ({**LINE, "id": True}, True), ({**LINE, "id": ["s-2"]}, True),
     ({**LINE, "id": {}, "state": "odd"}, True),
-    ({**LINE, "id": "s-2", "state": "odd"}, False),  # it names its endpoint: nothing new goes there
+    ({**LINE, "id": "s-2", "state": "odd"}, False),  # it names its endpoint, which gets no new calls
     ({**LINE, "id": 2, "addr": "nowhere"}, False),
     ({**LINE, "state": "leaving"}, True),  # one endpoint in two states
-    ({**LINE, "addr": "127.0.0.1:81"}, True),  # at two places
+    ({**LINE, "addr": "127.0.0.1:81"}, True),  # one endpoint at two addresses
     ({**LINE, "weight": 2.0}, False), (LINE, False),
 ])  # fmt: skip
-def test_a_delta_whose_entry_names_no_endpoint_says_that_it_is_incomplete(
+def test_a_delta_with_an_entry_that_names_no_endpoint_is_marked_incomplete(
     entry: Any, incomplete: bool, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The change that it carried would be lost while the version moves on; a whole list loses nothing."""
+    """Otherwise its change would be lost, because the version advances. A full list loses nothing."""
     for full in (False, True):
         for lines in ([entry, LINE], [LINE, entry]):
             caplog.clear()
             update = NAMES.update({"version": 3, "full": full, "servers": lines})
             assert update.incomplete is (incomplete and not full)
             assert {hop.id for hop in update.hops} <= {"s-1", "s-2", "2"}
-            said = [record.message for record in caplog.records if record.message == "entry-not-read"]
-            assert len(said) <= 1, "one line for each entry"
+            lines_logged = [record.message for record in caplog.records if record.message == "entry-not-read"]
+            assert len(lines_logged) <= 1, "one line for each entry"
             assert (not full and incomplete) == any(
                 one.message == "delta-incomplete" for one in caplog.records
             )
@@ -193,7 +198,7 @@
     {"servers": [], "version": float("inf"), "full": True}, {"servers": [], "version": 1, "full": None},
     {"servers": [], "version": 1, "full": "false"}, {"servers": [7], "version": 1, "full": True},
 ])  # fmt: skip
-def test_a_list_that_cannot_be_read_is_a_value_error_of_one_line(raw: Any) -> None:
-    with pytest.raises(ValueError) as told:
+def test_an_unreadable_list_raises_a_value_error_of_one_line(raw: Any) -> None:
+    with pytest.raises(ValueError) as raised:
         NAMES.update(raw)
-    assert "\n" not in str(told.value)
+    assert "\n" not in str(raised.value)
