--- a/tests/system_call_faults.py
+++ b/tests/system_call_faults.py
@@ -1,4 +1,4 @@
-"""Runs tests on sockets whose system calls fail (`mountgauge.lab.faults`)."""
+"""Runs tests on sockets with failing system calls (`mountgauge.lab.faults`)."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class FaultyLoop(system_calls.FaultyLoop):
-    """Keeps what was to be called later, and the errors that reached it."""
+    """Records the delays of scheduled calls, and the errors that reached the loop."""
 
     def __init__(self, faults: Faults) -> None:
         super().__init__(faults)
-        self.delays: list[float] = []  # s, what was to be called later
+        self.delays: list[float] = []  # seconds, of `call_later`
         self.unhandled: list[str] = []
         self.set_exception_handler(lambda loop, context: self.unhandled.append(str(context)))
 
@@ -39,7 +39,7 @@
 
 
 def run_faulty(main: Callable[[Faults, FaultyLoop], Coroutine[Any, Any, None]], limit: float = 20.0) -> None:
-    """Run a test whose sockets fail; an error that reaches the loop itself fails it."""
+    """Run a test on failing sockets. An error that reaches the event loop fails the test."""
     faults = Faults()
     loop = FaultyLoop(faults)
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail as Linux documents, at each peer: see `docs/faults-system-calls.md`."""
+"""Failures of system calls that Linux documents, at each peer: see `docs/faults-system-calls.md`."""
 
 from __future__ import annotations
 
@@ -60,17 +60,17 @@
 
 
 class Front:
-    """A RESP2 front on faulty system calls that takes on what it is handed."""
+    """A RESP2 front on faulty system calls that accepts every message."""
 
     def __init__(self, faults: Faults, crowd: bool) -> None:
         settings = SETTINGS if crowd else platform_settings(50)
         self.registry = Registry(settings, FaultyCalls(faults))
-        self.taken: list[str] = []
+        self.accepted: list[str] = []
         self.front = Clients(self._submit, ("note",), settings.most, registry=self.registry)
         self.socks: list[socket.socket] = []
 
     def _submit(self, one: Submission) -> None:
-        self.taken.append(one.id)
+        self.accepted.append(one.id)
         asyncio.get_running_loop().call_soon(one.answer, Accepted())
 
     async def client(self) -> socket.socket:
@@ -88,7 +88,7 @@
 
 
 @contextlib.asynccontextmanager
-async def fronted(faults: Faults, crowd: bool) -> AsyncIterator[Front]:
+async def listening_front(faults: Faults, crowd: bool) -> AsyncIterator[Front]:
     front = Front(faults, crowd)
     await front.front.listen(HOST, 0)
     try:
@@ -97,43 +97,43 @@
         front.close()
 
 
-async def hear(sock: socket.socket, size: int) -> bytes:
-    """So many bytes, or fewer up to the end."""
-    said, loop = b"", asyncio.get_running_loop()
-    while len(said) < size and (data := await loop.sock_recv(sock, size - len(said))):
-        said += data
-    return said
+async def receive_bytes(sock: socket.socket, size: int) -> bytes:
+    """Receive `size` bytes, or fewer if the connection ends."""
+    received, loop = b"", asyncio.get_running_loop()
+    while len(received) < size and (data := await loop.sock_recv(sock, size - len(received))):
+        received += data
+    return received
 
 
 @pytest.mark.parametrize("crowd", [False, True])
 @pytest.mark.parametrize("error", ACCEPT_ERRORS, ids=errno_name)
 def test_clients_are_accepted_after_each_failure(error: int, crowd: bool) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with fronted(faults, crowd) as held:
+        async with listening_front(faults, crowd) as front:
             for _ in range(2):
-                faults.fail("accept", error, error)  # with the descriptor kept back as well
-                sock = await held.client()
+                faults.fail("accept", error, error)  # the second time with the reserve descriptor
+                sock = await front.client()
                 await loop.sock_sendall(sock, PING)
-                assert await hear(sock, 7) == b"+PONG\r\n"
+                assert await receive_bytes(sock, 7) == b"+PONG\r\n"
             assert faults.count["accept"] == 4
 
     run_faulty(main)
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS], ids=errno_name)
-def test_a_shortage_that_lasts_is_not_asked_about_in_each_turn(error: int) -> None:
-    """The listening socket stays readable for as long: it is left alone for a while."""
+def test_accept_is_not_tried_in_each_turn_of_the_loop_during_a_lasting_shortage(error: int) -> None:
+    """The listening socket stays readable all the time, so accepting pauses."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with fronted(faults, crowd=False) as held:
+        async with listening_front(faults, crowd=False) as front:
             faults.always("accept", error)
             began = loop.time()
-            sock = await held.client()
+            sock = await front.client()
             await loop.sock_sendall(sock, PING)
             await until(lambda: faults.count["accept"] >= 6)
             assert faults.count["accept"] <= 2 * ((loop.time() - began) / PAUSE + 1)
             faults.always("accept", None)
-            assert await hear(sock, 7) == b"+PONG\r\n"
+            assert await receive_bytes(sock, 7) == b"+PONG\r\n"
 
     run_faulty(main)
 
@@ -141,15 +141,15 @@
 @pytest.mark.parametrize("crowd", [False, True])
 def test_clients_are_served_over_interrupted_short_reads_and_writes(crowd: bool) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with fronted(faults, crowd) as held:
+        async with listening_front(faults, crowd) as front:
             faults.most |= {"read": 7, "write": 3}
             faults.fail("read", *[errno.EINTR] * 9)
             faults.fail("write", *[errno.EINTR] * 9)
-            sock = await held.client()
+            sock = await front.client()
             data = b"".join(enqueue(b"m%d" % n) for n in range(20)) + command(b"PING", b"x" * 50)
             await loop.sock_sendall(sock, data)
-            assert await hear(sock, 157) == b"+OK\r\n" * 20 + b"$50\r\n" + b"x" * 50 + b"\r\n"
-            assert held.taken == [f"m{n}" for n in range(20)]
+            assert await receive_bytes(sock, 157) == b"+OK\r\n" * 20 + b"$50\r\n" + b"x" * 50 + b"\r\n"
+            assert front.accepted == [f"m{n}" for n in range(20)]
             assert faults.count["read"] == faults.count["write"] == 9
 
     run_faulty(main)
@@ -158,27 +158,27 @@
 @pytest.mark.parametrize("crowd", [False, True])
 @pytest.mark.parametrize("how", ["read", "write", "rest of a write"])
 @pytest.mark.parametrize("error", BROKEN, ids=errno_name)
-def test_a_clients_connection_that_breaks_ends_alone(error: int, how: str, crowd: bool) -> None:
+def test_a_broken_client_connection_does_not_affect_the_others(error: int, how: str, crowd: bool) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with fronted(faults, crowd) as held:
-            sock, other = await held.client(), await held.client()
+        async with listening_front(faults, crowd) as front:
+            sock, other = await front.client(), await front.client()
             for one in (sock, other):
                 await loop.sock_sendall(one, PING)
-                assert await hear(one, 7) == b"+PONG\r\n"
+                assert await receive_bytes(one, 7) == b"+PONG\r\n"
             if how == "rest of a write":
                 faults.after["write"], faults.most["write"] = 2, 2
             faults.fail(how.split()[-1], error)
             await loop.sock_sendall(sock, enqueue(b"a"))
-            await until(lambda: faults.count and held.registry.open == 1)
-            assert held.taken == ([] if how == "read" else ["a"])
+            await until(lambda: faults.count and front.registry.open == 1)
+            assert front.accepted == ([] if how == "read" else ["a"])
             faults.most.clear()
             await loop.sock_sendall(other, enqueue(b"b"))
-            assert await hear(other, 5) == b"+OK\r\n"
+            assert await receive_bytes(other, 5) == b"+OK\r\n"
 
     run_faulty(main)
 
 
-# Endpoints, on both wires
+# Endpoints, over both protocols
 
 Hops = HttpNextHops | AmqpNextHops
 
@@ -193,7 +193,7 @@
     return HttpHop() if wire == "http" else Broker()
 
 
-async def ended(owner: Owner) -> dict[int, AttemptResult]:
+async def finished(owner: Owner) -> dict[int, AttemptResult]:
     await until(lambda: owner.done)
     return owner.done.pop()[1]
 
@@ -201,14 +201,14 @@
 @pytest.mark.parametrize("wire", ["http", "amqp"])
 @pytest.mark.parametrize("step", ["socket", "connect", "connected"])
 @pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=errno_name)
-def test_a_shortage_that_passes_costs_no_attempt(error: int, step: str, wire: str) -> None:
+def test_a_passing_shortage_costs_no_attempt(error: int, step: str, wire: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner, 0.2)
-        faults.fail(step, *[error] * 6)  # for longer than the limit of a connect
+        faults.fail(step, *[error] * 6)  # for longer than the connect timeout
         hops.start(call(hop.port, limit=9.0))
-        assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
+        assert (await finished(owner))[0] == AttemptResult(Outcome.OK)
         assert faults.count[step] == 6 and hops.opened == 1 and len(hop.calls) == 1
         hops.close()
         await hop.stop()
@@ -220,7 +220,7 @@
 @pytest.mark.parametrize("end", ["its time", "a cancel"])
 @pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=errno_name)
 def test_a_lasting_shortage_is_no_failure_of_the_endpoint(error: int, end: str, wire: str) -> None:
-    """The call has not been sent; it ends once, and the shortage is not asked about in each turn."""
+    """The call has not been sent and finishes once, and connecting is not tried in each turn of the loop."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
@@ -232,15 +232,15 @@
         if end == "a cancel":
             await until(lambda: faults.count["socket"] >= 2)
             hops.cancel(one)
-        found = await ended(owner)
+        found = await finished(owner)
         assert found.get(0, AttemptResult(Outcome.MOOT)) == AttemptResult(Outcome.MOOT)
         assert 2 <= faults.count["socket"] <= (loop.time() - began) / SHORTAGE_RETRY_S + 2
         tried = faults.count["socket"]
         await asyncio.sleep(3 * SHORTAGE_RETRY_S)
-        assert faults.count["socket"] <= tried + 1, "nobody wants it any more"
+        assert faults.count["socket"] <= tried + 1, "the connection is no longer needed"
         faults.always("socket", None)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
+        assert (await finished(owner))[0] == AttemptResult(Outcome.OK)
         hops.close()
         await hop.stop()
 
@@ -250,14 +250,14 @@
 @pytest.mark.parametrize("wire", ["http", "amqp"])
 @pytest.mark.parametrize("step", ["connect", "connected"])
 @pytest.mark.parametrize("error", UNREACHABLE, ids=errno_name)
-def test_an_endpoint_that_cannot_be_reached_is_told_at_once(error: int, step: str, wire: str) -> None:
+def test_a_call_to_an_unreachable_endpoint_fails_immediately(error: int, step: str, wire: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner)
         faults.always(step, error)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0] == AttemptResult(Outcome.CONNECT_FAILED)
+        assert (await finished(owner))[0] == AttemptResult(Outcome.CONNECT_FAILED)
         assert faults.count[step] == 1 and not hop.calls
         hops.close()
         await hop.stop()
@@ -265,13 +265,13 @@
     run_faulty(main)
 
 
-def test_without_a_descriptor_left_an_idle_connection_makes_room() -> None:
-    """The system really has none: the limit is lowered to those in use."""
+def test_without_a_free_descriptor_an_idle_connection_is_closed_for_the_call() -> None:
+    """The shortage is real: the process's limit is lowered to the descriptors in use."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         first, owner = Peer(), Owner()
         hops = HttpNextHops(owner, 2.0, 60.0, 8)
-        resting = await kept(first, hops, owner)
+        idle = await kept(first, hops, owner)
         second = Peer()
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         fill: list[int] = []
@@ -283,12 +283,12 @@
                     fill.append(os.open(os.devnull, os.O_RDONLY))
             hops.start(call(second.port, limit=5.0))
             await until(lambda: not hops._pools and hops._open == 1)
-            assert await loop.sock_recv(resting, 1) == b"", "the one at rest has gone"
-            resting.close()
+            assert await loop.sock_recv(idle, 1) == b"", "the idle connection was closed"
+            idle.close()
             sock = await second.accept()
             await second.call(sock)
             sock.send(response(200, "OK", {}, b""))
-            assert await ended(owner) == {0: AttemptResult(Outcome.OK)}
+            assert await finished(owner) == {0: AttemptResult(Outcome.OK)}
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             for fd in fill:
@@ -300,7 +300,7 @@
     run_faulty(main)
 
 
-def test_amqp_an_idle_connection_makes_room() -> None:
+def test_amqp_an_idle_connection_is_closed_for_the_call() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         owner, brokers = Owner(), [Broker(), Broker()]
         hops = AmqpNextHops(owner, 2.0, 60.0, 8, {})
@@ -311,7 +311,7 @@
             if number:
                 faults.fail("socket", errno.EMFILE)
             hops.start(one)
-            assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
+            assert (await finished(owner))[0] == AttemptResult(Outcome.OK)
         assert list(hops._links) == ["b1"]
         hops.close()
         for broker in brokers:
@@ -322,8 +322,8 @@
 
 @pytest.mark.parametrize("wire", ["http", "amqp"])
 @pytest.mark.parametrize("error", BROKEN, ids=errno_name)
-def test_a_connection_that_breaks_under_a_call_is_reset_and_not_silent(error: int, wire: str) -> None:
-    """The call was written and may have run; ETIMEDOUT from the system is no time-out of the call."""
+def test_a_connection_that_breaks_during_a_call_is_a_reset_and_not_a_timeout(error: int, wire: str) -> None:
+    """The call was sent and may have run. ETIMEDOUT from the system is no timeout of the call."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
@@ -331,14 +331,14 @@
         await hop.start()
         hops = next_hops(wire, owner)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
+        assert (await finished(owner))[0] == AttemptResult(Outcome.OK)
         if wire == "http":
             hop.script = ["silent"]
         hops.start(call(hop.port, limit=5.0))
         await until(lambda: len(hop.calls) == 2)
         faults.fail("read", error)
-        await hop.stop()  # something comes: the read tells
-        assert (await ended(owner))[0].outcome is Outcome.RESET
+        await hop.stop()  # the connection becomes readable, and the read fails
+        assert (await finished(owner))[0].outcome is Outcome.RESET
         hops.close()
 
     run_faulty(main)
@@ -347,17 +347,17 @@
 @pytest.mark.parametrize("wire", ["http", "amqp"])
 @pytest.mark.parametrize("written", [0, 20])
 @pytest.mark.parametrize("error", BROKEN, ids=errno_name)
-def test_a_call_whose_last_byte_did_not_leave_never_ran(error: int, written: int, wire: str) -> None:
+def test_a_call_whose_last_byte_was_not_sent_never_ran(error: int, written: int, wire: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
+        assert (await finished(owner))[0] == AttemptResult(Outcome.OK)
         faults.after["write"] = written
         faults.always("write", error)
         hops.start(call(hop.port, limit=5.0))
-        assert (await ended(owner))[0].outcome is Outcome.CONNECT_FAILED
+        assert (await finished(owner))[0].outcome is Outcome.CONNECT_FAILED
         assert len(hop.calls) == 1
         hops.close()
         await hop.stop()
@@ -366,28 +366,28 @@
 
 
 @pytest.mark.parametrize("written", [0, 20])
-def test_amqp_a_whole_publish_may_have_run_when_the_next_one_is_cut(written: int) -> None:
-    """They share a connection; only of the one whose last byte did not leave is it sure that it never ran."""
+def test_amqp_a_complete_publish_may_have_run_when_the_next_one_is_cut_off(written: int) -> None:
+    """They share a connection. Only the publish whose last byte was not sent certainly never ran."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = Broker(), Owner()
         hop.script = ["ok", "ok", "silent"]
         await hop.start()
         hops = AmqpNextHops(owner, 2.0, 60.0, 8, {})
-        pair = [call(hop.port, limit=5.0) for _ in range(2)]  # both channels come up
+        pair = [call(hop.port, limit=5.0) for _ in range(2)]  # opens both channels
         for one in pair:
             hops.start(one)
         await until(lambda: len(owner.done) == 2)
         owner.done.clear()
-        whole, cut = call(hop.port, limit=5.0), call(hop.port, limit=5.0)
-        hops.start(whole)
+        complete, cut_off = call(hop.port, limit=5.0), call(hop.port, limit=5.0)
+        hops.start(complete)
         await until(lambda: len(hop.calls) == 3)
         faults.after["write"] = written
         faults.always("write", errno.EHOSTUNREACH)
-        hops.start(cut)
+        hops.start(cut_off)
         await until(lambda: len(owner.done) == 2)
         found = {one: results[0].outcome for one, results in owner.done}
-        assert found == {whole: Outcome.RESET, cut: Outcome.CONNECT_FAILED}
+        assert found == {complete: Outcome.RESET, cut_off: Outcome.CONNECT_FAILED}
         hops.close()
         await hop.stop()
 
@@ -395,7 +395,7 @@
 
 
 @pytest.mark.parametrize("wire", ["http", "amqp"])
-def test_calls_over_interrupted_short_reads_and_writes(wire: str) -> None:
+def test_calls_succeed_over_interrupted_short_reads_and_writes(wire: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         hop, owner = stand_in(wire), Owner()
         await hop.start()
@@ -406,7 +406,7 @@
         faults.fail("write", *[errno.EINTR] * 5)
         for _ in range(2):
             hops.start(call(hop.port, limit=9.0))
-            assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
+            assert (await finished(owner))[0] == AttemptResult(Outcome.OK)
         assert hops.opened == 1 and [len(body) for *_, body in hop.calls] == [1, 1]
         hops.close()
         await hop.stop()
@@ -415,8 +415,8 @@
 
 
 @pytest.mark.parametrize("protocol", ["http", "amqp", "mixed"])
-def test_messages_outlast_a_shortage(tmp_path: Path, protocol: str) -> None:
-    """One that has time is delivered by one call; one that has none has not run, and its end says so."""
+def test_messages_survive_a_shortage(tmp_path: Path, protocol: str) -> None:
+    """A message with enough time is delivered by one call. One without has not run, and is deferred."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with SenderHarness(tmp_path, protocol) as world:
@@ -438,18 +438,20 @@
 
 
 class Discovery(HttpServer):
-    """Keeps how many calls were out as each came."""
+    """Records the number of open calls at each request."""
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
         super().__init__(reply)
-        self.out: list[int] = []
+        self.open_calls: list[int] = []
 
 
 @contextlib.asynccontextmanager
-async def followed(answer: bytes) -> AsyncIterator[tuple[Discovery, MapOwner, TransportMap]]:
+async def discovery_client(answer: bytes) -> AsyncIterator[tuple[Discovery, MapOwner, TransportMap]]:
+    """A client of a discovery that gives this answer: at once, or to a watch after 60 s."""
+
     async def reply(message: Message) -> bytes | None:
         assert message.start is not None
-        server.out.append(len(found._watch.open_calls))
+        server.open_calls.append(len(found._watch.open_calls))
         if "wait=" in message.start[1] and not message.start[1].endswith("wait=1"):  # a watch
             await asyncio.sleep(60)
         return answer
@@ -463,11 +465,11 @@
 
 
 @pytest.mark.parametrize("error", LOCAL_SHORTAGES, ids=errno_name)
-def test_a_shortage_here_is_no_failure_of_discovery(error: int) -> None:
-    """No back-off grows by it: the list is asked for as soon as there is something to ask with."""
+def test_a_local_shortage_is_no_failure_of_discovery(error: int) -> None:
+    """It increases no back-off: the list is requested as soon as a connection is possible."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with followed(listing(4, True)) as (_, owner, found):
+        async with discovery_client(listing(4, True)) as (_, owner, found):
             faults.fail("socket", *[error] * 6)
             found.watch(True)
             await until(lambda: owner.version == 4)
@@ -478,21 +480,21 @@
 
 
 @pytest.mark.parametrize("error", BROKEN, ids=errno_name)
-def test_a_watch_whose_connection_breaks_is_made_anew(error: int) -> None:
+def test_a_watch_is_repeated_after_its_connection_broke(error: int) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with followed(listing(4, True)) as (server, owner, found):
+        async with discovery_client(listing(4, True)) as (server, owner, found):
             faults.fail("read", error)
             found.watch(True)
             await until(lambda: owner.version == 4)
             assert faults.count["read"] == 1 and server.connections == 2
-            assert server.out[:2] == [1, 1], "the first is not waited for"
+            assert server.open_calls[:2] == [1, 1], "the first call is no longer open"
 
     run_faulty(main)
 
 
-def test_a_list_over_interrupted_short_reads_and_writes() -> None:
+def test_a_list_is_received_over_interrupted_short_reads_and_writes() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with followed(listing(4, True)) as (server, owner, found):
+        async with discovery_client(listing(4, True)) as (server, owner, found):
             faults.most |= {"read": 1, "write": 1}
             faults.fail("connect", errno.EINTR)
             faults.fail("read", *[errno.EINTR] * 5)
@@ -505,23 +507,23 @@
 
 # Notices, and every other exchange
 
-TOLD = response(204, "No Content", {}, b"")
+ACKNOWLEDGED = response(204, "No Content", {}, b"")
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.EADDRNOTAVAIL], ids=errno_name)
-def test_a_notice_is_told_as_soon_as_a_shortage_is_over(error: int) -> None:
-    """A back-off that doubled with each failure would pass the time in which its end has to be known."""
+def test_a_notice_is_sent_as_soon_as_a_shortage_ends(error: int) -> None:
+    """A back-off that doubled with each failure would exceed the time within which an outcome is due."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async def reply(message: Message) -> bytes:
-            return TOLD
+            return ACKNOWLEDGED
 
-        server, told = HttpServer(reply), list[str]()
+        server, acknowledged = HttpServer(reply), list[str]()
         await server.start()
         notices = Notices(Address(HOST, server.port))
         faults.fail("socket", *[error] * 48)
-        notices.report_outcome("a", MessageOutcome(Status.DEFERRED), lambda: told.append("a"))
-        await until(lambda: told)
+        notices.report_outcome("a", MessageOutcome(Status.DEFERRED), lambda: acknowledged.append("a"))
+        await until(lambda: acknowledged)
         assert faults.count["socket"] == 48 and max(loop.delays) <= SHORTAGE_RETRY_S
         notices.close()
         await server.stop()
@@ -531,18 +533,18 @@
 
 @pytest.mark.parametrize("call", ["read", "write", "connect", "connected"])
 @pytest.mark.parametrize("error", BROKEN, ids=errno_name)
-def test_a_notice_whose_connection_breaks_is_told_again(error: int, call: str) -> None:
+def test_a_notice_is_sent_again_after_its_connection_broke(error: int, call: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async def reply(message: Message) -> bytes:
-            return TOLD
+            return ACKNOWLEDGED
 
-        server, told = HttpServer(reply), list[str]()
+        server, acknowledged = HttpServer(reply), list[str]()
         await server.start()
         notices = Notices(Address(HOST, server.port))
         faults.fail(call, error)
-        notices.report_outcome("a", MessageOutcome(Status.DEFERRED), lambda: told.append("a"))
-        await until(lambda: told)
-        assert faults.count[call] == 1 and told == ["a"]
+        notices.report_outcome("a", MessageOutcome(Status.DEFERRED), lambda: acknowledged.append("a"))
+        await until(lambda: acknowledged)
+        assert faults.count[call] == 1 and acknowledged == ["a"]
         notices.close()
         await server.stop()
 
@@ -550,8 +552,8 @@
 
 
 @pytest.mark.parametrize("call", ["read", "write", "connect", "connected"])
-def test_only_silence_is_a_time_out(call: str) -> None:
-    """Who follows a relay leaves one that broke, and asks one that is silent again."""
+def test_only_a_missing_answer_is_a_timeout(call: str) -> None:
+    """A follower leaves a relay that breaks the connection, but repeats its request to one that is silent."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async def reply(message: Message) -> bytes:
@@ -565,12 +567,12 @@
         with pytest.raises(TimeoutError):
             await client.exchange(data, 0.05)
         faults.fail(call, errno.ETIMEDOUT)
-        asked = asyncio.ensure_future(client.exchange(data, 5.0))
+        exchange = asyncio.ensure_future(client.exchange(data, 5.0))
         if call == "read":
             await until(lambda: server.connections == 2)
             await server.stop()
         with pytest.raises(ConnectionError) as found:
-            await asked
+            await exchange
         assert not isinstance(found.value, TimeoutError) and faults.count[call] == 1
         client.close()
         await server.stop()
@@ -583,6 +585,8 @@
 
 @contextlib.asynccontextmanager
 async def console(loop: FaultyLoop, reply: Reply | OSError) -> AsyncIterator[Address]:
+    """A console whose calls have this reply, or raise this error."""
+
     async def carry_out(call: ConsoleCall) -> Reply:
         if isinstance(reply, OSError):
             raise reply
@@ -595,59 +599,61 @@
     server.close()
 
 
-async def asked(loop: FaultyLoop, address: Address) -> tuple[int, dict[str, object]]:
+async def fetch_ready(loop: FaultyLoop, address: Address) -> tuple[int, dict[str, object]]:
     with socket.socket() as sock:
         sock.setblocking(False)
         await loop.sock_connect(sock, (address.host, address.port))
         await loop.sock_sendall(sock, b"GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        said = await hear(sock, 1 << 16)
-    head, _, body = said.partition(b"\r\n\r\n")
+        answer = await receive_bytes(sock, 1 << 16)
+    head, _, body = answer.partition(b"\r\n\r\n")
     return int(head.split()[1]), orjson.loads(body)
 
 
 @pytest.mark.parametrize("error", ACCEPT_ERRORS, ids=errno_name)
 def test_the_console_answers_after_each_failure_to_accept(error: int) -> None:
-    """asyncio's own server: it rests for a second, or tells the loop of the error, and goes on."""
+    """The console uses asyncio's server, which pauses for a second or reports the error to the loop, and
+    continues.
+    """
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with console(loop, Reply(200, "ready")) as address:
             faults.fail("accept", error)
-            assert await asked(loop, address) == (200, {"ok": True, "says": "ready"})
+            assert await fetch_ready(loop, address) == (200, {"ok": True, "says": "ready"})
             assert faults.count["accept"] == 1
-        loop.unhandled.clear()  # asyncio logs these by way of the loop
+        loop.unhandled.clear()  # asyncio reports these errors to the loop
 
     run_faulty(main)
 
 
-def test_the_console_over_interrupted_short_reads_and_writes() -> None:
+def test_the_console_answers_over_interrupted_short_reads_and_writes() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with console(loop, Reply(200, "ready")) as address:
             faults.most |= {"read": 1, "write": 1}
             faults.fail("read", *[errno.EINTR] * 5)
             faults.fail("write", *[errno.EINTR] * 5)
-            assert await asked(loop, address) == (200, {"ok": True, "says": "ready"})
+            assert await fetch_ready(loop, address) == (200, {"ok": True, "says": "ready"})
 
     run_faulty(main)
 
 
 @pytest.mark.parametrize("call", ["read", "write"])
 @pytest.mark.parametrize("error", BROKEN, ids=errno_name)
-def test_a_callers_connection_that_breaks_ends_alone(error: int, call: str) -> None:
+def test_a_broken_connection_to_the_console_does_not_affect_the_next(error: int, call: str) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with console(loop, Reply(200, "ready")) as address:
             faults.fail(call, error)
             with contextlib.suppress(OSError, IndexError):
-                await asked(loop, address)
+                await fetch_ready(loop, address)
             assert faults.count[call] == 1
-            assert (await asked(loop, address))[0] == 200
+            assert (await fetch_ready(loop, address))[0] == 200
 
     run_faulty(main)
 
 
-def test_a_time_out_of_the_systems_is_a_fault_of_the_call() -> None:
+def test_a_timeout_from_the_system_is_an_error_of_the_console_call() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with console(loop, TimeoutError(errno.ETIMEDOUT, "Connection timed out")) as address:
-            status, said = await asked(loop, address)
-            assert status == 503 and str(said["says"]).startswith("failed: TimeoutError")
+            status, answer = await fetch_ready(loop, address)
+            assert status == 503 and str(answer["says"]).startswith("failed: TimeoutError")
 
     run_faulty(main)
