--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -513,7 +513,7 @@
             client = AmqpClient(world)
             await client.connect()
             client.task.cancel()
-            client.say(0, "connection.close", code=200, text="bye", class_id=0, method_id=0)
+            client.send_method(0, "connection.close", code=200, text="bye", class_id=0, method_id=0)
             properties = {"message_id": "late", "type": "safe", "expiration": "5000", "headers": {}}
             publish = codec.method(1, "basic.publish", routing_key="7", mandatory=True)
             for _ in range(12):
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -295,19 +295,19 @@
         self.reader, self.writer = await asyncio.open_connection(HOST, self.world.port)
         self.writer.write(codec.PROTOCOL_HEADER)
         await self.expect("connection.start")
-        self.say(0, "connection.start-ok", mechanism="PLAIN", response="\0u\0p", locale="en_US")
+        self.send_method(0, "connection.start-ok", mechanism="PLAIN", response="\0u\0p", locale="en_US")
         tune = (await self.expect("connection.tune")).args
-        self.say(0, "connection.tune-ok", **{**tune, "heartbeat": 1})
-        self.say(0, "connection.open", vhost="/")
+        self.send_method(0, "connection.tune-ok", **{**tune, "heartbeat": 1})
+        self.send_method(0, "connection.open", vhost="/")
         await self.expect("connection.open-ok")
         self.tag, self.ids = 0, dict[int, str]()
-        self.say(1, "channel.open")
+        self.send_method(1, "channel.open")
         await self.expect("channel.open-ok")
-        self.say(1, "confirm.select")
+        self.send_method(1, "confirm.select")
         await self.expect("confirm.select-ok")
         self.task = asyncio.create_task(self.listen())
 
-    def say(self, channel: int, name: str, **args: Any) -> None:
+    def send_method(self, channel: int, name: str, **args: Any) -> None:
         self.writer.write(codec.method(channel, name, **args))
 
     async def expect(self, name: str) -> codec.Method:
@@ -337,7 +337,7 @@
         """Just the channel: what is taken on and not confirmed loses its way back."""
         self.task.cancel()
         if not self.reader.at_eof():
-            self.say(1, "channel.close", code=200, text="bye")
+            self.send_method(1, "channel.close", code=200, text="bye")
             await asyncio.sleep(0.05)
         self.writer.close()
 
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -126,11 +126,11 @@
             client.reader, client.writer = await asyncio.open_connection(HOST, world.port)
             client.writer.write(codec.PROTOCOL_HEADER)
             await client.expect("connection.start")
-            client.say(0, "connection.start-ok", mechanism="PLAIN", response=login, locale="en_US")
+            client.send_method(0, "connection.start-ok", mechanism="PLAIN", response=login, locale="en_US")
             if code != 403:
                 tune = (await client.expect("connection.tune")).args
-                client.say(0, "connection.tune-ok", **tune)
-                client.say(0, "connection.open", vhost=vhost)
+                client.send_method(0, "connection.tune-ok", **tune)
+                client.send_method(0, "connection.open", vhost=vhost)
             if not code:
                 await client.expect("connection.open-ok")
             else:
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -81,16 +81,16 @@
                 code,
             )
             if not hard:  # the channel can be opened again, and serves
-                client.say(1, "channel.close-ok")
-                client.say(1, "channel.open")
+                client.send_method(1, "channel.close-ok")
+                client.send_method(1, "channel.open")
                 await client.expect("channel.open-ok")
-                client.say(1, "confirm.select")
+                client.send_method(1, "confirm.select")
                 await client.expect("confirm.select-ok")
                 client.tag, client.task = 0, asyncio.create_task(client.listen())
                 await client.submit("m")
                 assert await client.outcome("m") == "delivered"
             else:
-                client.say(0, "connection.close-ok")
+                client.send_method(0, "connection.close-ok")
                 rest = await client.reader.read()  # only heartbeats follow
                 assert not rest.replace(codec.frame(codec.HEARTBEAT, 0, b""), b"")
 
