--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -570,7 +570,7 @@
         def loaded(path: Path) -> OperatorFile:
             found = load(path)
             world.states = ["leaving"]
-            world.write()
+            world.write_file()
             return found
 
         monkeypatch.setattr(helper, "load", loaded)
@@ -594,7 +594,7 @@
             world.file.write_bytes(content)
             await until(lambda: "file-not-read" in [record.message for record in caplog.records])
             world.states = ["leaving"]
-            world.write()
+            world.write_file()
             await asyncio.sleep(GRACE)
             assert await world.client.submit("a") is None
             await asyncio.sleep(GRACE)
@@ -619,7 +619,7 @@
                     paused.append(call.hop.id)
                     if where == "file":
                         world.states = ["leaving"]
-                        world.write()
+                        world.write_file()
                     else:
                         detach(tmp_path / "state", "h0")
                     time.sleep(0.6)  # as with SIGSTOP and SIGCONT: no other step of the loop runs meanwhile
--- a/tests/crossings/test_list_lease.py
+++ b/tests/crossings/test_list_lease.py
@@ -364,7 +364,7 @@
 
             monkeypatch.setattr(Path, "read_text", failing)
             world.states = ["leaving"]
-            world.write()
+            world.write_file()
             await asyncio.sleep(GRACE_S)
             assert await world.client.submit("a") is None
             await asyncio.sleep(healed_at - loop.time())
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -387,7 +387,7 @@
             self.notices[notice["id"]] = notice["status"]
         return response(204, "No Content", {}, b"")
 
-    def write(self) -> None:
+    def write_file(self) -> None:
         front = "resp" if self.protocol == "http" else "amqp"
         text = f'name = "w"\nstate = "state"\n[{front}]\nlisten = "{HOST}:0"\n'
         if front == "resp":
@@ -404,7 +404,7 @@
 
     async def start(self) -> None:
         (self.folder / "state").mkdir(exist_ok=True)
-        self.write()
+        self.write_file()
         operator = load(self.file)
         self.runtime = OperatorRuntime(operator)
         await self.runtime.start()
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -227,18 +227,18 @@
             world.extra = (fleet(mine, peer + 1) + TENANTS).replace("rate = 5", "rate = 7").replace(
                 f'["{KEY}"]', f'["another key of the fleet", "{KEY}"]'
             ) + '[[tenant]]\nname = "bianchi"\n'
-            world.write()
+            world.write_file()
             world.runtime.reload()
             assert tenants.admission.quotas[tenants.admission.names["rossi"]].rate == 7
             assert "bianchi" in tenants.admission.names and tenants.fleet.plan.peers == ((HOST, peer + 1),)
             assert tenants.fleet.seal._first != old._first and set(old._keys) < set(tenants.fleet.seal._keys)
             kept = world.extra
             world.extra = kept.replace("rate = 7", 'rate = "x"')
-            world.write()
+            world.write_file()
             world.runtime.reload()  # changes nothing
             assert tenants.admission.quotas[tenants.admission.names["rossi"]].rate == 7
             world.extra = ""
-            world.write()
+            world.write_file()
             world.runtime.reload()
             assert "rossi" in tenants.admission.names  # tenants go with a restart only
 
--- a/tests/test_both_protocols.py
+++ b/tests/test_both_protocols.py
@@ -87,7 +87,7 @@
                 await world.client.outcome(f"a{number}")
             used = 0 if world.hops[0].calls else 1
             world.states[used] = "leaving"
-            world.write()
+            world.write_file()
             told = asyncio.get_running_loop().time()
             for number in range(20):
                 await world.client.submit(f"b{number}")
