--- a/tests/helper.py
+++ b/tests/helper.py
@@ -268,10 +268,15 @@
         return await self.reader.readline()
 
     async def submit(
-        self, msg_id: str, grade: str = "safe", left: float = 8.0, key: str = "k1", body: bytes = b"hello"
+        self,
+        msg_id: str,
+        grade: str = "safe",
+        remaining_s: float = 8.0,
+        key: str = "k1",
+        body: bytes = b"hello",
     ) -> str | None:
         """Hand it in: None once it is taken on, else its end."""
-        pairs = f"c={grade},d={int(left * 1000)},k={key},dest=7"
+        pairs = f"c={grade},d={int(remaining_s * 1000)},k={key},dest=7"
         answer = await self.command(b"ENQUEUE", b"0", msg_id.encode(), pairs.encode(), body)
         return {b"+": None, b"-BUSY": "deferred"}.get(
             answer[:1] if answer[:1] == b"+" else answer[:5], "undeliverable"
@@ -342,7 +347,12 @@
         self.writer.close()
 
     async def submit(
-        self, msg_id: str, grade: str = "safe", left: float = 8.0, key: str = "k1", body: bytes = b"hello"
+        self,
+        msg_id: str,
+        grade: str = "safe",
+        remaining_s: float = 8.0,
+        key: str = "k1",
+        body: bytes = b"hello",
     ) -> str | None:
         self.tag += 1
         self.ids[self.tag] = msg_id
@@ -350,7 +360,7 @@
         properties = {
             "message_id": msg_id,
             "type": grade,
-            "expiration": str(int(left * 1000)),
+            "expiration": str(int(remaining_s * 1000)),
             "headers": {"idempotency-key": key},
         }
         self.writer.write(
--- a/tests/test_both_protocols.py
+++ b/tests/test_both_protocols.py
@@ -70,7 +70,7 @@
                 await world.hops[0].stop()
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert await world.client.submit("m1", grade, left=1.5) is None
+            assert await world.client.submit("m1", grade, remaining_s=1.5) is None
             assert await world.client.outcome("m1") == end
             assert loop.time() - began < 1.8
             assert not world.hops[0].delivered
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -422,7 +422,7 @@
         async with SenderHarness(tmp_path, protocol) as world:
             faults.always("socket", errno.EMFILE)
             assert await world.client.submit("long", "once", key="a") is None
-            assert await world.client.submit("short", "once", left=1.5, key="b") is None
+            assert await world.client.submit("short", "once", remaining_s=1.5, key="b") is None
             await until(lambda: world.runtime.sender.counts["end", "deferred"])
             assert faults.count["socket"] > 1
             faults.always("socket", None)
