--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
-"""The order of the tests: pure ones while the rigs play, those with sockets and clocks after that, the
-rigs' last.
+"""Orders the tests: pure ones first, while the rigs run, then those with sockets and clocks, and last those
+that read the rigs' results.
 """
 
 from __future__ import annotations
@@ -10,10 +10,11 @@
 import pytest
 
 from rillspindle.send_monitor import Rule, SendMonitor
-from tests.known_red import pass_over, report
+from tests.known_red import mark_expected_failures, report
 from tests.rigs import RIGS
 
-_JUDGE = {
+# The files that read the results of rigs, and the batch of rigs that each needs.
+_RIG_BATCHES = {
     "tests/recovery/test_processes.py": "scenes",
     "tests/lab/test_rig.py": "senders",
     "tests/recovery/test_fleets.py": "fleets",
@@ -33,44 +34,44 @@
 )  # fmt: skip
 
 
-_FAILED_RIGS = Path("runs/failed-rigs")  # what the rigs of a run with a failure have left
+_FAILED_RIGS = Path("runs/failed-rigs")  # keeps the rigs' files after a run with a failure
 _VIOLATED = b"event=invariant-violated"
 
 
 @pytest.fixture(autouse=True)
 def no_violations(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """The run-time check counts nothing, in this process and in those that log below the test's folder.
+    """Check that the run-time check found no violation, in this process and in the logs below `tmp_path`.
 
-    A test of the check itself, or of a mutant that it must find, is marked `violates`.
+    A test of the run-time check itself, or of a mutant that it must find, is marked `violates`.
     """
-    found: list[str] = []
+    violations: list[str] = []
     count = SendMonitor._count
 
-    def counted(self: SendMonitor, rule: Rule, message: str, why: str) -> None:
-        found.append(f"{rule} {message}: {why}")
+    def record_and_count(self: SendMonitor, rule: Rule, message: str, why: str) -> None:
+        violations.append(f"{rule} {message}: {why}")
         count(self, rule, message, why)
 
-    monkeypatch.setattr(SendMonitor, "_count", counted)
+    monkeypatch.setattr(SendMonitor, "_count", record_and_count)
     yield
     if request.node.get_closest_marker("violates") is not None:
         return
     folder = request.node.funcargs.get("tmp_path")
     if isinstance(folder, Path):
         logs = [path for path in folder.rglob("*log") if path.is_file()]
-        found += [line.decode() for path in logs for line in path.read_bytes().splitlines()
-                  if _VIOLATED in line]  # fmt: skip
-    assert found == []
+        violations += [line.decode() for path in logs for line in path.read_bytes().splitlines()
+                       if _VIOLATED in line]  # fmt: skip
+    assert violations == []
 
 
 def _rank(item: pytest.Item) -> int:
-    if any(item.nodeid.startswith(file) for file in _JUDGE):
+    if any(item.nodeid.startswith(file) for file in _RIG_BATCHES):
         return 2
     return 0 if item.nodeid.startswith(_PURE) else 1
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     items.sort(key=_rank)
-    pass_over(items)
+    mark_expected_failures(items)
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
@@ -88,6 +89,9 @@
     if session.config.option.collectonly:
         return
     wanted = {
-        batch for item in session.items for file, batch in _JUDGE.items() if item.nodeid.startswith(file)
+        batch
+        for item in session.items
+        for file, batch in _RIG_BATCHES.items()
+        if item.nodeid.startswith(file)
     }
     RIGS.begin(sorted(wanted))
--- a/tests/helper.py
+++ b/tests/helper.py
@@ -1,4 +1,4 @@
-"""The one helper of the network tests: loopback stand-ins for clients, next hops, discovery and notices."""
+"""Helpers for the network tests: stand-ins on loopback for clients, next hops, discovery and notices."""
 
 from __future__ import annotations
 
@@ -19,6 +19,8 @@
 
 
 def run(main: Coroutine[Any, Any, None], limit: float = 20.0) -> None:
+    """Run a test's coroutine; TimeoutError after `limit` seconds."""
+
     async def bounded() -> None:
         async with asyncio.timeout(limit):
             await main
@@ -26,14 +28,15 @@
     asyncio.run(bounded())
 
 
-async def until(true: Callable[[], Any], limit: float = 8.0) -> None:
+async def until(condition: Callable[[], Any], limit: float = 8.0) -> None:
+    """Wait until the condition is true; TimeoutError after `limit` seconds."""
     async with asyncio.timeout(limit):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 class Transport(asyncio.Transport):
-    """What a protocol under test writes, without a socket."""
+    """A transport without a socket, which records what the protocol under test writes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,6 +48,7 @@
             self.written += data
 
     def take_written(self) -> bytes:
+        """Return what was written since the last call."""
         written, self.written = bytes(self.written), bytearray()
         return written
 
@@ -72,7 +76,7 @@
 
 
 def receive(protocol: asyncio.BufferedProtocol, data: bytes) -> None:
-    """As the loop would: into the protocol's own buffer."""
+    """Deliver data to a protocol as the event loop would, through the protocol's own buffer."""
     while data:
         buffer = memoryview(protocol.get_buffer(-1))
         count = min(len(buffer), len(data))
@@ -82,7 +86,7 @@
 
 
 class Server:
-    """A listening stand-in; `restart` comes back on the same port."""
+    """A stand-in that listens; started again after `stop`, it has the same port."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -116,17 +120,17 @@
 
 
 async def reply_without_changes(message: Message) -> bytes:
-    """What a discovery answers to a call for changes where there are none, once the call's wait is over."""
+    """Return discovery's answer to a watch without changes, after the wait that the watch requested."""
     assert message.start is not None
     _, _, query = message.start[1].partition("?")
-    asked = dict(pair.split("=") for pair in query.split("&"))
-    await asyncio.sleep(int(asked["wait"]) / 1000)
-    found = {"version": int(asked["index"]), "full": False, "servers": []}
-    return response(200, "OK", {}, orjson.dumps(found))
+    parameters = dict(pair.split("=") for pair in query.split("&"))
+    await asyncio.sleep(int(parameters["wait"]) / 1000)
+    answer = {"version": int(parameters["index"]), "full": False, "servers": []}
+    return response(200, "OK", {}, orjson.dumps(answer))
 
 
 class HttpServer(Server):
-    """Answers each request by `reply`; None breaks the connection."""
+    """Answers each request with the result of `reply`; on None it closes the connection."""
 
     def __init__(self, reply: Callable[[Message], Awaitable[bytes | None]]) -> None:
         super().__init__()
@@ -142,19 +146,20 @@
 
 
 class Hop:
-    """What both kinds of next hop share: `script` names the fate of each call, the last one for all later."""
+    """The common part of both next hops. `script` holds a result for each call; the last one is repeated."""
 
     def __init__(self) -> None:
         self.script = ["ok"]
-        self.calls: list[tuple[float, str, str, bytes]] = []  # when, id, key, body
+        self.calls: list[tuple[float, str, str, bytes]] = []  # time, id, key, body
         self.delivered: list[str] = []
 
-    def fate(self, msg_id: str, key: str, body: bytes) -> str:
+    def record_call(self, msg_id: str, key: str, body: bytes) -> str:
+        """Record a call and return its result by the script."""
         self.calls.append((asyncio.get_running_loop().time(), msg_id, key, body))
-        fate = self.script.pop(0) if len(self.script) > 1 else self.script[0]
-        if fate == "ok":
+        result = self.script.pop(0) if len(self.script) > 1 else self.script[0]
+        if result == "ok":
             self.delivered.append(msg_id)
-        return fate
+        return result
 
 
 class HttpHop(Hop, HttpServer):
@@ -167,9 +172,12 @@
         HttpServer.__init__(self, self.hook)
 
     async def hook(self, message: Message) -> bytes | None:
+        """Answer one call."""
         headers = message.headers
-        fate = self.fate(headers["x-trace-id"], headers.get("idempotency-key", ""), bytes(message.body))
-        match fate:
+        result = self.record_call(
+            headers["x-trace-id"], headers.get("idempotency-key", ""), bytes(message.body)
+        )
+        match result:
             case "ok":
                 return response(200, "OK", {}, b"done")
             case "error":
@@ -182,6 +190,7 @@
 
 
 async def read_frame(reader: asyncio.StreamReader) -> codec.Frame:
+    """Read one AMQP frame."""
     head = await reader.readexactly(7)
     kind, channel, size = head[0], int.from_bytes(head[1:3], "big"), int.from_bytes(head[3:], "big")
     payload = await reader.readexactly(size + 1)
@@ -190,6 +199,7 @@
 
 
 async def read_content(reader: asyncio.StreamReader) -> tuple[dict[str, Any], bytes]:
+    """Read the properties and the body of an AMQP message."""
     size, properties = codec.decode_header((await read_frame(reader)).payload)
     body = b""
     while len(body) < size:
@@ -198,7 +208,7 @@
 
 
 class Broker(Hop, Server):
-    """A broker as the specification has it, as far as a publisher with confirms sees one."""
+    """A broker, written from the specification, with what a publisher with confirms needs."""
 
     protocol = "amqp"
 
@@ -208,11 +218,11 @@
         self.closed_channels = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        def say(channel: int, name: str, **args: Any) -> None:
+        def send(channel: int, name: str, **args: Any) -> None:
             writer.write(codec.method(channel, name, **args))
 
         assert await reader.readexactly(8) == codec.PROTOCOL_HEADER
-        say(0, "connection.start", minor=9, mechanisms="PLAIN", locales="en_US")
+        send(0, "connection.start", minor=9, mechanisms="PLAIN", locales="en_US")
         tags: dict[int, int] = {}
         while True:
             frame = await read_frame(reader)
@@ -221,48 +231,51 @@
             channel, method = frame.channel, codec.decode_method(frame.payload)
             match method.name:
                 case "connection.start-ok":
-                    say(0, "connection.tune", channel_max=32, frame_max=4096, heartbeat=1)
+                    send(0, "connection.tune", channel_max=32, frame_max=4096, heartbeat=1)
                 case "connection.open":
-                    say(0, "connection.open-ok")
+                    send(0, "connection.open-ok")
                     if self.script[0] == "full":
-                        say(0, "connection.blocked", reason="low on memory")
+                        send(0, "connection.blocked", reason="low on memory")
                 case "channel.open":
                     tags[channel] = 0
-                    say(channel, "channel.open-ok")
+                    send(channel, "channel.open-ok")
                 case "confirm.select":
-                    say(channel, "confirm.select-ok")
+                    send(channel, "confirm.select-ok")
                 case "channel.close":
                     self.closed_channels += 1
-                    say(channel, "channel.close-ok")
+                    send(channel, "channel.close-ok")
                 case "connection.close":
-                    say(0, "connection.close-ok")
+                    send(0, "connection.close-ok")
                     return
                 case "basic.publish":
                     properties, body = await read_content(reader)
                     tags[channel] += 1
                     key = (properties.get("headers") or {}).get("idempotency-key", "")
-                    fate = self.fate(properties["message_id"], key, body)
-                    if fate == "ok":
-                        say(channel, "basic.ack", tag=tags[channel])
-                    elif fate == "error":
-                        say(channel, "basic.nack", tag=tags[channel])
-                    elif fate == "reset":
-                        return  # anything else: it crawls, and never confirms
+                    result = self.record_call(properties["message_id"], key, body)
+                    if result == "ok":
+                        send(channel, "basic.ack", tag=tags[channel])
+                    elif result == "error":
+                        send(channel, "basic.nack", tag=tags[channel])
+                    elif result == "reset":
+                        return  # with any other result it never confirms
 
 
 class RespClient:
-    """Hands messages in over RESP2 and hears of ends as the platform would: by notice, or at the next hop."""
+    """Submits messages over RESP2. It learns outcomes as the platform does, by notice or at the next hop."""
 
-    def __init__(self, world: SenderHarness) -> None:
-        self.world = world
+    def __init__(self, harness: SenderHarness) -> None:
+        self.harness = harness
 
     async def connect(self) -> None:
-        self.reader, self.writer = await asyncio.open_connection(HOST, self.world.port)
+        """Connect to the sender."""
+        self.reader, self.writer = await asyncio.open_connection(HOST, self.harness.port)
 
     async def close(self) -> None:
+        """Close the connection."""
         self.writer.close()
 
     async def command(self, *args: bytes) -> bytes:
+        """Send a command and return the first line of the answer."""
         parts = b"".join(b"$%d\r\n%b\r\n" % (len(a), a) for a in args)
         self.writer.write(b"*%d\r\n" % len(args) + parts)
         return await self.reader.readline()
@@ -270,34 +283,36 @@
     async def submit(
         self,
         msg_id: str,
-        grade: str = "safe",
+        message_class: str = "safe",
         remaining_s: float = 8.0,
         key: str = "k1",
         body: bytes = b"hello",
     ) -> str | None:
-        """Hand it in: None once it is taken on, else its end."""
-        pairs = f"c={grade},d={int(remaining_s * 1000)},k={key},dest=7"
+        """Submit a message. Return None if it is accepted, else its outcome."""
+        pairs = f"c={message_class},d={int(remaining_s * 1000)},k={key},dest=7"
         answer = await self.command(b"ENQUEUE", b"0", msg_id.encode(), pairs.encode(), body)
         return {b"+": None, b"-BUSY": "deferred"}.get(
             answer[:1] if answer[:1] == b"+" else answer[:5], "undeliverable"
         )
 
     async def outcome(self, msg_id: str) -> str:
-        world = self.world
-        delivered = [hop.delivered for hop in world.hops]
-        await until(lambda: msg_id in world.notices or any(msg_id in one for one in delivered))
-        return world.notices.get(msg_id, "delivered")
+        """Wait for the outcome of a message."""
+        harness = self.harness
+        delivered = [hop.delivered for hop in harness.hops]
+        await until(lambda: msg_id in harness.notices or any(msg_id in one for one in delivered))
+        return harness.notices.get(msg_id, "delivered")
 
 
 class AmqpClient:
-    """A publisher with confirms, from the specification."""
+    """A publisher with confirms, written from the specification."""
 
-    def __init__(self, world: SenderHarness) -> None:
-        self.world = world
-        self.ends: dict[str, str] = {}
+    def __init__(self, harness: SenderHarness) -> None:
+        self.harness = harness
+        self.outcomes: dict[str, str] = {}
 
     async def connect(self) -> None:
-        self.reader, self.writer = await asyncio.open_connection(HOST, self.world.port)
+        """Connect to the sender, and open a channel with confirms."""
+        self.reader, self.writer = await asyncio.open_connection(HOST, self.harness.port)
         self.writer.write(codec.PROTOCOL_HEADER)
         await self.expect("connection.start")
         self.send_method(0, "connection.start-ok", mechanism="PLAIN", response="\0u\0p", locale="en_US")
@@ -313,9 +328,11 @@
         self.task = asyncio.create_task(self.listen())
 
     def send_method(self, channel: int, name: str, **args: Any) -> None:
+        """Send a method frame."""
         self.writer.write(codec.method(channel, name, **args))
 
     async def expect(self, name: str) -> codec.Method:
+        """Read frames up to the next method, which must have this name."""
         while True:
             frame = await read_frame(self.reader)
             if frame.kind == codec.METHOD:
@@ -324,6 +341,7 @@
                 return method
 
     async def listen(self) -> None:
+        """Record the outcomes of published messages as they are confirmed."""
         returned = ""
         while True:
             frame = await read_frame(self.reader)
@@ -334,12 +352,12 @@
                 returned = method.args["text"].split()[0].lower()
                 await read_content(self.reader)
             elif method.name == "basic.ack":
-                self.ends[self.ids[method.args["tag"]]] = "delivered"
+                self.outcomes[self.ids[method.args["tag"]]] = "delivered"
             elif method.name == "basic.nack":
-                self.ends[self.ids[method.args["tag"]]] = returned
+                self.outcomes[self.ids[method.args["tag"]]] = returned
 
     async def close(self) -> None:
-        """Just the channel: what is taken on and not confirmed loses its way back."""
+        """Close the channel and the connection: accepted messages can then no longer be confirmed."""
         self.task.cancel()
         if not self.reader.at_eof():
             self.send_method(1, "channel.close", code=200, text="bye")
@@ -349,17 +367,18 @@
     async def submit(
         self,
         msg_id: str,
-        grade: str = "safe",
+        message_class: str = "safe",
         remaining_s: float = 8.0,
         key: str = "k1",
         body: bytes = b"hello",
     ) -> str | None:
+        """Publish a message. Return None if it is accepted, else its outcome."""
         self.tag += 1
         self.ids[self.tag] = msg_id
-        self.ends.pop(msg_id, None)
+        self.outcomes.pop(msg_id, None)
         properties = {
             "message_id": msg_id,
-            "type": grade,
+            "type": message_class,
             "expiration": str(int(remaining_s * 1000)),
             "headers": {"idempotency-key": key},
         }
@@ -367,17 +386,22 @@
             codec.method(1, "basic.publish", routing_key="7", mandatory=True)
             + codec.content(1, properties, body, 4096)
         )
-        journal = self.world.runtime.journal  # taken is journalled: no frame says so
-        await until(lambda: msg_id in journal.live or msg_id in journal.outcomes or msg_id in self.ends)
-        return None if msg_id in journal.live or msg_id in journal.outcomes else self.ends.get(msg_id)
+        journal = self.harness.runtime.journal  # no frame reports acceptance, only the journal shows it
+        await until(lambda: msg_id in journal.live or msg_id in journal.outcomes or msg_id in self.outcomes)
+        return None if msg_id in journal.live or msg_id in journal.outcomes else self.outcomes.get(msg_id)
 
     async def outcome(self, msg_id: str) -> str:
-        await until(lambda: msg_id in self.ends)
-        return self.ends[msg_id]
+        """Wait for the outcome of a message."""
+        await until(lambda: msg_id in self.outcomes)
+        return self.outcomes[msg_id]
 
 
 class SenderHarness:
-    """One sender of an operator's file with its client and next hops: of one protocol, or "mixed"."""
+    """Runs one sender from an operator's file, with its client and next hops.
+
+    `protocol` is "http" (a RESP2 front, next hops over HTTP) or "amqp" (both over AMQP). "mixed" is meant as
+    an AMQP front with next hops over HTTP, but has the same next hops as "amqp".
+    """
 
     def __init__(self, folder: Path, protocol: str, hops: int = 1, extra: str = "") -> None:
         self.extra = extra  # more tables of the file
@@ -393,11 +417,12 @@
     async def _notice(self, message: Message) -> bytes:
         for line in bytes(message.body).splitlines():
             notice = json.loads(line)
-            assert notice["id"] not in self.notices, "a second end"
+            assert notice["id"] not in self.notices, "a second outcome"
             self.notices[notice["id"]] = notice["status"]
         return response(204, "No Content", {}, b"")
 
     def write_file(self) -> None:
+        """Write the operator's file."""
         front = "resp" if self.protocol == "http" else "amqp"
         text = f'name = "w"\nstate = "state"\n[{front}]\nlisten = "{HOST}:0"\n'
         if front == "resp":
@@ -405,14 +430,15 @@
         text += "[rules]\nconnect_timeout = 0.3\n"
         for name, semantics in (("safe", "idempotent"), ("keyed", "deduplicated"), ("once", "at_most_once")):
             text += f'[[class]]\nname = "{name}"\nsemantics = "{semantics}"\ndeadline = 8\naim = 2\n'
-        for place, hop in enumerate(self.hops):
+        for index, hop in enumerate(self.hops):
             text += (
-                f'[[next_hop]]\nid = "h{place}"\naddr = "{HOST}:{hop.port}"\ndest = 7\n'
-                f'protocol = "{hop.protocol}"\nstate = "{self.states[place]}"\n'
+                f'[[next_hop]]\nid = "h{index}"\naddr = "{HOST}:{hop.port}"\ndest = 7\n'
+                f'protocol = "{hop.protocol}"\nstate = "{self.states[index]}"\n'
             )
         self.file.write_text(text + self.extra)
 
     async def start(self) -> None:
+        """Start the sender, and connect the client."""
         (self.folder / "state").mkdir(exist_ok=True)
         self.write_file()
         operator = load(self.file)
@@ -431,7 +457,7 @@
         return self
 
     async def kill(self) -> None:
-        """As SIGKILL would: nothing is finished, connections break, the journal stays as it is."""
+        """Stop the sender as SIGKILL would: no call finishes, connections break, the journal is unchanged."""
         self.runtime.sender.stop()
         setattr(self.runtime.sender, "finished", lambda call, results: None)  # noqa: B010
         for listener, _ in self.runtime.listeners:
@@ -448,4 +474,5 @@
 
     @property
     def calls(self) -> list[tuple[float, str, str, bytes]]:
+        """The calls that all next hops have received, by time."""
         return sorted(call for hop in self.hops for call in hop.calls)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,6 +1,7 @@
-"""`KNOWN-RED.txt` at the root: tests that fail for a real fault, which a run passes over and prints.
+"""`KNOWN-RED.txt` in the root folder lists tests that fail because of a known fault.
 
-A line is `test id: cause; issue`. One that passes again fails the run until its line is taken out.
+Each line is `test id: cause; issue`. These tests are expected to fail, and a run prints them. A listed test
+that passes fails the run until its line is removed.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 
 
 def known_red(text: str) -> dict[str, str]:
-    """The cause of each test that is listed, by its id."""
+    """Return the cause of each listed test, by its id."""
     lines = [line.strip() for line in text.splitlines() if line.strip()]
     return {test: cause for test, _, cause in (line.partition(": ") for line in lines)}
 
 
-def pass_over(items: list[pytest.Item]) -> None:
-    """Mark those that are listed as failing; all others count as before."""
-    red = known_red(FILE.read_text()) if FILE.exists() else {}
+def mark_expected_failures(items: list[pytest.Item]) -> None:
+    """Mark the listed tests as expected failures."""
+    causes = known_red(FILE.read_text()) if FILE.exists() else {}
     for item in items:
-        if item.nodeid in red:
-            item.add_marker(pytest.mark.xfail(reason=red[item.nodeid], strict=True))
+        if item.nodeid in causes:
+            item.add_marker(pytest.mark.xfail(reason=causes[item.nodeid], strict=True))
 
 
 def report(terminal: pytest.TerminalReporter) -> None:
-    """Print those that this run has passed over."""
+    """Print the expected failures of this run."""
     for one in terminal.getreports("xfailed"):
         terminal.write_line(f"KNOWN RED {one.nodeid}: {one.wasxfail}")
--- a/tests/visits.py
+++ b/tests/visits.py
@@ -1,4 +1,4 @@
-"""What a step walks over, counted: costs are judged by this, never by time."""
+"""Counts iterated elements, as a measure of cost that does not depend on time."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from typing import Any
 
 
-def count_iterations(found: Any, visits: list[object]) -> Any:
-    """The same mapping or set; each element that is walked over is noted."""
+def count_iterations(collection: Any, visits: list[object]) -> Any:
+    """Return a copy of a mapping or set that appends each iterated element to `visits`."""
 
-    class Counting(type(found)):  # type: ignore[misc]
+    class Counting(type(collection)):  # type: ignore[misc]
         def __iter__(self) -> Iterator[Any]:
             for one in super().__iter__():
                 visits.append(one)
@@ -24,11 +24,11 @@
         def items(self) -> Any:
             return ((one, self[one]) for one in self)
 
-    return Counting(found)
+    return Counting(collection)
 
 
-def count_all_iterations(holder: object, visits: list[object]) -> None:
-    """Count in all maps and sets that an object holds."""
-    for name, value in vars(holder).items():
+def count_all_iterations(owner: object, visits: list[object]) -> None:
+    """Count the iterations over all mappings and sets in an object's attributes."""
+    for name, value in vars(owner).items():
         if isinstance(value, dict | set):
-            setattr(holder, name, count_iterations(value, visits))
+            setattr(owner, name, count_iterations(value, visits))
