--- a/mountgauge/connecting.py
+++ b/mountgauge/connecting.py
@@ -76,6 +76,6 @@
     try:
         version = ipaddress.ip_address(host).version
     except ValueError:
-        found = await asyncio.get_running_loop().getaddrinfo(host, port, type=socket.SOCK_STREAM)
-        return [(family, address) for family, _, _, _, address in found]
+        results = await asyncio.get_running_loop().getaddrinfo(host, port, type=socket.SOCK_STREAM)
+        return [(family, address) for family, _, _, _, address in results]
     return [(socket.AF_INET if version == 4 else socket.AF_INET6, (host, port))]
--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -101,8 +101,8 @@
         """
         checked_at = self._now()
         try:
-            found = self._path.stat()
-            stamp = (found.st_mtime_ns, found.st_size, found.st_ino)
+            status = self._path.stat()
+            stamp = (status.st_mtime_ns, status.st_size, status.st_ino)
         except FileNotFoundError:
             stamp = _NO_FILE
         except OSError as error:
--- a/mountgauge/http1.py
+++ b/mountgauge/http1.py
@@ -311,10 +311,10 @@
         if sock is None:
             return 0
         try:
-            found = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(_INT.size))
+            count = fcntl.ioctl(sock.fileno(), termios.FIONREAD, bytes(_INT.size))
         except (OSError, ValueError):
             return 0
-        return int(_INT.unpack(found)[0])
+        return int(_INT.unpack(count)[0])
 
     def begin(
         self, data: bytes, finished: Callable[[Message, bool], None], lease: SendLease | None = None
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger("mountgauge.next_hops")
 
-# An idle connection is closed so long before connIdle, after which a call on it would be reset.
+# Idle connections are closed this margin before connIdle, after which a call on them would be reset.
 _IDLE_MARGIN_S = 0.25
 _MAX_BODY_BYTES = 64 * 1024
 _ANSWER_COMPLETION_TIMEOUT_S = 0.5  # counted from the first data of an answer
@@ -50,7 +50,7 @@
         self._skipped = [0] * len(self._stale_shares)
 
     def usable(self, idle_s: float) -> bool:
-        """Whether to reuse a connection that has been idle for so long."""
+        """Whether to reuse a connection with this idle time."""
         index = bisect(_IDLE_RANGE_BOUNDS_S, idle_s)
         if self._stale_shares[index] <= _MAX_STALE_SHARE:
             return True
@@ -58,7 +58,7 @@
         return not self._skipped[index]
 
     def record(self, idle_s: float, stale: bool) -> None:
-        """Record whether a connection that had been idle for so long was stale."""
+        """Record whether a reused connection was stale, by its idle time before."""
         index = bisect(_IDLE_RANGE_BOUNDS_S, idle_s)
         self._stale_shares[index] += _STALE_SHARE_GAIN * (stale - self._stale_shares[index])
 
@@ -81,19 +81,20 @@
     admitted: list[CallItem] = field(default_factory=list)
     stopped: Outcome | None = None  # set if the sender itself ended the call
     idle_s: float | None = None  # how long its reused connection had been idle; None for a new one
-    close_after: bool = False  # its endpoint was removed meanwhile: close the connection after the call
+    close_after: bool = False  # close its connection after the call, as the endpoint was removed
     local_shortage: bool = False  # no descriptor or port on this machine: says nothing about its endpoint
 
 
 class HttpNextHops:
     """Sends calls over HTTP, on connections that are kept for reuse."""
 
-    def __init__(self, owner: CallOwner, connect_timeout: float, conn_idle: float, most: int) -> None:
-        """`most`: the maximum number of connections."""
+    def __init__(
+        self, owner: CallOwner, connect_timeout: float, conn_idle: float, max_connections: int
+    ) -> None:
         self._owner = owner
         self._connect_timeout = connect_timeout
         self._max_idle_s = max(0.1, conn_idle - _IDLE_MARGIN_S)
-        self._max_connections = most
+        self._max_connections = max_connections
         self._pools: dict[PoolKey, list[Connection]] = {}  # idle connections, the newest last
         self._pool_keys: dict[str, list[PoolKey]] = {}  # by next hop
         self._open = 0
--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -328,8 +328,8 @@
 
 
 def _settings(top: Table, hops: int, sharding: SenderSharding | None) -> dict[str, Any]:
-    """Return the settings of the decision module, with defaults for what the file may omit. The limit of a
-    destination is divided among all senders, or with shards among the replicas of its shard.
+    """Return the settings of the decision module, with defaults for optional ones. A destination's limit is
+    divided among all senders, or with shards among the replicas of its shard.
     """
     senders = sharding.shards.replicas if sharding is not None else 1
     slots = _SHARDED_SLOTS if sharding is not None else max(4, 4 * hops)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -58,7 +58,7 @@
 
 
 STEPS = st.sampled_from(
-    ["begin", "answer", "part", "close-answer", "stray", "lost", "eof", "pause", "resume", "junk"]
+    ["begin", "answer", "partial-answer", "close-answer", "stray", "lost", "eof", "pause", "resume", "junk"]
 )
 
 
@@ -71,7 +71,7 @@
         lost: list[Connection] = []
         connection, transport = Connection(lost.append), Transport()
         connection.connection_made(transport)
-        state, part, begun, flushed = State.IDLE, False, 0, True
+        state, partial, begun, flushed = State.IDLE, False, 0, True
         ends: list[tuple[int, bool, bool]] = []  # status, complete, flushed
         for step in steps:
             ended = len(ends)
@@ -80,24 +80,26 @@
                     request("POST", "/hook", "h", {}, b"x"),
                     lambda m, f: ends.append((m.status, m.complete, f)),
                 )
-                begun, state, part, flushed = begun + 1, State.BUSY, False, True
+                begun, state, partial, flushed = begun + 1, State.BUSY, False, True
             elif step in ("pause", "resume") and state is State.BUSY:
                 flushed = step == "resume"
                 connection.resume_writing() if flushed else connection.pause_writing()
-            elif step == "part" and state is State.BUSY and not part:
+            elif step == "partial-answer" and state is State.BUSY and not partial:
                 receive(connection, b"HTTP/1.1 200 OK\r\nContent-")
-                part = True
+                partial = True
             elif step in ("answer", "close-answer") and state is not State.CLOSED:
-                data = b"" if part else b"HTTP/1.1 200 OK\r\nContent-"
+                data = b"" if partial else b"HTTP/1.1 200 OK\r\nContent-"
                 data += b"Length: 2\r\n" + (b"Connection: close\r\n" if step != "answer" else b"") + b"\r\nok"
                 receive(connection, data)
                 if state is State.BUSY:
                     assert ends[ended:] == [(200, True, True)]
                 # An unsolicited answer must not be taken for that of the next call.
                 state = State.IDLE if state is State.BUSY and step == "answer" and flushed else State.CLOSED
-                part = False
+                partial = False
             elif step in ("stray", "junk") and state is not State.CLOSED:
-                receive(connection, b"junk\r\n\r\n" if step == "junk" or not part else b"Length: x\r\n\r\n")
+                receive(
+                    connection, b"junk\r\n\r\n" if step == "junk" or not partial else b"Length: x\r\n\r\n"
+                )
                 state = State.CLOSED
             elif step in ("lost", "eof") and state is not State.CLOSED:
                 if step == "eof":
@@ -106,7 +108,7 @@
                 state = State.CLOSED
             assert connection.state is state
             if state is State.CLOSED and len(ends) > ended and not ends[-1][1]:
-                assert ends[-1] == (200 if part else 0, False, flushed)
+                assert ends[-1] == (200 if partial else 0, False, flushed)
             assert len(ends) == begun - (state is State.BUSY)
             assert len(lost) == (state is State.CLOSED) and transport.aborted == (state is State.CLOSED)
 
--- a/tests/test_next_hops.py
+++ b/tests/test_next_hops.py
@@ -64,7 +64,7 @@
     (response(410, "E", {}, b""), AttemptResult(Outcome.MOOT, finished=True)),
     (b"HTTP/1.1 2", AttemptResult(Outcome.RESET)),
     (b"junk\r\n", AttemptResult(Outcome.ERROR)),  # it has read the call, so it is up: no outage
-    (b"HTTP/1.1 503 E\r\nRetry-", AttemptResult(Outcome.RESET)),  # cut off: the remainder may have had a wait
+    (b"HTTP/1.1 503 E\r\nRetry-", AttemptResult(Outcome.RESET)),  # cut off: a wait may have followed
     (None, AttemptResult(Outcome.RESET)),
 ])  # fmt: skip
 def test_each_answer_has_the_outcome_of_the_protocols_table(
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -451,16 +451,16 @@
 
     async def reply(message: Message) -> bytes | None:
         assert message.start is not None
-        server.open_calls.append(len(found._watch.open_calls))
+        server.open_calls.append(len(transport_map._watch.open_calls))
         if "wait=" in message.start[1] and not message.start[1].endswith("wait=1"):  # a watch
             await asyncio.sleep(60)
         return answer
 
     server, owner = Discovery(reply), MapOwner(-1)
     await server.start()
-    found = TransportMap(owner, Address(HOST, server.port), NAMES, bounds(10.0), Random(1))
-    yield server, owner, found
-    found.close()
+    transport_map = TransportMap(owner, Address(HOST, server.port), NAMES, bounds(10.0), Random(1))
+    yield server, owner, transport_map
+    transport_map.close()
     await server.stop()
 
 
@@ -469,11 +469,11 @@
     """It increases no back-off: the list is requested as soon as a connection is possible."""
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with discovery_client(listing(4, True)) as (_, owner, found):
+        async with discovery_client(listing(4, True)) as (_, owner, transport_map):
             faults.fail("socket", *[error] * 6)
-            found.watch(True)
+            transport_map.watch(True)
             await until(lambda: owner.version == 4)
-            assert faults.count["socket"] == 6 and not found._watch.failures
+            assert faults.count["socket"] == 6 and not transport_map._watch.failures
             assert loop.delays.count(SHORTAGE_RETRY_S) == 6
 
     run_faulty(main)
@@ -482,9 +482,9 @@
 @pytest.mark.parametrize("error", BROKEN, ids=errno_name)
 def test_a_watch_is_repeated_after_its_connection_broke(error: int) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with discovery_client(listing(4, True)) as (server, owner, found):
+        async with discovery_client(listing(4, True)) as (server, owner, transport_map):
             faults.fail("read", error)
-            found.watch(True)
+            transport_map.watch(True)
             await until(lambda: owner.version == 4)
             assert faults.count["read"] == 1 and server.connections == 2
             assert server.open_calls[:2] == [1, 1], "the first call is no longer open"
@@ -494,11 +494,11 @@
 
 def test_a_list_is_received_over_interrupted_short_reads_and_writes() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
-        async with discovery_client(listing(4, True)) as (server, owner, found):
+        async with discovery_client(listing(4, True)) as (server, owner, transport_map):
             faults.most |= {"read": 1, "write": 1}
             faults.fail("connect", errno.EINTR)
             faults.fail("read", *[errno.EINTR] * 5)
-            found.watch(True)
+            transport_map.watch(True)
             await until(lambda: owner.version == 4)
             assert server.connections == 1
 
@@ -571,9 +571,9 @@
         if call == "read":
             await until(lambda: server.connections == 2)
             await server.stop()
-        with pytest.raises(ConnectionError) as found:
+        with pytest.raises(ConnectionError) as raised:
             await exchange
-        assert not isinstance(found.value, TimeoutError) and faults.count[call] == 1
+        assert not isinstance(raised.value, TimeoutError) and faults.count[call] == 1
         client.close()
         await server.stop()
 
