--- a/mountgauge/otlp.py
+++ b/mountgauge/otlp.py
@@ -120,7 +120,7 @@
         _sum(
             "mountgauge.violations", "{violation}", start, now, dict(snapshot.violations), "mountgauge.rule"
         ),
-        _gauge("mountgauge.messages.held", "{message}", now, snapshot.held),
+        _gauge("mountgauge.messages.held", "{message}", now, snapshot.pending),
         _gauge("mountgauge.slots.used", "{slot}", now, snapshot.slots_used),
         _gauge("mountgauge.slots.limit", "{slot}", now, snapshot.slots),
         *(tenant_metrics(tenants, start, now) if tenants else ()),
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -165,7 +165,7 @@
         """The status page."""
         now = self.snapshot()
         found: dict[str, Any] = {
-            "name": self.config.name, "held": now.held, "slots_used": now.slots_used, "slots": now.slots,
+            "name": self.config.name, "held": now.pending, "slots_used": now.slots_used, "slots": now.slots,
             "next_hops": len(self.sender.hops), "connections_opened": self.next_hops.opened,
             "ends": {status: n for (kind, status), n in now.counts.items() if kind == "end"},
             "attempts": {outcome: n for (kind, outcome), n in now.counts.items() if kind == "attempt"},
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -47,7 +47,7 @@
         new |= {f"violation.{rule}": count for rule, count in now.violations.items() if count}
         new |= runtime.state()
         violations = sum(now.violations.values())
-        log.info("state", extra=kv(held=now.held, slots_used=now.slots_used, violations=violations, **new))
+        log.info("state", extra=kv(held=now.pending, slots_used=now.slots_used, violations=violations, **new))
 
 
 async def _check_periodically(check: Callable[[], None]) -> None:
--- a/mountgauge/snapshot.py
+++ b/mountgauge/snapshot.py
@@ -16,7 +16,7 @@
     """Counts by kind and name, and the numbers of unfinished messages, of slots in use and of all slots."""
 
     counts: Counter[tuple[str, str]]
-    held: int
+    pending: int
     slots_used: int
     slots: int
     violations: Mapping[str, int] = field(default_factory=dict)  # found by the run-time check, by rule
