--- a/mountgauge/amqp/clients.py
+++ b/mountgauge/amqp/clients.py
@@ -145,11 +145,11 @@
             pending.connection.tenant,
         )
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
         """Settle every publish of this message id; one on a closed channel gets no frame."""
         for pending in self._unsettled.pop(msg_id, ()):
-            pending.connection.settle(pending, end)
-        told()
+            pending.connection.settle(pending, outcome)
+        on_delivered()
 
 
 def _checked_token(raw: object, name: str) -> str:
--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import dataclass
 
-from mountgauge.access import DEFAULT, Access, user_of
+from mountgauge.access import DEFAULT_TENANT, Access, sasl_user
 from mountgauge.amqp import codec
 from mountgauge.amqp.codec import AmqpError, Content, Method
 from mountgauge.amqp.link import FRAME_MAX, RECEIVE_BUFFER, Link, State
@@ -59,7 +59,7 @@
         super().__init__(State.HEADER)
         self._front = front
         self._channels: dict[int, Channel] = {}
-        self.tenant = DEFAULT  # replaced at login by the tenant of the user
+        self.tenant = DEFAULT_TENANT  # replaced at login by the tenant of the user
         self.unsettled = 0
         self.handshake_deadline = self._partial_deadline = self.unread_deadline = math.inf
         self.woken = False  # the publishes in progress came after an idle period
@@ -236,7 +236,7 @@
             tenant = self._front.access.login(args["mechanism"], args["response"])
             if tenant is None:
                 raise AmqpError(403, "ACCESS_REFUSED", True, 10, 11)
-            if self._front.admission.log_in(self, user_of(args["response"])) is not None:
+            if self._front.admission.log_in(self, sasl_user(args["response"])) is not None:
                 self._front.counts["clients", "turned-away-user-full"] += 1
                 raise AmqpError(530, "NOT_ALLOWED - too many connections of this user", True, 10, 11)
             self.tenant = tenant
@@ -256,7 +256,7 @@
             self.start_heartbeats(args["heartbeat"], self._front.heartbeat_phase())
             self.state = State.OPEN
         elif (self.state, name) == (State.OPEN, "connection.open"):
-            if not self._front.access.opens(args["vhost"]):
+            if not self._front.access.may_open(args["vhost"]):
                 raise AmqpError(530, "NOT_ALLOWED - no such virtual host", True, 10, 40)
             self.state = State.READY
             self.handshake_deadline = math.inf
--- a/mountgauge/amqp/link.py
+++ b/mountgauge/amqp/link.py
@@ -9,7 +9,7 @@
 
 from mountgauge.amqp import codec
 from mountgauge.amqp.codec import AmqpError, Content, Frame, Method
-from mountgauge.sockets import LINGER, Drain
+from mountgauge.sockets import LINGER_S, InputDiscarder
 
 # Shared by all connections: its content is copied out before the event loop reads again.
 RECEIVE_BUFFER = bytearray(64 * 1024)
@@ -53,7 +53,7 @@
         self._parser = codec.FrameParser(FRAME_MAX)
         self._contents: dict[int, Content] = {}
         self._heartbeat_s = 0.0
-        self._drain: Drain | None = None  # set once further input is discarded
+        self._drain: InputDiscarder | None = None  # set once further input is discarded
         self._partial_since = 0.0  # first read since nothing incomplete was left over
         self._frames_pending = False  # received frames wait for the connection's next turn
         self._last_read_at = 0.0
@@ -110,8 +110,8 @@
     def discard_input(self) -> None:
         """Discard further input for at most LINGER, so that the peer can read the last frames sent."""
         if self._drain is None and self.transport is not None:
-            self._drain = Drain(self.transport)
-            self._close_deadline = asyncio.get_running_loop().time() + LINGER
+            self._drain = InputDiscarder(self.transport)
+            self._close_deadline = asyncio.get_running_loop().time() + LINGER_S
             self.arm(self.deadline)
 
     def abort(self) -> None:
@@ -183,7 +183,7 @@
     def buffer_updated(self, nbytes: int) -> None:
         self._last_read_at = asyncio.get_running_loop().time()
         if self._drain is not None:
-            self._drain.took()
+            self._drain.on_data()
             return
         if not self.has_partial_message:
             self._partial_since = self._last_read_at
--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -25,7 +25,7 @@
 from mountgauge.amqp.clients import KEY_HEADER
 from mountgauge.amqp.codec import AmqpError, Content, Method
 from mountgauge.amqp.link import FRAME_MAX, Link, State
-from mountgauge.connecting import SHORTAGE_PAUSE, connect
+from mountgauge.connecting import SHORTAGE_RETRY_S, connect
 from mountgauge.core.ports import AttemptResult, Call, CallItem, CallOwner, NextHop
 from mountgauge.leased_socket import LeaseSlot
 from rillspindle.interface import Outcome
@@ -382,7 +382,7 @@
         self.opened = 0  # connections opened so far
 
     @property
-    def out(self) -> int:
+    def in_flight(self) -> int:
         """Number of calls that are started and not finished."""
         return len(self._open_calls)
 
@@ -457,7 +457,7 @@
 
         def on_shortage() -> bool:
             nonlocal tried_at
-            tried_at = loop.time() + SHORTAGE_PAUSE
+            tried_at = loop.time() + SHORTAGE_RETRY_S
             queued = self._queued.get(target, [])
             for open_call in queued:
                 open_call.local_shortage = True
--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -91,7 +91,7 @@
         int(table.get("until", int, default=FOREVER)), bool(table.get("ended", bool, default=False)),
         bool(table.get("voter", bool, default=True)),
     )  # fmt: skip
-    table.done()
+    table.reject_unknown()
     return entry
 
 
@@ -122,7 +122,7 @@
     dest = scope.get("dest", int) if "dest" in scope.raw else None
     endpoint = scope.get("endpoint", str) if "endpoint" in scope.raw else None
     tenant = scope.get("tenant", str) if "tenant" in scope.raw else None
-    scope.done()
+    scope.reject_unknown()
     if tenant is not None and tenant not in tenants:
         raise ConfigError(f"{table.name}.of.tenant: no tenant is '{tenant}'")
     if tenant is not None and len(scope.raw) > 1:
@@ -143,5 +143,5 @@
         table.positive("weight", 1.0), lease, _number(table, "ends_within", 0.0),
         table.positive("period", 86_400.0),
     )  # fmt: skip
-    table.done()
+    table.reject_unknown()
     return budget
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -14,7 +14,7 @@
 from mountgauge.connections.scheduler import QUANTUM, WOKEN_AFTER_S
 from mountgauge.connections.timer_wheel import INFINITE
 from mountgauge.log import kv
-from mountgauge.sockets import LINGER, Drain
+from mountgauge.sockets import LINGER_S, InputDiscarder
 
 log = logging.getLogger("mountgauge.clients")
 
@@ -52,7 +52,7 @@
 
     OPEN = 0  # requests are read
     ANSWERING = 1  # nothing more is read; earlier requests are still answered
-    SHUT = 2  # all answers are sent and the sending side is shut; kept until the client closes, or LINGER
+    SHUT = 2  # all answers are sent and the sending side is shut; kept until the client closes, or LINGER_S
     CLOSED = 3
 
 
@@ -76,7 +76,9 @@
         self._read_paused = self._write_paused = False
         self._turn_queued = False  # commands are buffered for the connection's next turn
         self._reading = False  # commands are being read from the parser
-        self._drain: Drain | None = None  # discards what is received once commands can't be delimited
+        self._drain: InputDiscarder | None = (
+            None  # discards what is received once commands can't be delimited
+        )
         self._close_by = INFINITE  # set once the sending side is shut
         self._bad_requests = 0
         self._partial_since = INFINITE  # when the incomplete command began
@@ -122,7 +124,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         if self._drain is not None:
-            self._drain.took()
+            self._drain.on_data()
             return
         if self._parser is None:
             self._parser = RespParser()
@@ -255,7 +257,7 @@
             self._stage = Closing.SHUT
             self._clients.set_activity(self, Activity.LEAVING)
             registry = self._clients.registry
-            self._close_by = registry.now() + LINGER
+            self._close_by = registry.now() + LINGER_S
             registry.arm(self, registry.now() + _EOF_CHECK_INTERVAL_S)
             if transport.is_closing():
                 return
@@ -281,7 +283,7 @@
 
     def _stop_reading(self, transport: asyncio.Transport, unparsable: bool) -> None:
         if unparsable:
-            self._drain = Drain(transport)
+            self._drain = InputDiscarder(transport)
             if self._read_paused:
                 transport.resume_reading()
         elif isinstance(transport, ConnectionTransport):
--- a/mountgauge/console/listener.py
+++ b/mountgauge/console/listener.py
@@ -10,7 +10,7 @@
 from mountgauge.console.calls import MAX_BODY_BYTES, Call, Reply, parse_call
 from mountgauge.http1 import HttpError, Parser
 from mountgauge.log import kv
-from mountgauge.status import Listening
+from mountgauge.status import LoopbackServer
 
 log = logging.getLogger("mountgauge.console")
 
@@ -24,7 +24,7 @@
 
     def __init__(self, console: Console) -> None:
         self._console = console
-        self._parser = Parser(requests=True, most_body=MAX_BODY_BYTES)
+        self._parser = Parser(requests=True, max_body_bytes=MAX_BODY_BYTES)
         self._buffer = bytearray(4096)
         self._transport: asyncio.Transport | None = None
         self.request_read = False  # a complete or an invalid request has arrived
@@ -94,7 +94,7 @@
             self._transport.close()
 
 
-class Console(Listening):
+class Console(LoopbackServer):
     """At most `MAX_CALLERS` connections; a new one displaces one whose request is not complete."""
 
     def __init__(self, execute: Callable[[Call], Awaitable[Reply]]) -> None:
@@ -116,7 +116,7 @@
         """Forget a connection that is closed."""
         self._callers.pop(caller, None)
 
-    def peer(self) -> asyncio.BaseProtocol:
+    def make_protocol(self) -> asyncio.BaseProtocol:
         return _Caller(self)
 
     def close(self) -> None:
--- a/mountgauge/lab/rig/schedule.py
+++ b/mountgauge/lab/rig/schedule.py
@@ -16,7 +16,7 @@
 from typing import Any, TypeVar
 
 from mountgauge.core.config import ConfigError
-from mountgauge.settings_table import Table, faults_of, read
+from mountgauge.settings_table import Table, config_errors_in, read_toml
 
 _T = TypeVar("_T")
 
@@ -221,8 +221,8 @@
 
 def load(path: Path) -> Schedule:
     """Read and check a schedule's file; ConfigError with one line that names the file and the fault."""
-    with faults_of(path):
-        return parse(read(path))
+    with config_errors_in(path):
+        return parse(read_toml(path))
 
 
 def parse(raw: Mapping[str, Any]) -> Schedule:
@@ -279,7 +279,7 @@
         budgets=budgets,
         faults=faults,
     )
-    top.done()
+    top.reject_unknown()
     return found
 
 
@@ -301,7 +301,7 @@
             and not key.endswith("_s")
         ):
             raise ConfigError(f"{table.name}.{key}: must not be below 0")
-    table.done()
+    table.reject_unknown()
     return kind(**values)
 
 
@@ -382,7 +382,7 @@
     )
     if isinstance(who, int) and who > fleet.members:
         raise ConfigError(f"{where}.who: the fleet has {fleet.members} members")
-    table.done()
+    table.reject_unknown()
     return found
 
 
--- a/mountgauge/lab/scale/size.py
+++ b/mountgauge/lab/scale/size.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from mountgauge.core.config import ConfigError
-from mountgauge.settings_table import Table, faults_of, read
+from mountgauge.settings_table import Table, config_errors_in, read_toml
 
 _DAY_S = 86_400.0
 
@@ -73,8 +73,8 @@
 
 def load_size(path: Path) -> FleetSize:
     """ConfigError, in one line, where the file is not such a size."""
-    with faults_of(path):
-        return _size(Table(read(path), ""))
+    with config_errors_in(path):
+        return _size(Table(read_toml(path), ""))
 
 
 def _size(top: Table) -> FleetSize:
@@ -114,7 +114,7 @@
         upper_relays=_count(sharding, "upper_relays"),
     )
     for table in (fleet, destinations, configuration, control, failures, sharding, network, top):
-        table.done()
+        table.reject_unknown()
     if found.zones < found.regions:
         raise ConfigError("fleet.zones: fewer than regions")
     return found
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from mountgauge.connecting import SHORTAGE_PAUSE, is_local_shortage
+from mountgauge.connecting import SHORTAGE_RETRY_S, is_local_shortage
 from mountgauge.core.config import Address
 from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.http1 import Client, request
@@ -41,12 +41,12 @@
         """How many outcomes the platform has not acknowledged yet."""
         return len(self._unacknowledged)
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        """Report the outcome of a message; `told` is called once the platform has acknowledged it."""
-        if end.status in (Status.DELIVERED, Status.FINISHED):  # the platform knows these itself
-            told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
+        """Report the outcome of a message; `on_delivered` is called once the platform has acknowledged it."""
+        if outcome.status in (Status.DELIVERED, Status.FINISHED):  # the platform knows these itself
+            on_delivered()
             return
-        self._unacknowledged[msg_id] = (end, told)
+        self._unacknowledged[msg_id] = (outcome, on_delivered)
         if self._task is None:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
@@ -85,7 +85,7 @@
                 text = f"{type(error).__name__}: {error}"
                 log.warning("notices-failed", extra=kv(unacknowledged=self.unacknowledged, error=text))
                 if is_local_shortage(error):  # nothing reached the platform: no back-off is needed
-                    await asyncio.sleep(SHORTAGE_PAUSE)
+                    await asyncio.sleep(SHORTAGE_RETRY_S)
                     continue
                 if failures:
                     await asyncio.sleep(min(_BACK_OFF_S * 2 ** (failures - 1), _MAX_BACK_OFF_S))
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -78,7 +78,7 @@
         self._watch.request_full_list(self._now())
         self.watch(True)
 
-    def look_now(self) -> bool:
+    def refresh_now(self) -> bool:
         """Request the full list at once; return False, as its answer is still to come."""
         self.snapshot()
         return False
@@ -287,7 +287,7 @@
         connection, self._kept_connection = self._kept_connection, None
         if connection is None:
             return None
-        if connection.state is State.IDLE and connection.silent:
+        if connection.state is State.IDLE and connection.has_no_unread_data:
             return connection
         connection.close()
         return None
--- a/mountgauge/platform/list_exchange.py
+++ b/mountgauge/platform/list_exchange.py
@@ -100,7 +100,7 @@
     def _finished(self, message: Message, flushed: bool) -> None:
         connection, self._connection = self._connection, None
         assert connection is not None
-        if message.whole:
+        if message.complete:
             self._owner.answered(self, message, connection)
         elif connection.answer_arrived:
             fault = "stalled" if connection.overdue else "ended"
@@ -121,7 +121,7 @@
         if self._connection is None:
             return False
         checked_at = asyncio.get_running_loop().time()
-        pending = self._connection.answer_begun or not self._connection.silent
+        pending = self._connection.answer_begun or not self._connection.has_no_unread_data
         if not pending:
             self.socket_empty_at = checked_at
         return pending
--- a/mountgauge/recovery/table.py
+++ b/mountgauge/recovery/table.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from mountgauge.core.config import Address
-from mountgauge.status import ask
-from mountgauge.status_table import aligned
+from mountgauge.status import fetch_status
+from mountgauge.status_table import align_columns
 
 _COLUMNS = (
     "NAME",
@@ -53,7 +53,7 @@
 
 def lines(rows: Sequence[Sequence[str]]) -> list[str]:
     """The table as text, with aligned columns."""
-    return aligned(_COLUMNS, rows)
+    return align_columns(_COLUMNS, rows)
 
 
 def all_full(answers: Mapping[str, Mapping[str, Any] | None]) -> bool:
@@ -66,7 +66,7 @@
 
 async def _query(address: str) -> tuple[str, dict[str, Any] | None, str]:
     try:
-        return address, await ask(Address.parse(address, "address")), ""
+        return address, await fetch_status(Address.parse(address, "address")), ""
     except (OSError, ValueError) as error:
         return address, None, str(error) or type(error).__name__
 
--- a/mountgauge/run/base.py
+++ b/mountgauge/run/base.py
@@ -75,7 +75,7 @@
     def state(self) -> Mapping[str, Any]:
         """Its fields of the state line."""
 
-    def look_now(self) -> bool:
+    def refresh_now(self) -> bool:
         """Refresh the list; False if the answer is still pending."""
 
     def close(self) -> None: ...
@@ -86,9 +86,9 @@
 
     unacknowledged = 0
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        log.info("end", extra=kv(id=msg_id, status=end.status.value, again_ms=end.retry_after_ms))
-        told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
+        log.info("end", extra=kv(id=msg_id, status=outcome.status.value, again_ms=outcome.retry_after_ms))
+        on_delivered()
 
     def close(self) -> None: ...
 
@@ -165,7 +165,7 @@
         """The status page."""
         now = self.snapshot()
         found: dict[str, Any] = {
-            "name": self.config.name, "held": now.held, "slots_used": now.slots_used, "slots": now.slots,
+            "name": self.config.name, "held": now.pending, "slots_used": now.slots_used, "slots": now.slots,
             "next_hops": len(self.sender.hops), "connections_opened": self.next_hops.opened,
             "ends": {status: n for (kind, status), n in now.counts.items() if kind == "end"},
             "attempts": {outcome: n for (kind, outcome), n in now.counts.items() if kind == "attempt"},
@@ -240,7 +240,7 @@
         ):
             await asyncio.sleep(0.02)
         self.sender.stop()
-        while left(_EXIT_AT_S) and (self.next_hops.out or self.notices.unacknowledged):
+        while left(_EXIT_AT_S) and (self.next_hops.in_flight or self.notices.unacknowledged):
             await asyncio.sleep(0.02)
         for listener, _ in self.listeners:
             listener.close()
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -20,12 +20,12 @@
 from mountgauge.log import kv
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.notices import Notices
-from mountgauge.operator_file import Hops, Operator, Otlp, load
+from mountgauge.operator_file import Hops, OperatorFile, Otlp, load
 from mountgauge.otlp import Exporter
 from mountgauge.router import Router
 from mountgauge.run.base import Runtime, Source, socket_shares
 from mountgauge.run.subsystem import Subsystem
-from mountgauge.snapshot import Measured
+from mountgauge.snapshot import Metric
 from mountgauge.status import Report, StatusServer
 
 if TYPE_CHECKING:
@@ -49,7 +49,7 @@
     async def start(self) -> None:
         self.tenants.start()
 
-    def reload(self, file: Operator) -> list[str]:
+    def reload(self, file: OperatorFile) -> list[str]:
         return self.tenants.reload(file.tenants) if file.tenants is not None else ["tenant"]
 
     async def drain(self) -> None:
@@ -80,7 +80,7 @@
         self.connection_metrics.sample()
         return self.connection_metrics.state()
 
-    def metrics(self) -> Sequence[Measured]:
+    def metrics(self) -> Sequence[Metric]:
         return client_metrics(self.connection_metrics.report())
 
 
@@ -117,7 +117,7 @@
         self.exporter.close()
 
 
-def make_operator_runtime(operator: Operator, watch: TurnWatch | None = None) -> OperatorRuntime:
+def make_operator_runtime(operator: OperatorFile, watch: TurnWatch | None = None) -> OperatorRuntime:
     """Create a file's sender, limited to the descriptors that this process may have."""
     limits = operator.config.limits
     if (had := raise_soft(limits.sockets)) < limits.sockets:
@@ -130,7 +130,7 @@
 class OperatorRuntime(Runtime):
     """A sender that an operator's file configures."""
 
-    def __init__(self, operator: Operator, watch: TurnWatch | None = None) -> None:
+    def __init__(self, operator: OperatorFile, watch: TurnWatch | None = None) -> None:
         super().__init__(operator.config, operator.notices)
         self.operator = operator
         self.tenants: Tenants | None = None
@@ -152,7 +152,7 @@
         sharding = self.operator.sharding
         if sharding is None:
             file_map = FileMap(self.sender, self.operator, self._apply_hops)
-            self.sender.list_lease, file_map.on_read = file_map.lease_ended, self.sender.release
+            self.sender.list_lease, file_map.on_lease_renewed = file_map.lease_ended, self.sender.release
             return file_map
         from mountgauge.relay.shard_map import ShardMap  # imported only where it is configured
         from mountgauge.run.sharding import ShardingSubsystem
@@ -236,7 +236,7 @@
         """The metrics of the tenants, for the export."""
         return {} if self.tenants is None else self.tenants.metrics()
 
-    def measured(self) -> list[Measured]:
+    def measured(self) -> list[Metric]:
         """The metrics of all subsystems, for the export."""
         return [one for subsystem in self.subsystems for one in subsystem.metrics()]
 
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -47,7 +47,7 @@
         new |= {f"violation.{rule}": count for rule, count in now.violations.items() if count}
         new |= runtime.state()
         violations = sum(now.violations.values())
-        log.info("state", extra=kv(held=now.held, slots_used=now.slots_used, violations=violations, **new))
+        log.info("state", extra=kv(held=now.pending, slots_used=now.slots_used, violations=violations, **new))
 
 
 async def _check_periodically(check: Callable[[], None]) -> None:
@@ -131,7 +131,7 @@
     if check_task is not None:
         check_task.cancel()
         check_task = loop.create_task(_check_periodically(lambda: _check_while_stopping(runtime)))
-    log.info("stopping", extra=kv(held=len(runtime.sender.pending), out=runtime.next_hops.out))
+    log.info("stopping", extra=kv(held=len(runtime.sender.pending), out=runtime.next_hops.in_flight))
     await runtime.stop()
     if check_task is not None:
         check_task.cancel()
--- a/mountgauge/tenants/settings.py
+++ b/mountgauge/tenants/settings.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from mountgauge.access import DEFAULT, User
+from mountgauge.access import DEFAULT_TENANT, User
 from mountgauge.core.config import Address, ConfigError
 from mountgauge.settings_table import Table
 from mountgauge.tenants.gossip import Plan
@@ -60,7 +60,7 @@
     tenants = tuple(_tenant(table) for table in tables)
     if len(tenants) > MOST_TENANTS:
         raise ConfigError(f"tenant: {len(tenants)} are more than {MOST_TENANTS}")
-    keys: dict[int, str] = {tenant_key(DEFAULT): ""}
+    keys: dict[int, str] = {tenant_key(DEFAULT_TENANT): ""}
     users: set[str] = set()
     for place, tenant in enumerate(tenants):
         same = keys.setdefault(tenant_key(tenant.name), tenant.name)
@@ -103,7 +103,7 @@
     users = table.get("users", dict, default={})
     if not all(isinstance(word, str) and word for word in users.values()):
         raise ConfigError(f"{table.name}.users: passwords are text, not empty")
-    table.done()
+    table.reject_unknown()
     named = {user: User(word, name) for user, word in users.items()}
     return TenantSettings(name, None if strict else quota, named, quota if strict else None)
 
@@ -141,7 +141,7 @@
         raise ConfigError("fleet: 2 * interval <= suspect < gone < forget is needed")
     for key in FOR_BUDGETS:
         table.get(key, int, float, default=0)
-    table.done()
+    table.reject_unknown()
     return FleetSettings(
         name, listen, tuple(keys),
         Plan(tuple(peers), interval, fanout, Timing(suspect, gone, forget, linger), FLUSH),
--- a/tests/connections/test_hard.py
+++ b/tests/connections/test_hard.py
@@ -39,7 +39,7 @@
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.otlp import encode
 from mountgauge.snapshot import Snapshot
-from mountgauge.status import ask
+from mountgauge.status import fetch_status
 from tests.helper import HOST, HttpHop, receive, run, until
 from tests.helper import Transport as Recorder
 from tests.test_amqp_states import GRADE, decode_methods
@@ -314,7 +314,7 @@
             receive(connection, codec.PROTOCOL_HEADER)
             login = "\0rossi\0p"
             receive(connection, codec.method(0, "connection.start-ok", mechanism="PLAIN", response=login))
-            codes.append([(name, code) for _, name, code in decode_methods(transport.take())][1])
+            codes.append([(name, code) for _, name, code in decode_methods(transport.take_written())][1])
         assert codes == [("connection.tune", 0), ("connection.close", 530)]
 
     run(main())
@@ -456,7 +456,7 @@
     try:
         for _ in range(200):
             try:
-                await ask(address)
+                await fetch_status(address)
                 break
             except OSError:
                 await asyncio.sleep(0.05)
@@ -486,7 +486,7 @@
             for reader, writer in held:
                 writer.write(command(b"PING"))
                 assert await reader.readline() == b"+PONG\r\n"
-            report = (await ask(status))["clients"]
+            report = (await fetch_status(status))["clients"]
             assert report["fronts"]["resp"]["parked"] == report["open"] == MANY
             assert {"timers", "wakeups_per_s", "longest_turn_ms", "bytes_per_connection"} <= set(report)
             assert report["timers"] == 0 and report["fared"] == {"joined": MANY}
@@ -508,13 +508,13 @@
             storm = [await asyncio.open_connection(HOST, port) for _ in range(200)]
             for _, writer in storm:
                 writer.write(command(b"PING"))
-            report = (await ask(status))["clients"]
+            report = (await fetch_status(status))["clients"]
             assert report["open"] <= 100 - descriptors.RESERVED_DESCRIPTORS
             reader, writer = await asyncio.open_connection(HOST, port)
             writer.write(enqueue(b"one"))
             assert await reader.readline() == b"+OK\r\n"
             await until(lambda: hop.delivered == ["one"])
-            fared = (await ask(status))["clients"]["fared"]
+            fared = (await fetch_status(status))["clients"]["fared"]
             assert fared["joined"] == 201 and "turned-away-descriptors" not in fared
             assert sum(n for what, n in fared.items() if what.startswith("displaced")) > 100
             for _, peer in [*storm, (reader, writer)]:
--- a/tests/crossings/test_client_ends.py
+++ b/tests/crossings/test_client_ends.py
@@ -27,7 +27,7 @@
 from mountgauge.connections.settings import platform_settings
 from mountgauge.core.ports import Accepted, Submission
 from tests.crossings.test_attempts import reset
-from tests.helper import HOST, AmqpClient, Transport, World, read_frame, receive, run, until
+from tests.helper import HOST, AmqpClient, SenderHarness, Transport, read_frame, receive, run, until
 from tests.system_call_faults import Faults, FaultyCalls
 from tests.test_clients import command, enqueue
 
@@ -513,11 +513,11 @@
     """A publish after `connection.close` is not accepted, even if several reads of it are pending."""
 
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             client = AmqpClient(world)
             await client.connect()
             client.task.cancel()
-            client.say(0, "connection.close", code=200, text="bye", class_id=0, method_id=0)
+            client.send_method(0, "connection.close", code=200, text="bye", class_id=0, method_id=0)
             properties = {"message_id": "late", "type": "safe", "expiration": "5000", "headers": {}}
             publish = codec.method(1, "basic.publish", routing_key="7", mandatory=True)
             for _ in range(12):
--- a/tests/crossings/test_drains.py
+++ b/tests/crossings/test_drains.py
@@ -30,7 +30,7 @@
 from mountgauge.http1 import Message, response
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.next_hops import HttpNextHops
-from mountgauge.operator_file import Operator, load
+from mountgauge.operator_file import OperatorFile, load
 from mountgauge.platform.discovery import TransportMap
 from mountgauge.run import serve
 from mountgauge.run.base import LoopClock
@@ -121,8 +121,8 @@
         await asyncio.sleep(0)
         self.journal.close()
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Any) -> None:
-        told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Any) -> None:
+        on_delivered()
 
     def line(self, state: str, hop: int = 0, **fields: Any) -> dict[str, Any]:
         return {"id": f"e{hop}", "addr": f"{HOST}:{self.hops[hop].port}", "zone": "near", "kind": "one",
@@ -540,10 +540,10 @@
 
     async def main() -> None:
         extra = f'[console]\nlisten = "{HOST}:{reserve_ports(1)[0]}"\n'
-        async with helper.World(tmp_path, "http", extra=extra) as world:
+        async with helper.SenderHarness(tmp_path, "http", extra=extra) as world:
             hop = world.hops[0]
             hop.script = ["silent"]
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await until(lambda: len(hop.calls) == 1)
             beside = Journal(tmp_path / "state", 1_000_000)  # its slot comes after this process's
             await world.client.close()
@@ -565,18 +565,18 @@
     """The timestamp of the file had been taken after it was read, so that a change in between was missed."""
 
     async def main() -> None:
-        world = helper.World(tmp_path, "http")
+        world = helper.SenderHarness(tmp_path, "http")
 
-        def loaded(path: Path) -> Operator:
+        def loaded(path: Path) -> OperatorFile:
             found = load(path)
             world.states = ["leaving"]
-            world.write()
+            world.write_file()
             return found
 
         monkeypatch.setattr(helper, "load", loaded)
         async with world:
             await asyncio.sleep(GRACE)
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await asyncio.sleep(GRACE)
             assert not world.calls
 
@@ -590,13 +590,13 @@
     tmp_path: Path, content: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def main() -> None:
-        async with helper.World(tmp_path, "http") as world:
+        async with helper.SenderHarness(tmp_path, "http") as world:
             world.file.write_bytes(content)
             await until(lambda: "file-not-read" in [record.message for record in caplog.records])
             world.states = ["leaving"]
-            world.write()
+            world.write_file()
             await asyncio.sleep(GRACE)
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await asyncio.sleep(GRACE)
             assert not world.calls
 
@@ -611,7 +611,7 @@
 
     async def main() -> None:
         extra = f'[console]\nlisten = "{HOST}:{reserve_ports(1)[0]}"\n'
-        async with helper.World(tmp_path, "http", extra=extra) as world:
+        async with helper.SenderHarness(tmp_path, "http", extra=extra) as world:
             admit, paused = world.runtime.sender.admit, list[str]()
 
             def late(call: Call, items: list[CallItem]) -> list[CallItem]:
@@ -619,14 +619,14 @@
                     paused.append(call.hop.id)
                     if where == "file":
                         world.states = ["leaving"]
-                        world.write()
+                        world.write_file()
                     else:
                         detach(tmp_path / "state", "h0")
                     time.sleep(0.6)  # as with SIGSTOP and SIGCONT: no other step of the loop runs meanwhile
                 return admit(call, items)
 
             setattr(world.runtime.sender, "admit", late)  # noqa: B010
-            assert await world.client.take("a") is None
+            assert await world.client.submit("a") is None
             await until(lambda: paused)
             await asyncio.sleep(GRACE)
             assert not world.calls
--- a/tests/system_call_faults.py
+++ b/tests/system_call_faults.py
@@ -1,4 +1,4 @@
-"""Runs tests on sockets whose system calls fail (`mountgauge.lab.faults`)."""
+"""Runs tests on sockets with failing system calls (`mountgauge.lab.faults`)."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 __all__ = [
     "BROKEN", "LOCAL_SHORTAGES", "UNREACHABLE", "Faults", "FaultyCalls", "FaultyLoop", "FaultySocket",
-    "name_of", "run_faulty",
+    "errno_name", "run_faulty",
 ]  # fmt: skip
 
 LOCAL_SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL)
 UNREACHABLE = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ECONNREFUSED, errno.ETIMEDOUT)
 BROKEN = (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ECONNRESET)
 
-name_of = errno.errorcode.__getitem__
+errno_name = errno.errorcode.__getitem__
 
 
 class FaultyLoop(system_calls.FaultyLoop):
-    """Keeps what was to be called later, and the errors that reached it."""
+    """Records the delays of scheduled calls, and the errors that reached the loop."""
 
     def __init__(self, faults: Faults) -> None:
         super().__init__(faults)
-        self.delays: list[float] = []  # s, what was to be called later
+        self.delays: list[float] = []  # seconds, of `call_later`
         self.unhandled: list[str] = []
         self.set_exception_handler(lambda loop, context: self.unhandled.append(str(context)))
 
@@ -39,7 +39,7 @@
 
 
 def run_faulty(main: Callable[[Faults, FaultyLoop], Coroutine[Any, Any, None]], limit: float = 20.0) -> None:
-    """Run a test whose sockets fail; an error that reaches the loop itself fails it."""
+    """Run a test on failing sockets. An error that reaches the event loop fails the test."""
     faults = Faults()
     loop = FaultyLoop(faults)
 
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -22,11 +22,11 @@
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.operator_file import load
 from mountgauge.otlp import tenant_metrics
-from mountgauge.status import StatusServer, ask
+from mountgauge.status import StatusServer, fetch_status
 from mountgauge.tenants.admission import QuotaAdmission
 from mountgauge.tenants.counts import Counts
 from mountgauge.tenants.store import Store, StoreError
-from tests.helper import HOST, AmqpClient, HttpServer, RespClient, World, run, until
+from tests.helper import HOST, AmqpClient, HttpServer, RespClient, SenderHarness, run, until
 from tests.test_product import FILE
 
 KEY = "sixteen characters and more"
@@ -93,7 +93,7 @@
 
 def test_resp_clients_log_in_and_cannot_name_their_tenant(tmp_path: Path) -> None:
     async def main() -> None:
-        async with World(tmp_path, "http", extra=TENANTS) as world:
+        async with SenderHarness(tmp_path, "http", extra=TENANTS) as world:
             client = world.client
             assert isinstance(client, RespClient)
             assert await client.command(b"PING") == b"+PONG\r\n"
@@ -121,16 +121,16 @@
     tmp_path: Path, login: str, vhost: str, code: int
 ) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp", extra=TENANTS) as world:
+        async with SenderHarness(tmp_path, "amqp", extra=TENANTS) as world:
             client = AmqpClient(world)
             client.reader, client.writer = await asyncio.open_connection(HOST, world.port)
             client.writer.write(codec.PROTOCOL_HEADER)
             await client.expect("connection.start")
-            client.say(0, "connection.start-ok", mechanism="PLAIN", response=login, locale="en_US")
+            client.send_method(0, "connection.start-ok", mechanism="PLAIN", response=login, locale="en_US")
             if code != 403:
                 tune = (await client.expect("connection.tune")).args
-                client.say(0, "connection.tune-ok", **tune)
-                client.say(0, "connection.open", vhost=vhost)
+                client.send_method(0, "connection.tune-ok", **tune)
+                client.send_method(0, "connection.open", vhost=vhost)
             if not code:
                 await client.expect("connection.open-ok")
             else:
@@ -146,19 +146,19 @@
 ) -> None:
     async def main() -> None:
         extra = TENANTS.replace("rate = 5", "rate = 0.01").replace("burst = 10", "burst = 2")
-        async with World(tmp_path, protocol, extra=extra) as world:
+        async with SenderHarness(tmp_path, protocol, extra=extra) as world:
             if isinstance(world.client, RespClient):
                 assert await world.client.command(b"AUTH", b"u", b"p") == b"+OK\r\n"
             assert world.runtime.tenants is not None
             admission = world.runtime.tenants.admission
             admission._started -= 10_000  # it has long been up: the burst is there
-            ends = [await world.client.take(f"m{i}") for i in range(4)]
+            ends = [await world.client.submit(f"m{i}") for i in range(4)]
             assert ends == [None, None, "deferred", "deferred"]
-            assert [await world.client.end(f"m{i}") for i in range(2)] == ["delivered"] * 2
+            assert [await world.client.outcome(f"m{i}") for i in range(2)] == ["delivered"] * 2
             assert not world.notices  # nothing taken on was given up
             assert world.runtime.sender.counts["refused", "quota"] == 2
             # Known already: no second count, and no refusal of what was promised.
-            assert await world.client.take("m0") is None and admission.taken_here == 2
+            assert await world.client.submit("m0") is None and admission.taken_here == 2
 
     run(main())
 
@@ -175,15 +175,15 @@
         one, two = reserve_ports(2)
         for name in ("a", "b"):
             (tmp_path / name).mkdir()
-        first = World(tmp_path / "a", "http", extra=fleet(one, two) + TENANTS)
-        second = World(tmp_path / "b", "amqp", extra=fleet(two, one) + TENANTS)
+        first = SenderHarness(tmp_path / "a", "http", extra=fleet(one, two) + TENANTS)
+        second = SenderHarness(tmp_path / "b", "amqp", extra=fleet(two, one) + TENANTS)
         async with first, second:
             second.runtime.tenants.name = "w2"  # type: ignore[union-attr]
             assert isinstance(first.client, RespClient)
             await first.client.command(b"AUTH", b"v", b"q")
             for number in range(20):
-                assert await first.client.take(f"m{number}") is None
-            assert await second.client.take("n0") is None
+                assert await first.client.submit(f"m{number}") is None
+            assert await second.client.submit("n0") is None
             admissions = [world.runtime.tenants.admission for world in (first, second)]  # type: ignore[union-attr]
             for admission in admissions:
                 places = [admission.names["verdi"], admission.names["rossi"]]
@@ -193,7 +193,7 @@
             await until(lambda: not member.unjoined(asyncio.get_running_loop().time()))
             page = StatusServer(first.runtime.report, {"/tenants": first.runtime.tenants.report})  # type: ignore[union-attr]
             await page.listen(Address(HOST, 0))
-            found = await ask(Address(HOST, page.port), page="/tenants")
+            found = await fetch_status(Address(HOST, page.port), page="/tenants")
             by = {line["tenant"]: line for line in found["tenants"]}
             assert by["verdi"]["used"] == 20 and by["rossi"]["quota"] == 5 and by["default"]["used"] == 0
             assert [m["presence"] for m in found["members"]] == ["present"] * 2 and found["exact"]
@@ -211,7 +211,7 @@
             metrics = {m["name"]: m for m in tenant_metrics(found, 1, 2)}
             used = metrics["mountgauge.tenant.used"]["sum"]["dataPoints"]
             assert {p["attributes"][0]["value"]["stringValue"]: p["asInt"] for p in used}["verdi"] == "20"
-            assert (await ask(Address(HOST, page.port)))["tenants"]["present"] == 2
+            assert (await fetch_status(Address(HOST, page.port)))["tenants"]["present"] == 2
             page.close()
 
     run(main())
@@ -220,25 +220,25 @@
 def test_sighup_moves_quotas_peers_and_keys(tmp_path: Path) -> None:
     async def main() -> None:
         mine, peer = reserve_ports(2)
-        async with World(tmp_path, "http", extra=fleet(mine, peer) + TENANTS) as world:
+        async with SenderHarness(tmp_path, "http", extra=fleet(mine, peer) + TENANTS) as world:
             tenants = world.runtime.tenants
             assert tenants is not None and tenants.fleet is not None
             old = tenants.fleet.seal
             world.extra = (fleet(mine, peer + 1) + TENANTS).replace("rate = 5", "rate = 7").replace(
                 f'["{KEY}"]', f'["another key of the fleet", "{KEY}"]'
             ) + '[[tenant]]\nname = "bianchi"\n'
-            world.write()
+            world.write_file()
             world.runtime.reload()
             assert tenants.admission.quotas[tenants.admission.names["rossi"]].rate == 7
             assert "bianchi" in tenants.admission.names and tenants.fleet.plan.peers == ((HOST, peer + 1),)
             assert tenants.fleet.seal._first != old._first and set(old._keys) < set(tenants.fleet.seal._keys)
             kept = world.extra
             world.extra = kept.replace("rate = 7", 'rate = "x"')
-            world.write()
+            world.write_file()
             world.runtime.reload()  # changes nothing
             assert tenants.admission.quotas[tenants.admission.names["rossi"]].rate == 7
             world.extra = ""
-            world.write()
+            world.write_file()
             world.runtime.reload()
             assert "rossi" in tenants.admission.names  # tenants go with a restart only
 
@@ -272,12 +272,12 @@
 
     async def used(self, n: int) -> dict[str, Any]:
         try:
-            return await ask(Address(HOST, self.ports[2 + n]), page="/tenants")
+            return await fetch_status(Address(HOST, self.ports[2 + n]), page="/tenants")
         except (OSError, ValueError):
             return {}
 
     async def hand_in(self, n: int, ids: list[str]) -> int:
-        client = RespClient(World(self.folder, "http"))
+        client = RespClient(SenderHarness(self.folder, "http"))
         client.reader, client.writer = await asyncio.open_connection(HOST, self.ports[n])
         await client.command(b"AUTH", b"v", b"q")
         taken = 0
@@ -416,11 +416,11 @@
 def test_what_the_page_answers_is_json_for_ten_thousand_tenants(tmp_path: Path) -> None:
     async def main() -> None:
         many = "".join(f'[[tenant]]\nname = "t{i}"\n' for i in range(10_000))
-        async with World(tmp_path, "http", extra=many) as world:
+        async with SenderHarness(tmp_path, "http", extra=many) as world:
             assert world.runtime.tenants is not None
             server = StatusServer(world.runtime.report, {"/tenants": world.runtime.tenants.report})
             await server.listen(Address(HOST, 0))
-            found = await ask(Address(HOST, server.port), 10, "/tenants")
+            found = await fetch_status(Address(HOST, server.port), 10, "/tenants")
             assert len(found["tenants"]) == 10_001 and orjson.dumps(found)
             assert len(world.runtime.tenants.metrics()["tenants"]) == 1000
             server.close()
--- a/tests/test_amqp_states.py
+++ b/tests/test_amqp_states.py
@@ -63,7 +63,9 @@
         connection.connection_made(transport)
         for data, answer in zip(OPENING, ANSWERS, strict=True):
             receive(connection, data)
-            assert [name for _, name, _ in decode_methods(transport.take())] == ([answer] if answer else [])
+            assert [name for _, name, _ in decode_methods(transport.take_written())] == (
+                [answer] if answer else []
+            )
         tags: dict[int, int] = {}  # last delivery tag by open channel
         openings: dict[int, int] = {}  # by channel: an outcome is sent only in the opening of its publish
         unsettled: list[tuple[str, int, int, int]] = []  # id, channel, opening, tag
@@ -112,11 +114,11 @@
                         else:
                             code = 313 if end.status is Status.DEFERRED else 312
                             expected += [(number, "basic.return", code), (number, "basic.nack", tag)]
-            assert decode_methods(transport.take()) == expected
+            assert decode_methods(transport.take_written()) == expected
             assert connection.unsettled == len(unsettled) and not transport.closing
         connection.connection_lost(None)
         for msg_id in accepted:  # the connection is closed: nothing is written and nothing raises
             clients.report_outcome(msg_id, ENDS[0], lambda: None)
-        assert not transport.take()
+        assert not transport.take_written()
 
     asyncio.run(main())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -49,7 +49,7 @@
         connection, transport = ClientConnection(Clients(lambda one: None, ("note",), 9)), Transport()
         connection.connection_made(transport)
         receive(connection, command(b"PING") + data)
-        written = transport.take()
+        written = transport.take_written()
         assert written.startswith(b"+PONG\r\n-ERR Protocol error") and transport.ended
         receive(connection, command(b"PING") * 9)
         assert not transport.written
@@ -69,7 +69,7 @@
         connection, transport = ClientConnection(Clients(submitted.append, ("note",), 9)), Transport()
         connection.connection_made(transport)
         receive(connection, data + command(b"PING"))
-        written = transport.take()
+        written = transport.take_written()
         assert (
             written.startswith(b"-ERR ")
             and written.endswith(b"\r\n+PONG\r\n")
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -14,7 +14,7 @@
 import pytest
 
 from mountgauge import cli
-from mountgauge.access import DEFAULT, Access, User
+from mountgauge.access import DEFAULT_TENANT, Access, User
 from mountgauge.amqp import codec
 from mountgauge.amqp.next_hops import AmqpNextHops
 from mountgauge.core.config import Address, Config, ConfigError
@@ -23,9 +23,9 @@
 from mountgauge.operator_file import load
 from mountgauge.otlp import Exporter
 from mountgauge.snapshot import Snapshot
-from mountgauge.status import StatusServer, ask
+from mountgauge.status import StatusServer, fetch_status
 from rillspindle.interface import Entry, Outcome
-from tests.helper import HOST, AmqpClient, Broker, HttpServer, World, read_frame, run, until
+from tests.helper import HOST, AmqpClient, Broker, HttpServer, SenderHarness, read_frame, run, until
 from tests.settings import settings
 
 FILE = """
@@ -67,7 +67,7 @@
     tmp_path: Path, data: bytes, code: int, hard: bool
 ) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             client = world.client
             assert isinstance(client, AmqpClient)
             client.task.cancel()
@@ -81,16 +81,16 @@
                 code,
             )
             if not hard:  # the channel can be opened again, and serves
-                client.say(1, "channel.close-ok")
-                client.say(1, "channel.open")
+                client.send_method(1, "channel.close-ok")
+                client.send_method(1, "channel.open")
                 await client.expect("channel.open-ok")
-                client.say(1, "confirm.select")
+                client.send_method(1, "confirm.select")
                 await client.expect("confirm.select-ok")
                 client.tag, client.task = 0, asyncio.create_task(client.listen())
-                await client.take("m")
-                assert await client.end("m") == "delivered"
+                await client.submit("m")
+                assert await client.outcome("m") == "delivered"
             else:
-                client.say(0, "connection.close-ok")
+                client.send_method(0, "connection.close-ok")
                 rest = await client.reader.read()  # only heartbeats follow
                 assert not rest.replace(codec.frame(codec.HEARTBEAT, 0, b""), b"")
 
@@ -99,7 +99,7 @@
 
 def test_another_protocol_gets_the_expected_header_and_a_silent_client_is_closed(tmp_path: Path) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             reader, writer = await asyncio.open_connection(HOST, world.port)
             writer.write(b"GET / HT")
             assert await reader.read() == codec.PROTOCOL_HEADER
@@ -157,8 +157,8 @@
 
 def test_access_checks_users_and_virtual_hosts() -> None:
     access = Access({"u": User("p", "rossi"), "v": User("q")}, "/vans")
-    assert access.login("PLAIN", b"\0u\0p") == "rossi" and access.login("PLAIN", b"\0v\0q") == DEFAULT
-    assert access.opens("/vans") and not access.opens("/") and Access().opens("any")
+    assert access.login("PLAIN", b"\0u\0p") == "rossi" and access.login("PLAIN", b"\0v\0q") == DEFAULT_TENANT
+    assert access.may_open("/vans") and not access.may_open("/") and Access().may_open("any")
     for mechanism, credentials in (
         ("PLAIN", b"\0u\0q"),
         ("PLAIN", b"\0v\0p"),
@@ -280,11 +280,11 @@
         try:
             await until(lambda: all(one.state == "running" for one in agent.instances))
             await asyncio.sleep(1.0)  # so that the program is running when the signal arrives
-            first = (await ask(address))["instances"][0]
+            first = (await fetch_status(address))["instances"][0]
             os.kill(first["pid"], 9)
             await until(lambda: agent.instances[0].state == "backing-off")
             await until(lambda: agent.instances[0].state == "running")
-            report = (await ask(address))["instances"]
+            report = (await fetch_status(address))["instances"]
             assert (
                 report[0]["restarts"] == 1 and report[0]["pid"] != first["pid"] and report[1]["restarts"] == 0
             )
@@ -303,13 +303,13 @@
     """Guards against counts with enum keys: the report could not be encoded as JSON, and nothing answered."""
 
     async def main() -> None:
-        async with World(tmp_path, "http") as world:
-            await world.client.take("m1")
-            await world.client.end("m1")
+        async with SenderHarness(tmp_path, "http") as world:
+            await world.client.submit("m1")
+            await world.client.outcome("m1")
             await until(lambda: not world.runtime.sender.pending)
             server = StatusServer(world.runtime.report)
             await server.listen(Address(HOST, 0))
-            found = await ask(Address(HOST, server.port))
+            found = await fetch_status(Address(HOST, server.port))
             assert found["ends"] == {"delivered": 1} and found["attempts"] == {"ok": 1} and found["held"] == 0
             reader, writer = await asyncio.open_connection(HOST, server.port)
             writer.write(b"GET /other HTTP/1.1\r\n\r\n")
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -14,7 +14,7 @@
 from mountgauge.clients import Clients, connection
 from mountgauge.core.ports import Accepted, MessageOutcome, Status, Submission
 from rillspindle.interface import Readiness
-from tests.helper import HOST, AmqpClient, World, read_frame, run
+from tests.helper import HOST, AmqpClient, SenderHarness, read_frame, run
 from tests.test_clients import command, enqueue
 from tests.test_sender import Bench
 
@@ -276,7 +276,7 @@
 
 def test_amqp_incomplete_messages_and_openings_time_out(tmp_path: Path) -> None:
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             silent = await asyncio.open_connection(HOST, world.port)
             client = AmqpClient(world)
             await client.connect()
@@ -292,7 +292,7 @@
             await world.client.close()
             world.client = AmqpClient(world)  # other clients are still served
             await world.client.connect()
-            assert await world.client.take("m1") is None and await world.client.end("m1") == "delivered"
+            assert await world.client.submit("m1") is None and await world.client.outcome("m1") == "delivered"
 
     async def beat(writer: asyncio.StreamWriter) -> None:
         while True:
@@ -311,7 +311,7 @@
     monkeypatch.setattr(amqp_clients, "_DISPLACEABLE_AFTER_S", 0.2)
 
     async def main() -> None:
-        async with World(tmp_path, "amqp") as world:
+        async with SenderHarness(tmp_path, "amqp") as world:
             front = world.runtime.listeners[0][0]
             assert isinstance(front, amqp_clients.AmqpClients)
             front.admission.bounds = replace(front.admission.bounds, most=2)
@@ -320,10 +320,10 @@
             await client.connect()  # displaces the one that has not opened
             assert await read_to_end(unopened, 0.5) == b""
             await asyncio.sleep(0.3)
-            assert await client.take("m1") is None and await client.end("m1") == "delivered"
+            assert await client.submit("m1") is None and await client.outcome("m1") == "delivered"
             late = AmqpClient(world)
             await late.connect()  # displaces the one that was idle longest
-            assert await late.take("m2") is None and await late.end("m2") == "delivered"
+            assert await late.submit("m2") is None and await late.outcome("m2") == "delivered"
             assert len(front.admission) == 2
             await late.close()
             await client.close()
