--- a/mountgauge/lab/cli.py
+++ b/mountgauge/lab/cli.py
@@ -51,15 +51,15 @@
     judged: Judged = judge(schedule, all_events)
     figures = summary(all_events, judged, began(all_events), schedule.seconds)
     (folder / "figures.json").write_text(json.dumps(figures, indent=2) + "\n")
-    (folder / "broken.txt").write_text("".join(f"{one}\n" for one in judged.broken))
+    (folder / "broken.txt").write_text("".join(f"{one}\n" for one in judged.violations))
     if page:
         from mountgauge.lab.rig.page import write_page
 
         write_page(folder / "run.html", schedule, all_events, judged, figures)
-    for one in judged.broken[:20]:
+    for one in judged.violations[:20]:
         print(f"broken: {one}")
     print(json.dumps({"name": schedule.name, "seed": schedule.seed, "folder": str(folder), **figures}))
-    return 1 if judged.broken else 0
+    return 1 if judged.violations else 0
 
 
 def main(argv: Sequence[str]) -> int:
--- a/mountgauge/lab/rig/metrics.py
+++ b/mountgauge/lab/rig/metrics.py
@@ -161,7 +161,7 @@
         "delivered": judged.delivered,
         "lost": rules["final"],
         "doubled": rules["repeat"] + rules["two-out"],
-        "rules_broken": len(judged.broken),
+        "rules_broken": len(judged.violations),
         "stale_sends": rules["drain"] + rules["wait"],
         "with_folder": judged.with_folder,
         "rules": dict(rules),
--- a/mountgauge/lab/rig/oracle.py
+++ b/mountgauge/lab/rig/oracle.py
@@ -85,7 +85,7 @@
 class Judged:
     """What the oracle has found in a run."""
 
-    broken: list[Broken] = field(default_factory=list)
+    violations: list[Broken] = field(default_factory=list)
     with_folder: int = 0  # messages whose folder was lost: their end is not owed
     repeats_after_loss: int = 0
     taken: int = 0
@@ -94,7 +94,7 @@
 
     @property
     def rules(self) -> Counter[str]:
-        return Counter(one.rule for one in self.broken)
+        return Counter(one.rule for one in self.violations)
 
 
 def slack(schedule: Schedule) -> float:
@@ -146,7 +146,7 @@
         for tenant in self.schedule.tenants:
             if tenant.strict:
                 self._strict(tenant)
-        self.found.broken.sort(key=lambda one: one.at)
+        self.found.violations.sort(key=lambda one: one.at)
         return self.found
 
     def _read(self, event: Event) -> None:
@@ -210,7 +210,7 @@
         return others and any(when <= at for when in self.losses[member])
 
     def _broken(self, rule: str, at: float, member: str, msg_id: str, why: str) -> None:
-        self.found.broken.append(Broken(rule, at, member, msg_id, why))
+        self.found.violations.append(Broken(rule, at, member, msg_id, why))
 
     def _final(self, msg_id: str, taken: Event) -> None:
         """One end, in time."""
--- a/mountgauge/lab/rig/page.py
+++ b/mountgauge/lab/rig/page.py
@@ -47,16 +47,16 @@
 <h1>{{ schedule.name }}</h1>
 <small>{{ schedule.fleet.members }} senders, seed {{ schedule.seed }}, {{ schedule.seconds }} s,
 {{ "with" if schedule.fleet.comeback else "without" }} comeback</small>
-<p class="answer {{ 'good' if not judged.broken and not figures.endless else 'bad' }}">{{ answer }}</p>
+<p class="answer {{ 'good' if not judged.violations and not figures.endless else 'bad' }}">{{ answer }}</p>
 <div class="figures">{% for name, value, unit in shown %}
 <div><b>{{ value }}</b>{{ name }} <small>{{ unit }}</small></div>{% endfor %}</div>
 {% for title, chart in charts %}<h2>{{ title }}</h2>{{ chart | safe }}{% endfor %}
 <h2>Faults</h2><div class="scroll"><table><tr><th>at, s<th>what<th>whom</tr>
 {% for one in faults %}<tr><td>{{ "%.2f" | format(one.at) }}<td>{{ one.fields.do }}
 <td>{{ whom(one) }}</tr>{% endfor %}</table></div>
-{% if judged.broken %}<h2>Broken rules ({{ judged.broken | length }})</h2><div class="scroll"><table>
+{% if judged.violations %}<h2>Broken rules ({{ judged.violations | length }})</h2><div class="scroll"><table>
 <tr><th>at, s<th>rule<th>sender<th>message<th>why</tr>
-{% for one in judged.broken[:200] %}<tr><td>{{ "%.3f" | format(one.at) }}<td>{{ one.rule }}
+{% for one in judged.violations[:200] %}<tr><td>{{ "%.3f" | format(one.at) }}<td>{{ one.rule }}
 <td>{{ one.member }}<td>{{ one.id }}<td>{{ one.why }}</tr>{% endfor %}</table></div>{% endif %}
 <h2>By second</h2><div class="scroll"><table>
 <tr>{% for name in seconds[0] %}<th>{{ name }}{% endfor %}</tr>
@@ -74,9 +74,9 @@
             f"Full service {figures['full_service_s']} s after the last fault, "
             f"{figures['full_service_over_limit']} times the best that the partner allowed."
         )
-    if judged.broken:
+    if judged.violations:
         rules = ", ".join(f"{rule} {count}" for rule, count in judged.rules.most_common())
-        return f"{text} {len(judged.broken)} broken rules: {rules}."
+        return f"{text} {len(judged.violations)} broken rules: {rules}."
     return f"{text} No rule was broken."
 
 
--- a/mountgauge/lab/soak/command.py
+++ b/mountgauge/lab/soak/command.py
@@ -44,7 +44,7 @@
     asyncio.run(runner.run())
     runner.events.write(folder / "events.jsonl")
     found = verdict(soak.schedule, runner.events.all, soak.process_faults)
-    (folder / "broken.txt").write_text("".join(f"{one}\n" for one in found.broken))
+    (folder / "broken.txt").write_text("".join(f"{one}\n" for one in found.violations))
     if runner.errors:
         print("rig: " + "; ".join(runner.errors[:5]), file=sys.stderr)
     return found
@@ -78,9 +78,9 @@
         folder, began = args.out / f"{args.mutant or 'seed'}-{seed}", time.monotonic()
         found = _play_apart(seed, args.members, args.seconds, folder, args.mutant, density)
         print(f"seed {seed}: {found} ({time.monotonic() - began:.0f} s)", flush=True)
-        for one in found.broken[:5]:
+        for one in found.violations[:5]:
             print(f"  broken: {one}", flush=True)
-        if found.broken:
+        if found.violations:
             failed.append(seed)
     print(json.dumps({"runs": args.seeds, "failed": failed, "members": args.members}))
     return 1 if failed else 0
--- a/mountgauge/lab/soak/verdict.py
+++ b/mountgauge/lab/soak/verdict.py
@@ -34,13 +34,13 @@
 class Verdict:
     """What a run has shown."""
 
-    broken: list[Broken]
+    violations: list[Broken]
     taken: int
     delivered: int
     lag_s: float  # the most by which the rig's own loop was late
 
     def __str__(self) -> str:
-        rules = ",".join(sorted({one.rule for one in self.broken})) or "none"
+        rules = ",".join(sorted({one.rule for one in self.violations})) or "none"
         return f"taken {self.taken}, delivered {self.delivered}, lag {self.lag_s:.2f} s, broken: {rules}"
 
 
@@ -54,12 +54,12 @@
     events = _without_swallowed(events, lags)
     judged = {level: judge(schedule, events, level) for level in _LEVELS_S}
     strict = judged[_LEVELS_S[0]]
-    stands = {level: {_key(one) for one in found.broken} for level, found in judged.items()}
+    stands = {level: {_key(one) for one in found.violations} for level, found in judged.items()}
     inside = list(inside)
     unread = [one for one in inside if one.seam == "sockets" and one.call == "read"]
     ends = _Ends(events, [one for one in inside if one.seam == "files"])
     broken = []
-    for one in strict.broken:
+    for one in strict.violations:
         needed = SLACK_S + LATE_TURNS * max(
             (late for at, late in lags if 0 <= one.at - at < LAG_SPAN_S), default=0.0
         )
@@ -72,7 +72,7 @@
     lost_s = LOST_S + 2 * LATE_TURNS * worst  # a call for the notice, and one that failed before it
     silences = _silences(events)
     broken += [
-        one for one in judge(schedule, events, lost_s).broken
+        one for one in judge(schedule, events, lost_s).violations
         if one.rule in _TIMED and not _could_not_be_told(one, silences[one.member], lost_s)
     ]  # fmt: skip
     broken += [*_violations(events), *_crashes(events)]
--- a/tests/budgets/test_processes.py
+++ b/tests/budgets/test_processes.py
@@ -18,7 +18,7 @@
 def test_no_span_of_time_had_more_than_the_whole(played: dict[str, Played]) -> None:
     for name, one in played.items():
         assert one.judged.delivered > 300, name
-        assert [str(broken) for broken in one.judged.broken] == [], name
+        assert [str(broken) for broken in one.judged.violations] == [], name
 
 
 def test_the_part_of_the_dead_is_used_by_the_rest_and_shared_again(played: dict[str, Played]) -> None:
--- a/tests/lab/test_drains.py
+++ b/tests/lab/test_drains.py
@@ -26,7 +26,7 @@
 
 
 def broken(one: Played, member: str) -> list[str]:
-    return [str(verdict) for verdict in one.judged.broken if verdict.member == member]
+    return [str(verdict) for verdict in one.judged.violations if verdict.member == member]
 
 
 def of(one: Played, kind: str, member: str) -> list[Event]:
--- a/tests/lab/test_notified.py
+++ b/tests/lab/test_notified.py
@@ -274,7 +274,7 @@
 
 
 def drains(*events: Event, fleet: str = "front = 'platform'\nmembers = 1") -> list[str]:
-    return [one.why for one in judge(schedule(fleet), events).broken if one.rule == "drain"]
+    return [one.why for one in judge(schedule(fleet), events).violations if one.rule == "drain"]
 
 
 def test_the_oracle_names_a_call_after_a_silent_watchs_moment() -> None:
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -177,7 +177,7 @@
 
 
 def rules(*events: Event, text: str = "") -> list[str]:
-    return [one.rule for one in judge(schedule(text), [*events, *END]).broken]
+    return [one.rule for one in judge(schedule(text), [*events, *END]).violations]
 
 
 def test_the_oracle_finds_nothing_in_a_clean_history() -> None:
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -188,7 +188,7 @@
     histories = {name: read(root / name / "events.jsonl") for name in SENDERS}
     found = {name: judge(schedule, events, _SLACK) for name, events in histories.items()}
     judged = found.pop("unchanged")
-    assert [str(one) for one in judged.broken] == []
+    assert [str(one) for one in judged.violations] == []
     assert judged.taken > 100 and judged.delivered > 50
     kinds = {event.kind for event in histories["unchanged"]}
     assert {"offer", "call", "answer", "told", "list-call", "notice", "fault", "gone", "ready"} <= kinds
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -55,7 +55,7 @@
         Event(1.9, "notice", {"member": "m01", "id": "a", "status": "undeliverable"}),
     ]
     fault = ProcessFault("m01", failed_at, for_s, "files", "write", 5)
-    return [one.rule for one in verdict(soak.schedule, events, [fault]).broken]
+    return [one.rule for one in verdict(soak.schedule, events, [fault]).violations]
 
 
 def test_two_ends_are_excused_only_where_the_first_could_not_be_kept() -> None:
--- a/tests/recovery/test_fleets.py
+++ b/tests/recovery/test_fleets.py
@@ -27,7 +27,7 @@
 def test_no_rule_is_broken_by_any_fleet(played: dict[str, Played]) -> None:
     assert set(played) == set(FLEETS)
     for name, one in played.items():
-        assert [str(broken) for broken in one.judged.broken] == [], name
+        assert [str(broken) for broken in one.judged.violations] == [], name
         assert one.judged.delivered > 200, name
 
 
--- a/tests/recovery/test_processes.py
+++ b/tests/recovery/test_processes.py
@@ -23,7 +23,7 @@
 
 def test_no_rule_is_broken_in_any_scene(played: dict[str, Played]) -> None:
     for name, one in played.items():
-        assert [str(broken) for broken in one.judged.broken] == [], name
+        assert [str(broken) for broken in one.judged.violations] == [], name
         assert one.judged.delivered > 100
 
 
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -228,7 +228,7 @@
     def unsafe(self) -> list[str]:
         """The rules of safety that were broken, with what the rig's own lateness excuses taken out."""
         found = verdict(self.schedule, self.events, ())
-        return [str(broken) for broken in found.broken if broken.rule in SAFETY]
+        return [str(broken) for broken in found.violations if broken.rule in SAFETY]
 
     def logs(self, event: str) -> list[dict[str, Any]]:
         return [
