--- a/benchmarks/comeback_model.py
+++ b/benchmarks/comeback_model.py
@@ -156,7 +156,7 @@
     for place in fleet._rng.sample(range(members), max(1, members * 4 // 5)):
         held = len(fleet.lives[place].policy.messages)
         fleet.start(place, held)
-    could = fleet.capacity.could(zero, zero + 5)
+    could = fleet.capacity.capacity_between(zero, zero + 5)
     fleet.play(seconds)
     served = [at for at in fleet.served if zero <= at < zero + 5]
     refused = [at for at in fleet.refused if zero <= at < zero + 5]
--- a/mountgauge/lab/rig/capacity_model.py
+++ b/mountgauge/lab/rig/capacity_model.py
@@ -45,7 +45,7 @@
         warm = min(1.0, age / self.warm_s) if self.warm_s > 0 else 1.0
         return self.rate * self.cut * (self.cold_share + (1 - self.cold_share) * warm)
 
-    def could(self, begin: float, end: float, step: float = 0.05) -> float:
+    def capacity_between(self, begin: float, end: float, step: float = 0.05) -> float:
         """Calls that it could bear from `begin` to `end`, by what is known now."""
         steps = max(1, math.ceil((end - begin) / step))
         width = (end - begin) / steps
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -62,7 +62,7 @@
         now += gap
         times.append(now)
         taken += one.call(now)
-    assert taken <= one.could(0.0, now, 0.001) + max(1.0, rate * depth) + 1e-6
+    assert taken <= one.capacity_between(0.0, now, 0.001) + max(1.0, rate * depth) + 1e-6
 
 
 def test_a_partner_that_is_overrun_starts_cold_anew_and_else_warms() -> None:
--- a/tests/sharding/test_owners.py
+++ b/tests/sharding/test_owners.py
@@ -60,7 +60,7 @@
     worst = -math.inf
     for at in calls:
         if at + span <= fleet.now:
-            budget = cold_budget(fleet.capacity.could(at, at + span), multiple)
+            budget = cold_budget(fleet.capacity.capacity_between(at, at + span), multiple)
             arrived = bisect_left(calls, at + span) - bisect_left(calls, at)
             worst = max(worst, arrived - budget_with_chance_margin(budget))
     return worst
