--- a/benchmarks/comeback_model.py
+++ b/benchmarks/comeback_model.py
@@ -164,7 +164,7 @@
     return {
         "served_share_5s": round(len(served) / could, 3),
         "refused_share": round(len(refused) / max(1, len(served) + len(refused)), 3),
-        "last_5s_per_s": len(last) / 5, "fell": fleet.capacity.fell, "ended": fleet.ended,
+        "last_5s_per_s": len(last) / 5, "fell": fleet.capacity.fall_count, "ended": fleet.ended,
         "before_per_s": len([at for at in fleet.served if zero - 5 <= at < zero]) / 5,
         "refused_all": len([at for at in fleet.refused if at >= zero]),
     }  # fmt: skip
--- a/mountgauge/lab/rig/capacity_model.py
+++ b/mountgauge/lab/rig/capacity_model.py
@@ -30,7 +30,7 @@
     shut_until: float = -math.inf
     never_warms: bool = False
     cut: float = 1.0  # part of the rate that holds while the limit is lowered
-    fell: int = 0
+    fall_count: int = 0
     _room: float = 0.0
     _filled_at: float = -math.inf
     _span: int = -1
@@ -91,7 +91,7 @@
             self._borne.popleft()
         borne = sum(rate for _, rate in self._borne) / len(self._borne) * self.falls_window_s
         if len(self._window) > self.falls_at * max(borne, 1.0):
-            self.fell += 1
+            self.fall_count += 1
             self.go_cold(now)
             self._window.clear()
             self._borne.clear()
--- a/mountgauge/lab/rig/stand_ins.py
+++ b/mountgauge/lab/rig/stand_ins.py
@@ -147,7 +147,7 @@
             "bears",
             dest=self.spec.dest,
             rate=round(self.capacity.capacity_at(now), 3),
-            fell=self.capacity.fell,
+            fell=self.capacity.fall_count,
         )
 
 
@@ -166,7 +166,7 @@
             return response(400, "Bad Request", {}, b"")
         number, msg_id = next(self.numbers), headers.get("x-trace-id", "")
         call = {"call": number, "member": member, "dest": spec.dest, "endpoint": self.id, "id": msg_id}
-        was = capacity.fell
+        was = capacity.fall_count
         taken = capacity.call(events.now)
         events.add(
             "call",
@@ -175,7 +175,7 @@
             began=round(self.began[peer] - events.zero, 4),
             **call,
         )
-        if capacity.fell > was:
+        if capacity.fall_count > was:
             events.add("fell", dest=spec.dest)
         status, extra, ran = 200, dict[str, str](), taken
         try:
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -70,10 +70,10 @@
     one.go_cold(0.0)
     for place in range(500):  # 50 calls/s, where 20 to 36 are borne
         one.call(place / 50)
-    assert one.fell >= 5 and one.capacity_at(10.0) < 40
+    assert one.fall_count >= 5 and one.capacity_at(10.0) < 40
     calm = CapacityModel(100, cold_share=0.2, warm_s=5, falls_at=1.5)
     calm.go_cold(0.0)
-    assert all(calm.call(place / 20) for place in range(120)) and not calm.fell
+    assert all(calm.call(place / 20) for place in range(120)) and not calm.fall_count
     assert calm.capacity_at(6.0) == 100
     calm.shut(6.0, 1.0)
     assert calm.capacity_at(6.5) == 0 and not calm.call(6.5) and calm.capacity_at(7.0) == 20
