--- a/benchmarks/comeback_model.py
+++ b/benchmarks/comeback_model.py
@@ -179,9 +179,9 @@
     fleet.begin()
     fleet.play(15.0)
     zero = fleet.now
-    fleet.capacity.cut = 0.4
+    fleet.capacity.limit_factor = 0.4
     fleet.play(20)
-    fleet.capacity.cut = 1.0
+    fleet.capacity.limit_factor = 1.0
     fleet.play(15)
 
     def rate(times: list[float], begin: float, end: float) -> float:
--- a/mountgauge/lab/rig/capacity_model.py
+++ b/mountgauge/lab/rig/capacity_model.py
@@ -29,7 +29,7 @@
     cold_at: float = -math.inf  # since when it is cold
     shut_until: float = -math.inf
     never_warms: bool = False
-    cut: float = 1.0  # part of the rate that holds while the limit is lowered
+    limit_factor: float = 1.0  # part of the rate that holds while the limit is lowered
     fall_count: int = 0
     _room: float = 0.0
     _filled_at: float = -math.inf
@@ -43,7 +43,7 @@
             return 0.0
         age = 0.0 if self.never_warms else max(0.0, now - self.cold_at)
         warm = min(1.0, age / self.warm_s) if self.warm_s > 0 else 1.0
-        return self.rate * self.cut * (self.cold_share + (1 - self.cold_share) * warm)
+        return self.rate * self.limit_factor * (self.cold_share + (1 - self.cold_share) * warm)
 
     def capacity_between(self, begin: float, end: float, step: float = 0.05) -> float:
         """Calls that it could bear from `begin` to `end`, by what is known now."""
--- a/mountgauge/lab/rig/runner.py
+++ b/mountgauge/lab/rig/runner.py
@@ -400,8 +400,8 @@
                 capacity.shut(now, fault.for_s)
                 partner.wait_s = fault.wait_s
             case "limit":
-                capacity.cut = fault.share
-                self._later(fault.for_s, lambda: setattr(capacity, "cut", 1.0))
+                capacity.limit_factor = fault.share
+                self._later(fault.for_s, lambda: setattr(capacity, "limit_factor", 1.0))
             case "never-warm":
                 capacity.never_warms = True
                 capacity.go_cold(now)
