--- a/mountgauge/lab/faults/files.py
+++ b/mountgauge/lab/faults/files.py
@@ -15,7 +15,8 @@
 
 
 class FailingFiles(SystemFiles):
-    """The system's calls, of which those that `fails` names raise `error`; a write does past `room`. Those
+    """The system's calls, of which those that `fails` names raise `error`; a write does past
+    `writable_bytes`. Those
     that `late` names raise it after they took effect.
     """
 
@@ -28,7 +29,7 @@
         """The disk is back."""
         self.fails: set[str] = set()
         self.late: set[str] = set()
-        self.room: int | None = None  # bytes that are still written; None: any number
+        self.writable_bytes: int | None = None  # bytes that are still written; None: any number
         self.killed_at = ""  # the call at which the process ends
 
     def _call(self, name: str) -> None:
@@ -52,12 +53,12 @@
 
     def write(self, file: int, data: memoryview) -> int:
         self._call("write")
-        if self.room is None:
+        if self.writable_bytes is None:
             return super().write(file, data)
-        if not self.room:
+        if not self.writable_bytes:
             raise OSError(self.error, os.strerror(self.error))
-        written = super().write(file, data[: self.room])
-        self.room -= written
+        written = super().write(file, data[: self.writable_bytes])
+        self.writable_bytes -= written
         return written
 
     def truncate(self, file: int, size: int) -> None:
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -188,7 +188,7 @@
     old, new = two_journals(tmp_path, "a", "b", files=files)
     old.finish("a", MessageOutcome(Status.DELIVERED))
     old.close()
-    files.room = written
+    files.writable_bytes = written
     assert new.adopt() == [] and new.unadopted, "it is still to be adopted"
     assert "b" not in new.live and "a" not in new.outcomes
     files.heal()
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -104,7 +104,7 @@
     journal, files = journal_with(tmp_path, "a", "tried")
     journal.attempt(["tried"], 4.0, 0)
     before = state_of(journal)
-    files.error, files.room = error, written
+    files.error, files.writable_bytes = error, written
     files.fails |= set() if cut else {"truncate"}
     if kind in ("take", "attempt"):
         with pytest.raises(JournalFullError):
@@ -128,7 +128,7 @@
     """The record that an attempt never ran must not remove a later attempt."""
     journal, files = journal_with(tmp_path, "a")
     journal.attempt(["a"], 4.0, 0)
-    files.room = 0
+    files.writable_bytes = 0
     assert not journal.never_ran("a")
     with pytest.raises(JournalFullError):
         journal.attempt(["a"], 5.0, 1)
@@ -584,7 +584,7 @@
     lists.write(list_)
     files.error, files.fails = error, {call}
     if call == "write":
-        files.fails, files.room = set(), 10
+        files.fails, files.writable_bytes = set(), 10
     for write in (
         lambda: folder.write_identity(one._replace(life=9)),
         lambda: folder.save_facts([], now, one.id),
@@ -651,7 +651,7 @@
         room=st.one_of(st.none(), st.integers(0, 60)),
     )
     def fail(self, fails: str, room: int | None) -> None:
-        self.files.fails, self.files.room = set(fails.split()), room
+        self.files.fails, self.files.writable_bytes = set(fails.split()), room
 
     @rule()
     def heal(self) -> None:
@@ -721,7 +721,7 @@
             return
         killed_files, self.files = self.files, FailingFiles()
         new._files = self.files
-        self.files.fails, self.files.room = set(killed_files.fails), killed_files.room
+        self.files.fails, self.files.writable_bytes = set(killed_files.fails), killed_files.writable_bytes
         killed(self.journal, killed_files)
         new.adopt()
         self.files.heal()
--- a/tests/recovery/test_pure.py
+++ b/tests/recovery/test_pure.py
@@ -183,7 +183,7 @@
     for one in tmp_path.iterdir():
         one.unlink()
     assert not journal.is_in_place()
-    files.room = 0
+    files.writable_bytes = 0
     for _ in range(3):  # retried each second: a failed attempt must release the lock
         with pytest.raises(OSError):
             journal.recreate()
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -122,7 +122,7 @@
     files = FailingFiles()
     journal = Journal(tmp_path, DISK, files=files)
     journal.accept(stored("a"))
-    files.room = 30
+    files.writable_bytes = 30
     with pytest.raises(JournalFullError):
         journal.accept(stored("b"))
     assert not journal.finish("a", MessageOutcome(Status.DELIVERED))
