--- a/mountgauge/lab/faults/system_calls.py
+++ b/mountgauge/lab/faults/system_calls.py
@@ -36,7 +36,7 @@
         """Its next calls fail with these errors, one after another."""
         self._next.setdefault(call, deque()).extend(errors)
 
-    def always(self, call: str, error: int | None) -> None:
+    def fail_always(self, call: str, error: int | None) -> None:
         """It fails from now on; None: no longer."""
         if error is None:
             self._always.pop(call, None)
--- a/mountgauge/lab/soak/launcher.py
+++ b/mountgauge/lab/soak/launcher.py
@@ -59,7 +59,7 @@
         by_seam = {"sockets": self.sockets, "clients": self.clients}
         for faults in by_seam.values():
             for call in ("accept", "socket", "connect", "connected", "read", "write"):
-                faults.always(call, None)
+                faults.fail_always(call, None)
         self.files.heal()
         self.ahead_s = 0.0
         for one in self._active:
@@ -70,7 +70,7 @@
                 (self.files.late if one.late else self.files.fails).add(one.call)
             else:
                 faults = by_seam[one.seam]
-                faults.always(one.call, one.error)
+                faults.fail_always(one.call, one.error)
                 if one.most:
                     faults.after[one.call] = one.most
 
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -149,13 +149,13 @@
 
     async def blocked(self, name: str, **extra: Any) -> None:
         """Submit a message whose call is admitted, and whose bytes the socket does not accept."""
-        self.faults.always("write", errno.EAGAIN)
+        self.faults.fail_always("write", errno.EAGAIN)
         await self.submit(name, **extra)
         await until(lambda: self.journal.live[name].attempts)
 
     async def unblock(self) -> None:
         """The socket accepts bytes again, with time for all that may be sent."""
-        self.faults.always("write", None)
+        self.faults.fail_always("write", None)
         await asyncio.sleep(0.15)
 
     async def stop(self) -> None:
@@ -198,7 +198,7 @@
         await world.submit("a", body=b"x" * 2000)
         await until(lambda: world.arrived)
         first_at = loop.time()
-        faults.always("write", errno.EAGAIN)
+        faults.fail_always("write", errno.EAGAIN)
         faults.after["write"] = 60
         await until(lambda: world.journal.live["a"].attempts == 2)
         await asyncio.sleep(first_at + window_s + 0.05 - loop.time())
--- a/tests/crossings/test_list_lease.py
+++ b/tests/crossings/test_list_lease.py
@@ -77,7 +77,7 @@
         return self.map.lease_ended() is not None
 
     def heal_later(self, call: str, after_s: float = FAULT_S) -> None:
-        self.loop.call_later(after_s, self.faults.always, call, None)
+        self.loop.call_later(after_s, self.faults.fail_always, call, None)
 
 
 @asynccontextmanager
@@ -105,7 +105,7 @@
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.fail("read", errno.ECONNRESET)
-            faults.always("connect", error)
+            faults.fail_always("connect", error)
             world.discovery.next_answer = LEAVES
             world.discovery.open_calls[0].write(LEAVES)
             world.heal_later("connect")
@@ -119,7 +119,7 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
-            faults.always("read", errno.EAGAIN)
+            faults.fail_always("read", errno.EAGAIN)
             world.discovery.open_calls[0].write(LEAVES)
             world.heal_later("read")
             assert await world.used_until(lambda: bool(world.owner.updates)) == []
@@ -133,7 +133,7 @@
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             faults.fail("read", errno.ECONNRESET)
-            faults.always("connect", errno.ENETUNREACH)
+            faults.fail_always("connect", errno.ENETUNREACH)
             world.discovery.next_answer = LEAVES
             world.discovery.open_calls[0].write(LEAVES)
             world.heal_later("connect", LONG_FAULT_S)
@@ -162,7 +162,7 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
-            faults.always("write", errno.EAGAIN)
+            faults.fail_always("write", errno.EAGAIN)
             # so that the next watch is made
             world.discovery.open_calls[0].write(no_changes("GET /?index=5&wait=1 HTTP/1.1"))
             await until(lambda: faults.count["write"])
@@ -182,7 +182,7 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults, bounds_of_watch=agent_bounds()) as world:
-            faults.always("connect", errno.ENETUNREACH)
+            faults.fail_always("connect", errno.ENETUNREACH)
             asked = f"GET {world.discovery.paths[0]} HTTP/1.1"
             world.discovery.open_calls[0].write(closing(no_changes(asked)))
             world.discovery.next_answer = LEAVES
@@ -195,7 +195,7 @@
 def test_after_a_change_without_an_endpoint_calls_are_held_back_until_the_full_list() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
-            faults.always("connect", errno.ENETUNREACH)
+            faults.fail_always("connect", errno.ENETUNREACH)
             nameless = {"version": 6, "full": False, "servers": [{"state": "leaving"}]}
             world.discovery.next_answer = LEAVES
             world.discovery.open_calls[0].write(closing(response(200, "OK", {}, orjson.dumps(nameless))))
@@ -274,7 +274,7 @@
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         owner = Owner(5) if fault == "cannot be parsed" else FailingOwner(5)
         async with watching(faults, owner) as world:
-            faults.always("connect", errno.ENETUNREACH)
+            faults.fail_always("connect", errno.ENETUNREACH)
             world.discovery.next_answer = LEAVES
             corrupt = response(200, "OK", {"Connection": "close"}, b'{"version": 6, "servers": [')
             world.discovery.open_calls[0].write(corrupt if fault == "cannot be parsed" else closing(LEAVES))
@@ -291,7 +291,7 @@
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
             if refusal == "refused":
-                faults.always("connect", errno.ECONNREFUSED)
+                faults.fail_always("connect", errno.ECONNREFUSED)
             world.discovery.next_answer = response(503, "down", {}, b"")
             world.discovery.open_calls[0].transport.abort()
             refused = (lambda: faults.count["connect"]) if refusal == "refused" else (
@@ -311,11 +311,11 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
-            faults.always("connect", errno.ENETUNREACH)
+            faults.fail_always("connect", errno.ENETUNREACH)
             world.discovery.open_calls[0].transport.abort()
             await until(lambda: faults.count["connect"] >= 2)
             assert await world.used_until(loop_reaches(loop.time() + 2 * BOUND_S)) == []
-            faults.always("connect", None)
+            faults.fail_always("connect", None)
             assert faults.count["connect"] < 200, "it must not dial in each turn of the loop"
             await until(lambda: not world.held_back())
 
@@ -329,12 +329,12 @@
         discovery, owner = AnsweringDiscovery(), Owner(5)
         discovery.next_answer = LEAVES
         await discovery.start()
-        faults.always("connect", errno.ENETUNREACH)
+        faults.fail_always("connect", errno.ENETUNREACH)
         watched = TransportMap(owner, Address(HOST, discovery.port), NAMES, bounds(30.0))
         world = Watching(faults, discovery, owner, watched)
         try:
             watched.watch(True)
-            loop.call_later(2.0, faults.always, "connect", None)
+            loop.call_later(2.0, faults.fail_always, "connect", None)
             assert await world.used_until(lambda: bool(owner.updates)) == []
         finally:
             watched.close()
@@ -382,10 +382,10 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with watching(faults) as world:
-            faults.always("write", errno.ECONNRESET)
+            faults.fail_always("write", errno.ECONNRESET)
             world.discovery.open_calls[0].transport.abort()
             assert await world.used_until(loop_reaches(loop.time() + 2 * DOWN_AFTER_S)) == []
-            faults.always("write", None)
+            faults.fail_always("write", None)
             await until(lambda: not world.held_back())
 
     run_faulty(main)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -126,13 +126,13 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with fronted(faults, crowd=False) as held:
-            faults.always("accept", error)
+            faults.fail_always("accept", error)
             began = loop.time()
             sock = await held.client()
             await loop.sock_sendall(sock, PING)
             await until(lambda: faults.count["accept"] >= 6)
             assert faults.count["accept"] <= 2 * ((loop.time() - began) / PAUSE + 1)
-            faults.always("accept", None)
+            faults.fail_always("accept", None)
             assert await hear(sock, 7) == b"+PONG\r\n"
 
     run_faulty(main)
@@ -226,7 +226,7 @@
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner, 0.2)
-        faults.always("socket", error)
+        faults.fail_always("socket", error)
         began, one = loop.time(), call(hop.port, limit=0.5 if end == "its time" else 5.0)
         hops.start(one)
         if end == "a cancel":
@@ -238,7 +238,7 @@
         tried = faults.count["socket"]
         await asyncio.sleep(3 * SHORTAGE_PAUSE)
         assert faults.count["socket"] <= tried + 1, "nobody wants it any more"
-        faults.always("socket", None)
+        faults.fail_always("socket", None)
         hops.start(call(hop.port, limit=5.0))
         assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
         hops.close()
@@ -255,7 +255,7 @@
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner)
-        faults.always(step, error)
+        faults.fail_always(step, error)
         hops.start(call(hop.port, limit=5.0))
         assert (await ended(owner))[0] == AttemptResult(Outcome.CONNECT_FAILED)
         assert faults.count[step] == 1 and not hop.calls
@@ -355,7 +355,7 @@
         hops.start(call(hop.port, limit=5.0))
         assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
         faults.after["write"] = written
-        faults.always("write", error)
+        faults.fail_always("write", error)
         hops.start(call(hop.port, limit=5.0))
         assert (await ended(owner))[0].outcome is Outcome.CONNECT_FAILED
         assert len(hop.calls) == 1
@@ -383,7 +383,7 @@
         hops.start(whole)
         await until(lambda: len(hop.calls) == 3)
         faults.after["write"] = written
-        faults.always("write", errno.EHOSTUNREACH)
+        faults.fail_always("write", errno.EHOSTUNREACH)
         hops.start(cut)
         await until(lambda: len(owner.done) == 2)
         found = {one: results[0].outcome for one, results in owner.done}
@@ -420,12 +420,12 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with World(tmp_path, protocol) as world:
-            faults.always("socket", errno.EMFILE)
+            faults.fail_always("socket", errno.EMFILE)
             assert await world.client.take("long", "once", key="a") is None
             assert await world.client.take("short", "once", left=1.5, key="b") is None
             await until(lambda: world.runtime.sender.counts["end", "deferred"])
             assert faults.count["socket"] > 1
-            faults.always("socket", None)
+            faults.fail_always("socket", None)
             assert await world.client.end("short") == "deferred"
             assert await world.client.end("long") == "delivered"
             assert [one for _, one, *_ in world.calls] == ["long"]
