--- a/mountgauge/lab/faults/system_calls.py
+++ b/mountgauge/lab/faults/system_calls.py
@@ -28,7 +28,7 @@
         self._always: dict[str, int] = {}
         self.count = Counter[str]()  # failures, by call
         self.moved = Counter[str]()  # bytes, by call
-        self.most: dict[str, int] = {}  # bytes that one "read" or "write" moves
+        self.max_bytes: dict[str, int] = {}  # bytes that one "read" or "write" moves
         self.after: dict[str, int] = {}  # bytes that "read" or "write" still moves before it fails
         self.on_failure: Callable[[], None] = lambda: None
 
@@ -56,7 +56,7 @@
 
     def size(self, call: str, size: int) -> int:
         """How many of so many bytes the call moves."""
-        size = min(size, self.most.get(call, size))
+        size = min(size, self.max_bytes.get(call, size))
         if self.after.get(call, 0) > 0:
             size = min(size, self.after[call])
             self.after[call] -= size
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -142,7 +142,7 @@
 def test_clients_are_served_over_interrupted_short_reads_and_writes(crowd: bool) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with fronted(faults, crowd) as held:
-            faults.most |= {"read": 7, "write": 3}
+            faults.max_bytes |= {"read": 7, "write": 3}
             faults.fail("read", *[errno.EINTR] * 9)
             faults.fail("write", *[errno.EINTR] * 9)
             sock = await held.client()
@@ -166,12 +166,12 @@
                 await loop.sock_sendall(one, PING)
                 assert await hear(one, 7) == b"+PONG\r\n"
             if how == "rest of a write":
-                faults.after["write"], faults.most["write"] = 2, 2
+                faults.after["write"], faults.max_bytes["write"] = 2, 2
             faults.fail(how.split()[-1], error)
             await loop.sock_sendall(sock, enqueue(b"a"))
             await until(lambda: faults.count and held.registry.open == 1)
             assert held.taken == ([] if how == "read" else ["a"])
-            faults.most.clear()
+            faults.max_bytes.clear()
             await loop.sock_sendall(other, enqueue(b"b"))
             assert await hear(other, 5) == b"+OK\r\n"
 
@@ -400,7 +400,7 @@
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner)
-        faults.most |= {"read": 1, "write": 3}
+        faults.max_bytes |= {"read": 1, "write": 3}
         faults.fail("connect", errno.EINTR)
         faults.fail("read", *[errno.EINTR] * 5)
         faults.fail("write", *[errno.EINTR] * 5)
@@ -493,7 +493,7 @@
 def test_a_list_over_interrupted_short_reads_and_writes() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with followed(listing(4, True)) as (server, owner, found):
-            faults.most |= {"read": 1, "write": 1}
+            faults.max_bytes |= {"read": 1, "write": 1}
             faults.fail("connect", errno.EINTR)
             faults.fail("read", *[errno.EINTR] * 5)
             found.watch(True)
@@ -622,7 +622,7 @@
 def test_the_console_over_interrupted_short_reads_and_writes() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with console(loop, Reply(200, "ready")) as address:
-            faults.most |= {"read": 1, "write": 1}
+            faults.max_bytes |= {"read": 1, "write": 1}
             faults.fail("read", *[errno.EINTR] * 5)
             faults.fail("write", *[errno.EINTR] * 5)
             assert await asked(loop, address) == (200, {"ok": True, "says": "ready"})
