--- a/mountgauge/lab/faults/system_calls.py
+++ b/mountgauge/lab/faults/system_calls.py
@@ -29,7 +29,9 @@
         self.count = Counter[str]()  # failures, by call
         self.moved = Counter[str]()  # bytes, by call
         self.max_bytes: dict[str, int] = {}  # bytes that one "read" or "write" moves
-        self.after: dict[str, int] = {}  # bytes that "read" or "write" still moves before it fails
+        self.bytes_before_failure: dict[
+            str, int
+        ] = {}  # bytes that "read" or "write" still moves before it fails
         self.on_failure: Callable[[], None] = lambda: None
 
     def fail(self, call: str, *errors: int) -> None:
@@ -45,7 +47,7 @@
 
     def strike(self, call: str) -> None:
         """Raise what is due for this call."""
-        if self.after.get(call, 0) > 0:
+        if self.bytes_before_failure.get(call, 0) > 0:
             return
         waiting = self._next.get(call)
         error = waiting.popleft() if waiting else self._always.get(call)
@@ -57,9 +59,9 @@
     def size(self, call: str, size: int) -> int:
         """How many of so many bytes the call moves."""
         size = min(size, self.max_bytes.get(call, size))
-        if self.after.get(call, 0) > 0:
-            size = min(size, self.after[call])
-            self.after[call] -= size
+        if self.bytes_before_failure.get(call, 0) > 0:
+            size = min(size, self.bytes_before_failure[call])
+            self.bytes_before_failure[call] -= size
         return size
 
 
--- a/mountgauge/lab/soak/launcher.py
+++ b/mountgauge/lab/soak/launcher.py
@@ -72,7 +72,7 @@
                 faults = by_seam[one.seam]
                 faults.fail_always(one.call, one.error)
                 if one.most:
-                    faults.after[one.call] = one.most
+                    faults.bytes_before_failure[one.call] = one.most
 
 
 class PlannedLoop(FaultyLoop):
--- a/tests/crossings/test_leases.py
+++ b/tests/crossings/test_leases.py
@@ -199,7 +199,7 @@
         await until(lambda: world.arrived)
         first_at = loop.time()
         faults.fail_always("write", errno.EAGAIN)
-        faults.after["write"] = 60
+        faults.bytes_before_failure["write"] = 60
         await until(lambda: world.journal.live["a"].attempts == 2)
         await asyncio.sleep(first_at + window_s + 0.05 - loop.time())
         await world.unblock()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -166,7 +166,7 @@
                 await loop.sock_sendall(one, PING)
                 assert await hear(one, 7) == b"+PONG\r\n"
             if how == "rest of a write":
-                faults.after["write"], faults.max_bytes["write"] = 2, 2
+                faults.bytes_before_failure["write"], faults.max_bytes["write"] = 2, 2
             faults.fail(how.split()[-1], error)
             await loop.sock_sendall(sock, enqueue(b"a"))
             await until(lambda: faults.count and held.registry.open == 1)
@@ -354,7 +354,7 @@
         hops = next_hops(wire, owner)
         hops.start(call(hop.port, limit=5.0))
         assert (await ended(owner))[0] == AttemptResult(Outcome.OK)
-        faults.after["write"] = written
+        faults.bytes_before_failure["write"] = written
         faults.fail_always("write", error)
         hops.start(call(hop.port, limit=5.0))
         assert (await ended(owner))[0].outcome is Outcome.CONNECT_FAILED
@@ -382,7 +382,7 @@
         whole, cut = call(hop.port, limit=5.0), call(hop.port, limit=5.0)
         hops.start(whole)
         await until(lambda: len(hop.calls) == 3)
-        faults.after["write"] = written
+        faults.bytes_before_failure["write"] = written
         faults.fail_always("write", errno.EHOSTUNREACH)
         hops.start(cut)
         await until(lambda: len(owner.done) == 2)
