--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -32,7 +32,7 @@
 from mountgauge.budgets import shares, timing
 from mountgauge.budgets.shares import Kind
 from mountgauge.budgets.table import BUDGETS
-from mountgauge.lab.rig.events import Event, of, read
+from mountgauge.lab.rig.events import Event, of_kinds, read
 from mountgauge.lab.rig.metrics import RunMetrics
 from mountgauge.lab.rig.oracle import judge
 from mountgauge.lab.rig.schedule import Schedule, Tenant, load
@@ -113,8 +113,8 @@
 
 def take_p99(events: Sequence[Event], begin: float, end: float) -> float:
     """From handing in to `+OK`, s."""
-    handed = {one.fields["id"]: one.at for one in of(events, "handed")}
-    took = [one.at - handed[one.fields["id"]] for one in of(events, "taken") if begin <= one.at < end]
+    handed = {one.fields["id"]: one.at for one in of_kinds(events, "handed")}
+    took = [one.at - handed[one.fields["id"]] for one in of_kinds(events, "taken") if begin <= one.at < end]
     return statistics.quantiles(took, n=100)[98] if len(took) > 10 else 0.0
 
 
@@ -142,7 +142,7 @@
     """What one run has shown."""
     one = schedule(run.name, run.way, run.seed)
     events = run.events()
-    lag = max((e.fields["late_s"] for e in of(events, "lag")), default=0.0)
+    lag = max((e.fields["late_s"] for e in of_kinds(events, "lag")), default=0.0)
     judged = judge(one, events, SLACK_S + lag)
     found = RunMetrics(events, 7)
     served, (begin, end) = found.served_times, STEADY
@@ -164,7 +164,7 @@
             late = timing.reuse_after_crash(LEASE, 0.0, DRIFT) + 1
             told["use_after"] = round(RunMetrics.count(served, late, 10) / WHOLE / (10 - late), 3)
         if run.name == "goodbye":
-            gone = [e.at for e in of(events, "gone") if 0 < e.at < 10]
+            gone = [e.at for e in of_kinds(events, "gone") if 0 < e.at < 10]
             told["back_s"] = back_at(found.call_times, min(gone, default=0.0), 11.0)
         if run.name == "steady" and len(run.parts) > 8:
             calm = [sorted(parts) for parts in run.parts[-8:] if len(parts) == 8]
@@ -177,7 +177,7 @@
             told["bytes_per_s"] = round((sent_until - sent) / max(until - at, 1e-9))
             told["cpu_share"] = round((busy_until - busy) / max(until - at, 1e-9), 4)
     if run.way == "counted":
-        taken = sorted(e.at for e in of(events, "taken"))
+        taken = sorted(e.at for e in of_kinds(events, "taken"))
         told["over_counted"] = over_by_counting(taken, WHOLE, 30.0)
     return told
 
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -23,7 +23,7 @@
 from benchmarks.comeback_model import scene
 from benchmarks.fleet_model import FLUSH, Weather, World
 from mountgauge.lab.cli import began
-from mountgauge.lab.rig.events import Event, of, read
+from mountgauge.lab.rig.events import Event, of_kinds, read
 from mountgauge.lab.rig.metrics import RunMetrics, summary
 from mountgauge.lab.rig.oracle import judge
 from mountgauge.lab.rig.schedule import load
@@ -73,8 +73,8 @@
 
 def quota(events: Sequence[Event], rate: float, end: float) -> dict[str, float]:
     """The part of the quota that was in use, from 5 s after the last start on and over the first 8 s."""
-    taken = [event.at for event in of(events, "taken")]
-    ready = max((event.at for event in of(events, "ready") if event.at > 0), default=0.0)
+    taken = [event.at for event in of_kinds(events, "taken")]
+    ready = max((event.at for event in of_kinds(events, "ready") if event.at > 0), default=0.0)
 
     def use(begin: float, until: float) -> float:
         return round(RunMetrics.count(taken, begin, until) / rate / (until - begin), 3)
@@ -94,7 +94,7 @@
 
 def list_peak(events: Sequence[Event], begin: float, end: float, capacity: float) -> float:
     """The busiest second's list calls over what discovery works through in a second."""
-    at = [event.at for event in of(events, "list-call") if begin <= event.at < end]
+    at = [event.at for event in of_kinds(events, "list-call") if begin <= event.at < end]
     return round(max((RunMetrics.count(at, one, one + 1) for one in at), default=0) / capacity, 2)
 
 
--- a/mountgauge/lab/rig/events.py
+++ b/mountgauge/lab/rig/events.py
@@ -86,6 +86,6 @@
     return found
 
 
-def of(events: Iterable[Event], *kinds: str) -> list[Event]:
+def of_kinds(events: Iterable[Event], *kinds: str) -> list[Event]:
     """The events of these kinds, in order."""
     return [event for event in events if event.kind in kinds]
--- a/mountgauge/lab/rig/metrics.py
+++ b/mountgauge/lab/rig/metrics.py
@@ -10,7 +10,7 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from mountgauge.lab.rig.events import Event, of
+from mountgauge.lab.rig.events import Event, of_kinds
 from mountgauge.lab.rig.oracle import Judged
 
 WINDOW_S = 0.1
@@ -23,11 +23,11 @@
 
     def __init__(self, events: Iterable[Event], dest: int | None = None) -> None:
         events = list(events)
-        self.calls = [one for one in of(events, "call") if dest in (None, one.fields["dest"])]
-        self.answers = [one for one in of(events, "answer") if dest in (None, one.fields["dest"])]
-        self.bears = [one for one in of(events, "bears") if dest in (None, one.fields["dest"])]
-        self.offers = [one for one in of(events, "offer") if dest in (None, one.fields["dest"])]
-        self.list_calls = of(events, "list-call")
+        self.calls = [one for one in of_kinds(events, "call") if dest in (None, one.fields["dest"])]
+        self.answers = [one for one in of_kinds(events, "answer") if dest in (None, one.fields["dest"])]
+        self.bears = [one for one in of_kinds(events, "bears") if dest in (None, one.fields["dest"])]
+        self.offers = [one for one in of_kinds(events, "offer") if dest in (None, one.fields["dest"])]
+        self.list_calls = of_kinds(events, "list-call")
         self.call_times = [one.at for one in self.calls]
         self.served_times = [one.at for one in self.answers if one.fields["status"] == 200]
         self.refused_times = [one.at for one in self.answers if one.fields["status"] in (429, 503)]
