--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -22,7 +22,7 @@
 
 from benchmarks.comeback_model import scene
 from benchmarks.fleet_model import FLUSH, Weather, World
-from mountgauge.lab.cli import began
+from mountgauge.lab.cli import measured_from
 from mountgauge.lab.rig.events import Event, of_kinds, read
 from mountgauge.lab.rig.metrics import RunMetrics, summary
 from mountgauge.lab.rig.oracle import judge
@@ -57,7 +57,9 @@
 def _figures(name: str, folder: Path, seed: int, seconds: float) -> dict[str, Any]:
     schedule = load(SCENES / f"{name}.toml").with_(seed=seed)
     events = read(folder / "events.jsonl")
-    return summary(events, judge(schedule, events, _SLACK), began(events), seconds or schedule.seconds, 7)
+    return summary(
+        events, judge(schedule, events, _SLACK), measured_from(events), seconds or schedule.seconds, 7
+    )
 
 
 def play(name: str, seed: int, root: Path, seconds: float) -> dict[str, dict[str, Any]]:
--- a/mountgauge/lab/cli.py
+++ b/mountgauge/lab/cli.py
@@ -38,7 +38,7 @@
     return lab
 
 
-def began(events: Sequence[Event]) -> float:
+def measured_from(events: Sequence[Event]) -> float:
     """From when on a run is judged by its figures: the last time that members or partners were struck."""
     strikes = ("cold", "shut", "kill", "term", "never-warm", "crash-loop")
     at = max([0.0, *(one.at for one in events if one.kind == "fault" and one.fields["do"] in strikes)])
@@ -49,7 +49,7 @@
     """Write the figures and the page of a run; 1 where a rule is broken."""
     all_events = sorted(events, key=lambda one: one.at)
     judged: Judged = judge(schedule, all_events)
-    figures = summary(all_events, judged, began(all_events), schedule.seconds)
+    figures = summary(all_events, judged, measured_from(all_events), schedule.seconds)
     (folder / "figures.json").write_text(json.dumps(figures, indent=2) + "\n")
     (folder / "broken.txt").write_text("".join(f"{one}\n" for one in judged.violations))
     if page:
