--- a/mountgauge/lab/cli.py
+++ b/mountgauge/lab/cli.py
@@ -10,7 +10,7 @@
 
 from mountgauge.lab.rig.events import Event, read
 from mountgauge.lab.rig.metrics import summary
-from mountgauge.lab.rig.oracle import Judged, judge
+from mountgauge.lab.rig.oracle import Judgement, judge
 from mountgauge.lab.rig.runner import run_schedule
 from mountgauge.lab.rig.schedule import Schedule, load
 from mountgauge.lab.scale.command import add_arguments as add_scale_arguments
@@ -48,7 +48,7 @@
 def outcome(schedule: Schedule, events: Iterable[Event], folder: Path, page: bool) -> int:
     """Write the figures and the page of a run; 1 where a rule is broken."""
     all_events = sorted(events, key=lambda one: one.at)
-    judged: Judged = judge(schedule, all_events)
+    judged: Judgement = judge(schedule, all_events)
     figures = summary(all_events, judged, measured_from(all_events), schedule.seconds)
     (folder / "figures.json").write_text(json.dumps(figures, indent=2) + "\n")
     (folder / "broken.txt").write_text("".join(f"{one}\n" for one in judged.violations))
--- a/mountgauge/lab/faults/lease.py
+++ b/mountgauge/lab/faults/lease.py
@@ -5,7 +5,7 @@
 from mountgauge.core.list_lease import LeaseEnd, ListLease
 
 
-def believe_silence() -> None:
+def ignore_silent_expiry() -> None:
     """From now on, in this process."""
     ended = ListLease.ended
 
--- a/mountgauge/lab/faults/system_calls.py
+++ b/mountgauge/lab/faults/system_calls.py
@@ -45,7 +45,7 @@
         else:
             self._always[call] = error
 
-    def strike(self, call: str) -> None:
+    def raise_pending(self, call: str) -> None:
         """Raise what is due for this call."""
         if self.bytes_before_failure.get(call, 0) > 0:
             return
@@ -72,18 +72,18 @@
         self.faults = faults
 
     def accept(self, listening: socket.socket) -> socket.socket:
-        self.faults.strike("accept")
+        self.faults.raise_pending("accept")
         return super().accept(listening)
 
     def read(self, fd: int, buffers: list[Any]) -> int:  # type: ignore[override]
-        self.faults.strike("read")
+        self.faults.raise_pending("read")
         view = memoryview(buffers[0])
         count = os.readv(fd, [view[: self.faults.size("read", len(view))]])
         self.faults.moved["read"] += count
         return count
 
     def write(self, fd: int, data: Any) -> int:
-        self.faults.strike("write")
+        self.faults.raise_pending("write")
         view = memoryview(data)
         try:
             return os.write(fd, view[: self.faults.size("write", len(view))])
@@ -99,13 +99,13 @@
         self.faults = faults
 
     def accept(self) -> tuple[socket.socket, Any]:
-        self.faults.strike("accept")
+        self.faults.raise_pending("accept")
         sock, address = super().accept()
         return FaultySocket(self.faults, sock.detach()), address
 
     def connect(self, address: Any) -> None:
         try:
-            self.faults.strike("connect")
+            self.faults.raise_pending("connect")
         except InterruptedError:  # the system goes on connecting
             with contextlib.suppress(BlockingIOError):
                 super().connect(address)
@@ -115,18 +115,18 @@
     def getsockopt(self, level: int, name: int, *size: int) -> Any:
         if (level, name) == (socket.SOL_SOCKET, socket.SO_ERROR):
             try:
-                self.faults.strike("connected")
+                self.faults.raise_pending("connected")
             except OSError as error:
                 return error.errno
         return super().getsockopt(level, name, *size)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        self.faults.strike("write")
+        self.faults.raise_pending("write")
         with memoryview(data) as whole, whole[: self.faults.size("write", len(whole))] as part:
             return super().send(part, flags)
 
     def recv_into(self, buffer: Any, size: int = 0, flags: int = 0) -> int:
-        self.faults.strike("read")
+        self.faults.raise_pending("read")
         view = memoryview(buffer)
         return super().recv_into(view[: self.faults.size("read", size or len(view))], 0, flags)
 
@@ -139,7 +139,7 @@
         self.faults = faults
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
-        self.faults.strike("socket")
+        self.faults.raise_pending("socket")
         faulty = FaultySocket(self.faults, sock.fileno())
         try:
             await super().sock_connect(faulty, address)
--- a/mountgauge/lab/rig/capacity_model.py
+++ b/mountgauge/lab/rig/capacity_model.py
@@ -27,21 +27,23 @@
     falls_window_s: float = 1.0
     span_s: float = 0.0  # a count in a fixed span of time instead of a bucket; 0: a bucket
     cold_at: float = -math.inf  # since when it is cold
-    shut_until: float = -math.inf
-    never_warms: bool = False
+    closed_until: float = -math.inf
+    stays_cold: bool = False
     limit_factor: float = 1.0  # part of the rate that holds while the limit is lowered
     fall_count: int = 0
-    _room: float = 0.0
+    _tokens: float = 0.0
     _filled_at: float = -math.inf
     _span: int = -1
-    _window: deque[float] = field(default_factory=deque)  # arrival times
-    _borne: deque[tuple[float, float]] = field(default_factory=deque)  # (when, calls/s) samples of the window
+    _arrivals: deque[float] = field(default_factory=deque)  # arrival times
+    _capacity_samples: deque[tuple[float, float]] = field(
+        default_factory=deque
+    )  # (when, calls/s) samples of the window
 
     def capacity_at(self, now: float) -> float:
         """Calls a second that it takes at this moment."""
-        if now < self.shut_until:
+        if now < self.closed_until:
             return 0.0
-        age = 0.0 if self.never_warms else max(0.0, now - self.cold_at)
+        age = 0.0 if self.stays_cold else max(0.0, now - self.cold_at)
         warm = min(1.0, age / self.warm_s) if self.warm_s > 0 else 1.0
         return self.rate * self.limit_factor * (self.cold_share + (1 - self.cold_share) * warm)
 
@@ -53,45 +55,49 @@
 
     def go_cold(self, now: float) -> None:
         self.cold_at = now
-        self._room = min(self._room, self.capacity_at(now) * self.depth_s)
+        self._tokens = min(self._tokens, self.capacity_at(now) * self.depth_s)
 
-    def shut(self, now: float, for_s: float) -> None:
+    def close_for(self, now: float, for_s: float) -> None:
         """Shut for so long, and cold once it opens."""
-        self.shut_until = self.cold_at = now + for_s
-        self._room = 0.0
+        self.closed_until = self.cold_at = now + for_s
+        self._tokens = 0.0
 
     def call(self, now: float) -> bool:
         """A call arrives: whether it is taken."""
-        self._falls(now)
+        self._check_overload(now)
         rate = self.capacity_at(now)
         if self.span_s > 0:
             span = int(now // self.span_s)
             if span != self._span:
-                self._span, self._room = span, rate * self.span_s
+                self._span, self._tokens = span, rate * self.span_s
         else:
             most = max(1.0, rate * self.depth_s)
             gone = max(0.0, now - self._filled_at) if self._filled_at > -math.inf else self.depth_s
-            self._room = min(most, self._room + rate * gone)
+            self._tokens = min(most, self._tokens + rate * gone)
             self._filled_at = now
-        if self._room >= 1.0:
-            self._room -= 1.0
+        if self._tokens >= 1.0:
+            self._tokens -= 1.0
             return True
-        self._room = max(-1.0, self._room - self.refused_cost) if rate > 0 else self._room
+        self._tokens = max(-1.0, self._tokens - self.refused_cost) if rate > 0 else self._tokens
         return False
 
-    def _falls(self, now: float) -> None:
-        if self.falls_at <= 0 or now < self.shut_until:
+    def _check_overload(self, now: float) -> None:
+        if self.falls_at <= 0 or now < self.closed_until:
             return
         since = now - self.falls_window_s
-        self._window.append(now)
-        self._borne.append((now, self.capacity_at(now)))
-        while self._window and self._window[0] < since:
-            self._window.popleft()
-        while self._borne and self._borne[0][0] < since:
-            self._borne.popleft()
-        borne = sum(rate for _, rate in self._borne) / len(self._borne) * self.falls_window_s
-        if len(self._window) > self.falls_at * max(borne, 1.0):
+        self._arrivals.append(now)
+        self._capacity_samples.append((now, self.capacity_at(now)))
+        while self._arrivals and self._arrivals[0] < since:
+            self._arrivals.popleft()
+        while self._capacity_samples and self._capacity_samples[0][0] < since:
+            self._capacity_samples.popleft()
+        borne = (
+            sum(rate for _, rate in self._capacity_samples)
+            / len(self._capacity_samples)
+            * self.falls_window_s
+        )
+        if len(self._arrivals) > self.falls_at * max(borne, 1.0):
             self.fall_count += 1
             self.go_cold(now)
-            self._window.clear()
-            self._borne.clear()
+            self._arrivals.clear()
+            self._capacity_samples.clear()
--- a/mountgauge/lab/rig/files.py
+++ b/mountgauge/lab/rig/files.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from mountgauge.lab.rig.processes import GOSSIP, RESP, STATUS
-from mountgauge.lab.rig.proxies import Place
+from mountgauge.lab.rig.proxies import Address
 from mountgauge.lab.rig.schedule import Schedule
 
 KEY = "the rig's own gossip key"
@@ -18,14 +18,14 @@
     schedule: Schedule,
     name: str,
     host: str,
-    hops: Iterable[tuple[str, int, Place, str]],
-    peers: Iterable[Place],
-    notices: Place,
-    members: Iterable[tuple[str, Place]] = (),
+    hops: Iterable[tuple[str, int, Address, str]],
+    peers: Iterable[Address],
+    notices: Address,
+    members: Iterable[tuple[str, Address]] = (),
 ) -> str:
     """`hops`: id, destination, where this member reaches it, state; `members`: where it reaches them."""
     fleet = schedule.fleet
-    rates = {partner.dest: partner.told for partner in schedule.partners}
+    rates = {partner.dest: partner.advertised_rate for partner in schedule.partners}
     text = [
         f'name = "{name}"',
         'state = "state"',
@@ -37,7 +37,7 @@
         "[limits]",
         f"disk_mb = {fleet.disk_mb}",
         "[rules]",
-        f"senders = {fleet.counted}",
+        f"senders = {fleet.sender_count}",
         f"slots = {fleet.slots}",
         f"max_open = {fleet.max_open}",
         f"cold = {fleet.cold_s}",
@@ -75,7 +75,7 @@
             f"strict = {str(tenant.strict).lower()}",
             f'users = {{ {tenant.name} = "{tenant.name}" }}',
         ]
-    for grade in schedule.grades:
+    for grade in schedule.message_classes:
         text += [
             "[[class]]",
             f'name = "{grade.name}"',
@@ -102,7 +102,7 @@
 
 
 def platform_file(
-    schedule: Schedule, name: str, host: str, discovery: Place, known: Mapping[str, Any]
+    schedule: Schedule, name: str, host: str, discovery: Address, known: Mapping[str, Any]
 ) -> str:
     """What the platform would give a member as `GW_CONFIG`; `known` is the list it starts with."""
     fleet = schedule.fleet
@@ -118,10 +118,10 @@
             "lateWorth": 0.3,
             "repeatWindow": one.repeat_window_s,
         }
-        for one in schedule.grades
+        for one in schedule.message_classes
     ]
     settings = {
-        "balancers": fleet.counted,
+        "balancers": fleet.sender_count,
         "zone": 0,
         "tick": 0.005,
         "discovery": fleet.discovery,
--- a/mountgauge/lab/rig/list_calls.py
+++ b/mountgauge/lab/rig/list_calls.py
@@ -30,7 +30,7 @@
         self._asked: set[int] = set()  # connections on which the list was asked for
         self._begun: dict[int, bytes] = {}  # by connection: a request of which a part has come
 
-    def said(self, connection: int, data: bytes) -> None:
+    def data_sent(self, connection: int, data: bytes) -> None:
         data = self._begun.pop(connection, b"") + data
         begins = data.startswith(_BEGIN) or _BEGIN.startswith(data)
         if begins and _HEAD_END not in data:
--- a/mountgauge/lab/rig/list_history.py
+++ b/mountgauge/lab/rig/list_history.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field, replace
 
 from mountgauge.lab.rig.events import Event
-from mountgauge.lab.rig.notified import Change, Life, ListCall, Slowness, Span
+from mountgauge.lab.rig.notified import Change, ListCall, ProcessRun, Slowness, Span
 
 _PROCESS_EVENTS = (
     "gone", "sighup", "list-ask", "list-end", "list-failed", "list-hung", "dial-refused", "told",
@@ -44,45 +44,45 @@
     calls: list[ListCall] = field(default_factory=list)
     connections: list[str] = field(default_factory=list)  # of the calls
     moves: list[float] = field(default_factory=list)
-    _out_on: str | None = None  # connection of the call that is out
+    _open_connection: str | None = None  # connection of the call that is out
 
-    def asked(self, at: float, connection: str, wait_s: float) -> None:
-        self.failed(at)
+    def call_started(self, at: float, connection: str, wait_s: float) -> None:
+        self.call_failed(at)
         self.calls.append(ListCall(at, wait_s))
         self.connections.append(connection)
-        self._out_on = connection
+        self._open_connection = connection
 
-    def failed(self, at: float, connection: str | None = None) -> None:
+    def call_failed(self, at: float, connection: str | None = None) -> None:
         """The call that is out (on this connection) has ended with no answer."""
-        if self._out_on is not None and connection in (None, self._out_on):
+        if self._open_connection is not None and connection in (None, self._open_connection):
             self.calls[-1] = replace(self.calls[-1], ended=at)
-            self._out_on = None
+            self._open_connection = None
 
-    def hung(self, at: float, connection: str) -> None:
+    def call_hung(self, at: float, connection: str) -> None:
         """Discovery lets the call on this connection hang."""
-        if (place := self._place(connection)) is not None:
+        if (place := self._unanswered_call(connection)) is not None:
             self.calls[place] = replace(self.calls[place], hung_at=at)
 
-    def heard(self, at: float, version: int, connection: str) -> None:
+    def call_answered(self, at: float, version: int, connection: str) -> None:
         """The call on this connection is answered, also an older one that a newer one was made beside."""
-        if (place := self._place(connection)) is None:
+        if (place := self._unanswered_call(connection)) is None:
             return
         self.calls[place] = replace(self.calls[place], ended=at, version=version)
         if place == len(self.calls) - 1:
-            self._out_on = None
+            self._open_connection = None
 
-    def _place(self, connection: str) -> int | None:
+    def _unanswered_call(self, connection: str) -> int | None:
         """Of the newest call on this connection, if it has no answer yet; of the one that is out, where the
         connection is not known.
         """
-        if connection in ("", self._out_on):
-            return None if self._out_on is None else len(self.calls) - 1
+        if connection in ("", self._open_connection):
+            return None if self._open_connection is None else len(self.calls) - 1
         places = [place for place, name in enumerate(self.connections) if name == connection]
         return places[-1] if places and self.calls[places[-1]].version is None else None
 
-    def refused(self, at: float) -> None:
+    def dial_refused(self, at: float) -> None:
         """A dial was refused."""
-        if self._out_on is None:
+        if self._open_connection is None:
             self.calls.append(ListCall(at, 0.0, at, refused=True))
             self.connections.append("")
 
@@ -104,7 +104,7 @@
     def __init__(self, ask_within_s: float, pushed: bool) -> None:
         self._ask_within_s, self._pushed = ask_within_s, pushed
         self._changes: list[Change] = []
-        self._shut: dict[str, int] = {}  # place among the changes of what is not listed as active
+        self._inactive: dict[str, int] = {}  # place among the changes of what is not listed as active
         self._listed: set[str] = set()
         self._down = OpenSpans()
         self._slow: list[Slowness] = []
@@ -137,10 +137,10 @@
         self._listed |= set(states)
         for name in self._listed:
             if states.get(name) == "active":
-                if (place := self._shut.pop(name, None)) is not None:
+                if (place := self._inactive.pop(name, None)) is not None:
                     self._changes[place] = replace(self._changes[place], until=event.at)
-            elif name not in self._shut:
-                self._shut[name] = len(self._changes)
+            elif name not in self._inactive:
+                self._inactive[name] = len(self._changes)
                 self._changes.append(Change(name, event.fields["version"], event.at))
 
     def _discovery(self, event: Event) -> None:
@@ -158,14 +158,14 @@
             found[change.endpoint].append(change)
         return found
 
-    def lives(self, member: str) -> list[Life]:
+    def process_runs(self, member: str) -> list[ProcessRun]:
         """The member's processes, first to last."""
         link = self._links[member]
         slow = list(self._slow)
         if self._slow_since is not None:
             slow.append(Slowness(Span(self._slow_since[0]), self._slow_since[1]))
         return [
-            Life(
+            ProcessRun(
                 one.began,
                 one.known,
                 self._ask_within_s,
@@ -191,17 +191,17 @@
         case "sighup":
             process.moves.append(event.at)
         case "list-ask":
-            process.asked(event.at, f["connection"], f["wait_s"])
+            process.call_started(event.at, f["connection"], f["wait_s"])
         case "list-end":
-            process.failed(event.at, f["connection"])
+            process.call_failed(event.at, f["connection"])
         case "list-failed":
-            process.failed(event.at)
+            process.call_failed(event.at)
         case "list-hung":
-            process.hung(event.at, f.get("connection", ""))
+            process.call_hung(event.at, f.get("connection", ""))
         case "dial-refused":
-            process.refused(event.at)
+            process.dial_refused(event.at)
         case "told":
-            process.heard(event.at, f["version"], f.get("connection", ""))
+            process.call_answered(event.at, f["version"], f.get("connection", ""))
 
 
 def history(events: Iterable[Event], ask_within_s: float, pushed: bool) -> ListHistory:
--- a/mountgauge/lab/rig/metrics.py
+++ b/mountgauge/lab/rig/metrics.py
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
 from mountgauge.lab.rig.events import Event, of_kinds
-from mountgauge.lab.rig.oracle import Judged
+from mountgauge.lab.rig.oracle import Judgement
 
 WINDOW_S = 0.1
 FULL_SHARE = 0.9  # of what is offered, or of what is borne where that is less
@@ -25,14 +25,16 @@
         events = list(events)
         self.calls = [one for one in of_kinds(events, "call") if dest in (None, one.fields["dest"])]
         self.answers = [one for one in of_kinds(events, "answer") if dest in (None, one.fields["dest"])]
-        self.bears = [one for one in of_kinds(events, "bears") if dest in (None, one.fields["dest"])]
+        self.capacity_records = [
+            one for one in of_kinds(events, "bears") if dest in (None, one.fields["dest"])
+        ]
         self.offers = [one for one in of_kinds(events, "offer") if dest in (None, one.fields["dest"])]
         self.list_calls = of_kinds(events, "list-call")
         self.call_times = [one.at for one in self.calls]
         self.served_times = [one.at for one in self.answers if one.fields["status"] == 200]
         self.refused_times = [one.at for one in self.answers if one.fields["status"] in (429, 503)]
         self.offer_times = [one.at for one in self.offers]
-        self._bear_times = [one.at for one in self.bears]
+        self._capacity_times = [one.at for one in self.capacity_records]
 
     @staticmethod
     def count(times: Sequence[float], begin: float, end: float) -> int:
@@ -40,8 +42,10 @@
 
     def capacity_at(self, at: float) -> float:
         """What the partner bore at a moment, by the record before it."""
-        place = bisect_right(self._bear_times, at) - 1
-        return float(self.bears[max(0, place)].fields["rate"]) if self.bears else math.inf
+        place = bisect_right(self._capacity_times, at) - 1
+        return (
+            float(self.capacity_records[max(0, place)].fields["rate"]) if self.capacity_records else math.inf
+        )
 
     def capacity_between(self, begin: float, end: float, step: float = 0.02) -> float:
         """Calls that it could have borne."""
@@ -56,7 +60,7 @@
         refused = self.count(self.refused_times, begin, end)
         return refused / max(1, self.count(self.served_times, begin, end) + refused)
 
-    def peak_over_bearing(self, begin: float, end: float) -> float:
+    def peak_over_capacity(self, begin: float, end: float) -> float:
         """The worst window's calls over what it bore in it, one call more counted as borne."""
         worst = 0.0
         for place in range(max(1, round((end - begin) / WINDOW_S))):
@@ -65,7 +69,7 @@
             worst = max(worst, calls / (self.capacity_between(at, at + WINDOW_S) + 1.0))
         return worst
 
-    def full_from(self, begin: float, end: float, demand: float) -> float | None:
+    def full_service_from(self, begin: float, end: float, demand: float) -> float | None:
         """The first moment from which for `FULL_FOR_S` all that is asked or borne is served; None: never."""
         at = begin
         while at + FULL_FOR_S <= end:
@@ -75,7 +79,7 @@
             at += 0.1
         return None
 
-    def best_full(self, begin: float, end: float, demand: float) -> float:
+    def earliest_full_service(self, begin: float, end: float, demand: float) -> float:
         """When a fleet that knew what is borne would be there: as soon as the partner bears that much."""
         at = begin
         while at < end and self.capacity_at(at) < FULL_SHARE * demand:
@@ -134,20 +138,20 @@
 
 
 def summary(
-    events: Sequence[Event], judged: Judged, begin: float, end: float, dest: int | None = None
+    events: Sequence[Event], judged: Judgement, begin: float, end: float, dest: int | None = None
 ) -> dict[str, Any]:
     """The figures that a scene is judged by; `begin` is when its last fault struck."""
     found = RunMetrics(events, dest)
     demand = found.count(found.offer_times, begin, end) / max(end - begin, 1e-9)
-    full = found.full_from(begin, end, demand)
-    best = found.best_full(begin, end, demand)
+    full = found.full_service_from(begin, end, demand)
+    best = found.earliest_full_service(begin, end, demand)
     stop = min(begin + 5, end)
     rules = judged.rules
     return {
         "served_share_5s": round(found.served_share(begin, stop), 3),
         "refused_share": round(found.refused_share(begin, stop), 3),
         "refused_share_all": round(found.refused_share(begin, end), 3),
-        "peak_over_bearing_100ms": round(found.peak_over_bearing(begin, stop), 2),
+        "peak_over_bearing_100ms": round(found.peak_over_capacity(begin, stop), 2),
         "full_service_s": None if full is None else round(full - begin, 2),
         "full_service_best_s": round(best - begin, 2),
         "full_service_over_limit": None
--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -18,7 +18,7 @@
 from mountgauge.core import sender as core
 from mountgauge.core.journal import Journal
 from mountgauge.core.ports import Call, MessageOutcome, Status
-from mountgauge.lab.faults.lease import believe_silence
+from mountgauge.lab.faults.lease import ignore_silent_expiry
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.platform import watch, watch_bounds
 from rillspindle import interface
@@ -121,7 +121,7 @@
 
 def _waits_on_silence() -> None:
     """Asks for the list again only long after a call has fallen silent, and believes it meanwhile."""
-    believe_silence()
+    ignore_silent_expiry()
     setattr(watch, "ANSWER_MARGIN_S", _PATIENT_S)  # noqa: B010
     setattr(watch_bounds.WatchBounds, "hedge_delay_s", lambda bounds, calls: _PATIENT_S)  # noqa: B010
 
--- a/mountgauge/lab/rig/network_conditions.py
+++ b/mountgauge/lab/rig/network_conditions.py
@@ -32,16 +32,16 @@
     reset: float = 0.0
     half_open: bool = False  # connections that a silence met stay silent after it, new ones never come up
 
-    def but(self, changes: Mapping[str, Any]) -> NetworkConditions:
+    def with_changes(self, changes: Mapping[str, Any]) -> NetworkConditions:
         return replace(self, **changes)
 
-    def quiet(self, up: bool) -> bool:
+    def is_silent(self, up: bool) -> bool:
         """Whether what goes in this direction vanishes while everything stays open."""
         return self.silent == "both" or self.silent == ("up" if up else "down")
 
     def datagram(self, up: bool, rng: random.Random) -> list[float]:
         """After how many s each copy of a datagram arrives: none where it is lost."""
-        if self.quiet(up) or rng.random() < self.drop:
+        if self.is_silent(up) or rng.random() < self.drop:
             return []
         copies = 1 + (rng.random() < self.double)
         return [self._late(rng) for _ in range(copies)]
--- a/mountgauge/lab/rig/notified.py
+++ b/mountgauge/lab/rig/notified.py
@@ -27,7 +27,7 @@
 REACHED_S = 6.0  # from when discovery had the change and could be reached
 MOVED_S = 4.0  # after the SIGHUP that moved discovery's address
 WATCH_GAP_S = 0.2  # between two calls that are still one watch
-FAILED_TIMES = 4.0  # that a member without a watch is held to its list for if its last call failed
+FAILED_CALL_FACTOR = 4.0  # that a member without a watch is held to its list for if its last call failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class ProcessRun:
     """What one process of a member could know of discovery, and when."""
 
     began: float
@@ -90,112 +90,112 @@
     moves: Sequence[float] = ()  # SIGHUPs that moved discovery's address
 
 
-def notified_at(change: Change, life: Life) -> float:
+def notified_at(change: Change, run: ProcessRun) -> float:
     """When the change counts as notified to this process; inf: never."""
-    if change.version <= life.known:
-        return max(change.at, life.began)
+    if change.version <= run.known:
+        return max(change.at, run.began)
     made = change.at
     return max(
-        life.began,
+        run.began,
         min(
-            written(change, life),
-            pushed(made, life),
-            after_silence(made, life),
-            reached(made, life),
-            after_move(made, life),
-            without_watch(made, life),
+            written(change, run),
+            pushed(made, run),
+            after_silence(made, run),
+            after_reachable(made, run),
+            after_move(made, run),
+            without_watch(made, run),
         ),
     )
 
 
-def written(change: Change, life: Life) -> float:
+def written(change: Change, run: ProcessRun) -> float:
     """Discovery's writing of it to the member."""
     found = [
         call.ended
-        for call in life.calls
+        for call in run.calls
         if call.version is not None and call.version >= change.version and call.ended >= change.at
     ]
     return min(found, default=math.inf)
 
 
-def pushed(made: float, life: Life) -> float:
+def pushed(made: float, run: ProcessRun) -> float:
     """What the agent has counts, watch or not; it learns nothing while discovery is down."""
-    if not life.pushed:
+    if not run.pushed:
         return math.inf
-    had = _outside(max(made, life.began), life.down)
-    out = [call for call in life.calls if call.began <= had < call.ended]
-    if any(_struck(call, life) is not None for call in out) or _cut(had, life):
+    had = _first_outside(max(made, run.began), run.down)
+    out = [call for call in run.calls if call.began <= had < call.ended]
+    if any(_silent_since(call, run) is not None for call in out) or _is_cut(had, run):
         return math.inf
-    moves = [at + MOVED_S for at in life.moves if at <= had < at + MOVED_S]
-    return max([had, *moves]) + _slowest(made, had, life)
+    moves = [at + MOVED_S for at in run.moves if at <= had < at + MOVED_S]
+    return max([had, *moves]) + _max_slowness(made, had, run)
 
 
-def after_silence(made: float, life: Life) -> float:
+def after_silence(made: float, run: ProcessRun) -> float:
     """What a silent call misses: `SILENCE_S` after it fell silent."""
     found = []
-    for place, call in enumerate(life.calls):
-        later = [one.ended for one in life.calls[place + 1 :] if one.version is not None]
-        if (silent_at := _struck(call, life)) is None or made > min([call.ended, *later]):
+    for place, call in enumerate(run.calls):
+        later = [one.ended for one in run.calls[place + 1 :] if one.version is not None]
+        if (silent_at := _silent_since(call, run)) is None or made > min([call.ended, *later]):
             continue
         if call.version is None:
-            found.append(max(made, _reachable(silent_at + SILENCE_S, SILENCE_S, life)))
+            found.append(max(made, _after_reachable_for(silent_at + SILENCE_S, SILENCE_S, run)))
     return min(found, default=math.inf)
 
 
-def reached(made: float, life: Life) -> float:
+def after_reachable(made: float, run: ProcessRun) -> float:
     """`REACHED_S` after discovery had it and could be reached."""
-    return _reachable(made + REACHED_S, REACHED_S, life)
+    return _after_reachable_for(made + REACHED_S, REACHED_S, run)
 
 
-def after_move(made: float, life: Life) -> float:
+def after_move(made: float, run: ProcessRun) -> float:
     """What the new address has to tell: `MOVED_S` after SIGHUP, unless it has answered before the change."""
     found = []
-    for at in life.moves:
-        answers = [call.ended for call in life.calls if call.began >= at and call.version is not None]
+    for at in run.moves:
+        answers = [call.ended for call in run.calls if call.began >= at and call.version is not None]
         due = at + MOVED_S
-        if made < min([due, *answers]) and not _within(due, life.refusing):
+        if made < min([due, *answers]) and not _within(due, run.refusing):
             found.append(due)
     return min(found, default=math.inf)
 
 
-def without_watch(made: float, life: Life) -> float:
+def without_watch(made: float, run: ProcessRun) -> float:
     """`askWithin` after the change and after the last call, four times as long if that call failed."""
-    if not life.calls:
-        return _unwatched(made, life.began, life.ended, life.ask_within_s, life)
-    found = [_unwatched(made, life.began, life.calls[0].began, life.ask_within_s, life)]
-    following = [*(call.began for call in life.calls[1:]), life.ended]
-    for call, next_call in zip(life.calls, following, strict=True):
-        held = life.ask_within_s * (FAILED_TIMES if call.failed else 1.0)
+    if not run.calls:
+        return _unwatched(made, run.began, run.ended, run.ask_within_s, run)
+    found = [_unwatched(made, run.began, run.calls[0].began, run.ask_within_s, run)]
+    following = [*(call.began for call in run.calls[1:]), run.ended]
+    for call, next_call in zip(run.calls, following, strict=True):
+        held = run.ask_within_s * (FAILED_CALL_FACTOR if call.failed else 1.0)
         if next_call - call.ended > WATCH_GAP_S:
-            found.append(_unwatched(made, call.ended, next_call, held, life))
+            found.append(_unwatched(made, call.ended, next_call, held, run))
     return min(found)
 
 
-def _unwatched(made: float, last: float, next_call: float, held: float, life: Life) -> float:
+def _unwatched(made: float, last: float, next_call: float, held: float, run: ProcessRun) -> float:
     """The moment within a gap between two calls; inf where the next call comes before it."""
-    at = _reachable(max(made, last) + held, held, life)
+    at = _after_reachable_for(max(made, last) + held, held, run)
     return at if at < next_call else math.inf
 
 
-def _struck(call: ListCall, life: Life) -> float | None:
+def _silent_since(call: ListCall, run: ProcessRun) -> float | None:
     """When the call fell silent; None: it never did."""
     if call.hung_at is not None:
         return call.hung_at
-    for span in life.silences:
+    for span in run.silences:
         if span.begin < call.ended and call.began < span.end:
             return max(span.begin, call.began)
     return None
 
 
-def _cut(at: float, life: Life) -> bool:
-    return _within(at, life.cuts)
+def _is_cut(at: float, run: ProcessRun) -> bool:
+    return _within(at, run.cuts)
 
 
 def _within(at: float, spans: Iterable[Span]) -> bool:
     return any(span.begin <= at < span.end for span in spans)
 
 
-def _outside(at: float, spans: Iterable[Span]) -> float:
+def _first_outside(at: float, spans: Iterable[Span]) -> float:
     """The first moment from `at` on that is in none of the spans."""
     for span in sorted(spans, key=lambda one: one.begin):
         if span.begin <= at < span.end:
@@ -203,40 +203,40 @@
     return at
 
 
-def _reachable(at: float, for_s: float, life: Life) -> float:
+def _after_reachable_for(at: float, for_s: float, run: ProcessRun) -> float:
     """The first moment from `at` on before which discovery refused nothing for so long."""
-    if life.pushed:
+    if run.pushed:
         return at
-    refused = [Span(call.began, call.ended) for call in life.calls if call.refused]
-    for span in sorted((*life.refusing, *refused), key=lambda one: one.end):
+    refused = [Span(call.began, call.ended) for call in run.calls if call.refused]
+    for span in sorted((*run.refusing, *refused), key=lambda one: one.end):
         if span.begin < at and span.end > at - for_s:
             at = span.end + for_s
     return at
 
 
-def _slowest(begin: float, end: float, life: Life) -> float:
-    found = [one.slow_s for one in life.slow if one.span.begin < end and begin < one.span.end]
+def _max_slowness(begin: float, end: float, run: ProcessRun) -> float:
+    found = [one.slow_s for one in run.slow if one.span.begin < end and begin < one.span.end]
     return max(found, default=0.0)
 
 
-def forbidden(change: Change, life: Life) -> list[Span]:
+def forbidden_spans(change: Change, run: ProcessRun) -> list[Span]:
     """When the change counts as notified to this process.
 
     An answer with an older list ends it, and the change counts as made anew with it.
     """
-    end = min(change.until, life.ended)
-    begin = max(change.at, life.began)
+    end = min(change.until, run.ended)
+    begin = max(change.at, run.began)
     older = sorted(
         call.ended
-        for call in life.calls
+        for call in run.calls
         if call.version is not None and call.version < change.version and begin < call.ended < end
     )
     found = []
     for first, stop in itertools.pairwise([begin, *older, max(begin, end)]):
-        calls = [call for call in life.calls if call.began < stop]
+        calls = [call for call in run.calls if call.began < stop]
         anew = first != begin  # an older list has taken its place
         as_made = replace(change, at=first if anew else change.at)
-        at = notified_at(as_made, replace(life, calls=calls, known=-1 if anew else life.known))
+        at = notified_at(as_made, replace(run, calls=calls, known=-1 if anew else run.known))
         if at < stop:
             found.append(Span(at, stop))
     return found
--- a/mountgauge/lab/rig/oracle.py
+++ b/mountgauge/lab/rig/oracle.py
@@ -1,28 +1,28 @@
-"""Judges what went over the links by the rules, without a look at the program.
+"""Judges the recorded traffic by the rules, without looking at the state of the program.
 
 Each verdict names the rule, the time, the member and the message. The rules:
 
-- `final`: a message that was taken on gets one end, delivered or told by a notice, no later than `LATE_S`
-  after its time; from a member's death until `EXCUSED_S` after it serves again nothing of its own is
-  overdue.
-- `ends`: two notices of one message do not tell two different ends, unless its folder was put back between.
-- `two-out`: no call of a message arrives while another one of it is out on an open connection.
-- `repeat`: `at_most_once` is never called again once it may have run, `deduplicated` only within its
-  window.
-- `handed-back`: an `at_most_once` message whose client was told that handing it in again is harmless (a
-  refusal, or the notice `deferred`) is never called so that it may run, before or after.
-- `attempts`: no more calls of a message than the settings allow.
-- `wait`: a member that was told to wait sends nothing there until the wait is over; its restart ends the
-  wait.
-- `budget`: calls at a destination, in any span of time, stay within the rate and burst of its fleet-wide
-  budget; calls there at once within the number of one for calls out (`slack_s` apart).
-- `drain`: no first byte of a call to an endpoint later than `DRAIN_S` after it counts as notified to the
-  member that it drains or is gone: by a list that was written to it, or by any clause of `notified`.
-
-What a member's folder lost cannot be kept: such messages are counted apart (`Judged.with_folder`), and so
-are repeats after the loss, and those by a member that was given a copy of another one's folder. What is
-taken between the blow and the process's end goes with the folder too. `slack_s` is what the links themselves
-may add.
+- `final`: an accepted message gets one outcome, a delivery or a notice, at most `OUTCOME_GRACE_S` after its
+  deadline. Nothing is overdue at a member from its exit until `RECOVERY_GRACE_S` after it serves again.
+- `ends`: two notices of one message do not report different outcomes, unless its member's folder was
+  restored from an old copy in between.
+- `two-out`: no call with a message arrives while another call with it is in flight on an open connection.
+- `repeat`: an `at_most_once` message is not sent again once it may have run, a `deduplicated` one only
+  within its repeat window.
+- `handed-back`: an `at_most_once` message whose client was told that submitting it again is harmless (by a
+  rejection, or by the notice `deferred`) is never sent in a call that may run it, neither before nor after.
+- `attempts`: a message is sent in no more calls than the settings allow.
+- `wait`: a member that received a required wait sends nothing to that destination until the wait is over; a
+  restart of the member ends the wait.
+- `budget`: the calls at a destination stay within the rate and burst of its fleet-wide budget over any span
+  of time, and the calls in flight there within its concurrency budget (with a tolerance of `slack_s`).
+- `drain`: no call to an endpoint has its first byte later than `DRAIN_GRACE_S` after its draining or removal
+  counts as notified to the member: by a list that was written to it, or by any clause of `notified`.
+
+Guarantees do not cover state that a member's folder lost. Messages whose folder was lost are counted
+separately (`Judgement.with_folder`), and so are repeats after the loss and repeats by a member that was given
+a copy of another member's folder. Messages accepted between the injected fault and the exit of the process
+are lost with the folder too. `slack_s` is the time that the links themselves may add.
 """
 
 from __future__ import annotations
@@ -35,20 +35,20 @@
 
 from mountgauge.lab.rig.events import Event
 from mountgauge.lab.rig.list_history import history
-from mountgauge.lab.rig.notified import Change, Span, forbidden
-from mountgauge.lab.rig.schedule import BudgetOf, Schedule, Tenant
+from mountgauge.lab.rig.notified import Change, Span, forbidden_spans
+from mountgauge.lab.rig.schedule import BudgetSpec, Schedule, Tenant
 
-LATE_S = 0.35
-EXCUSED_S = 1.5
-DRAIN_S = 0.3
+OUTCOME_GRACE_S = 0.35
+RECOVERY_GRACE_S = 1.5
+DRAIN_GRACE_S = 0.3
 WAIT_SLACK_S = 0.1
-OUT_SLACK_S = 0.15  # a close is noticed no sooner
-ATTEMPTS = 8
-_NEVER_RAN = (429, 503)
-_LOSING = ("lost", "old", "cut", "foreign", "swapped")
+CLOSE_SLACK_S = 0.15  # a close is noticed no sooner
+MAX_ATTEMPTS = 8
+_NOT_EXECUTED = (429, 503)
+_LOSING_FOLDERS = ("lost", "old", "cut", "foreign", "swapped")
 
 
-class Broken(NamedTuple):
+class Violation(NamedTuple):
     """A rule that was broken, and by what."""
 
     rule: str
@@ -74,18 +74,18 @@
     dest: int
     ended: float | None = None
     status: int | None = None  # None: no answer
-    muffled: bool = False  # its end could not be heard
+    end_unseen: bool = False  # its end could not be heard
 
     @property
     def may_have_run(self) -> bool:
-        return self.status not in _NEVER_RAN
+        return self.status not in _NOT_EXECUTED
 
 
 @dataclass(slots=True)
-class Judged:
+class Judgement:
     """What the oracle has found in a run."""
 
-    violations: list[Broken] = field(default_factory=list)
+    violations: list[Violation] = field(default_factory=list)
     with_folder: int = 0  # messages whose folder was lost: their end is not owed
     repeats_after_loss: int = 0
     taken: int = 0
@@ -103,7 +103,7 @@
     return 2 * max(late, default=0.0)
 
 
-def judge(schedule: Schedule, events: Iterable[Event], slack_s: float = 0.0) -> Judged:
+def judge(schedule: Schedule, events: Iterable[Event], slack_s: float = 0.0) -> Judgement:
     """`slack_s`: what a busy machine may add to what the links do."""
     return _Judge(schedule, sorted(events, key=lambda one: one.at), slack_s).judge()
 
@@ -111,9 +111,9 @@
 class _Judge:
     def __init__(self, schedule: Schedule, events: list[Event], slack_s: float) -> None:
         self.schedule, self.events = schedule, events
-        self.grades = {grade.name: grade for grade in schedule.grades}
+        self.message_classes = {grade.name: grade for grade in schedule.message_classes}
         self.slack = slack(schedule) + slack_s
-        self.found = Judged()
+        self.found = Judgement()
         self.calls: dict[int, Call] = {}
         self.by_id: dict[str, list[Call]] = defaultdict(list)
         self.handed: dict[str, Event] = {}
@@ -122,25 +122,25 @@
         self.refused: dict[str, float] = {}  # when each of these was turned away
         self.down: dict[str, list[tuple[float, float]]] = defaultdict(list)  # from its death until it serves
         self.losses: dict[str, list[float]] = defaultdict(list)  # when a member's folder was not kept
-        self._doomed: set[str] = set()  # struck, and not gone yet
+        self._struck: set[str] = set()  # struck, and not gone yet
         self._open_downs: dict[str, float] = {}
         self.end_at = events[-1].at if events else 0.0
 
-    def judge(self) -> Judged:
+    def judge(self) -> Judgement:
         for event in self.events:
             self._read(event)
         for name, began in list(self._open_downs.items()):
-            self.down[name].append((began, self.end_at + EXCUSED_S))
+            self.down[name].append((began, self.end_at + RECOVERY_GRACE_S))
         for msg_id, taken in self.taken.items():
             self._final(msg_id, taken)
         for msg_id, calls in self.by_id.items():
-            self._out(msg_id, calls)
+            self._overlaps(msg_id, calls)
             self._repeats(msg_id, calls)
             self._handed_back(msg_id, calls)
         self._waits()
         told = self._drains()
         if self.schedule.fleet.front == "platform":
-            self._unheard_drains(told)
+            self._unwritten_drains(told)
         for budget in self.schedule.budgets:
             self._budget(budget)
         for tenant in self.schedule.tenants:
@@ -170,33 +170,33 @@
             case "muffled":
                 for one in self.calls.values():
                     if one.ended is None and (one.member, one.endpoint) == (f["member"], f["endpoint"]):
-                        one.muffled, one.ended = True, event.at
+                        one.end_unseen, one.ended = True, event.at
             case "notice":
                 self.notices[f["id"]].append(event)
             case "fault" if f["do"] in ("kill", "term", "crash-loop"):
                 for place, name in enumerate(f["who"]):
-                    if f["folder"][place % len(f["folder"])] in _LOSING:
+                    if f["folder"][place % len(f["folder"])] in _LOSING_FOLDERS:
                         self.losses[name].append(event.at)
-                        self._doomed.add(name)
+                        self._struck.add(name)
             case "fault" if f["do"] == "empty-folder":
                 for name in f["who"]:
                     self.losses[name].append(event.at)
             case "paused":
-                self.down[f["member"]].append((event.at, event.at + f["for_s"] + EXCUSED_S))
+                self.down[f["member"]].append((event.at, event.at + f["for_s"] + RECOVERY_GRACE_S))
             case "gone":
                 self._open_downs.setdefault(f["member"], event.at)
-                if f["member"] in self._doomed:
-                    self._doomed.discard(f["member"])
+                if f["member"] in self._struck:
+                    self._struck.discard(f["member"])
                     self.losses[f["member"]].append(event.at)
             case "ready":
                 if (began := self._open_downs.pop(f["member"], None)) is not None:
-                    self.down[f["member"]].append((began, event.at + EXCUSED_S))
+                    self.down[f["member"]].append((began, event.at + RECOVERY_GRACE_S))
 
     def _excused(self, member: str, at: float) -> float:
         """Until when what falls due at `at` is not overdue, for the member was away."""
         until = at
         for began, ended in sorted(self.down[member]):
-            if began - 0.01 <= until + LATE_S and ended > until:
+            if began - 0.01 <= until + OUTCOME_GRACE_S and ended > until:
                 until = ended
         return until
 
@@ -210,7 +210,7 @@
         return others and any(when <= at for when in self.losses[member])
 
     def _broken(self, rule: str, at: float, member: str, msg_id: str, why: str) -> None:
-        self.found.violations.append(Broken(rule, at, member, msg_id, why))
+        self.found.violations.append(Violation(rule, at, member, msg_id, why))
 
     def _final(self, msg_id: str, taken: Event) -> None:
         """One end, in time."""
@@ -232,7 +232,7 @@
             self.found.delivered += 1
         for status in statuses:
             self.found.ends[status] += 1
-        if ends and ends[0] <= self._excused(member, due) + LATE_S + self.slack:
+        if ends and ends[0] <= self._excused(member, due) + OUTCOME_GRACE_S + self.slack:
             return
         if self._lost_after(member, taken.at):
             self.found.with_folder += 1
@@ -240,17 +240,17 @@
             self._broken(
                 "final", ends[0], member, msg_id, f"its end came {ends[0] - due:.3f} s after its time"
             )
-        elif self._excused(member, due) + LATE_S + self.slack < self.end_at:
+        elif self._excused(member, due) + OUTCOME_GRACE_S + self.slack < self.end_at:
             self._broken("final", due, member, msg_id, "no end by its time")
 
-    def _out(self, msg_id: str, calls: list[Call]) -> None:
+    def _overlaps(self, msg_id: str, calls: list[Call]) -> None:
         for first, second in itertools.pairwise(calls):
             ended = first.ended if first.ended is not None else self.end_at
             copied = any(self._copied(one.member, msg_id, one.at) for one in (first, second))
-            if ended > second.at + OUT_SLACK_S + self.slack and not first.muffled and not copied:
+            if ended > second.at + CLOSE_SLACK_S + self.slack and not first.end_unseen and not copied:
                 why = f"call {first.number} to {first.endpoint} still out as {second.number} came"
                 self._broken("two-out", second.at, second.member, msg_id, why)
-        if len(calls) > ATTEMPTS:
+        if len(calls) > MAX_ATTEMPTS:
             self._broken("attempts", calls[-1].at, calls[-1].member, msg_id, f"{len(calls)} calls")
 
     def _repeats(self, msg_id: str, calls: list[Call]) -> None:
@@ -258,7 +258,7 @@
             call = calls[0]
             self._broken("unasked", call.at, call.member, msg_id, "nobody handed it in")
             return
-        grade = self.grades[handed.fields["grade"]]
+        grade = self.message_classes[handed.fields["grade"]]
         ran: Call | None = None
         for call in calls:
             if ran is not None:
@@ -277,7 +277,7 @@
 
     def _handed_back(self, msg_id: str, calls: list[Call]) -> None:
         handed = self.handed.get(msg_id)
-        if handed is None or self.grades[handed.fields["grade"]].semantics != "at_most_once":
+        if handed is None or self.message_classes[handed.fields["grade"]].semantics != "at_most_once":
             return
         deferred = (one.at for one in self.notices[msg_id] if one.fields["status"] == "deferred")
         told_at = min(deferred, default=self.refused.get(msg_id))
@@ -310,7 +310,7 @@
                     self._broken("wait", call.at, call.member, call.id, why)
                     break
 
-    def _budget(self, budget: BudgetOf) -> None:
+    def _budget(self, budget: BudgetSpec) -> None:
         """Calls as the partner saw them, on one clock; links and queues move each by `slack` at most."""
         calls = [one for one in self.calls.values() if one.dest == budget.dest]  # in their order
         if budget.kind == "rate":
@@ -362,13 +362,13 @@
                         shut.pop((f["member"], name), None)
             elif event.kind == "call":
                 since, began = shut.get((f["member"], f["endpoint"])), f.get("began", event.at)
-                if since is not None and began > since + DRAIN_S + self.slack:
+                if since is not None and began > since + DRAIN_GRACE_S + self.slack:
                     why = f"{f['endpoint']} was told to leave {began - since:.3f} s before"
                     self._broken("drain", event.at, f["member"], f["id"], why)
                     found.add(f["call"])
         return found
 
-    def _unheard_drains(self, told: set[int]) -> None:
+    def _unwritten_drains(self, told: set[int]) -> None:
         """By what counts as notified whether it was written or not; without the calls named before."""
         fleet = self.schedule.fleet
         lists = history(self.events, fleet.ask_within_s, fleet.pushed)
@@ -382,11 +382,11 @@
                 spans[place] = [
                     (change, span)
                     for change in changes[call.endpoint]
-                    for life in lists.lives(call.member)
-                    for span in forbidden(change, life)
+                    for run in lists.process_runs(call.member)
+                    for span in forbidden_spans(change, run)
                 ]
             for change, span in spans[place]:
-                if span.begin + DRAIN_S + self.slack < call.began < span.end:
+                if span.begin + DRAIN_GRACE_S + self.slack < call.began < span.end:
                     why = (
                         f"{call.endpoint} left at {change.at:.3f} (version {change.version}), "
                         f"which counted as notified {call.began - span.begin:.3f} s before"
--- a/mountgauge/lab/rig/page.py
+++ b/mountgauge/lab/rig/page.py
@@ -14,7 +14,7 @@
 
 from mountgauge.lab.rig.events import Event
 from mountgauge.lab.rig.metrics import RunMetrics, phases
-from mountgauge.lab.rig.oracle import Judged
+from mountgauge.lab.rig.oracle import Judgement
 from mountgauge.lab.rig.schedule import Schedule
 
 _COLOURS = {
@@ -65,7 +65,7 @@
 """
 
 
-def answer(figures: Mapping[str, Any], judged: Judged) -> str:
+def answer(figures: Mapping[str, Any], judged: Judgement) -> str:
     """The run in one sentence or two."""
     if figures["endless"]:
         text = "Service never came back in this run."
@@ -156,7 +156,7 @@
 
 
 def write_page(
-    path: Path, schedule: Schedule, events: Sequence[Event], judged: Judged, figures: Mapping[str, Any]
+    path: Path, schedule: Schedule, events: Sequence[Event], judged: Judgement, figures: Mapping[str, Any]
 ) -> None:
     """Write the page of a run; `figures` are those of `metrics.summary`."""
     from jinja2 import Environment
--- a/mountgauge/lab/rig/processes.py
+++ b/mountgauge/lab/rig/processes.py
@@ -32,7 +32,7 @@
     return [f"127.{64 + rig % 128}.{1 + rig // 128 % 250}.{place + 1}" for place in range(count)]
 
 
-def read_line(line: str) -> dict[str, str]:
+def parse_log_line(line: str) -> dict[str, str]:
     """A key=value log line as the program writes it; empty where it is something else."""
     found: dict[str, str] = {}
     rest = line.strip()
@@ -64,9 +64,9 @@
     command: list[str] = field(default_factory=list)  # after the interpreter
     env: dict[str, str] = field(default_factory=dict)
     process: asyncio.subprocess.Process | None = None
-    lives: int = 0
+    run_count: int = 0
     paused: bool = False
-    wanted: bool = True  # to be running
+    should_run: bool = True  # to be running
     watch: Callable[[str, Mapping[str, str]], None] | None = None  # hears of each log line
     tail: list[str] = field(default_factory=list)
     _reading: asyncio.Task[None] | None = None
@@ -88,7 +88,7 @@
 
     async def _start(self) -> None:
         self.state.mkdir(parents=True, exist_ok=True)
-        self.lives += 1
+        self.run_count += 1
         env = {**os.environ, "PYTHONPATH": str(_ROOT), "PYTHONUNBUFFERED": "1", **self.env}
         env.pop("PYTHONDONTWRITEBYTECODE", None)  # else each start compiles the whole program anew
         self.process = await asyncio.create_subprocess_exec(
@@ -100,7 +100,7 @@
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
         )
-        self.events.add("start", member=self.name, life=self.lives, pid=self.process.pid)
+        self.events.add("start", member=self.name, life=self.run_count, pid=self.process.pid)
         self._reading = asyncio.get_running_loop().create_task(self._read(self.process))
 
     async def _read(self, process: asyncio.subprocess.Process) -> None:
@@ -111,7 +111,7 @@
                 out.flush()
                 text = line.decode(errors="replace").rstrip()
                 self.tail = [*self.tail[-40:], text]
-                if (pairs := read_line(text)) and self.watch is not None:
+                if (pairs := parse_log_line(text)) and self.watch is not None:
                     self.watch(self.name, pairs)
         code = await process.wait()
         self.events.add("gone", member=self.name, code=code, pid=process.pid)
@@ -127,12 +127,12 @@
                     writer.write(b"*1\r\n$4\r\nPING\r\n")
                     async with asyncio.timeout(2.0):
                         if (await reader.readline()).startswith(b"+"):
-                            self.events.add("ready", member=self.name, life=self.lives)
+                            self.events.add("ready", member=self.name, life=self.run_count)
                             return
                 finally:
                     writer.transport.abort()
             await asyncio.sleep(0.03)
-        if process is self.process and self.wanted:
+        if process is self.process and self.should_run:
             raise RuntimeError(f"{self.name} does not serve: " + " | ".join(self.tail[-5:]))
 
     def signal(self, number: signal.Signals) -> None:
@@ -171,29 +171,29 @@
         shutil.rmtree(saved, ignore_errors=True)
         _copy(self.state, saved)
 
-    def lose(self) -> None:
+    def delete_state(self) -> None:
         shutil.rmtree(self.state, ignore_errors=True)
         self.state.mkdir(parents=True)
 
-    def empty(self) -> None:
+    def empty_state(self) -> None:
         """All that is in the folder goes; the folder stays, and the process may be running."""
         for one in self.state.iterdir():
             shutil.rmtree(one) if one.is_dir() else one.unlink()
 
-    def put_back(self) -> None:
+    def restore_saved(self) -> None:
         saved = self.folder / "saved"
         if not saved.is_dir():
             raise RuntimeError(f"{self.name}: no copy was saved")
         shutil.rmtree(self.state, ignore_errors=True)
         _copy(saved, self.state)
 
-    def cut(self, rng: random.Random) -> None:
+    def truncate_files(self, rng: random.Random) -> None:
         """Each file cut short at a place of its own."""
         for one in sorted(self.state.rglob("*")):
             if one.is_file():
                 os.truncate(one, rng.randrange(one.stat().st_size + 1))
 
-    def take_from(self, other: Member) -> None:
+    def copy_from(self, other: Member) -> None:
         """Another instance's folder stands in place of the own one."""
         shutil.rmtree(self.state, ignore_errors=True)
         _copy(other.state, self.state)
--- a/mountgauge/lab/rig/proxies.py
+++ b/mountgauge/lab/rig/proxies.py
@@ -19,15 +19,15 @@
 from mountgauge.lab.rig.network_conditions import NetworkConditions
 
 HOST = "127.0.0.1"
-Place = tuple[str, int]
+Address = tuple[str, int]
 _BACKLOG = 1024  # connections that wait to be accepted
-_LOOK_S = 0.05  # between two looks whether a silence is over
+_SILENCE_POLL_INTERVAL_S = 0.05  # between two looks whether a silence is over
 
 
 class LinkWatcher(Protocol):
     """Hears what the side that opens connections does on a link, also what the link swallows."""
 
-    def said(self, connection: int, data: bytes) -> None: ...
+    def data_sent(self, connection: int, data: bytes) -> None: ...
 
     def closed(self, connection: int) -> None: ...
 
@@ -43,10 +43,10 @@
         self.transport: asyncio.Transport | None = None
         self.free_at = 0.0
         self.waiting: list[bytes] = []  # what came before the other side stood
-        self.own: Place = (HOST, 0)  # this side's address
+        self.own: Address = (HOST, 0)  # this side's address
         self.ended = False
         self.number = 0  # of the connection on its link
-        self.stranded = False  # a half-open connection: it never carries anything again
+        self.permanently_silent = False  # a half-open connection: it never carries anything again
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -56,11 +56,11 @@
 
     def data_received(self, data: bytes) -> None:
         if self.up and self.proxy.watcher is not None:
-            self.proxy.watcher.said(self.number, data)
+            self.proxy.watcher.data_sent(self.number, data)
         if self.other is None or self.other.transport is None:
             self.waiting.append(data)
         else:
-            self.proxy.carry(self, data)
+            self.proxy.forward(self, data)
 
     def eof_received(self) -> bool:
         return False  # a half-closed connection is closed: no party here needs more
@@ -81,14 +81,14 @@
 class DialListener:
     """Accepts connections, or lets them hang: a dial then never comes up, and nobody says why."""
 
-    def __init__(self, protocol: Callable[[], asyncio.Protocol], place: Place) -> None:
+    def __init__(self, protocol: Callable[[], asyncio.Protocol], place: Address) -> None:
         self._protocol = protocol
         self._socket = socket.create_server(place, backlog=_BACKLOG)
         self._socket.setblocking(False)
         self._filler: socket.socket | None = None  # fills the queue of connections that wait
         self._task: asyncio.Task[None] | None = None
         self._making: set[asyncio.Task[None]] = set()  # transports of what has been accepted
-        self.place: Place = self._socket.getsockname()[:2]
+        self.address: Address = self._socket.getsockname()[:2]
 
     def accept(self) -> None:
         if self._task is None:
@@ -104,12 +104,12 @@
         # Not waited for: where connections wait already, it does not come up either.
         self._filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._filler.setblocking(False)
-        self._filler.connect_ex(self.place)
+        self._filler.connect_ex(self.address)
 
     async def _accept(self) -> None:
         loop = asyncio.get_running_loop()
         filler, self._filler = self._filler, None
-        own: Place | None = None
+        own: Address | None = None
         if filler is not None:
             own = filler.getsockname()[:2]
             filler.close()
@@ -140,7 +140,7 @@
     """The address by which `source` reaches `target`, and what happens in between."""
 
     def __init__(
-        self, source: str, name: str, target: Place, seed: str, who: dict[Place, str], host: str = HOST
+        self, source: str, name: str, target: Address, seed: str, who: dict[Address, str], host: str = HOST
     ) -> None:
         """`host`: the loopback address that it listens at and dials from."""
         self.source, self.name, self.target, self._host = source, name, target, host
@@ -150,38 +150,38 @@
         self._rng, self._who = random.Random(seed), who
         self._listener: DialListener | None = None
         self._pairs: set[_Half] = set()  # the sides that opened them
-        self.place: Place = (host, 0)
+        self.address: Address = (host, 0)
 
-    async def start(self, port: int = 0) -> Place:
+    async def start(self, port: int = 0) -> Address:
         self._listener = DialListener(lambda: _Half(self, True), (self._host, port))
         self._listener.accept()
-        self.place = self._listener.place
-        return self.place
+        self.address = self._listener.address
+        return self.address
 
     def set(self, conditions: NetworkConditions) -> None:
         self.conditions = conditions
         if conditions.half_open:
             for near in self._pairs:
-                near.stranded = True
+                near.permanently_silent = True
                 if near.other is not None:
-                    near.other.stranded = True
+                    near.other.permanently_silent = True
         if self._listener is not None:
             if conditions.half_open:
                 self._listener.hang()
             else:
                 self._listener.accept()
 
-    def carries_from(self, target_side: Place) -> bool:
+    def carries_from(self, target_side: Address) -> bool:
         """Whether what `target` says on the connection from this address of its own reaches `source`."""
         near = self._from(target_side)
-        return near is not None and not near.stranded and not self.conditions.quiet(False)
+        return near is not None and not near.permanently_silent and not self.conditions.is_silent(False)
 
-    def number_of(self, target_side: Place) -> int | None:
+    def number_of(self, target_side: Address) -> int | None:
         """The number of the connection that `target` has from this address; None: it has ended."""
         near = self._from(target_side)
         return None if near is None else near.number
 
-    def _from(self, target_side: Place) -> _Half | None:
+    def _from(self, target_side: Address) -> _Half | None:
         found = (near for near in self._pairs if near.other is not None and near.other.own == target_side)
         return next(found, None)
 
@@ -210,7 +210,7 @@
             near.other.abort()
 
     async def _connect(self, near: _Half) -> None:
-        if self.conditions.quiet(True):
+        if self.conditions.is_silent(True):
             await self._reset_after_silence(near)
             return
         far = _Half(self, False)
@@ -226,26 +226,26 @@
             near.abort()
             return
         near.other, far.other = far, near
-        far.stranded = near.stranded
+        far.permanently_silent = near.permanently_silent
         if near.ended:
             far.abort()
         for data in near.waiting:
-            self.carry(near, data)
+            self.forward(near, data)
         near.waiting.clear()
 
     async def _reset_after_silence(self, near: _Half) -> None:
         """A connection that was begun in a silence never comes up, or is reset once the way is back: what was
         written to it meanwhile must not arrive late.
         """
-        while self.conditions.quiet(True) and not near.ended:
-            await asyncio.sleep(_LOOK_S)
+        while self.conditions.is_silent(True) and not near.ended:
+            await asyncio.sleep(_SILENCE_POLL_INTERVAL_S)
         self.counts["silent_bytes"] += sum(map(len, near.waiting))
         near.waiting.clear()
         near.abort()
 
-    def carry(self, half: _Half, data: bytes) -> None:
+    def forward(self, half: _Half, data: bytes) -> None:
         """On to the other side, as the conditions has it."""
-        if half.stranded or self.conditions.quiet(half.up):
+        if half.permanently_silent or self.conditions.is_silent(half.up):
             self.counts["silent_bytes"] += len(data)
             return
         loop = asyncio.get_running_loop()
@@ -262,7 +262,7 @@
             self._pairs.discard(half)
             if self.watcher is not None:
                 self.watcher.closed(half.number)
-        other, silent = half.other, half.stranded or self.conditions.quiet(half.up)
+        other, silent = half.other, half.permanently_silent or self.conditions.is_silent(half.up)
         if other is not None and not other.ended and not silent:
             late = max(0.0, half.free_at - asyncio.get_running_loop().time())
             asyncio.get_running_loop().call_later(late, other.abort)
@@ -281,7 +281,7 @@
         self.reset_all()
 
 
-class _Hole(asyncio.DatagramProtocol):
+class _PairEndpoint(asyncio.DatagramProtocol):
     """The proxy's address of member `to`, as member `source` knows it."""
 
     def __init__(self, proxy: DatagramProxy, source: int, to: int) -> None:
@@ -292,21 +292,21 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.proxy.pass_on(self.source, self.to, data)
+        self.proxy.forward(self.source, self.to, data)
 
 
-def _same(hole: _Hole) -> _Hole:
-    return hole
+def _same(endpoint: _PairEndpoint) -> _PairEndpoint:
+    return endpoint
 
 
 class DatagramProxy:
-    """UDP between each pair of members: what arrives at a hole goes to the other member from the address by
-    which that one knows the first, so the proxy looks to both like a NAT.
+    """Forwards UDP between each pair of members. Datagrams reach the other member from the address by which
+    it knows the sender, so the proxy works like a NAT.
     """
 
     def __init__(
         self,
-        members: Sequence[Place],
+        members: Sequence[Address],
         loss: float = 0.0,
         delay: float = 0.0,
         seed: int | str = 1,
@@ -323,32 +323,32 @@
         self.groups: list[set[int]] = []  # more than two parts: only those of one group hear each other
         self.passed = self.lost = self.bytes = 0
         self._rng = random.Random(seed)
-        self._holes: dict[tuple[int, int], _Hole] = {}
+        self._endpoints: dict[tuple[int, int], _PairEndpoint] = {}
 
-    async def start(self) -> dict[tuple[int, int], Place]:
+    async def start(self) -> dict[tuple[int, int], Address]:
         """The address by which the first of each pair knows the second."""
         loop = asyncio.get_running_loop()
         found = {}
         for source in range(len(self.members)):
             for to in range(len(self.members)):
                 if source != to:
-                    hole = _Hole(self, source, to)
+                    endpoint = _PairEndpoint(self, source, to)
                     transport, _ = await loop.create_datagram_endpoint(
-                        partial(_same, hole), local_addr=(HOST, 0)
+                        partial(_same, endpoint), local_addr=(HOST, 0)
                     )
-                    self._holes[source, to] = hole
+                    self._endpoints[source, to] = endpoint
                     found[source, to] = transport.get_extra_info("sockname")[:2]
         return found
 
-    def apart(self, source: int, to: int) -> bool:
+    def separated(self, source: int, to: int) -> bool:
         if (source in self.split) != (to in self.split):
             return True
         return bool(self.groups) and not any(source in group and to in group for group in self.groups)
 
-    def pass_on(self, source: int, to: int, data: bytes) -> None:
+    def forward(self, source: int, to: int, data: bytes) -> None:
         self.bytes += len(data)
         conditions = self.between.get((source, to), self.conditions)
-        late = [] if self.apart(source, to) else conditions.datagram(True, self._rng)
+        late = [] if self.separated(source, to) else conditions.datagram(True, self._rng)
         self.lost += not late
         for after in late:
             self.passed += 1
@@ -356,14 +356,14 @@
 
     def _send(self, source: int, to: int, data: bytes) -> None:
         # From the address by which the receiver knows the sender.
-        hole = self._holes[to, source]
-        if hole.transport is not None and not hole.transport.is_closing():
-            hole.transport.sendto(data, self.members[to])
+        endpoint = self._endpoints[to, source]
+        if endpoint.transport is not None and not endpoint.transport.is_closing():
+            endpoint.transport.sendto(data, self.members[to])
 
     def close(self) -> None:
-        for hole in self._holes.values():
-            if hole.transport is not None:
-                hole.transport.close()
+        for endpoint in self._endpoints.values():
+            if endpoint.transport is not None:
+                endpoint.transport.close()
 
 
 class Proxies:
@@ -377,10 +377,10 @@
         """`hosts`: the address for the proxies of each party, by its name; others share one."""
         self._hosts = hosts or {}
         self.all: dict[tuple[str, str], StreamProxy] = {}
-        self.who: dict[Place, str] = {}  # which member a connection at a stand-in is from
+        self.who: dict[Address, str] = {}  # which member a connection at a stand-in is from
         self._seed = seed
 
-    async def add(self, source: str, name: str, target: Place, port: int = 0) -> Place:
+    async def add(self, source: str, name: str, target: Address, port: int = 0) -> Address:
         host = self._hosts.get(source) or self._hosts.get(name) or HOST
         proxy = StreamProxy(source, name, target, f"{self._seed}/{source}/{name}", self.who, host)
         self.all[source, name] = proxy
--- a/mountgauge/lab/rig/runner.py
+++ b/mountgauge/lab/rig/runner.py
@@ -25,7 +25,7 @@
 from mountgauge.lab.rig.list_calls import ListCallRecorder, connection_name
 from mountgauge.lab.rig.network_conditions import NetworkConditions
 from mountgauge.lab.rig.processes import GOSSIP, RESP, Member, hosts
-from mountgauge.lab.rig.proxies import HOST, DatagramProxy, Place, Proxies, StreamProxy
+from mountgauge.lab.rig.proxies import HOST, Address, DatagramProxy, Proxies, StreamProxy
 from mountgauge.lab.rig.schedule import (
     ON_CLIENTS,
     ON_DISCOVERY,
@@ -33,11 +33,17 @@
     ON_PARTNERS,
     Fault,
     Schedule,
-    chosen,
+    select_members,
+)
+from mountgauge.lab.rig.stand_ins import (
+    ListEntry,
+    LoadGenerator,
+    MemberClient,
+    PartnerStandIn,
+    PlatformStandIn,
 )
-from mountgauge.lab.rig.stand_ins import Listed, LoadGenerator, MemberClient, PartnerStandIn, PlatformStandIn
 from mountgauge.lab.rig.starvation import KIND as STARVED
-from mountgauge.lab.rig.starvation import LEAST_WAIT_S, LOOK_EVERY_S, RunDelays
+from mountgauge.lab.rig.starvation import MIN_RECORDED_WAIT_S, SAMPLE_INTERVAL_S, RunDelays
 
 _BEARS_EVERY = 0.05  # s between two records of what a partner bears
 _LAG_S = 0.02  # s by which the rig's own loop may be late without a record of it
@@ -61,7 +67,7 @@
             spec.dest: PartnerStandIn(spec, self.events, self._who) for spec in schedule.partners
         }
         self.platform = PlatformStandIn(
-            self.events, self._who, self._place_of, self._carries, self._connection, schedule.fleet.pushed
+            self.events, self._who, self._address_of, self._carries, self._connection, schedule.fleet.pushed
         )
         self.members = {
             name: Member(name, host, folder / name, self.events, watch=self._line)
@@ -69,7 +75,7 @@
         }
         self.command = command or ["-m", "mountgauge"]
         self.gossip_proxy: DatagramProxy | None = None
-        self.peers: dict[tuple[int, int], Place] = {}
+        self.peers: dict[tuple[int, int], Address] = {}
         self.member_clients: dict[tuple[str, str], MemberClient] = {}
         self.load_generators: list[LoadGenerator] = []
         self._last: list[str] = []
@@ -79,18 +85,18 @@
     def _who(self, peer: Any) -> str:
         return self.proxies.who.get(tuple(peer[:2]), "?") if peer else "?"
 
-    def _place_of(self, member: str, endpoint: str) -> Place:
-        return self.proxies.all[member, endpoint].place
+    def _address_of(self, member: str, endpoint: str) -> Address:
+        return self.proxies.all[member, endpoint].address
 
-    def _carries(self, member: str, peer: Place) -> bool:
+    def _carries(self, member: str, peer: Address) -> bool:
         link = self.proxies.all.get((member, "discovery"))
         return link is None or link.carries_from(peer)
 
-    def _connection(self, member: str, peer: Place) -> str:
+    def _connection(self, member: str, peer: Address) -> str:
         """The member's connection to discovery, as its list calls name it; empty where it is not known."""
         link = self.proxies.all.get((member, "discovery"))
         number = None if link is None else link.number_of(peer)
-        return "" if link is None or number is None else connection_name(str(link.place[1]), number)
+        return "" if link is None or number is None else connection_name(str(link.address[1]), number)
 
     def _line(self, member: str, pairs: Mapping[str, str]) -> None:
         event = pairs.get("event", "")
@@ -115,7 +121,7 @@
             await self.proxies.add("clients", name, (member.host, RESP))
             for partner in self.partners.values():
                 for endpoint in partner.endpoints:
-                    await self.proxies.add(name, endpoint.id, endpoint.place)
+                    await self.proxies.add(name, endpoint.id, endpoint.address)
         if schedule.fleet.gossip:
             self.gossip_proxy = DatagramProxy(
                 [(one.host, GOSSIP) for one in self.members.values()], seed=f"{schedule.seed}/relay"
@@ -123,7 +129,7 @@
             self.peers = await self.gossip_proxy.start()
         self.platform.change(
             {
-                endpoint.id: Listed(endpoint.id, partner.spec.dest, partner.spec.told)
+                endpoint.id: ListEntry(endpoint.id, partner.spec.dest, partner.spec.advertised_rate)
                 for partner in self.partners.values()
                 for endpoint in partner.endpoints
             }
@@ -134,7 +140,7 @@
         self._spawn(self._log_capacities())
         self._spawn(self._log_starvation())
         for load in schedule.loads:
-            grade = next(one for one in schedule.grades if one.name == load.grade)
+            grade = next(one for one in schedule.message_classes if one.name == load.grade)
             for name in (one for one in schedule.names if fnmatch(one, load.who)):
                 client = self.member_clients.setdefault(
                     (name, load.tenant),
@@ -148,7 +154,7 @@
 
     async def _add_discovery_link(self, name: str) -> None:
         """The address by which the member reaches discovery from now on."""
-        place = await self.proxies.add(name, "discovery", self.platform.place)
+        place = await self.proxies.add(name, "discovery", self.platform.address)
         self.proxies.all[name, "discovery"].watcher = ListCallRecorder(name, str(place[1]), self.events)
         self._log_link(name)
 
@@ -169,14 +175,14 @@
             path = member.folder / "config.json"
             known = self.platform.last.get(name) or self.platform.as_json(name)
             self.events.add("known", member=name, version=known["version"])
-            place = self.proxies.all[name, "discovery"].place
+            place = self.proxies.all[name, "discovery"].address
             text = files.platform_file(schedule, name, member.host, place, known)
             member.env = {"GW_CONFIG": str(path), "GW_STATE": str(member.state), "GW_NAME": name}
             member.command = [*self.command]
         else:
             path = member.folder / "sender.toml"
             hops = [
-                (one.id, one.dest, self._place_of(name, one.id), one.state)
+                (one.id, one.dest, self._address_of(name, one.id), one.state)
                 for one in self.platform.entries.values()
             ]
             number = schedule.names.index(name)
@@ -186,17 +192,17 @@
                 for peer, other in enumerate(schedule.names)
             ]
             text = files.operator_file(
-                schedule, name, member.host, hops, peers, self.proxies.all[name, "discovery"].place, members
+                schedule, name, member.host, hops, peers, self.proxies.all[name, "discovery"].address, members
             )
             member.command = [*self.command, "run", str(path)]
         spare = path.with_suffix(".new")
         spare.write_text(text)
         os.replace(spare, path)
-        if schedule.fleet.front == "operator" or not member.lives:
-            self.platform.told(name, self.platform.as_json(name))
+        if schedule.fleet.front == "operator" or not member.run_count:
+            self.platform.record_list(name, self.platform.as_json(name))
 
     async def _up(self, member: Member) -> None:
-        if self.schedule.fleet.front == "platform" and member.lives:  # it gets the list as it last had it
+        if self.schedule.fleet.front == "platform" and member.run_count:  # it gets the list as it last had it
             self._write(member)
         await member.start()
         await member.ready()
@@ -230,9 +236,9 @@
                 process = member.process
                 if process is None or process.returncode is not None or member.paused:
                     continue
-                if (waited_s := delays.grown_s(process.pid)) >= LEAST_WAIT_S:
+                if (waited_s := delays.increase_s(process.pid)) >= MIN_RECORDED_WAIT_S:
                     self.events.add(STARVED, member=member.name, waited_s=round(waited_s, 3))
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     # The schedule
 
@@ -244,16 +250,16 @@
             for place in sorted(range(len(schedule.faults)), key=lambda one: schedule.faults[one].at):
                 fault = schedule.faults[place]
                 await asyncio.sleep(max(0.0, fault.at - self.events.now))
-                await self.strike(place)
+                await self.inject(place)
             await asyncio.sleep(max(0.0, schedule.seconds + schedule.drain_s - self.events.now))
         finally:
             await self.stop()
         return self.events
 
-    async def strike(self, place: int) -> None:
+    async def inject(self, place: int) -> None:
         fault = self.schedule.faults[place]
         if fault.do in ON_MEMBERS:
-            who = chosen(self.schedule, place, self._last)
+            who = select_members(self.schedule, place, self._last)
             self._last = who
             self.events.add("fault", do=fault.do, who=who, back_s=fault.back_s, folder=list(fault.folder))
             await self._on_members(fault, who, place)
@@ -282,7 +288,7 @@
                     member.save()
             case "empty-folder":
                 for member in members:
-                    member.empty()
+                    member.empty_state()
             case "pause":
                 for member in members:
                     member.signal(signal.SIGSTOP)
@@ -303,7 +309,7 @@
             case _:
                 number = signal.SIGKILL if fault.do == "kill" else signal.SIGTERM
                 for member in members:
-                    member.wanted = False
+                    member.should_run = False
                     member.signal(number)
                     if fault.kill_s >= 0:
                         self._spawn(
@@ -334,15 +340,15 @@
         self._write(member)
         self.events.add("sighup", member=member.name)
         member.signal(signal.SIGHUP)
-        self._set_links([old], NetworkConditions().but(fault.conditions))
+        self._set_links([old], NetworkConditions().with_changes(fault.conditions))
 
     async def _crash_loop(self, member: Member, fault: Fault) -> None:
         for _ in range(fault.times):
-            member.wanted = False
+            member.should_run = False
             member.signal(signal.SIGKILL)
             await member.ended()
             await asyncio.sleep(max(0.0, fault.back_s))
-            member.wanted = True
+            member.should_run = True
             await member.start()
             await asyncio.sleep(fault.for_s)
         await member.ready()
@@ -363,13 +369,13 @@
         for place, member in enumerate(members):
             match fault.folder[place % len(fault.folder)]:
                 case "lost":
-                    member.lose()
+                    member.delete_state()
                 case "old":
-                    member.put_back()
+                    member.restore_saved()
                 case "cut":
-                    member.cut(rng)
+                    member.truncate_files(rng)
                 case "foreign":
-                    member.take_from(members[(place + 1) % len(members)])
+                    member.copy_from(members[(place + 1) % len(members)])
                 case "swapped" if place % 2 == 0 and place + 1 < len(members):
                     member.swap(members[place + 1])
         gap = fault.over_s / max(1, len(members) - 1)
@@ -382,7 +388,7 @@
 
         async def start(member: Member, after: float) -> None:
             await asyncio.sleep(after)
-            member.wanted = True
+            member.should_run = True
             await self._up(member)
 
         await asyncio.gather(*(start(member, late(place)) for place, member in enumerate(members)))
@@ -397,13 +403,13 @@
             case "cold":
                 capacity.go_cold(now)
             case "shut":
-                capacity.shut(now, fault.for_s)
+                capacity.close_for(now, fault.for_s)
                 partner.wait_s = fault.wait_s
             case "limit":
                 capacity.limit_factor = fault.share
                 self._later(fault.for_s, lambda: setattr(capacity, "limit_factor", 1.0))
             case "never-warm":
-                capacity.never_warms = True
+                capacity.stays_cold = True
                 capacity.go_cold(now)
             case "silent" | "error" | "spoilt":
                 partner.mode = fault.do
@@ -422,19 +428,21 @@
                 endpoint = partner.endpoints[fault.endpoint]
                 entries = dict(self.platform.entries)
                 if fault.do == "drain":
-                    entries[endpoint.id] = Listed(endpoint.id, fault.dest, partner.spec.told, "leaving")
+                    entries[endpoint.id] = ListEntry(
+                        endpoint.id, fault.dest, partner.spec.advertised_rate, "leaving"
+                    )
                 else:
                     entries.pop(endpoint.id, None)
                 self._list(entries)
 
-    async def _new_endpoint(self, partner: PartnerStandIn) -> Listed:
+    async def _new_endpoint(self, partner: PartnerStandIn) -> ListEntry:
         endpoint = partner.new_endpoint()
         await endpoint.start()
         for name in self.members:
-            await self.proxies.add(name, endpoint.id, endpoint.place)
-        return Listed(endpoint.id, partner.spec.dest, partner.spec.told)
+            await self.proxies.add(name, endpoint.id, endpoint.address)
+        return ListEntry(endpoint.id, partner.spec.dest, partner.spec.advertised_rate)
 
-    def _list(self, entries: Mapping[str, Listed]) -> None:
+    def _list(self, entries: Mapping[str, ListEntry]) -> None:
         self.platform.change(entries)
         if self.schedule.fleet.front == "operator":
             for member in self.members.values():
@@ -484,7 +492,7 @@
 
     def _on_links(self, fault: Fault) -> None:
         first, second = fault.between
-        conditions = NetworkConditions().but(fault.conditions)
+        conditions = NetworkConditions().with_changes(fault.conditions)
         if first == "members" and second == "members" and self.gossip_proxy is not None:
             gossip, had = self.gossip_proxy, self.gossip_proxy.conditions
             gossip.conditions = conditions
@@ -514,7 +522,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for member in self.members.values():
-            member.wanted = False
+            member.should_run = False
             if member.paused:
                 member.signal(signal.SIGCONT)
             member.signal(signal.SIGKILL)
--- a/mountgauge/lab/rig/schedule.py
+++ b/mountgauge/lab/rig/schedule.py
@@ -1,8 +1,8 @@
 """A schedule: the fleet, its stand-ins, its load and the faults between them, read from TOML and checked.
 
-Everything here is data. `load` refuses what it does not know with one line (`ConfigError`); `chosen` draws
-who is meant by a fault from the schedule's seed, so that one seed always means the same members. Times are
-in seconds from the moment all members serve.
+Everything here is data. `load` rejects unknown settings with a one-line `ConfigError`. `select_members` draws
+the members that a fault affects from the schedule's seed, so that a seed always selects the same members.
+Times are in seconds from the moment when all members serve.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
     extra: str = ""  # more of the members' files, in TOML
 
     @property
-    def counted(self) -> int:
+    def sender_count(self) -> int:
         return self.senders or self.members
 
     @property
@@ -67,7 +67,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grade:
+class MessageClass:
     """`[[class]]`: a class of message."""
 
     name: str
@@ -97,7 +97,7 @@
     tells_wait_s: float = 0.0  # Retry-After of a refusal; 0: none
 
     @property
-    def told(self) -> float:
+    def advertised_rate(self) -> float:
         return self.rate if self.listed < 0 else self.listed
 
 
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetOf:
+class BudgetSpec:
     """A fleet-wide budget of the members' files, bound to a destination."""
 
     name: str
@@ -176,11 +176,11 @@
     settle_s: float  # load before time 0, not judged by the figures
     drain_s: float  # after the load's end, for what is held
     fleet: Fleet
-    grades: tuple[Grade, ...]
+    message_classes: tuple[MessageClass, ...]
     partners: tuple[Partner, ...]
     loads: tuple[Load, ...]
     tenants: tuple[Tenant, ...]
-    budgets: tuple[BudgetOf, ...]
+    budgets: tuple[BudgetSpec, ...]
     faults: tuple[Fault, ...]
 
     @property
@@ -201,7 +201,7 @@
         return dataclasses.replace(self, fleet=fleet, **own)
 
 
-def chosen(schedule: Schedule, place: int, last: Sequence[str]) -> list[str]:
+def select_members(schedule: Schedule, place: int, last: Sequence[str]) -> list[str]:
     """The members that the fault at this place of the schedule means; `last` are those of the one before."""
     fault, names = schedule.faults[place], schedule.names
     match fault.who:
@@ -239,17 +239,19 @@
         raise ConfigError("fleet.members: must be above 0")
     if fleet.gossip and fleet.front == "platform":
         raise ConfigError("fleet.gossip: members on the platform never talk")
-    grades = tuple(_fill(Grade, table) for table in top.tables("class")) or (Grade("note"),)
+    message_classes = tuple(_fill(MessageClass, table) for table in top.tables("class")) or (
+        MessageClass("note"),
+    )
     partners = tuple(_fill(Partner, table) for table in top.tables("partner"))
     loads = tuple(_fill(Load, table) for table in top.tables("load"))
     tenants = tuple(_fill(Tenant, table) for table in top.tables("tenant"))
-    budgets = tuple(_fill(BudgetOf, table) for table in top.tables("budget"))
+    budgets = tuple(_fill(BudgetSpec, table) for table in top.tables("budget"))
     if (budgets or any(one.strict for one in tenants)) and not fleet.gossip:
         raise ConfigError("budget: needs fleet.gossip = true")
     faults = tuple(_fault(table, place, fleet) for place, table in enumerate(top.tables("fault")))
     if not partners:
         raise ConfigError("partner: at least one is needed")
-    dests, named = {one.dest for one in partners}, {one.name for one in grades}
+    dests, named = {one.dest for one in partners}, {one.name for one in message_classes}
     if len(dests) < len(partners):
         raise ConfigError("partner.dest: stands twice")
     for place, one in enumerate(loads):
@@ -272,7 +274,7 @@
         settle_s=float(top.get("settle_s", int, float, default=3.0)),
         drain_s=float(top.get("drain_s", int, float, default=3.0)),
         fleet=fleet,
-        grades=grades,
+        message_classes=message_classes,
         partners=partners,
         loads=loads,
         tenants=tenants,
--- a/mountgauge/lab/rig/stand_ins.py
+++ b/mountgauge/lab/rig/stand_ins.py
@@ -23,19 +23,21 @@
 from mountgauge.lab.rig.capacity_model import CapacityModel
 from mountgauge.lab.rig.events import Events
 from mountgauge.lab.rig.list_calls import PATH, read_wait
-from mountgauge.lab.rig.proxies import HOST, Place, StreamProxy
+from mountgauge.lab.rig.proxies import HOST, Address, StreamProxy
 from mountgauge.lab.rig.schedule import Load, Partner
 
-_CLIENT_WAITS = 0.4  # s that a client waits for the answer to a message
-_COMES_AGAIN = 0.5  # s after which one that heard nothing comes again
-_PATIENCE = 2.0  # s in which a client must have been let in
+_CLIENT_TIMEOUT_S = 0.4  # s that a client waits for the answer to a message
+_RETRY_DELAY_S = 0.5  # s after which one that heard nothing comes again
+_CLIENT_PATIENCE_S = 2.0  # s in which a client must have been let in
 _RESET_AFTER_S = 0.05  # s after which a half-written answer's connection is reset
-_FOR_EVER_S = 3600.0
+_FOREVER_S = 3600.0
 _LISTS_KEPT = 64  # versions of the list that discovery can go back to
 
-Who = Callable[[Any], str]  # which member a connection's peer name belongs to
-Carries = Callable[[str, Place], bool]  # whether the link carries what is said to a member's peer name
-Connections = Callable[[str, Place], str]  # the name of the connection that a member has from an address
+MemberLookup = Callable[[Any], str]  # which member a connection's peer name belongs to
+LinkCheck = Callable[[str, Address], bool]  # whether the link carries what is said to a member's peer name
+ConnectionLookup = Callable[
+    [str, Address], str
+]  # the name of the connection that a member has from an address
 
 
 class Truncated(NamedTuple):
@@ -47,17 +49,17 @@
 class _Server:
     """Listens, reads HTTP and answers one message after another."""
 
-    def __init__(self, who: Who) -> None:
+    def __init__(self, who: MemberLookup) -> None:
         self._who = who
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self.began: dict[Place, float] = {}  # by peer: when its request's first byte came, loop time
-        self.place: Place = (HOST, 0)
+        self.began: dict[Address, float] = {}  # by peer: when its request's first byte came, loop time
+        self.address: Address = (HOST, 0)
 
-    async def start(self) -> Place:
-        self._server = await asyncio.start_server(self._serve, HOST, self.place[1], backlog=1024)
-        self.place = self._server.sockets[0].getsockname()[:2]
-        return self.place
+    async def start(self) -> Address:
+        self._server = await asyncio.start_server(self._serve, HOST, self.address[1], backlog=1024)
+        self.address = self._server.sockets[0].getsockname()[:2]
+        return self.address
 
     def stop(self) -> None:
         if self._server is not None:
@@ -68,7 +70,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        peer: Place = tuple(writer.get_extra_info("peername")[:2])
+        peer: Address = tuple(writer.get_extra_info("peername")[:2])
         member, parser = self._who(peer), Parser(requests=True)
         try:
             while data := await reader.read(65536):
@@ -101,7 +103,7 @@
             self.began.pop(peer, None)
             writer.transport.abort()
 
-    async def answer(self, member: str, message: Message, peer: Place) -> bytes | Truncated | None:
+    async def answer(self, member: str, message: Message, peer: Address) -> bytes | Truncated | None:
         """What is written; None: the connection is reset without an answer."""
         raise NotImplementedError
 
@@ -115,7 +117,7 @@
 class PartnerStandIn:
     """One destination: its endpoints share what it bears."""
 
-    def __init__(self, spec: Partner, events: Events, who: Who) -> None:
+    def __init__(self, spec: Partner, events: Events, who: MemberLookup) -> None:
         self.spec, self.events = spec, events
         self.capacity = CapacityModel(
             spec.rate,
@@ -154,12 +156,12 @@
 class _Endpoint(_Server):
     numbers = itertools.count(1)  # of calls, over all endpoints
 
-    def __init__(self, partner: PartnerStandIn, number: int, who: Who) -> None:
+    def __init__(self, partner: PartnerStandIn, number: int, who: MemberLookup) -> None:
         super().__init__(who)
         self.partner, self.id = partner, f"e{partner.spec.dest}-{number}"
         self.state = "active"
 
-    async def answer(self, member: str, message: Message, peer: Place) -> bytes | Truncated | None:
+    async def answer(self, member: str, message: Message, peer: Address) -> bytes | Truncated | None:
         partner, events = self.partner, self.partner.events
         spec, capacity, headers = partner.spec, partner.capacity, message.headers
         if message.start is None or message.start[:2] != ("POST", "/hook"):
@@ -184,7 +186,7 @@
                 await asyncio.sleep(3600)
             elif not taken:
                 status = 503
-                shut = capacity.shut_until - events.now
+                shut = capacity.closed_until - events.now
                 wait = shut if shut > 0 and partner.wait_s > 0 else spec.tells_wait_s
                 if wait > 0:
                     status, extra = 429, {"Retry-After": f"{wait:.3f}"}
@@ -203,7 +205,7 @@
 
 
 @dataclass
-class Listed:
+class ListEntry:
     """One line of discovery's list; its address differs from member to member."""
 
     id: str
@@ -221,18 +223,18 @@
     def __init__(
         self,
         events: Events,
-        who: Who,
-        place_of: Callable[[str, str], Place],
-        carries: Carries,
-        connection: Connections,
+        who: MemberLookup,
+        address_of: Callable[[str, str], Address],
+        carries: LinkCheck,
+        connection: ConnectionLookup,
         pushed: bool = False,
     ) -> None:
         super().__init__(who)
-        self.events, self._place_of, self._carries = events, place_of, carries
+        self.events, self._address_of, self._carries = events, address_of, carries
         self._connection, self.pushed = connection, pushed
-        self.entries: dict[str, Listed] = {}
+        self.entries: dict[str, ListEntry] = {}
         self.version = 0
-        self.kept: list[tuple[int, dict[str, Listed]]] = []
+        self.kept: list[tuple[int, dict[str, ListEntry]]] = []
         self.last: dict[str, Mapping[str, Any]] = {}  # the list as each member last had it
         self.down = False
         self.cost_s = 0.0  # of its time for each call
@@ -244,7 +246,7 @@
         self._free_at = 0.0
         self._news = asyncio.Event()
 
-    def change(self, entries: Mapping[str, Listed]) -> None:
+    def change(self, entries: Mapping[str, ListEntry]) -> None:
         self.entries = {name: one for name, one in entries.items()}
         self.version += 1
         self.kept = [*self.kept[-_LISTS_KEPT:], (self.version, dict(self.entries))]
@@ -293,8 +295,8 @@
             "servers": [self._line(member, one) for one in entries.values()],
         }
 
-    def _line(self, member: str, one: Listed) -> dict[str, Any]:
-        host, port = self._place_of(member, one.id)
+    def _line(self, member: str, one: ListEntry) -> dict[str, Any]:
+        host, port = self._address_of(member, one.id)
         return {
             "id": one.id,
             "addr": f"{host}:{port}",
@@ -305,7 +307,7 @@
             "started_ms": 0,
         }
 
-    async def answer(self, member: str, message: Message, peer: Place) -> bytes | Truncated | None:
+    async def answer(self, member: str, message: Message, peer: Address) -> bytes | Truncated | None:
         assert message.start is not None
         method, path, _ = message.start
         if method == "POST" and path == "/v1/notices":
@@ -329,10 +331,10 @@
         if self.to_hang[member] > 0:
             self.to_hang[member] -= 1
             self.events.add("list-hung", member=member, connection=self._connection(member, peer))
-            await asyncio.sleep(_FOR_EVER_S)
+            await asyncio.sleep(_FOREVER_S)
         return await self._list(member, path, wait_s, peer)
 
-    async def _list(self, member: str, path: str, wait_s: float, peer: Place) -> bytes | Truncated | None:
+    async def _list(self, member: str, path: str, wait_s: float, peer: Address) -> bytes | Truncated | None:
         if self.down and not self.pushed:
             return None
         loop = asyncio.get_running_loop()
@@ -353,7 +355,7 @@
         if self.resets:
             return Truncated(answer[: len(answer) // 2])
         if self._carries(member, peer):
-            self.told(member, found, self._connection(member, peer))
+            self.record_list(member, found, self._connection(member, peer))
         return answer
 
     async def _news_after(self, index: int, ends: float) -> bool:
@@ -367,7 +369,7 @@
                 await asyncio.wait_for(self._news.wait(), left)
         return not self.down
 
-    def told(self, member: str, found: Mapping[str, Any], connection: str = "") -> None:
+    def record_list(self, member: str, found: Mapping[str, Any], connection: str = "") -> None:
         """A list is written to the member on this connection, or given to it at its start."""
         if found["full"]:
             self.last[member] = found
@@ -413,7 +415,7 @@
                 return reader, writer
             writer.transport.abort()
         self.opened += 1
-        reader, writer = await asyncio.open_connection(*self.proxy.place)
+        reader, writer = await asyncio.open_connection(*self.proxy.address)
         if self.user:
             name = self.user.encode()
             writer.write(
@@ -435,7 +437,7 @@
 
         async def one() -> None:
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(_PATIENCE):
+                async with asyncio.timeout(_CLIENT_PATIENCE_S):
                     await self.ask(b"PING")
 
         await asyncio.gather(*(one() for _ in range(count)))
@@ -446,7 +448,7 @@
         try:
             for _ in range(count):
                 with contextlib.suppress(OSError):
-                    opened.append((await asyncio.open_connection(*self.proxy.place))[1])
+                    opened.append((await asyncio.open_connection(*self.proxy.address))[1])
             await asyncio.sleep(for_s)
         finally:
             for writer in opened:
@@ -482,11 +484,11 @@
             self.offer()
 
     def offer(self) -> None:
-        task = asyncio.get_running_loop().create_task(self._hand_in(self._rng.getrandbits(64)))
+        task = asyncio.get_running_loop().create_task(self._submit(self._rng.getrandbits(64)))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _hand_in(self, key: int) -> None:
+    async def _submit(self, key: int) -> None:
         load, events, member = self.load, self.events, self.client.member
         loop, key_text = asyncio.get_running_loop(), f"{key:016x}"
         offered, refused, failed = loop.time(), 0, 0
@@ -499,16 +501,16 @@
             same = {"member": member, "id": msg_id, "key": key_text, "dest": load.dest, "grade": load.grade}
             events.add("handed", left=left, **same)
             try:
-                async with asyncio.timeout(_CLIENT_WAITS):
+                async with asyncio.timeout(_CLIENT_TIMEOUT_S):
                     answer = await self.client.ask(
                         b"ENQUEUE", b"0" * 16, msg_id.encode(), pairs.encode(), b"x" * load.body_bytes
                     )
             except (OSError, TimeoutError):
                 events.add("unheard", **same)
                 failed += 1
-                if loop.time() - offered > _PATIENCE:
+                if loop.time() - offered > _CLIENT_PATIENCE_S:
                     return
-                pause = _COMES_AGAIN * (1 + self._rng.random()) if load.back_off else 0.05
+                pause = _RETRY_DELAY_S * (1 + self._rng.random()) if load.back_off else 0.05
                 await asyncio.sleep(pause)
                 continue
             if answer.startswith(b"+"):
--- a/mountgauge/lab/rig/starvation.py
+++ b/mountgauge/lab/rig/starvation.py
@@ -12,11 +12,11 @@
 
 from mountgauge.lab.rig.events import Event
 
-LOOK_EVERY_S = 0.25
-LEAST_WAIT_S = 0.02  # in a span between two looks, that is worth a record
+SAMPLE_INTERVAL_S = 0.25
+MIN_RECORDED_WAIT_S = 0.02  # in a span between two looks, that is worth a record
 KIND = "starved"  # of the events
 # Of a play's time, on average over its senders: past it what was served says more of the machine.
-MOST_SHARE = 0.05
+MAX_WAITED_SHARE = 0.05
 
 
 class RunDelays:
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._before: dict[int, float] = {}
 
-    def grown_s(self, pid: int) -> float:
+    def increase_s(self, pid: int) -> float:
         """Since the last look at this process; 0 at the first one, and where the system does not say."""
         try:
             waited_s = int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
--- a/mountgauge/lab/soak/draw.py
+++ b/mountgauge/lab/soak/draw.py
@@ -18,8 +18,8 @@
 KILL_S = 3.7  # after SIGTERM, at the earliest by the platform's page
 BACK_S = 0.6  # after SIGKILL, at which the next process starts
 WINDOW_S = 0.8  # of the class whose repeats endpoints drop
-MOST_FAULT_S = 1.0  # that one call fails for
-MOST_PAUSE_S = 0.15  # that a sender is held up for
+MAX_FAULT_S = 1.0  # that one call fails for
+MAX_PAUSE_S = 0.15  # that a sender is held up for
 QUIET_S = 4.0  # at the end without new faults, in which what is held is to end
 CROWD_SHARE = 0.3  # of the runs
 CROWD = 40  # connections at each member
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class FaultKind:
     """One kind of process fault: the call that fails and how it may."""
 
     seam: str
@@ -43,23 +43,23 @@
 
 
 KINDS = (
-    Kind("sockets", "write", (errno.EAGAIN, errno.EAGAIN, errno.ECONNRESET, errno.EPIPE), 6),
-    Kind("sockets", "read", (errno.EAGAIN, errno.ECONNRESET, errno.ETIMEDOUT), 5),
+    FaultKind("sockets", "write", (errno.EAGAIN, errno.EAGAIN, errno.ECONNRESET, errno.EPIPE), 6),
+    FaultKind("sockets", "read", (errno.EAGAIN, errno.ECONNRESET, errno.ETIMEDOUT), 5),
     # Not ECONNREFUSED: it would prove that discovery is down, which ends a doubt, where it is not.
-    Kind("sockets", "connect", (errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ENOBUFS), 3),
-    Kind("sockets", "connected", (errno.ETIMEDOUT, errno.EHOSTUNREACH), 1),
-    Kind("sockets", "socket", (errno.EMFILE, errno.ENFILE), 1),
-    Kind("clients", "read", (errno.EAGAIN, errno.ECONNRESET), 1),
-    Kind("clients", "write", (errno.EAGAIN, errno.ECONNRESET), 1),
-    Kind("clients", "accept", (errno.EMFILE, errno.ECONNABORTED), 1),
-    Kind("files", "write", (errno.EIO, errno.ENOSPC), 4),
-    Kind("files", "replace", (errno.EIO,), 1),
-    Kind("files", "truncate", (errno.EIO,), 1),
-    Kind("files", "open", (errno.EMFILE,), 1),
-    Kind("files", "read", (errno.EIO,), 1),
-    Kind("files", "lock", (errno.EMFILE, errno.EIO), 1),
-    Kind("files", "unlink", (errno.EIO,), 1),
-    Kind("clock", "step", (0,), 2),
+    FaultKind("sockets", "connect", (errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ENOBUFS), 3),
+    FaultKind("sockets", "connected", (errno.ETIMEDOUT, errno.EHOSTUNREACH), 1),
+    FaultKind("sockets", "socket", (errno.EMFILE, errno.ENFILE), 1),
+    FaultKind("clients", "read", (errno.EAGAIN, errno.ECONNRESET), 1),
+    FaultKind("clients", "write", (errno.EAGAIN, errno.ECONNRESET), 1),
+    FaultKind("clients", "accept", (errno.EMFILE, errno.ECONNABORTED), 1),
+    FaultKind("files", "write", (errno.EIO, errno.ENOSPC), 4),
+    FaultKind("files", "replace", (errno.EIO,), 1),
+    FaultKind("files", "truncate", (errno.EIO,), 1),
+    FaultKind("files", "open", (errno.EMFILE,), 1),
+    FaultKind("files", "read", (errno.EIO,), 1),
+    FaultKind("files", "lock", (errno.EMFILE, errno.EIO), 1),
+    FaultKind("files", "unlink", (errno.EIO,), 1),
+    FaultKind("clock", "step", (0,), 2),
 )  # fmt: skip
 
 
@@ -76,7 +76,7 @@
     disk_mb: float = 16.0  # of each sender
     killed_every_s: float = 9.0  # between two SIGKILLs
     partner_fails: tuple[str, ...] = ("error", "error", "silent", "spoilt", "shut", "limit")
-    kinds: tuple[Kind, ...] = KINDS
+    kinds: tuple[FaultKind, ...] = KINDS
 
 
 RANDOM = Density()
@@ -84,19 +84,19 @@
 HELD_UP = Density(
     inside_every_s=0.8, listed_every_s=0.6, partner_every_s=0.35, load=2.5, answer_s=(0.02, 0.03),
     partner_fails=("error",), kinds=(
-        Kind("sockets", "write", (errno.EAGAIN,), 4),
-        Kind("sockets", "read", (errno.ECONNRESET,), 1),
-        Kind("files", "write", (errno.EIO,), 2),
+        FaultKind("sockets", "write", (errno.EAGAIN,), 4),
+        FaultKind("sockets", "read", (errno.ECONNRESET,), 1),
+        FaultKind("files", "write", (errno.EIO,), 2),
     ),
 )  # fmt: skip
 # For the journal: it is compacted time and again, calls fail then, and senders are killed.
 SMALL_DISK = Density(
     inside_every_s=0.5, load=2.5, body_bytes=2000, disk_mb=0.2, killed_every_s=2.0, kinds=(
-        Kind("files", "replace", (errno.EIO,), 4),
-        Kind("files", "write", (errno.EIO, errno.ENOSPC), 2),
-        Kind("files", "truncate", (errno.EIO,), 1),
-        Kind("files", "open", (errno.EMFILE, errno.ENOSPC), 1),
-        Kind("sockets", "read", (errno.ECONNRESET,), 2),
+        FaultKind("files", "replace", (errno.EIO,), 4),
+        FaultKind("files", "write", (errno.EIO, errno.ENOSPC), 2),
+        FaultKind("files", "truncate", (errno.EIO,), 1),
+        FaultKind("files", "open", (errno.EMFILE, errno.ENOSPC), 1),
+        FaultKind("sockets", "read", (errno.ECONNRESET,), 2),
     ),
 )  # fmt: skip
 DENSITIES = {"random": RANDOM, "held-up": HELD_UP, "small-disk": SMALL_DISK}
@@ -120,7 +120,10 @@
         "partner-fails": density.partner_every_s,
         "killed": density.killed_every_s,
     }
-    makers: dict[str, Maker] = {**_MAKERS, "partner-fails": partial(_partner_fails, density.partner_fails)}
+    makers: dict[str, FaultMaker] = {
+        **_MAKERS,
+        "partner-fails": partial(_partner_fails, density.partner_fails),
+    }
     faults = [
         fault
         for name, every_s in every.items()
@@ -180,20 +183,20 @@
     }  # fmt: skip
 
 
-Drawn = Mapping[str, Any]
-Maker = Callable[[random.Random, int], Drawn]
+RawFault = Mapping[str, Any]
+FaultMaker = Callable[[random.Random, int], RawFault]
 
 
 def _member(rng: random.Random, members: int) -> str:
     return f"m{rng.randrange(members) + 1:02d}"
 
 
-def _some(rng: random.Random, members: int) -> int:
+def _random_count(rng: random.Random, members: int) -> int:
     return max(1, round(members * rng.choice((0.1, 0.25, 0.5))))
 
 
-def _link(rng: random.Random, ends: list[str]) -> Drawn:
-    how: list[Drawn] = [
+def _link(rng: random.Random, ends: list[str]) -> RawFault:
+    how: list[RawFault] = [
         {"reset": 1000.0, "for_s": 0.05},
         {"silent": rng.choice(("up", "down", "both")), "for_s": rng.uniform(0.2, 1.0)},
         {"refuse": True, "for_s": rng.uniform(0.1, 0.6)},
@@ -203,33 +206,33 @@
     return {"do": "link", "between": ends, **rng.choice(how)}
 
 
-def _to_discovery(rng: random.Random, members: int) -> Drawn:
+def _to_discovery(rng: random.Random, members: int) -> RawFault:
     return _link(rng, [rng.choice(("members", _member(rng, members))), "discovery"])
 
 
-def _to_partner(rng: random.Random, members: int) -> Drawn:
+def _to_partner(rng: random.Random, members: int) -> RawFault:
     return _link(rng, [_member(rng, members), f"partner:{rng.choice(_DESTINATIONS)}"])
 
 
-def _listed(rng: random.Random, members: int) -> Drawn:
+def _listed(rng: random.Random, members: int) -> RawFault:
     """Nothing new may go to what leaves; `replace` brings new ones at once."""
     return {"do": "replace", "dest": rng.choice(_DESTINATIONS)}
 
 
-def _partner_fails(how: tuple[str, ...], rng: random.Random, members: int) -> Drawn:
+def _partner_fails(how: tuple[str, ...], rng: random.Random, members: int) -> RawFault:
     do = rng.choice(how)
     fault = {"do": do, "dest": rng.choice(_DESTINATIONS), "for_s": rng.uniform(0.3, 1.5)}
     return {**fault, "wait_s": rng.uniform(0.3, 1.0)} if do == "shut" else fault
 
 
-def _hangs(rng: random.Random, members: int) -> Drawn:
+def _hangs(rng: random.Random, members: int) -> RawFault:
     """One call, several in a row or all of them, at discovery or at the agents."""
-    who = rng.choice((_some(rng, members), [_member(rng, members)], "all"))
+    who = rng.choice((_random_count(rng, members), [_member(rng, members)], "all"))
     count = rng.choice((1, 2, 4, 8, EVERY_CALL))
     return {"do": "discovery-hangs", "who": who, "for_s": rng.uniform(1.0, 20.0), "count": count}
 
 
-def _long_silence(rng: random.Random, members: int) -> Drawn:
+def _long_silence(rng: random.Random, members: int) -> RawFault:
     """The way to discovery: calls that are out stay silent after it, new ones do not come up in it."""
     ends = [_member(rng, members), "discovery"]
     return {
@@ -241,11 +244,11 @@
     }
 
 
-def _drained_then_killed(rng: random.Random, at: float, members: int) -> list[Drawn]:
+def _drained_then_killed(rng: random.Random, at: float, members: int) -> list[RawFault]:
     """Changes just before the kill and as the next process starts, whose first calls hang or do not."""
-    who = [f"m{one + 1:02d}" for one in rng.sample(range(members), _some(rng, members))]
+    who = [f"m{one + 1:02d}" for one in rng.sample(range(members), _random_count(rng, members))]
     dest = rng.choice(_DESTINATIONS)
-    found: list[Drawn] = [
+    found: list[RawFault] = [
         {"at": max(0.0, at - rng.uniform(0.5, 6.0)), "do": "drain", "dest": dest, "endpoint": 0},
         {"at": at, "do": "kill", "who": who, "back_s": BACK_S},
         {"at": at + rng.uniform(0.0, 1.5), "do": "replace", "dest": dest},
@@ -257,29 +260,29 @@
     return found
 
 
-def _discovery_fails(rng: random.Random, members: int) -> Drawn:
+def _discovery_fails(rng: random.Random, members: int) -> RawFault:
     do = rng.choice(("discovery-down", "discovery-slow", "discovery-reset"))
     return {"do": do, "for_s": rng.uniform(0.3, 2.0), "wait_s": rng.uniform(0.1, 0.6)}
 
 
-def _terminated(rng: random.Random, members: int) -> Drawn:
-    return {"do": "term", "who": _some(rng, members), "kill_s": KILL_S, "back_s": BACK_S,
+def _terminated(rng: random.Random, members: int) -> RawFault:
+    return {"do": "term", "who": _random_count(rng, members), "kill_s": KILL_S, "back_s": BACK_S,
             "signals": rng.randrange(4), "start": "spread", "over_s": rng.uniform(0.0, 1.0)}  # fmt: skip
 
 
-def _killed(rng: random.Random, members: int) -> Drawn:
-    return {"do": "kill", "who": _some(rng, members), "back_s": BACK_S}
+def _killed(rng: random.Random, members: int) -> RawFault:
+    return {"do": "kill", "who": _random_count(rng, members), "back_s": BACK_S}
 
 
-def _held_up(rng: random.Random, members: int) -> Drawn:
-    return {"do": "pause", "who": _some(rng, members), "for_s": rng.uniform(0.02, MOST_PAUSE_S)}
+def _held_up(rng: random.Random, members: int) -> RawFault:
+    return {"do": "pause", "who": _random_count(rng, members), "for_s": rng.uniform(0.02, MAX_PAUSE_S)}
 
 
-def _moved(rng: random.Random, members: int) -> Drawn:
-    return {"do": "move-discovery", "who": _some(rng, members)}
+def _moved(rng: random.Random, members: int) -> RawFault:
+    return {"do": "move-discovery", "who": _random_count(rng, members)}
 
 
-_MAKERS: dict[str, Maker] = {
+_MAKERS: dict[str, FaultMaker] = {
     "listed": _listed,
     "to-discovery": _to_discovery,
     "to-partner": _to_partner,
@@ -298,8 +301,8 @@
 }  # fmt: skip
 
 
-def _series(rng: random.Random, make: Maker, every_s: float, end: float, members: int) -> list[Drawn]:
-    found, at = list[Drawn](), rng.expovariate(1 / every_s)
+def _series(rng: random.Random, make: FaultMaker, every_s: float, end: float, members: int) -> list[RawFault]:
+    found, at = list[RawFault](), rng.expovariate(1 / every_s)
     while at < end:
         found.append({"at": at, **make(rng, members)})
         at += rng.expovariate(1 / every_s)
@@ -315,8 +318,8 @@
     return found
 
 
-def _process_fault(rng: random.Random, kind: Kind, member: str, at: float) -> ProcessFault:
-    for_s = rng.uniform(0.05, MOST_FAULT_S)
+def _process_fault(rng: random.Random, kind: FaultKind, member: str, at: float) -> ProcessFault:
+    for_s = rng.uniform(0.05, MAX_FAULT_S)
     if kind.seam == "clock":
         step_s = rng.choice((-3600.0, -2.0, 2.0, 600.0))
         return ProcessFault(member, at, 3 * for_s, "clock", "step", step_s=step_s)
--- a/mountgauge/lab/soak/launcher.py
+++ b/mountgauge/lab/soak/launcher.py
@@ -22,8 +22,8 @@
 from mountgauge.lab.soak.plan import FILE, Plan, ProcessFault
 from mountgauge.run import handover
 
-LOOK_EVERY_S = 0.05  # for the plan, until it is there
-RIG_LOOK_EVERY_S = 1.0  # whether the rig that started this sender is still there
+PLAN_POLL_INTERVAL_S = 0.05  # for the plan, until it is there
+RIG_CHECK_INTERVAL_S = 1.0  # whether the rig that started this sender is still there
 _RIG_GONE = 3  # exit code
 
 
@@ -32,13 +32,13 @@
 
     def __init__(self) -> None:
         self.sockets, self.clients, self.files = Faults(), Faults(), FailingFiles()
-        self.ahead_s = 0.0  # of the wall clock
+        self.clock_offset_s = 0.0  # of the wall clock
         self._active: list[ProcessFault] = []
 
     def install(self) -> None:
         """Put the seams in the places of the system's calls."""
         wall = durable_time.SystemClocks.wall
-        setattr(durable_time.SystemClocks, "wall", lambda clocks: wall(clocks) + self.ahead_s)  # noqa: B010
+        setattr(durable_time.SystemClocks, "wall", lambda clocks: wall(clocks) + self.clock_offset_s)  # noqa: B010
         for module in (journal, handover):
             setattr(module, "SystemFiles", lambda: self.files)  # noqa: B010
         setattr(registry, "SystemCalls", lambda: FaultyCalls(self.clients))  # noqa: B010
@@ -61,10 +61,10 @@
             for call in ("accept", "socket", "connect", "connected", "read", "write"):
                 faults.fail_always(call, None)
         self.files.heal()
-        self.ahead_s = 0.0
+        self.clock_offset_s = 0.0
         for one in self._active:
             if one.seam == "clock":
-                self.ahead_s += one.step_s
+                self.clock_offset_s += one.step_s
             elif one.seam == "files":
                 self.files.error = one.error
                 (self.files.late if one.late else self.files.fails).add(one.call)
@@ -81,19 +81,19 @@
     def __init__(self, planned: PlannedFaults) -> None:
         super().__init__(planned.sockets)
         self._planned, self._rig = planned, os.getppid()
-        self.call_soon(self._look)
+        self.call_soon(self._poll_plan)
         self.call_soon(self._end_with_rig)
 
     def _end_with_rig(self) -> None:
         """A sender whose rig was killed would run on for ever."""
         if os.getppid() != self._rig:
             os._exit(_RIG_GONE)
-        self.call_later(RIG_LOOK_EVERY_S, self._end_with_rig)
+        self.call_later(RIG_CHECK_INTERVAL_S, self._end_with_rig)
 
-    def _look(self) -> None:
+    def _poll_plan(self) -> None:
         plan = Plan.read(Path(sys.argv[1]) / FILE)
         if plan is None:
-            self.call_later(LOOK_EVERY_S, self._look)
+            self.call_later(PLAN_POLL_INTERVAL_S, self._poll_plan)
             return
         for fault in plan.of(os.environ["GW_NAME"]):
             if plan.zero + fault.until > self.time():
--- a/mountgauge/lab/soak/mutants.py
+++ b/mountgauge/lab/soak/mutants.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 
-from mountgauge.lab.faults.lease import believe_silence
+from mountgauge.lab.faults.lease import ignore_silent_expiry
 from mountgauge.leased_socket import LeaseSlot
 from rillspindle import send_guard
 from rillspindle.send_guard import EndpointState, MessageState, SendPermit
@@ -41,5 +41,5 @@
     "window-unchecked": _window_unchecked,
     "late-byte": _late_byte,
     "early-end": _early_end,
-    "silence-believed": believe_silence,
+    "silence-believed": ignore_silent_expiry,
 }
--- a/mountgauge/lab/soak/verdict.py
+++ b/mountgauge/lab/soak/verdict.py
@@ -10,7 +10,7 @@
 from mountgauge.lab.rig.events import Event
 from mountgauge.lab.rig.list_history import OpenSpans
 from mountgauge.lab.rig.notified import Span
-from mountgauge.lab.rig.oracle import Broken, judge
+from mountgauge.lab.rig.oracle import Violation, judge
 from mountgauge.lab.rig.schedule import Schedule
 from mountgauge.lab.soak.plan import ProcessFault
 
@@ -21,12 +21,14 @@
 LATE_TURNS = 6
 LAG_SPAN_S = 2.0  # before a verdict in which lateness of the loop counts for it
 PROXY_TURN_S = 0.02  # from a stand-in's write to the turn in which the proxy carries it on
-CARRIED_WITHIN_S = 1.0  # before and after a write, lateness of the loop that may hold the proxy up
+LAG_RADIUS_S = 1.0  # before and after a write, lateness of the loop that may hold the proxy up
 _LEVELS_S = (0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.8, 2.7)  # slacks with which a run is judged
-LOST_S = 3.0  # past which an end is not late but lost: writes and connections fail for a second at a time
-UNHEARD_S = 1.5  # within which a fault before it may have kept an answer from being read
-WRITTEN_AGAIN_S = 0.1  # after a fault of the disk, within which a sender has written what it owed
-_UNKNOWN_END = 255  # what asyncio reports where a signal that was sent just then has taken the process's end
+LOST_OUTCOME_S = (
+    3.0  # past which an end is not late but lost: writes and connections fail for a second at a time
+)
+UNREAD_ANSWER_S = 1.5  # within which a fault before it may have kept an answer from being read
+DISK_RECOVERY_S = 0.1  # after a fault of the disk, within which a sender has written what it owed
+_UNKNOWN_EXIT = 255  # what asyncio reports where a signal that was sent just then has taken the process's end
 _TIMED = ("final",)  # rules whose moment the faults themselves move
 
 
@@ -34,7 +36,7 @@
 class Verdict:
     """What a run has shown."""
 
-    violations: list[Broken]
+    violations: list[Violation]
     taken: int
     delivered: int
     lag_s: float  # the most by which the rig's own loop was late
@@ -54,26 +56,26 @@
     events = _without_swallowed(events, lags)
     judged = {level: judge(schedule, events, level) for level in _LEVELS_S}
     strict = judged[_LEVELS_S[0]]
-    stands = {level: {_key(one) for one in found.violations} for level, found in judged.items()}
+    keys_by_slack = {level: {_key(one) for one in found.violations} for level, found in judged.items()}
     inside = list(inside)
     unread = [one for one in inside if one.seam == "sockets" and one.call == "read"]
-    ends = _Ends(events, [one for one in inside if one.seam == "files"])
+    ends = _Outcomes(events, [one for one in inside if one.seam == "files"])
     broken = []
     for one in strict.violations:
         needed = SLACK_S + LATE_TURNS * max(
             (late for at, late in lags if 0 <= one.at - at < LAG_SPAN_S), default=0.0
         )
         level = next((level for level in _LEVELS_S if level >= needed), None)
-        late = level is None or _key(one) not in stands[level]
-        excused = _unheard(one, unread) or ends.could_not_be_kept(one)
+        late = level is None or _key(one) not in keys_by_slack[level]
+        excused = _answer_unread(one, unread) or ends.could_not_be_recorded(one)
         if one.rule not in _TIMED and not late and not excused:
             broken.append(one)
     worst = max((late for _, late in lags), default=0.0)
-    lost_s = LOST_S + 2 * LATE_TURNS * worst  # a call for the notice, and one that failed before it
+    lost_s = LOST_OUTCOME_S + 2 * LATE_TURNS * worst  # a call for the notice, and one that failed before it
     silences = _silences(events)
     broken += [
         one for one in judge(schedule, events, lost_s).violations
-        if one.rule in _TIMED and not _could_not_be_told(one, silences[one.member], lost_s)
+        if one.rule in _TIMED and not _delayed_by_silence(one, silences[one.member], lost_s)
     ]  # fmt: skip
     broken += [*_violations(events), *_crashes(events)]
     return Verdict(sorted(broken, key=lambda one: one.at), strict.taken, strict.delivered, worst)
@@ -89,7 +91,7 @@
             silences[event.fields["member"]].append(event.at)
 
     def arrived(event: Event) -> bool:
-        around = [late_s for at, late_s in lags if abs(at - event.at) < CARRIED_WITHIN_S]
+        around = [late_s for at, late_s in lags if abs(at - event.at) < LAG_RADIUS_S]
         latest = event.at + PROXY_TURN_S + 2 * max(around, default=0.0)
         return not any(event.at <= at <= latest for at in silences[event.fields["member"]])
 
@@ -105,26 +107,26 @@
     return defaultdict(list, {member: spans.all for member, spans in found.items()})
 
 
-def _could_not_be_told(one: Broken, silences: Iterable[Span], lost_s: float) -> bool:
+def _delayed_by_silence(one: Violation, silences: Iterable[Span], lost_s: float) -> bool:
     """Whether an end that was late came soon after the link carried it again. One that never came is lost."""
     if one.why.startswith("no end"):
         return False
     return any(span.begin <= one.at <= span.end + lost_s for span in silences)
 
 
-def _key(one: Broken) -> tuple[str, float, str]:
+def _key(one: Violation) -> tuple[str, float, str]:
     return one.rule, one.at, one.id
 
 
-def _unheard(one: Broken, unread: Iterable[ProcessFault]) -> bool:
+def _answer_unread(one: Violation, unread: Iterable[ProcessFault]) -> bool:
     """A wait that was told in an answer which its sender could not read binds nobody who knows of it."""
     return one.rule == "wait" and any(
-        fault.member == one.member and fault.at - UNHEARD_S < one.at < fault.until + UNHEARD_S
+        fault.member == one.member and fault.at - UNREAD_ANSWER_S < one.at < fault.until + UNREAD_ANSWER_S
         for fault in unread
     )
 
 
-class _Ends:
+class _Outcomes:
     """The notices of each message, beside what kept a member from writing and when its processes ended."""
 
     def __init__(self, events: Iterable[Event], failing: Sequence[ProcessFault]) -> None:
@@ -141,7 +143,7 @@
             elif event.kind == "gone":
                 self._gone[f["member"]].append(event.at)
 
-    def could_not_be_kept(self, one: Broken) -> bool:
+    def could_not_be_recorded(self, one: Violation) -> bool:
         """Whether two ends were told by two lives, of which the first could not write its own down up to its
         end: past the message's time it has to be told all the same, and the next life can't know.
         """
@@ -158,22 +160,22 @@
         until = at
         for fault in sorted(self._failing, key=lambda fault: fault.at):
             if fault.member == member and fault.at <= until:
-                until = max(until, fault.until + WRITTEN_AGAIN_S)
+                until = max(until, fault.until + DISK_RECOVERY_S)
         return until
 
 
-def _violations(events: Iterable[Event]) -> list[Broken]:
+def _violations(events: Iterable[Event]) -> list[Violation]:
     """What the senders' own check has counted."""
     found = []
     for event in events:
         if event.kind == "log" and event.fields["event"] == "invariant-violated":
             pairs = event.fields["pairs"]
             why = f"{pairs.get('rule')}: {pairs.get('why')}"
-            found.append(Broken("invariant", event.at, event.fields["member"], pairs.get("id", ""), why))
+            found.append(Violation("invariant", event.at, event.fields["member"], pairs.get("id", ""), why))
     return found
 
 
-def _crashes(events: Iterable[Event]) -> list[Broken]:
+def _crashes(events: Iterable[Event]) -> list[Violation]:
     """Processes that ended by themselves in another way than with 0.
 
     One that a signal ended before it was ready had not begun to hear them, and had taken nothing on.
@@ -186,7 +188,7 @@
             serving.add(event.fields["member"])
         elif event.kind == "gone":
             member, code = event.fields["member"], event.fields["code"]
-            kinds = (0, _UNKNOWN_END, -signal.SIGKILL)
+            kinds = (0, _UNKNOWN_EXIT, -signal.SIGKILL)
             if code not in kinds and (code > 0 or member in serving):
-                found.append(Broken("crash", event.at, member, "", f"exit code {code}"))
+                found.append(Violation("crash", event.at, member, "", f"exit code {code}"))
     return found
--- a/tests/lab/test_notified.py
+++ b/tests/lab/test_notified.py
@@ -15,166 +15,172 @@
 from mountgauge.lab.rig.events import Event
 from mountgauge.lab.rig.list_calls import read_wait
 from mountgauge.lab.rig.list_history import history
-from mountgauge.lab.rig.notified import Change, Life, ListCall, Slowness, Span, forbidden, notified_at
+from mountgauge.lab.rig.notified import (
+    Change,
+    ListCall,
+    ProcessRun,
+    Slowness,
+    Span,
+    forbidden_spans,
+    notified_at,
+)
 from mountgauge.lab.rig.oracle import judge
 from mountgauge.lab.rig.schedule import Schedule, parse
 
 NEVER = math.inf
 CHANGE = Change("e1-0", version=5, at=4.0)
-LIFE = Life(began=-1.0, known=4, ask_within_s=10.0)
+RUN = ProcessRun(began=-1.0, known=4, ask_within_s=10.0)
 WATCH = ListCall(began=0.0, wait_s=10.0)
 
 
-def life(*calls: ListCall, **changes: Any) -> Life:
-    return replace(LIFE, calls=calls, **changes)
+def run(*calls: ListCall, **changes: Any) -> ProcessRun:
+    return replace(RUN, calls=calls, **changes)
 
 
 # Each clause: the member's calls and what befell them, and when the change of version 5 at 4.0 s counts
 
 WRITTEN = [
-    pytest.param(life(replace(WATCH, ended=4.1, version=5)), 4.1, id="written as it was made"),
-    pytest.param(life(replace(WATCH, ended=7.0, version=6)), 7.0, id="written with a later one"),
-    pytest.param(life(replace(WATCH, ended=10.0, version=4), WATCH), 10.0, id="an older list tells it not"),
-    pytest.param(life(known=5), 4.0, id="the process was started with it"),
+    pytest.param(run(replace(WATCH, ended=4.1, version=5)), 4.1, id="written as it was made"),
+    pytest.param(run(replace(WATCH, ended=7.0, version=6)), 7.0, id="written with a later one"),
+    pytest.param(run(replace(WATCH, ended=10.0, version=4), WATCH), 10.0, id="an older list tells it not"),
+    pytest.param(run(known=5), 4.0, id="the process was started with it"),
 ]
 SILENT = [
-    pytest.param(life(WATCH, silences=[Span(3.0, 5.0)]), 9.0, id="6 s after it fell silent, before its wait"),
+    pytest.param(run(WATCH, silences=[Span(3.0, 5.0)]), 9.0, id="6 s after it fell silent, before its wait"),
     pytest.param(
-        life(replace(WATCH, wait_s=2.0), silences=[Span(3.0, 5.0)]),
+        run(replace(WATCH, wait_s=2.0), silences=[Span(3.0, 5.0)]),
         9.0,
         id="6 s after it fell silent, behind its wait",
     ),
     pytest.param(
-        life(replace(WATCH, began=3.5, wait_s=2.0), silences=[Span(3.0, 5.0)]), 9.5, id="begun in the silence"
+        run(replace(WATCH, began=3.5, wait_s=2.0), silences=[Span(3.0, 5.0)]), 9.5, id="begun in the silence"
     ),
-    pytest.param(life(WATCH, silences=[Span(-3.0, -1.0)]), 10.0, id="a silence before the watch"),
+    pytest.param(run(WATCH, silences=[Span(-3.0, -1.0)]), 10.0, id="a silence before the watch"),
     pytest.param(
-        life(WATCH, silences=[Span(3.0, 20.0)], cuts=[Span(3.0, 20.0)]), 9.0, id="cut off past that moment"
+        run(WATCH, silences=[Span(3.0, 20.0)], cuts=[Span(3.0, 20.0)]), 9.0, id="cut off past that moment"
     ),
     pytest.param(
-        life(WATCH, silences=[Span(3.0, 5.0)], refusing=[Span(6.0, 7.0)]),
+        run(WATCH, silences=[Span(3.0, 5.0)], refusing=[Span(6.0, 7.0)]),
         13.0,
         id="a refusal begins the 6 s anew",
     ),
     pytest.param(
-        life(WATCH, silences=[Span(3.0, 5.0)], slow=[Slowness(Span(3.0, 13.0), 1.5)]),
+        run(WATCH, silences=[Span(3.0, 5.0)], slow=[Slowness(Span(3.0, 13.0), 1.5)]),
         9.0,
         id="slow discovery adds nothing",
     ),
     pytest.param(
-        life(WATCH, ListCall(3.5, 0.0, 3.9, version=4), silences=[Span(3.0, 3.2)]),
+        run(WATCH, ListCall(3.5, 0.0, 3.9, version=4), silences=[Span(3.0, 3.2)]),
         10.0,
         id="a newer call was answered before the change",
     ),
 ]
 REACHED = [
-    pytest.param(life(WATCH), 10.0, id="a watch that is merely out, and never written to"),
-    pytest.param(life(replace(WATCH, ended=3.0)), 10.0, id="failed before: 6 s after the change"),
-    pytest.param(life(replace(WATCH, ended=5.0)), 10.0, id="given up after the change: 6 s after that"),
+    pytest.param(run(WATCH), 10.0, id="a watch that is merely out, and never written to"),
+    pytest.param(run(replace(WATCH, ended=3.0)), 10.0, id="failed before: 6 s after the change"),
+    pytest.param(run(replace(WATCH, ended=5.0)), 10.0, id="given up after the change: 6 s after that"),
     pytest.param(
-        life(replace(WATCH, ended=3.0), refusing=[Span(3.0, 8.0)]), 14.0, id="6 s after discovery is back"
+        run(replace(WATCH, ended=3.0), refusing=[Span(3.0, 8.0)]), 14.0, id="6 s after discovery is back"
     ),
     pytest.param(
-        life(replace(WATCH, ended=3.0), refusing=[Span(3.0, 8.0), Span(13.0, 13.5)]),
+        run(replace(WATCH, ended=3.0), refusing=[Span(3.0, 8.0), Span(13.0, 13.5)]),
         19.5,
         id="a refusal begins them anew",
     ),
     pytest.param(
-        life(replace(WATCH, ended=3.0), ListCall(5.0, 0.0, 7.0, refused=True)),
+        run(replace(WATCH, ended=3.0), ListCall(5.0, 0.0, 7.0, refused=True)),
         13.0,
         id="this member's call was turned away",
     ),
     pytest.param(
-        life(replace(WATCH, ended=3.0), ListCall(3.2, 0.0, 6.0), ListCall(7.0, 0.0, 9.0)),
+        run(replace(WATCH, ended=3.0), ListCall(3.2, 0.0, 6.0), ListCall(7.0, 0.0, 9.0)),
         10.0,
         id="calls that are lost do not put it off",
     ),
     pytest.param(
-        life(replace(WATCH, ended=2.0), ListCall(2.2, 0.0, 3.0, version=4), ListCall(3.1, 20.0)),
+        run(replace(WATCH, ended=2.0), ListCall(2.2, 0.0, 3.0, version=4), ListCall(3.1, 20.0)),
         10.0,
         id="a call that was answered before",
     ),
     pytest.param(
-        life(replace(WATCH, ended=3.0), slow=[Slowness(Span(0.0, 20.0), 2.5)]), 10.0, id="slow discovery"
+        run(replace(WATCH, ended=3.0), slow=[Slowness(Span(0.0, 20.0), 2.5)]), 10.0, id="slow discovery"
     ),
     pytest.param(
-        life(began=6.5), 10.0, id="a new process that has asked nothing is held to the list's own time"
+        run(began=6.5), 10.0, id="a new process that has asked nothing is held to the list's own time"
     ),
-    pytest.param(life(began=13.0), 13.0, id="from its first moment, if that is later"),
+    pytest.param(run(began=13.0), 13.0, id="from its first moment, if that is later"),
 ]
 MOVED = [
-    pytest.param(life(moves=[4.5]), 8.5, id="4 s after SIGHUP"),
-    pytest.param(life(moves=[4.5, 6.0]), 8.5, id="two in quick succession: the first"),
-    pytest.param(life(moves=[4.5], refusing=[Span(5.0, 6.0)]), 8.5, id="the new address down meanwhile"),
-    pytest.param(life(moves=[4.5], refusing=[Span(5.0, 9.0)]), 15.0, id="the new address down as they end"),
-    pytest.param(life(WATCH, moves=[3.0]), 7.0, id="made after SIGHUP, and the address has not answered"),
+    pytest.param(run(moves=[4.5]), 8.5, id="4 s after SIGHUP"),
+    pytest.param(run(moves=[4.5, 6.0]), 8.5, id="two in quick succession: the first"),
+    pytest.param(run(moves=[4.5], refusing=[Span(5.0, 6.0)]), 8.5, id="the new address down meanwhile"),
+    pytest.param(run(moves=[4.5], refusing=[Span(5.0, 9.0)]), 15.0, id="the new address down as they end"),
+    pytest.param(run(WATCH, moves=[3.0]), 7.0, id="made after SIGHUP, and the address has not answered"),
     pytest.param(
-        life(ListCall(3.1, 0.0, 3.2, version=4), ListCall(3.2, 10.0), moves=[3.0]),
+        run(ListCall(3.1, 0.0, 3.2, version=4), ListCall(3.2, 10.0), moves=[3.0]),
         10.0,
         id="made after the new address has answered",
     ),
 ]
 UNWATCHED = [
-    pytest.param(life(ask_within_s=2.0), 6.0, id="never asked: askWithin after the change"),
+    pytest.param(run(ask_within_s=2.0), 6.0, id="never asked: askWithin after the change"),
     pytest.param(
-        life(ListCall(3.5, 0.0, 3.8, version=4), ask_within_s=2.0), 6.0, id="askWithin after the last call"
+        run(ListCall(3.5, 0.0, 3.8, version=4), ask_within_s=2.0), 6.0, id="askWithin after the last call"
     ),
     pytest.param(
-        life(ListCall(1.0, 0.0, 1.5, version=4), ListCall(5.0, 30.0), ask_within_s=2.0),
+        run(ListCall(1.0, 0.0, 1.5, version=4), ListCall(5.0, 30.0), ask_within_s=2.0),
         10.0,
         id="the next call came before it",
     ),
     pytest.param(
-        life(ListCall(1.0, 0.0, 1.5, version=4), refusing=[Span(5.0, 5.5)], ask_within_s=2.0),
+        run(ListCall(1.0, 0.0, 1.5, version=4), refusing=[Span(5.0, 5.5)], ask_within_s=2.0),
         7.5,
         id="counted anew when discovery is back",
     ),
     pytest.param(
-        life(ListCall(1.0, 0.0, 1.5), ask_within_s=1.2), 8.8, id="four times as long after a failed call"
+        run(ListCall(1.0, 0.0, 1.5), ask_within_s=1.2), 8.8, id="four times as long after a failed call"
     ),
 ]
 PUSHED = [
-    pytest.param(life(pushed=True), 4.0, id="at once, without a watch"),
-    pytest.param(life(pushed=True, began=6.0), 6.0, id="from a new process's first moment"),
-    pytest.param(life(pushed=True, down=[Span(3.0, 8.0)]), 8.0, id="as discovery returns"),
-    pytest.param(life(pushed=True, moves=[3.0]), 7.0, id="4 s after SIGHUP"),
-    pytest.param(life(pushed=True, cuts=[Span(3.5, 4.5)]), 10.0, id="the way to the agent is cut"),
+    pytest.param(run(pushed=True), 4.0, id="at once, without a watch"),
+    pytest.param(run(pushed=True, began=6.0), 6.0, id="from a new process's first moment"),
+    pytest.param(run(pushed=True, down=[Span(3.0, 8.0)]), 8.0, id="as discovery returns"),
+    pytest.param(run(pushed=True, moves=[3.0]), 7.0, id="4 s after SIGHUP"),
+    pytest.param(run(pushed=True, cuts=[Span(3.5, 4.5)]), 10.0, id="the way to the agent is cut"),
     pytest.param(
-        life(WATCH, pushed=True, silences=[Span(3.5, 3.9)]), 9.5, id="a watch that is silent in between"
+        run(WATCH, pushed=True, silences=[Span(3.5, 3.9)]), 9.5, id="a watch that is silent in between"
     ),
-    pytest.param(life(WATCH), 10.0, id="not where lists are asked for"),
+    pytest.param(run(WATCH), 10.0, id="not where lists are asked for"),
 ]
 
 
 @pytest.mark.parametrize(("one", "at"), [*WRITTEN, *SILENT, *REACHED, *MOVED, *UNWATCHED, *PUSHED])
-def test_a_change_counts_as_notified(one: Life, at: float) -> None:
+def test_a_change_counts_as_notified(one: ProcessRun, at: float) -> None:
     assert notified_at(CHANGE, one) == pytest.approx(at)
 
 
 def test_the_earliest_clause_holds() -> None:
-    silent = life(
-        replace(WATCH, ended=11.5), ListCall(11.5, 10.0, 11.8, version=5), silences=[Span(3.0, 5.0)]
-    )
+    silent = run(replace(WATCH, ended=11.5), ListCall(11.5, 10.0, 11.8, version=5), silences=[Span(3.0, 5.0)])
     assert notified_at(CHANGE, silent) == 9.0
     assert notified_at(CHANGE, replace(silent, moves=[4.1])) == 8.1
-    assert notified_at(CHANGE, life(replace(WATCH, ended=8.0, version=5), silences=[Span(3.0, 5.0)])) == 8.0
+    assert notified_at(CHANGE, run(replace(WATCH, ended=8.0, version=5), silences=[Span(3.0, 5.0)])) == 8.0
 
 
 def test_an_older_list_takes_the_change_back_until_it_counts_again() -> None:
-    one = life(
+    one = run(
         ListCall(3.0, 10.0, 4.1, version=5),
         ListCall(4.1, 0.0, 6.0, version=4),
         ListCall(6.0, 10.0, 7.0, version=5),
     )
-    assert forbidden(CHANGE, one) == [Span(4.1, 6.0), Span(7.0)]
+    assert forbidden_spans(CHANGE, one) == [Span(4.1, 6.0), Span(7.0)]
 
 
 def test_a_change_counts_until_the_endpoint_is_active_again_or_the_process_ends() -> None:
-    one = life(ListCall(3.0, 10.0, 4.1, version=5))
-    assert forbidden(replace(CHANGE, until=9.0), one) == [Span(4.1, 9.0)]
-    assert forbidden(CHANGE, replace(one, ended=8.0)) == [Span(4.1, 8.0)]
-    assert forbidden(CHANGE, replace(one, ended=4.0)) == []
-    assert forbidden(replace(CHANGE, until=-2.0), one) == []
+    one = run(ListCall(3.0, 10.0, 4.1, version=5))
+    assert forbidden_spans(replace(CHANGE, until=9.0), one) == [Span(4.1, 9.0)]
+    assert forbidden_spans(CHANGE, replace(one, ended=8.0)) == [Span(4.1, 8.0)]
+    assert forbidden_spans(CHANGE, replace(one, ended=4.0)) == []
+    assert forbidden_spans(replace(CHANGE, until=-2.0), one) == []
 
 
 # Out of events
@@ -210,14 +216,14 @@
     elsewhere = at(6.0, "list-end", connection="a/0")
     found = history([*STARTED, DRAINED, told, again, REMOVED, elsewhere, ended], 10.0, False)
     assert found.changes() == {"e1-0": [Change("e1-0", 2, 4.0)]}
-    (process,) = found.lives("m01")
+    (process,) = found.process_runs("m01")
     assert process.calls == [ListCall(0.1, 10.0, 4.1, version=2), ListCall(4.2, 10.0, 7.0)]
     assert (process.began, process.known) == (-1.0, 1)
 
 
 def test_a_call_that_discovery_lets_hang_is_silent_from_then_on() -> None:
     found = history([*STARTED, at(0.2, "list-hung"), DRAINED], 10.0, True)
-    (process,) = found.lives("m01")
+    (process,) = found.process_runs("m01")
     assert process.calls == [ListCall(0.1, 10.0, hung_at=0.2)]
     assert notified_at(CHANGE, replace(process, known=1)) == 6.2, "not at once, though lists are pushed"
 
@@ -228,12 +234,12 @@
     hung = at(3.1, "list-hung", connection="a/2")
     told = at(3.5, "told", connection="a/1", version=1, full=True, states={})
     found = history([*STARTED, beside, hung, told, DRAINED], 10.0, True)
-    (process,) = found.lives("m01")
+    (process,) = found.process_runs("m01")
     assert process.calls == [ListCall(0.1, 10.0, 3.5, version=1), ListCall(3.0, 0.001, hung_at=3.1)]
     assert notified_at(CHANGE, process) == 9.1, "the call that is out at the change is silent"
     late = at(5.0, "told", connection="a/2", version=2, full=True, states={})
     found = history([*STARTED, beside, told, DRAINED, late], 10.0, True)
-    assert found.lives("m01")[0].calls[-1] == ListCall(3.0, 0.001, 5.0, version=2)
+    assert found.process_runs("m01")[0].calls[-1] == ListCall(3.0, 0.001, 5.0, version=2)
 
 
 def test_faults_of_discovery_and_of_the_link_are_read_from_events() -> None:
@@ -253,7 +259,7 @@
         10.0,
         False,
     )
-    (process,) = found.lives("m01")
+    (process,) = found.process_runs("m01")
     assert process.down == [Span(1.0, 2.0)] and process.slow == [Slowness(Span(2.0, 3.0), 1.5)]
     assert process.silences == [Span(5.0, 6.0)] and process.moves == [8.0]
     assert process.cuts == [Span(5.0, 6.5)] and process.refusing == [Span(1.0, 2.0), Span(6.0, 6.5)]
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -19,9 +19,9 @@
 from mountgauge.lab.rig.list_calls import PATH, ListCallRecorder
 from mountgauge.lab.rig.metrics import RunMetrics, summary
 from mountgauge.lab.rig.network_conditions import NetworkConditions
-from mountgauge.lab.rig.oracle import Judged, judge
-from mountgauge.lab.rig.processes import read_line
-from mountgauge.lab.rig.schedule import Schedule, chosen, parse
+from mountgauge.lab.rig.oracle import Judgement, judge
+from mountgauge.lab.rig.processes import parse_log_line
+from mountgauge.lab.rig.schedule import Schedule, parse, select_members
 
 SMALL = """
 name = "small"
@@ -75,7 +75,7 @@
     calm.go_cold(0.0)
     assert all(calm.call(place / 20) for place in range(120)) and not calm.fall_count
     assert calm.capacity_at(6.0) == 100
-    calm.shut(6.0, 1.0)
+    calm.close_for(6.0, 1.0)
     assert calm.capacity_at(6.5) == 0 and not calm.call(6.5) and calm.capacity_at(7.0) == 20
 
 
@@ -97,7 +97,7 @@
     rng = random.Random(1)
     silent_up, silent = NetworkConditions(silent="up"), NetworkConditions(silent="both")
     assert silent_up.datagram(True, rng) == [] != silent_up.datagram(False, rng)
-    assert silent.quiet(True) and silent.quiet(False)
+    assert silent.is_silent(True) and silent.is_silent(False)
     lost = sum(not NetworkConditions(drop=0.3).datagram(True, rng) for _ in range(2000))
     assert 500 < lost < 700
     doubled = NetworkConditions(double=0.5)
@@ -133,18 +133,18 @@
         for at, who in ((1, "4"), (2, "'rest'"), (3, "'m0*'"))
     )
     one = schedule(text)
-    first = chosen(one, 0, [])
-    assert len(first) == 4 and first == chosen(schedule(text), 0, [])
-    assert chosen(one, 0, []) != chosen(one.with_(seed=2), 0, [])
-    assert sorted(first + chosen(one, 1, first)) == one.names
-    assert len(chosen(one, 2, [])) == 9
+    first = select_members(one, 0, [])
+    assert len(first) == 4 and first == select_members(schedule(text), 0, [])
+    assert select_members(one, 0, []) != select_members(one.with_(seed=2), 0, [])
+    assert sorted(first + select_members(one, 1, first)) == one.names
+    assert len(select_members(one, 2, [])) == 9
 
 
 def test_log_lines_are_read_as_they_are_written() -> None:
-    assert read_line('ts=1.0 event=phase to=full why="a \\"b\\" c" n=3') == {
+    assert parse_log_line('ts=1.0 event=phase to=full why="a \\"b\\" c" n=3') == {
         "ts": "1.0", "event": "phase", "to": "full", "why": 'a "b" c', "n": "3"
     }  # fmt: skip
-    assert read_line("Traceback (most recent call last):") == {} == read_line("")
+    assert parse_log_line("Traceback (most recent call last):") == {} == parse_log_line("")
 
 
 # The oracle: a history in which nothing is wrong, then with one thing changed
@@ -265,7 +265,7 @@
     recorder = ListCallRecorder("m01", "1", events)
     call = request("GET", f"{PATH}?index=5&wait=2000", "discovery", {})
     for part in (call[:first_bytes], call[first_bytes:], request("POST", "/v1/notices", "discovery", {})):
-        recorder.said(1, part)
+        recorder.data_sent(1, part)
     assert [(one.kind, one.fields["wait_s"]) for one in events.all] == [("list-ask", 2.0)]
 
 
@@ -276,5 +276,5 @@
     found = RunMetrics([*bears, *offers, *calls])
     assert abs(found.capacity_between(0, 5) - 100) < 1 and found.refused_share(0, 10) == 0.5
     assert abs(found.served_share(0, 5) - 0.25) < 0.02
-    total = summary([*bears, *offers, *calls], Judged(), 0.0, 10.0)
+    total = summary([*bears, *offers, *calls], Judgement(), 0.0, 10.0)
     assert total["endless"] == 1 and total["full_service_s"] is None
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -22,7 +22,7 @@
 from mountgauge.lab.rig.network_conditions import NetworkConditions
 from mountgauge.lab.rig.oracle import judge
 from mountgauge.lab.rig.processes import Member
-from mountgauge.lab.rig.proxies import HOST, DialListener, Place, StreamProxy
+from mountgauge.lab.rig.proxies import HOST, Address, DialListener, StreamProxy
 from mountgauge.lab.rig.schedule import load
 from tests.helper import run, until
 from tests.rigs import EVERY_RULE, RIGS, SENDERS
@@ -31,11 +31,11 @@
 class Echo:
     """Says back what it hears."""
 
-    async def start(self) -> Place:
+    async def start(self) -> Address:
         self.heard = b""
         self.ended = 0
         self._server = await asyncio.start_server(self._serve, HOST, 0)
-        place: Place = self._server.sockets[0].getsockname()[:2]
+        place: Address = self._server.sockets[0].getsockname()[:2]
         return place
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -51,10 +51,10 @@
 
 def test_a_link_delays_falls_silent_resets_and_refuses() -> None:
     async def main() -> None:
-        echo, who = Echo(), dict[Place, str]()
+        echo, who = Echo(), dict[Address, str]()
         link = StreamProxy("m01", "echo", await echo.start(), "seed", who)
         await link.start()
-        reader, writer = await asyncio.open_connection(*link.place)
+        reader, writer = await asyncio.open_connection(*link.address)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
         assert set(who.values()) == {"m01"}
@@ -72,7 +72,7 @@
         await asyncio.sleep(0.1)
         assert not echo.heard.endswith(b"four") and not echo.ended, "half open: nobody was told"
         link.set(NetworkConditions())
-        reader, writer = await asyncio.open_connection(*link.place)
+        reader, writer = await asyncio.open_connection(*link.address)
         writer.write(b"five")
         assert await reader.readexactly(4) == b"five"
         link.reset_all()
@@ -80,7 +80,7 @@
             writer.write(b"six")
             await reader.readexactly(3)
         link.set(NetworkConditions(refuse=True))
-        reader, writer = await asyncio.open_connection(*link.place)
+        reader, writer = await asyncio.open_connection(*link.address)
         assert await asyncio.wait_for(_gone(reader), 5)
         link.close()
 
@@ -95,7 +95,7 @@
         link = StreamProxy("m01", "echo", await echo.start(), "seed", {})
         await link.start()
         link.set(NetworkConditions(silent="up"))
-        reader, writer = await asyncio.open_connection(*link.place)
+        reader, writer = await asyncio.open_connection(*link.address)
         writer.write(b"late")
         await asyncio.sleep(0.1)
         link.set(NetworkConditions())
@@ -108,10 +108,10 @@
 
 def test_a_half_open_silence_lasts_for_what_it_meets_and_lets_dials_hang() -> None:
     async def main() -> None:
-        echo, who = Echo(), dict[Place, str]()
+        echo, who = Echo(), dict[Address, str]()
         link = StreamProxy("m01", "echo", await echo.start(), "seed", who)
         await link.start()
-        reader, writer = await asyncio.open_connection(*link.place)
+        reader, writer = await asyncio.open_connection(*link.address)
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one"
         (target_side,) = who
@@ -119,9 +119,9 @@
         link.set(NetworkConditions(silent="both", half_open=True))
         assert not link.carries_from(target_side)
         with pytest.raises(TimeoutError):
-            await asyncio.wait_for(asyncio.open_connection(*link.place), 0.5)
+            await asyncio.wait_for(asyncio.open_connection(*link.address), 0.5)
         link.set(NetworkConditions())
-        again, writes_again = await asyncio.open_connection(*link.place)
+        again, writes_again = await asyncio.open_connection(*link.address)
         writes_again.write(b"two")
         assert await asyncio.wait_for(again.readexactly(3), 5) == b"two"
         writer.write(b"three")
@@ -142,13 +142,13 @@
         link.watcher = ListCallRecorder("m01", "a", events)
         await link.start()
         link.set(NetworkConditions(silent="both"))
-        _, writer = await asyncio.open_connection(*link.place)
+        _, writer = await asyncio.open_connection(*link.address)
         writer.write(b"GET /registry/instances?index=4&wait=2500 HTTP/1.1\r\n\r\n")
         await until(lambda: bool(events.all))
         writer.close()
         await until(lambda: len(events.all) == 2)
         link.set(NetworkConditions(refuse=True))
-        reader, _ = await asyncio.open_connection(*link.place)
+        reader, _ = await asyncio.open_connection(*link.address)
         assert await asyncio.wait_for(_gone(reader), 5)
         assert [(event.kind, event.fields) for event in events] == [
             ("list-ask", {"member": "m01", "connection": "a/1", "watch": True, "wait_s": 2.5}),
@@ -165,9 +165,9 @@
     """Its first part would say that it asks for something else; the soak's seed 104 was judged by that."""
     events = Events(lambda: 0.0)
     recorder = ListCallRecorder("m01", "a", events)
-    recorder.said(1, b"GET /registry/instances")
+    recorder.data_sent(1, b"GET /registry/instances")
     assert not events.all
-    recorder.said(1, b"?index=4&wait=2500 HTTP/1.1\r\n\r\n")
+    recorder.data_sent(1, b"?index=4&wait=2500 HTTP/1.1\r\n\r\n")
     asked = {"member": "m01", "connection": "a/1", "watch": True, "wait_s": 2.5}
     assert [(event.kind, event.fields) for event in events] == [("list-ask", asked)]
 
@@ -243,7 +243,7 @@
             return made[-1]
 
         listener = DialListener(protocol, (HOST, 0))
-        dials = [socket.create_connection(listener.place) for _ in range(30)]
+        dials = [socket.create_connection(listener.address) for _ in range(30)]
         listener.accept()
         for _ in range(6):
             await asyncio.sleep(0)
--- a/tests/lab/test_starvation.py
+++ b/tests/lab/test_starvation.py
@@ -17,12 +17,12 @@
     told = iter(["7 2000000000 1", "8 2000000000 1", "9 2500000000 1", "no figures"])
     monkeypatch.setattr(Path, "read_text", lambda path: next(told))
     delays = RunDelays()
-    assert [delays.grown_s(1) for _ in range(4)] == [0.0, 0.0, 0.5, 0.0]
+    assert [delays.increase_s(1) for _ in range(4)] == [0.0, 0.0, 0.5, 0.0]
 
 
 def test_a_process_that_has_gone_shows_none() -> None:
     delays = RunDelays()
-    assert delays.grown_s(os.getpid()) == 0.0 and delays.grown_s(2**22 + 1) == 0.0
+    assert delays.increase_s(os.getpid()) == 0.0 and delays.increase_s(2**22 + 1) == 0.0
 
 
 def test_the_share_is_of_all_senders_times() -> None:
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -18,9 +18,9 @@
 
 from mountgauge.lab.rig.events import Event, read
 from mountgauge.lab.rig.mutants import MUTANTS, ON_DRAINS
-from mountgauge.lab.rig.oracle import Judged, judge
+from mountgauge.lab.rig.oracle import Judgement, judge
 from mountgauge.lab.rig.schedule import Schedule, load
-from mountgauge.lab.rig.starvation import MOST_SHARE, share
+from mountgauge.lab.rig.starvation import MAX_WAITED_SHARE, share
 from mountgauge.lab.soak.mutants import MUTANTS as GUARD_MUTANTS
 from mountgauge.lab.soak.verdict import verdict
 
@@ -50,7 +50,7 @@
 # A play whose senders had to wait for the machine says nothing of what the program serves: it is played again
 # by itself, and the last one counts for that. Rules hold on a busy machine too, and are judged in each play.
 _MOST_PLAYS = 3
-SAFETY = ("repeat", "drain", "wait", "two-out", "handed-back", "invariant", "crash")
+SAFETY_RULES = ("repeat", "drain", "wait", "two-out", "handed-back", "invariant", "crash")
 
 _CODE = (
     "import sys; from pathlib import Path; from mountgauge.lab.rig import runner, schedule\n"
@@ -134,7 +134,7 @@
     def _play_again(self, batch: str, name: str) -> None:
         """As long as its senders were starved, by itself; what was served is not looked at."""
         shares = self.starved[name] = [self._share(batch, name)]
-        while shares[-1] > MOST_SHARE and len(shares) < _MOST_PLAYS:
+        while shares[-1] > MAX_WAITED_SHARE and len(shares) < _MOST_PLAYS:
             shutil.move(self.folder / name, _starved(self.folder, name, len(shares)))
             self._wait({name: self._scene(batch, name)})
             shares.append(self._share(batch, name))
@@ -149,7 +149,7 @@
         return [
             f"STARVED {name}: senders waited {', '.join(f'{one:.1%}' for one in shares)} of the time; "
             f"played {len(shares)} times, the last one counts"
-            for name, shares in self.starved.items() if max(shares) > MOST_SHARE
+            for name, shares in self.starved.items() if max(shares) > MAX_WAITED_SHARE
         ]  # fmt: skip
 
     def keep(self, folder: Path) -> None:
@@ -213,7 +213,7 @@
     def __init__(self, schedule: Schedule, folder: Path) -> None:
         self.schedule = schedule
         self.events: list[Event] = read(folder / "events.jsonl")
-        self.judged: Judged = judge(schedule, self.events, self.SLACK_S)
+        self.judged: Judgement = judge(schedule, self.events, self.SLACK_S)
 
     @classmethod
     def all(cls, batch: str) -> dict[str, Played]:
@@ -228,7 +228,7 @@
     def unsafe(self) -> list[str]:
         """The rules of safety that were broken, with what the rig's own lateness excuses taken out."""
         found = verdict(self.schedule, self.events, ())
-        return [str(broken) for broken in found.violations if broken.rule in SAFETY]
+        return [str(broken) for broken in found.violations if broken.rule in SAFETY_RULES]
 
     def logs(self, event: str) -> list[dict[str, Any]]:
         return [
