--- a/mountgauge/lab/rig/__init__.py
+++ b/mountgauge/lab/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Real senders, stand-ins and links between them, driven by a schedule of faults: see docs/rig.md."""
+"""Runs real senders against stand-ins over faulty links, driven by a schedule of faults: see docs/rig.md."""
--- a/mountgauge/lab/rig/capacity_model.py
+++ b/mountgauge/lab/rig/capacity_model.py
@@ -1,10 +1,10 @@
-"""A model of a partner's capacity: a rate with a depth, cold after an outage, and falling over.
+"""Models a partner's capacity: a token bucket, a warm-up after outages, and collapse under overload.
 
-Pure: times in seconds come in, a verdict on each call goes out. A call is counted against a bucket of
-`rate x depth_s` calls that fills by what the partner bears at that moment; a refused call uses
-`refused_cost` of a place up. Cold, it bears `cold_share` of its rate, rising evenly to all of it in
-`warm_s`. With `falls_at`, it starts cold anew whenever `falls_window_s` brought more than `falls_at` times
-what it bore in that window: the partner that a fleet's steady floor keeps down.
+Pure: times in seconds come in, a decision on each call goes out. Each call takes a token from a bucket of
+`rate x depth_s` tokens, which refills at the partner's current capacity; a refused call still uses
+`refused_cost` tokens. A cold partner has `cold_share` of its rate, which rises linearly to the full rate in
+`warm_s`. With `falls_at`, the partner becomes cold again whenever `falls_window_s` brought more than
+`falls_at` times its capacity over that window: a constant minimum load from a fleet can then keep it down.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 @dataclass(slots=True)
 class CapacityModel:
-    """Which calls a partner takes, by their times; see the module."""
+    """Decides by their arrival times which calls a partner accepts; see the module."""
 
     rate: float  # calls/s, warm
     depth_s: float = 0.3
     refused_cost: float = 0.5
     cold_share: float = 0.2
     warm_s: float = 5.0
-    falls_at: float = 0.0  # 0: it never falls over
+    falls_at: float = 0.0  # 0: it never collapses
     falls_window_s: float = 1.0
-    span_s: float = 0.0  # a count in a fixed span of time instead of a bucket; 0: a bucket
-    cold_at: float = -math.inf  # since when it is cold
+    span_s: float = 0.0  # length of a fixed counting window, used instead of a bucket; 0: a bucket
+    cold_at: float = -math.inf  # when its warm-up began
     closed_until: float = -math.inf
     stays_cold: bool = False
-    limit_factor: float = 1.0  # part of the rate that holds while the limit is lowered
+    limit_factor: float = 1.0  # share of the rate that remains while the limit is lowered
     fall_count: int = 0
     _tokens: float = 0.0
     _filled_at: float = -math.inf
@@ -40,7 +40,7 @@
     )  # (when, calls/s) samples of the window
 
     def capacity_at(self, now: float) -> float:
-        """Calls a second that it takes at this moment."""
+        """The capacity at this moment, calls/s."""
         if now < self.closed_until:
             return 0.0
         age = 0.0 if self.stays_cold else max(0.0, now - self.cold_at)
@@ -48,22 +48,23 @@
         return self.rate * self.limit_factor * (self.cold_share + (1 - self.cold_share) * warm)
 
     def capacity_between(self, begin: float, end: float, step: float = 0.05) -> float:
-        """Calls that it could bear from `begin` to `end`, by what is known now."""
+        """The number of calls that the capacity allows from `begin` to `end`, as known now."""
         steps = max(1, math.ceil((end - begin) / step))
         width = (end - begin) / steps
-        return sum(self.capacity_at(begin + (place + 0.5) * width) * width for place in range(steps))
+        return sum(self.capacity_at(begin + (index + 0.5) * width) * width for index in range(steps))
 
     def go_cold(self, now: float) -> None:
+        """Begin the warm-up anew."""
         self.cold_at = now
         self._tokens = min(self._tokens, self.capacity_at(now) * self.depth_s)
 
     def close_for(self, now: float, for_s: float) -> None:
-        """Shut for so long, and cold once it opens."""
+        """Refuse all calls for `for_s`, and be cold afterwards."""
         self.closed_until = self.cold_at = now + for_s
         self._tokens = 0.0
 
     def call(self, now: float) -> bool:
-        """A call arrives: whether it is taken."""
+        """Record the arrival of a call and return whether it is accepted."""
         self._check_overload(now)
         rate = self.capacity_at(now)
         if self.span_s > 0:
--- a/mountgauge/lab/rig/events.py
+++ b/mountgauge/lab/rig/events.py
@@ -1,8 +1,7 @@
-"""What went over the links and what was done to whom: one record each, kept in order and written as JSON
-lines.
+"""Records of the traffic and the injected faults of a run, kept in order and written as JSON lines.
 
-Times are seconds of one clock (the rig's), 0 is the moment from which the schedule counts. A record has a
-kind and the fields that the kind needs; the oracle and the figures read these alone.
+Times are seconds of the rig's clock; 0 is the moment at which the schedule's time begins. A record has a
+kind and the fields of that kind. The oracle and the figures read nothing else.
 """
 
 from __future__ import annotations
@@ -14,18 +13,18 @@
 
 
 class Event(NamedTuple):
-    """One thing that happened. Kinds:
-
-    offer, taken, refused, failed, unheard: a message at a member's door (`member`, `id`, `key`, `grade`,
-    `dest`, `left`); call, answer, broken: a delivery attempt at an endpoint (`call` numbers it); notice:
-    the end that the platform was told; told: a list was written to a member; list-call; fault; start,
-    ready, gone: a process; lag: the rig's own loop was late, so that calls came in a clump; log: a line of
-    a member's log; bears: what a partner bears now.
-
-    Of the list: change: discovery has a new version; discovery, discovery-link: how it and a member's way
-    to it fare from then on; known: the list that a process is started with; sighup; list-ask, list-end: a
-    member's call as it makes it, and its connection's end; list-failed, dial-refused: one that failed;
-    list-hung: one that is never answered.
+    """One event of a run. Kinds:
+
+    offer, handed, taken, refused, failed, unheard: a message submitted to a member (`member`, `id`, `key`,
+    `grade`, `dest`, `left`); call, answer, broken: a delivery attempt at an endpoint (`call` is its number);
+    notice: the outcome reported to the platform; told: a list was written to a member; list-call; fault;
+    start, ready, gone: a process; lag: the rig's own loop was late, so that calls arrived in a burst; log: a
+    line of a member's log; bears: the current capacity of a partner.
+
+    Of the list: change: discovery has a new version; discovery, discovery-link: the new state of discovery
+    and of a member's link to it; known: the list that a process is started with; sighup; list-ask, list-end:
+    a call that a member makes, and the end of its connection; list-failed, dial-refused: a call that failed;
+    list-hung: a call that is never answered.
     """
 
     at: float
@@ -43,7 +42,7 @@
 
 
 class Events:
-    """All that happened, by the schedule's time."""
+    """All events of a run, in the schedule's time."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.all: list[Event] = []
@@ -51,16 +50,17 @@
 
     @property
     def now(self) -> float:
-        """s since the schedule's zero."""
+        """Seconds since time 0 of the schedule."""
         return self.clock() - self.zero
 
     def add(self, event_kind: str, **fields: Any) -> Event:
+        """Record an event at the current time."""
         event = Event(self.now, event_kind, fields)
         self.all.append(event)
         return event
 
     def begin(self, at: float = 0.0) -> None:
-        """The schedule's time is `at` now: what came before stands at times below."""
+        """Set the current time to `at`; earlier events are shifted to earlier times."""
         shift = self.now - at
         self.zero += shift
         self.all = [event._replace(at=event.at - shift) for event in self.all]
@@ -75,7 +75,7 @@
 
 
 def read(path: Path) -> list[Event]:
-    """The events of a run's folder; ValueError where a line is none."""
+    """The events in a run's file; ValueError where a line is not an event."""
     found = []
     for number, line in enumerate(path.read_text().splitlines(), 1):
         try:
@@ -87,5 +87,5 @@
 
 
 def of_kinds(events: Iterable[Event], *kinds: str) -> list[Event]:
-    """The events of these kinds, in order."""
+    """The events of these kinds, in their order."""
     return [event for event in events if event.kind in kinds]
--- a/mountgauge/lab/rig/files.py
+++ b/mountgauge/lab/rig/files.py
@@ -1,4 +1,4 @@
-"""What a member of the rig is told: an operator's file, or the platform's configuration. Text out."""
+"""Renders the configuration of a member: an operator's file, or the platform's configuration."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     notices: Address,
     members: Iterable[tuple[str, Address]] = (),
 ) -> str:
-    """`hops`: id, destination, where this member reaches it, state; `members`: where it reaches them."""
+    """`hops`: id, destination, address, state; `members`: names and addresses; both as this member needs."""
     fleet = schedule.fleet
     rates = {partner.dest: partner.advertised_rate for partner in schedule.partners}
     text = [
@@ -104,7 +104,7 @@
 def platform_file(
     schedule: Schedule, name: str, host: str, discovery: Address, known: Mapping[str, Any]
 ) -> str:
-    """What the platform would give a member as `GW_CONFIG`; `known` is the list it starts with."""
+    """The contents of the file that `GW_CONFIG` names; `known` is the list that the member starts with."""
     fleet = schedule.fleet
     grades = [
         {
--- a/mountgauge/lab/rig/list_history.py
+++ b/mountgauge/lab/rig/list_history.py
@@ -1,4 +1,4 @@
-"""What discovery changed and what each process of a member could know of it, read out of a run's events."""
+"""Reads from a run's events what discovery changed and what each process of a member could observe of it."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 
 
 class OpenSpans:
-    """Spans of which the last may still run."""
+    """Spans of time, of which the last may still be open."""
 
     def __init__(self) -> None:
         self.closed: list[Span] = []
         self._since: float | None = None
 
     def set(self, on: bool, at: float) -> None:
+        """Open a span, or close the open one."""
         if on and self._since is None:
             self._since = at
         elif not on and self._since is not None:
@@ -31,6 +32,7 @@
 
     @property
     def all(self) -> list[Span]:
+        """The closed spans and the open one."""
         return self.closed if self._since is None else [*self.closed, Span(self._since)]
 
 
@@ -44,7 +46,7 @@
     calls: list[ListCall] = field(default_factory=list)
     connections: list[str] = field(default_factory=list)  # of the calls
     moves: list[float] = field(default_factory=list)
-    _open_connection: str | None = None  # connection of the call that is out
+    _open_connection: str | None = None  # connection of the call in flight
 
     def call_started(self, at: float, connection: str, wait_s: float) -> None:
         self.call_failed(at)
@@ -53,35 +55,35 @@
         self._open_connection = connection
 
     def call_failed(self, at: float, connection: str | None = None) -> None:
-        """The call that is out (on this connection) has ended with no answer."""
+        """The call in flight (on this connection) has ended without an answer."""
         if self._open_connection is not None and connection in (None, self._open_connection):
             self.calls[-1] = replace(self.calls[-1], ended=at)
             self._open_connection = None
 
     def call_hung(self, at: float, connection: str) -> None:
-        """Discovery lets the call on this connection hang."""
-        if (place := self._unanswered_call(connection)) is not None:
-            self.calls[place] = replace(self.calls[place], hung_at=at)
+        """Discovery will never answer the call on this connection."""
+        if (index := self._unanswered_call(connection)) is not None:
+            self.calls[index] = replace(self.calls[index], hung_at=at)
 
     def call_answered(self, at: float, version: int, connection: str) -> None:
-        """The call on this connection is answered, also an older one that a newer one was made beside."""
-        if (place := self._unanswered_call(connection)) is None:
+        """The call on this connection is answered. It may be older than a call in flight on another one."""
+        if (index := self._unanswered_call(connection)) is None:
             return
-        self.calls[place] = replace(self.calls[place], ended=at, version=version)
-        if place == len(self.calls) - 1:
+        self.calls[index] = replace(self.calls[index], ended=at, version=version)
+        if index == len(self.calls) - 1:
             self._open_connection = None
 
     def _unanswered_call(self, connection: str) -> int | None:
-        """Of the newest call on this connection, if it has no answer yet; of the one that is out, where the
-        connection is not known.
+        """The index of the newest call on this connection, if it has no answer yet. Where the connection is
+        not known, the index of the call in flight.
         """
         if connection in ("", self._open_connection):
             return None if self._open_connection is None else len(self.calls) - 1
-        places = [place for place, name in enumerate(self.connections) if name == connection]
-        return places[-1] if places and self.calls[places[-1]].version is None else None
+        found = [index for index, name in enumerate(self.connections) if name == connection]
+        return found[-1] if found and self.calls[found[-1]].version is None else None
 
     def dial_refused(self, at: float) -> None:
-        """A dial was refused."""
+        """A connection attempt was refused."""
         if self._open_connection is None:
             self.calls.append(ListCall(at, 0.0, at, refused=True))
             self.connections.append("")
@@ -89,7 +91,7 @@
 
 @dataclass(eq=False)
 class _MemberLink:
-    """A member's way to discovery, over all its processes."""
+    """The faults of a member's link to discovery, and the member's processes."""
 
     silences: OpenSpans = field(default_factory=OpenSpans)
     cuts: OpenSpans = field(default_factory=OpenSpans)
@@ -99,19 +101,20 @@
 
 
 class ListHistory:
-    """Feed it a run's events in order."""
+    """Collects the history of the list from a run's events, which it reads in order."""
 
     def __init__(self, ask_within_s: float, pushed: bool) -> None:
         self._ask_within_s, self._pushed = ask_within_s, pushed
         self._changes: list[Change] = []
-        self._inactive: dict[str, int] = {}  # place among the changes of what is not listed as active
+        self._inactive: dict[str, int] = {}  # by inactive endpoint: index of its change
         self._listed: set[str] = set()
         self._down = OpenSpans()
         self._slow: list[Slowness] = []
-        self._slow_since: tuple[float, float] | None = None  # when, and by how much
+        self._slow_since: tuple[float, float] | None = None  # since when, and the added delay (s)
         self._links: dict[str, _MemberLink] = defaultdict(_MemberLink)
 
     def read(self, event: Event) -> None:
+        """Apply the next event."""
         f = event.fields
         match event.kind:
             case "change":
@@ -137,8 +140,8 @@
         self._listed |= set(states)
         for name in self._listed:
             if states.get(name) == "active":
-                if (place := self._inactive.pop(name, None)) is not None:
-                    self._changes[place] = replace(self._changes[place], until=event.at)
+                if (index := self._inactive.pop(name, None)) is not None:
+                    self._changes[index] = replace(self._changes[index], until=event.at)
             elif name not in self._inactive:
                 self._inactive[name] = len(self._changes)
                 self._changes.append(Change(name, event.fields["version"], event.at))
@@ -152,7 +155,7 @@
         self._slow_since = (event.at, f["slow_s"]) if f["slow_s"] > 0 else None
 
     def changes(self) -> dict[str, list[Change]]:
-        """By endpoint: when it drained or left."""
+        """By endpoint: when it began to drain or was removed."""
         found = defaultdict(list)
         for change in self._changes:
             found[change.endpoint].append(change)
@@ -205,7 +208,7 @@
 
 
 def history(events: Iterable[Event], ask_within_s: float, pushed: bool) -> ListHistory:
-    """The history in these events, which are in order."""
+    """The history in these events, which must be in order."""
     found = ListHistory(ask_within_s, pushed)
     for event in events:
         found.read(event)
--- a/mountgauge/lab/rig/notified.py
+++ b/mountgauge/lab/rig/notified.py
@@ -1,19 +1,19 @@
-"""When a change of discovery's list counts as notified to a member. Pure: no clock, no I/O.
-
-A change counts at the earliest of the moments that the clauses below give, each a function of its own. Times
-are seconds of one clock. Where the pages leave a clause open the earlier moment is taken: a member that stops
-sending where it has no evidence for its list can keep it. What stays later, and why the pages allow it:
-
-- An answer counts as written only if it was written whole and onto a link that carried it: one that was reset
-  half-way or went into a silence belongs to a failed or a silent call.
-- "Could be reached" ends where discovery is down, or the way to it refuses connections. The six seconds begin
-  anew then, as the page on `askWithin` says ("counted anew when discovery is back"). A 503 of a discovery
-  that has too many calls, a silence, resets, slowness and a process that is stopped do not put them off, and
-  at an agent nothing does: "while discovery is down the agent is silent".
-- After SIGHUP the four seconds hold unless the new address refuses as they end.
-- Pushed lists: "one clock for silence, whether lists are pushed or asked for". A call to the agent that is
-  silent, or a link to it that is cut, has that clock; a slow agent's change counts as it is written, as a
-  member could know of it sooner only by never sending.
+"""Decides when a change of discovery's list counts as notified to a member. Pure: no clock, no I/O.
+
+A change counts from the earliest of the moments that the clauses below give, each a function of its own.
+Times are seconds of one clock. Where the pages leave a clause open, the earlier moment applies: a member can
+meet it by not sending while it has no evidence for its list. These cases count later, for the reasons given:
+
+- An answer counts as written only if it was written completely, to a link that delivered it. An answer that
+  was reset half-way or dropped by a silent link belongs to a failed or a silent call.
+- "Could be reached" does not hold while discovery is down or the link to it refuses connections. The six
+  seconds then begin anew, as the page on `askWithin` says ("counted anew when discovery is back"). A 503 of
+  an overloaded discovery, a silence, resets, slowness and a stopped process do not defer them, and nothing
+  does with an agent: "while discovery is down the agent is silent".
+- After SIGHUP the four seconds apply unless the new address refuses connections when they end.
+- Pushed lists: "one clock for silence, whether lists are pushed or asked for". That clock applies to a silent
+  call to the agent and to a cut link to it. The change of a slow agent counts when it is written, since a
+  member could be notified of it sooner only if it never sent anything.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, replace
 
-SILENCE_S = 6.0  # after which what a silent call misses counts
-REACHED_S = 6.0  # from when discovery had the change and could be reached
+SILENCE_S = 6.0  # from when a call falls silent until the changes that it misses count
+REACHED_S = 6.0  # for which discovery had the change and could be reached
 MOVED_S = 4.0  # after the SIGHUP that moved discovery's address
-WATCH_GAP_S = 0.2  # between two calls that are still one watch
-FAILED_CALL_FACTOR = 4.0  # that a member without a watch is held to its list for if its last call failed
+WATCH_GAP_S = 0.2  # longest gap between two calls that form one watch
+FAILED_CALL_FACTOR = 4.0  # on `askWithin` for a member without a watch whose last call failed
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """From `begin` until before `end`, s."""
+    """A span of time from `begin` to before `end`, s."""
 
     begin: float
     end: float = math.inf
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Slowness:
-    """A time in which discovery answers each call so much later."""
+    """A span in which discovery answers each call `slow_s` later."""
 
     span: Span
     slow_s: float
@@ -51,11 +51,11 @@
     """A member's call for the list, or its watch."""
 
     began: float
-    wait_s: float = 0.0  # that discovery was asked to wait for news
-    ended: float = math.inf  # when its answer was written, or it was given up, refused or reset
-    version: int | None = None  # of the answer that was written; None: none was
-    refused: bool = False  # its dial was
-    hung_at: float | None = None  # from when on discovery let it hang
+    wait_s: float = 0.0  # how long discovery may wait for a change
+    ended: float = math.inf  # when its answer was written, or it was abandoned, refused or reset
+    version: int | None = None  # of the written answer; None: no answer was written
+    refused: bool = False  # its connection attempt was refused
+    hung_at: float | None = None  # when discovery stopped handling it
 
     @property
     def failed(self) -> bool:
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An endpoint drains or is gone from a version of the list on."""
+    """An endpoint that drains or is removed as of a version of the list."""
 
     endpoint: str
     version: int
@@ -74,16 +74,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessRun:
-    """What one process of a member could know of discovery, and when."""
+    """What one process of a member could observe of discovery, and when."""
 
     began: float
-    known: int  # version of the list that it was started with
+    known: int  # version of the list that the process was started with
     ask_within_s: float
     ended: float = math.inf
     pushed: bool = False  # lists come from an agent on the member's machine
-    calls: Sequence[ListCall] = ()  # in their order
+    calls: Sequence[ListCall] = ()  # in order of their start
     silences: Sequence[Span] = ()  # of the link to discovery
-    refusing: Sequence[Span] = ()  # of discovery, and of the way to it
+    refusing: Sequence[Span] = ()  # of discovery, and of the link to it
     cuts: Sequence[Span] = ()  # of the link to discovery, silent or refusing
     down: Sequence[Span] = ()  # of discovery itself
     slow: Sequence[Slowness] = ()
@@ -109,7 +109,7 @@
 
 
 def written(change: Change, run: ProcessRun) -> float:
-    """Discovery's writing of it to the member."""
+    """When discovery wrote the change to the member."""
     found = [
         call.ended
         for call in run.calls
@@ -119,7 +119,7 @@
 
 
 def pushed(made: float, run: ProcessRun) -> float:
-    """What the agent has counts, watch or not; it learns nothing while discovery is down."""
+    """When the agent had the change, with or without a watch; not while discovery is down."""
     if not run.pushed:
         return math.inf
     had = _first_outside(max(made, run.began), run.down)
@@ -131,10 +131,10 @@
 
 
 def after_silence(made: float, run: ProcessRun) -> float:
-    """What a silent call misses: `SILENCE_S` after it fell silent."""
+    """`SILENCE_S` after a call that misses the change fell silent."""
     found = []
-    for place, call in enumerate(run.calls):
-        later = [one.ended for one in run.calls[place + 1 :] if one.version is not None]
+    for index, call in enumerate(run.calls):
+        later = [one.ended for one in run.calls[index + 1 :] if one.version is not None]
         if (silent_at := _silent_since(call, run)) is None or made > min([call.ended, *later]):
             continue
         if call.version is None:
@@ -143,12 +143,12 @@
 
 
 def after_reachable(made: float, run: ProcessRun) -> float:
-    """`REACHED_S` after discovery had it and could be reached."""
+    """`REACHED_S` after discovery had the change and could be reached."""
     return _after_reachable_for(made + REACHED_S, REACHED_S, run)
 
 
 def after_move(made: float, run: ProcessRun) -> float:
-    """What the new address has to tell: `MOVED_S` after SIGHUP, unless it has answered before the change."""
+    """`MOVED_S` after the SIGHUP to a new address, unless that address answered before the change."""
     found = []
     for at in run.moves:
         answers = [call.ended for call in run.calls if call.began >= at and call.version is not None]
@@ -159,7 +159,7 @@
 
 
 def without_watch(made: float, run: ProcessRun) -> float:
-    """`askWithin` after the change and after the last call, four times as long if that call failed."""
+    """`askWithin` after the change and after the last call, or four times that if the call failed."""
     if not run.calls:
         return _unwatched(made, run.began, run.ended, run.ask_within_s, run)
     found = [_unwatched(made, run.began, run.calls[0].began, run.ask_within_s, run)]
@@ -178,7 +178,7 @@
 
 
 def _silent_since(call: ListCall, run: ProcessRun) -> float | None:
-    """When the call fell silent; None: it never did."""
+    """When the call fell silent; None: never."""
     if call.hung_at is not None:
         return call.hung_at
     for span in run.silences:
@@ -196,7 +196,7 @@
 
 
 def _first_outside(at: float, spans: Iterable[Span]) -> float:
-    """The first moment from `at` on that is in none of the spans."""
+    """The first moment at or after `at` that lies in none of the spans."""
     for span in sorted(spans, key=lambda one: one.begin):
         if span.begin <= at < span.end:
             at = span.end
@@ -204,7 +204,7 @@
 
 
 def _after_reachable_for(at: float, for_s: float, run: ProcessRun) -> float:
-    """The first moment from `at` on before which discovery refused nothing for so long."""
+    """The first moment at or after `at` that follows `for_s` seconds without a refusal by discovery."""
     if run.pushed:
         return at
     refused = [Span(call.began, call.ended) for call in run.calls if call.refused]
@@ -220,9 +220,9 @@
 
 
 def forbidden_spans(change: Change, run: ProcessRun) -> list[Span]:
-    """When the change counts as notified to this process.
+    """The spans in which the change counts as notified to this process.
 
-    An answer with an older list ends it, and the change counts as made anew with it.
+    An answer with an older list ends such a span, and the change then counts as made at that moment.
     """
     end = min(change.until, run.ended)
     begin = max(change.at, run.began)
@@ -234,7 +234,7 @@
     found = []
     for first, stop in itertools.pairwise([begin, *older, max(begin, end)]):
         calls = [call for call in run.calls if call.began < stop]
-        anew = first != begin  # an older list has taken its place
+        anew = first != begin  # an older list has replaced it
         as_made = replace(change, at=first if anew else change.at)
         at = notified_at(as_made, replace(run, calls=calls, known=-1 if anew else run.known))
         if at < stop:
--- a/mountgauge/lab/rig/oracle.py
+++ b/mountgauge/lab/rig/oracle.py
@@ -38,18 +38,18 @@
 from mountgauge.lab.rig.notified import Change, Span, forbidden_spans
 from mountgauge.lab.rig.schedule import BudgetSpec, Schedule, Tenant
 
-OUTCOME_GRACE_S = 0.35
-RECOVERY_GRACE_S = 1.5
-DRAIN_GRACE_S = 0.3
+OUTCOME_GRACE_S = 0.35  # after a message's deadline
+RECOVERY_GRACE_S = 1.5  # after a member serves again
+DRAIN_GRACE_S = 0.3  # after the drain counts as notified
 WAIT_SLACK_S = 0.1
-CLOSE_SLACK_S = 0.15  # a close is noticed no sooner
+CLOSE_SLACK_S = 0.15  # time until the close of a connection is noticed
 MAX_ATTEMPTS = 8
-_NOT_EXECUTED = (429, 503)
+_NOT_EXECUTED = (429, 503)  # statuses of calls that did not run
 _LOSING_FOLDERS = ("lost", "old", "cut", "foreign", "swapped")
 
 
 class Violation(NamedTuple):
-    """A rule that was broken, and by what."""
+    """A broken rule, and the message that broke it."""
 
     rule: str
     at: float
@@ -66,15 +66,15 @@
     """A call as the partner saw it."""
 
     number: int
-    at: float  # its last byte came
-    began: float  # its first byte came: the moment that counts for a drain
+    at: float  # when its last byte arrived
+    began: float  # when its first byte arrived: the moment that counts for a drain
     member: str
     endpoint: str
     id: str
     dest: int
     ended: float | None = None
     status: int | None = None  # None: no answer
-    end_unseen: bool = False  # its end could not be heard
+    end_unseen: bool = False  # its end could not be observed
 
     @property
     def may_have_run(self) -> bool:
@@ -83,10 +83,10 @@
 
 @dataclass(slots=True)
 class Judgement:
-    """What the oracle has found in a run."""
+    """The oracle's findings on a run."""
 
     violations: list[Violation] = field(default_factory=list)
-    with_folder: int = 0  # messages whose folder was lost: their end is not owed
+    with_folder: int = 0  # messages whose folder was lost: no outcome is required
     repeats_after_loss: int = 0
     taken: int = 0
     delivered: int = 0
@@ -94,17 +94,18 @@
 
     @property
     def rules(self) -> Counter[str]:
+        """The number of violations by rule."""
         return Counter(one.rule for one in self.violations)
 
 
 def slack(schedule: Schedule) -> float:
-    """s that the schedule's links may add to what is seen at the stand-ins."""
+    """The delay in seconds that the schedule's links may add to what the stand-ins observe."""
     late = [f.conditions.get("delay_s", 0.0) + f.conditions.get("jitter_s", 0.0) for f in schedule.faults]
     return 2 * max(late, default=0.0)
 
 
 def judge(schedule: Schedule, events: Iterable[Event], slack_s: float = 0.0) -> Judgement:
-    """`slack_s`: what a busy machine may add to what the links do."""
+    """Judge a run. `slack_s`: delay that a busy machine may add to that of the links."""
     return _Judge(schedule, sorted(events, key=lambda one: one.at), slack_s).judge()
 
 
@@ -119,10 +120,10 @@
         self.handed: dict[str, Event] = {}
         self.taken: dict[str, Event] = {}
         self.notices: dict[str, list[Event]] = defaultdict(list)
-        self.refused: dict[str, float] = {}  # when each of these was turned away
-        self.down: dict[str, list[tuple[float, float]]] = defaultdict(list)  # from its death until it serves
-        self.losses: dict[str, list[float]] = defaultdict(list)  # when a member's folder was not kept
-        self._struck: set[str] = set()  # struck, and not gone yet
+        self.refused: dict[str, float] = {}  # when each of these was rejected
+        self.down: dict[str, list[tuple[float, float]]] = defaultdict(list)  # from its exit until it serves
+        self.losses: dict[str, list[float]] = defaultdict(list)  # when a member's folder was lost or replaced
+        self._struck: set[str] = set()  # hit by a fault that loses the folder, and still running
         self._open_downs: dict[str, float] = {}
         self.end_at = events[-1].at if events else 0.0
 
@@ -174,8 +175,8 @@
             case "notice":
                 self.notices[f["id"]].append(event)
             case "fault" if f["do"] in ("kill", "term", "crash-loop"):
-                for place, name in enumerate(f["who"]):
-                    if f["folder"][place % len(f["folder"])] in _LOSING_FOLDERS:
+                for index, name in enumerate(f["who"]):
+                    if f["folder"][index % len(f["folder"])] in _LOSING_FOLDERS:
                         self.losses[name].append(event.at)
                         self._struck.add(name)
             case "fault" if f["do"] == "empty-folder":
@@ -193,7 +194,7 @@
                     self.down[f["member"]].append((began, event.at + RECOVERY_GRACE_S))
 
     def _excused(self, member: str, at: float) -> float:
-        """Until when what falls due at `at` is not overdue, for the member was away."""
+        """Until when a message due at `at` is not overdue because the member was unavailable."""
         until = at
         for began, ended in sorted(self.down[member]):
             if began - 0.01 <= until + OUTCOME_GRACE_S and ended > until:
@@ -204,7 +205,7 @@
         return any(when >= at for when in self.losses[member])
 
     def _copied(self, member: str, msg_id: str, at: float) -> bool:
-        """Whether this member has the message from another one's folder, put in place of its own."""
+        """Whether this member has the message from a copy of another member's folder."""
         taken = self.taken.get(msg_id) or self.handed.get(msg_id)
         others = taken is not None and taken.fields["member"] != member
         return others and any(when <= at for when in self.losses[member])
@@ -213,7 +214,7 @@
         self.found.violations.append(Violation(rule, at, member, msg_id, why))
 
     def _final(self, msg_id: str, taken: Event) -> None:
-        """One end, in time."""
+        """Check that the message got one outcome, in time."""
         member = taken.fields["member"]
         self.found.taken += 1
         handed = self.handed.get(msg_id, taken)
@@ -311,8 +312,8 @@
                     break
 
     def _budget(self, budget: BudgetSpec) -> None:
-        """Calls as the partner saw them, on one clock; links and queues move each by `slack` at most."""
-        calls = [one for one in self.calls.values() if one.dest == budget.dest]  # in their order
+        """Check the calls as the partner saw them; links and queues shift each by `slack` at most."""
+        calls = [one for one in self.calls.values() if one.dest == budget.dest]  # in order of arrival
         if budget.kind == "rate":
             self._rate(budget.name, budget.whole, budget.burst or budget.whole,
                        [(call.at, call.member, call.id) for call in calls])  # fmt: skip
@@ -327,7 +328,7 @@
                     self._broken("budget", call.at, call.member, call.id, why)
 
     def _rate(self, name: str, rate: float, burst: float, times: list[tuple[float, str, str]]) -> None:
-        """The most by which any span that ends here is over the rate, against the burst."""
+        """Check that no span of time that ends at a call exceeds the rate by more than the burst."""
         level, before = 0.0, times[0][0] if times else 0.0
         for at, member, msg_id in times:
             level, before = max(0.0, level - rate * (at - before)) + 1.0, at
@@ -336,7 +337,7 @@
                 self._broken("budget", at, member, msg_id, why)
 
     def _strict(self, tenant: Tenant) -> None:
-        """What was taken on for the tenant, by all members together."""
+        """Check the messages that all members together accepted for the tenant."""
         loads = {(one.dest, one.grade) for one in self.schedule.loads if one.tenant == tenant.name}
         taken = [
             (one.at, one.fields["member"], msg_id) for msg_id, one in self.taken.items()
@@ -345,9 +346,9 @@
         self._rate(tenant.name, tenant.rate, tenant.burst, sorted(taken))
 
     def _drains(self) -> set[int]:
-        """By the lists that were written to each member, in order; the calls that broke the rule."""
+        """Check calls against the lists written to each member; return the calls that broke the rule."""
         found: set[int] = set()
-        shut: dict[tuple[str, str], float] = {}  # since when an endpoint is told to be leaving or gone
+        shut: dict[tuple[str, str], float] = {}  # since when the list has an endpoint as leaving or removed
         known: dict[str, set[str]] = defaultdict(set)
         for event in self.events:
             f = event.fields
@@ -369,23 +370,23 @@
         return found
 
     def _unwritten_drains(self, told: set[int]) -> None:
-        """By what counts as notified whether it was written or not; without the calls named before."""
+        """Check calls against all changes that count as notified, without the calls in `told`."""
         fleet = self.schedule.fleet
         lists = history(self.events, fleet.ask_within_s, fleet.pushed)
         changes = lists.changes()
         spans: dict[tuple[str, str], list[tuple[Change, Span]]] = {}
         for call in self.calls.values():
-            place = (call.member, call.endpoint)
+            link = (call.member, call.endpoint)
             if call.endpoint not in changes or call.number in told:
                 continue
-            if place not in spans:
-                spans[place] = [
+            if link not in spans:
+                spans[link] = [
                     (change, span)
                     for change in changes[call.endpoint]
                     for run in lists.process_runs(call.member)
                     for span in forbidden_spans(change, run)
                 ]
-            for change, span in spans[place]:
+            for change, span in spans[link]:
                 if span.begin + DRAIN_GRACE_S + self.slack < call.began < span.end:
                     why = (
                         f"{call.endpoint} left at {change.at:.3f} (version {change.version}), "
