--- a/mountgauge/lab/rig/network_conditions.py
+++ b/mountgauge/lab/rig/network_conditions.py
@@ -1,8 +1,8 @@
-"""The conditions on a link: what happens to what goes over it. Pure draws, seeded, without sockets.
+"""The conditions on a link, applied to its traffic. Pure, with seeded random draws and without sockets.
 
-A datagram may be lost, doubled, late or overtaken; bytes of a stream are late, in order, and no faster than
-a throttle lets them; one direction or both may fall silent without a close; new connections may be refused
-and old ones reset. `lost` is the one place where a link decides that nothing arrives.
+A datagram may be lost, duplicated, delayed or reordered. The bytes of a stream arrive in order, delayed and
+limited by a throttle. One direction or both may fall silent without a close. New connections may be refused
+and open ones reset.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-REORDER_S = 0.05  # s by which an overtaken datagram is late where the link has no delay to draw from
+REORDER_S = 0.05  # largest delay of a reordered datagram on a link without a delay of its own
 
 
 @dataclass(frozen=True, slots=True)
 class NetworkConditions:
-    """Times in s; `drop`, `double`, `reorder` as shares of datagrams, `reset` as connections' resets a
-    second.
+    """Times are in s; `drop`, `double` and `reorder` are shares of datagrams, `reset` is the rate of resets
+    of a connection, 1/s.
     """
 
     drop: float = 0.0
@@ -27,20 +27,21 @@
     double: float = 0.0
     reorder: float = 0.0
     throttle: float = 0.0  # bytes/s of a stream's direction; 0: none
-    silent: str = ""  # "up" (from whom the link is named first), "down" or "both"
+    silent: str = ""  # "up" (from the first-named end of the link), "down" or "both"
     refuse: bool = False
     reset: float = 0.0
-    half_open: bool = False  # connections that a silence met stay silent after it, new ones never come up
+    half_open: bool = False  # connections open in a silence stay silent, new ones hang
 
     def with_changes(self, changes: Mapping[str, Any]) -> NetworkConditions:
+        """These conditions with some values replaced."""
         return replace(self, **changes)
 
     def is_silent(self, up: bool) -> bool:
-        """Whether what goes in this direction vanishes while everything stays open."""
+        """Whether data in this direction is dropped while connections stay open."""
         return self.silent == "both" or self.silent == ("up" if up else "down")
 
     def datagram(self, up: bool, rng: random.Random) -> list[float]:
-        """After how many s each copy of a datagram arrives: none where it is lost."""
+        """The delay in s of each copy of a datagram; empty if it is lost."""
         if self.is_silent(up) or rng.random() < self.drop:
             return []
         copies = 1 + (rng.random() < self.double)
@@ -53,9 +54,7 @@
         return late
 
     def stream(self, size: int, now: float, free_at: float, rng: random.Random) -> tuple[float, float]:
-        """When so many bytes arrive, and from when on the direction is free for the next: never out of
-        order.
-        """
+        """When `size` bytes arrive, and when the direction is free for the next ones; keeps their order."""
         arrives = max(now + self.delay_s + rng.uniform(0.0, self.jitter_s), free_at)
         if self.throttle > 0:
             arrives += size / self.throttle
--- a/mountgauge/lab/rig/processes.py
+++ b/mountgauge/lab/rig/processes.py
@@ -1,8 +1,8 @@
-"""Members: real `mountgauge run` processes with a file, a folder and addresses of their own.
+"""Members: real `mountgauge run` processes, each with its own configuration file, folder and addresses.
 
-Each member listens on a loopback address that is only its own, so it comes back at the same place and no
-two rigs meet. What its folder holds after a fault is set here: kept, lost, an old copy, cut short, swapped,
-another's.
+Each member listens on its own loopback address, so it restarts at the same address and rigs do not collide.
+This module also sets the contents of its folder after a fault: kept, lost, an old copy, truncated, swapped,
+or a copy of another member's folder.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 
 RESP, STATUS, GOSSIP = 6379, 9100, 7700  # ports of each member's own address
 _ROOT = Path(mountgauge.__file__).parent.parent
-_START_LIMIT = 60.0  # s that a member may take until it answers PING, however slow the machine
-_END_LIMIT = 15.0  # s that it may take to end after SIGTERM
+_START_LIMIT_S = 60.0  # until a member answers PING, on a slow machine too
+_EXIT_LIMIT_S = 15.0  # from SIGTERM to the exit
 
 
 def hosts(count: int, rig: int) -> list[str]:
-    """A loopback address for each member, apart from those of other rigs at work."""
-    return [f"127.{64 + rig % 128}.{1 + rig // 128 % 250}.{place + 1}" for place in range(count)]
+    """A loopback address for each member, different from those of other running rigs."""
+    return [f"127.{64 + rig % 128}.{1 + rig // 128 % 250}.{index + 1}" for index in range(count)]
 
 
 def parse_log_line(line: str) -> dict[str, str]:
-    """A key=value log line as the program writes it; empty where it is something else."""
+    """Parse a key=value log line of the program; empty for any other line."""
     found: dict[str, str] = {}
     rest = line.strip()
     while rest:
@@ -41,12 +41,12 @@
         if not equals or not key or " " in key:
             return {}
         if rest.startswith('"'):
-            value, place = [], 1
-            while place < len(rest) and rest[place] != '"':
-                place += rest[place] == "\\"
-                value.append(rest[place : place + 1])
-                place += 1
-            found[key], rest = "".join(value), rest[place + 1 :].lstrip()
+            value, index = [], 1
+            while index < len(rest) and rest[index] != '"':
+                index += rest[index] == "\\"
+                value.append(rest[index : index + 1])
+                index += 1
+            found[key], rest = "".join(value), rest[index + 1 :].lstrip()
         else:
             found[key], _, rest = rest.partition(" ")
             rest = rest.lstrip()
@@ -55,19 +55,19 @@
 
 @dataclass(eq=False)
 class Member:
-    """One sender of the rig: its folder, its process and what it logs."""
+    """One sender of the rig: its folder, its process and its log."""
 
     name: str
     host: str
-    folder: Path  # with its file, its state and its log
+    folder: Path  # holds its configuration file, its state and its log
     events: Events
-    command: list[str] = field(default_factory=list)  # after the interpreter
+    command: list[str] = field(default_factory=list)  # arguments of the interpreter
     env: dict[str, str] = field(default_factory=dict)
     process: asyncio.subprocess.Process | None = None
     run_count: int = 0
     paused: bool = False
-    should_run: bool = True  # to be running
-    watch: Callable[[str, Mapping[str, str]], None] | None = None  # hears of each log line
+    should_run: bool = True
+    watch: Callable[[str, Mapping[str, str]], None] | None = None  # called with each log line
     tail: list[str] = field(default_factory=list)
     _reading: asyncio.Task[None] | None = None
     _starting: asyncio.Lock = field(default_factory=asyncio.Lock)
@@ -81,7 +81,7 @@
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
-        """Start the process; it serves once `ready` returns. Of two that start it at once one does."""
+        """Start the process, which serves once `ready` returns. Of two concurrent calls one starts it."""
         async with self._starting:
             if not self.running:
                 await self._start()
@@ -90,7 +90,7 @@
         self.state.mkdir(parents=True, exist_ok=True)
         self.run_count += 1
         env = {**os.environ, "PYTHONPATH": str(_ROOT), "PYTHONUNBUFFERED": "1", **self.env}
-        env.pop("PYTHONDONTWRITEBYTECODE", None)  # else each start compiles the whole program anew
+        env.pop("PYTHONDONTWRITEBYTECODE", None)  # with it each start would compile the whole program
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             *(self.command or ["-m", "mountgauge", "run", str(self.folder / "sender.toml")]),
@@ -117,10 +117,10 @@
         self.events.add("gone", member=self.name, code=code, pid=process.pid)
 
     async def ready(self) -> None:
-        """Wait until it answers PING; RuntimeError with its last lines where it ends or takes too long."""
+        """Wait until it answers PING; RuntimeError with its last log lines if it exits or takes too long."""
         loop = asyncio.get_running_loop()
         process, began = self.process, loop.time()
-        while process is not None and process.returncode is None and loop.time() - began < _START_LIMIT:
+        while process is not None and process.returncode is None and loop.time() - began < _START_LIMIT_S:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection(self.host, RESP)
                 try:
@@ -136,6 +136,7 @@
             raise RuntimeError(f"{self.name} does not serve: " + " | ".join(self.tail[-5:]))
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process if it runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
             if number == signal.SIGSTOP:
@@ -144,10 +145,10 @@
                 self.paused = False
 
     async def ended(
-        self, process: asyncio.subprocess.Process | None = None, limit: float = _END_LIMIT
+        self, process: asyncio.subprocess.Process | None = None, limit: float = _EXIT_LIMIT_S
     ) -> None:
-        """Wait for its end; killed where it takes too long, which the events tell. `process`: only for the
-        end of this one, whatever has been started in its place.
+        """Wait for the exit of the process; kill it after `limit` seconds, which is recorded as an event.
+        `process`: wait for this one only, even if its successor has been started.
         """
         waited_for, reading = process or self.process, self._reading
         if waited_for is None:
@@ -166,21 +167,23 @@
     # Folders
 
     def save(self) -> None:
-        """Keep a copy of the folder as it is now: `old` puts it back."""
+        """Copy the folder; the value `old` of a fault's `folder` restores the copy."""
         saved = self.folder / "saved"
         shutil.rmtree(saved, ignore_errors=True)
         _copy(self.state, saved)
 
     def delete_state(self) -> None:
+        """Replace the state folder by an empty one."""
         shutil.rmtree(self.state, ignore_errors=True)
         self.state.mkdir(parents=True)
 
     def empty_state(self) -> None:
-        """All that is in the folder goes; the folder stays, and the process may be running."""
+        """Delete the contents of the folder but not the folder itself; the process may be running."""
         for one in self.state.iterdir():
             shutil.rmtree(one) if one.is_dir() else one.unlink()
 
     def restore_saved(self) -> None:
+        """Restore the folder from its saved copy."""
         saved = self.folder / "saved"
         if not saved.is_dir():
             raise RuntimeError(f"{self.name}: no copy was saved")
@@ -188,17 +191,18 @@
         _copy(saved, self.state)
 
     def truncate_files(self, rng: random.Random) -> None:
-        """Each file cut short at a place of its own."""
+        """Truncate each file at a random offset."""
         for one in sorted(self.state.rglob("*")):
             if one.is_file():
                 os.truncate(one, rng.randrange(one.stat().st_size + 1))
 
     def copy_from(self, other: Member) -> None:
-        """Another instance's folder stands in place of the own one."""
+        """Replace the folder by a copy of another member's folder."""
         shutil.rmtree(self.state, ignore_errors=True)
         _copy(other.state, self.state)
 
     def swap(self, other: Member) -> None:
+        """Exchange the folders of the two members."""
         spare = self.folder / "swapping"
         os.replace(self.state, spare)
         os.replace(other.state, self.state)
@@ -206,7 +210,7 @@
 
 
 def _copy(source: Path, target: Path) -> None:
-    """A folder that a running process may be writing to: what goes in between is not copied."""
+    """Copy a folder that a running process may write to: files that vanish meanwhile are skipped."""
     target.mkdir(parents=True, exist_ok=True)
     for one in source.iterdir():
         with contextlib.suppress(OSError):
--- a/mountgauge/lab/rig/proxies.py
+++ b/mountgauge/lab/rig/proxies.py
@@ -1,8 +1,8 @@
 """Fault-injecting proxies on loopback: one between two parties for TCP, one between all members for UDP.
 
-Each pair of a sender and another party has its own address, so a stand-in knows who speaks to it
-(`Proxies.who`) and a fault can strike one pair alone. What a proxy does to the traffic is decided by
-`network_conditions`; changing it takes effect at once, also for open connections.
+Each pair of a sender and another party has its own address, so a stand-in can identify its peer
+(`Proxies.who`) and a fault can affect a single pair. `network_conditions` decides what a proxy does to the
+traffic; a change takes effect at once, for open connections as well.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 HOST = "127.0.0.1"
 Address = tuple[str, int]
-_BACKLOG = 1024  # connections that wait to be accepted
-_SILENCE_POLL_INTERVAL_S = 0.05  # between two looks whether a silence is over
+_BACKLOG = 1024  # connections waiting to be accepted
+_SILENCE_POLL_INTERVAL_S = 0.05  # between two checks whether a silence is over
 
 
 class LinkWatcher(Protocol):
-    """Hears what the side that opens connections does on a link, also what the link swallows."""
+    """Observes what the connecting side does on a link, including data that the link drops."""
 
     def data_sent(self, connection: int, data: bytes) -> None: ...
 
@@ -42,11 +42,11 @@
         self.other: _Half | None = None
         self.transport: asyncio.Transport | None = None
         self.free_at = 0.0
-        self.waiting: list[bytes] = []  # what came before the other side stood
+        self.buffered: list[bytes] = []  # received before the other side was connected
         self.own: Address = (HOST, 0)  # this side's address
         self.ended = False
         self.number = 0  # of the connection on its link
-        self.permanently_silent = False  # a half-open connection: it never carries anything again
+        self.permanently_silent = False  # of a half-open connection: it carries nothing any more
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -58,12 +58,12 @@
         if self.up and self.proxy.watcher is not None:
             self.proxy.watcher.data_sent(self.number, data)
         if self.other is None or self.other.transport is None:
-            self.waiting.append(data)
+            self.buffered.append(data)
         else:
             self.proxy.forward(self, data)
 
     def eof_received(self) -> bool:
-        return False  # a half-closed connection is closed: no party here needs more
+        return False  # close half-closed connections: no party needs them
 
     def connection_lost(self, error: Exception | None) -> None:
         self.ended = True
@@ -79,29 +79,31 @@
 
 
 class DialListener:
-    """Accepts connections, or lets them hang: a dial then never comes up, and nobody says why."""
+    """Accepts connections, or lets connection attempts hang without an error."""
 
-    def __init__(self, protocol: Callable[[], asyncio.Protocol], place: Address) -> None:
+    def __init__(self, protocol: Callable[[], asyncio.Protocol], address: Address) -> None:
         self._protocol = protocol
-        self._socket = socket.create_server(place, backlog=_BACKLOG)
+        self._socket = socket.create_server(address, backlog=_BACKLOG)
         self._socket.setblocking(False)
-        self._filler: socket.socket | None = None  # fills the queue of connections that wait
+        self._filler: socket.socket | None = None  # fills the accept queue
         self._task: asyncio.Task[None] | None = None
-        self._making: set[asyncio.Task[None]] = set()  # transports of what has been accepted
+        self._making: set[asyncio.Task[None]] = set()  # transports being created for accepted sockets
         self.address: Address = self._socket.getsockname()[:2]
 
     def accept(self) -> None:
+        """Accept connections from now on."""
         if self._task is None:
             self._socket.listen(_BACKLOG)
             self._task = asyncio.get_running_loop().create_task(self._accept())
 
     def hang(self) -> None:
+        """Let connection attempts hang from now on."""
         if self._task is None:
             return
         self._task.cancel()
         self._task = None
-        self._socket.listen(0)  # one connection fits, the system drops further ones' first packets
-        # Not waited for: where connections wait already, it does not come up either.
+        self._socket.listen(0)  # holds one connection; the system drops the SYNs of further ones
+        # Not awaited: where connections already fill the queue, it does not connect either.
         self._filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._filler.setblocking(False)
         self._filler.connect_ex(self.address)
@@ -119,7 +121,7 @@
                 accepted.close()
                 own = None
                 continue
-            # Not waited for: its turns of a busy loop would be waited for by all that come behind it.
+            # Not awaited: on a busy loop it would delay all connections behind it.
             task = loop.create_task(self._make(accepted))
             self._making.add(task)
             task.add_done_callback(self._making.discard)
@@ -137,28 +139,30 @@
 
 
 class StreamProxy:
-    """The address by which `source` reaches `target`, and what happens in between."""
+    """Proxies TCP from `source` to `target` under changeable network conditions."""
 
     def __init__(
         self, source: str, name: str, target: Address, seed: str, who: dict[Address, str], host: str = HOST
     ) -> None:
-        """`host`: the loopback address that it listens at and dials from."""
+        """`host`: the loopback address at which it listens and from which it connects."""
         self.source, self.name, self.target, self._host = source, name, target, host
         self.conditions = NetworkConditions()
         self.counts: Counter[str] = Counter()
         self.watcher: LinkWatcher | None = None
         self._rng, self._who = random.Random(seed), who
         self._listener: DialListener | None = None
-        self._pairs: set[_Half] = set()  # the sides that opened them
+        self._pairs: set[_Half] = set()  # the connecting sides
         self.address: Address = (host, 0)
 
     async def start(self, port: int = 0) -> Address:
+        """Listen; returns the address by which `source` reaches `target`."""
         self._listener = DialListener(lambda: _Half(self, True), (self._host, port))
         self._listener.accept()
         self.address = self._listener.address
         return self.address
 
     def set(self, conditions: NetworkConditions) -> None:
+        """Apply new conditions, to open connections too."""
         self.conditions = conditions
         if conditions.half_open:
             for near in self._pairs:
@@ -172,12 +176,12 @@
                 self._listener.accept()
 
     def carries_from(self, target_side: Address) -> bool:
-        """Whether what `target` says on the connection from this address of its own reaches `source`."""
+        """Whether data that `target` sends on its connection from this peer address reaches `source`."""
         near = self._from(target_side)
         return near is not None and not near.permanently_silent and not self.conditions.is_silent(False)
 
     def number_of(self, target_side: Address) -> int | None:
-        """The number of the connection that `target` has from this address; None: it has ended."""
+        """The number of the connection that `target` has from this peer address; None: it is closed."""
         near = self._from(target_side)
         return None if near is None else near.number
 
@@ -186,6 +190,7 @@
         return next(found, None)
 
     def accepted(self, near: _Half) -> None:
+        """Handle a new connection from `source`."""
         self.counts["connections"] += 1
         near.number = self.counts["connections"]
         if self.conditions.refuse:
@@ -204,6 +209,7 @@
         )
 
     def reset_one(self, near: _Half) -> None:
+        """Reset both sides of a connection."""
         self.counts["reset"] += 1
         near.abort()
         if near.other is not None:
@@ -218,7 +224,7 @@
         try:
             own.setblocking(False)
             own.bind((self._host, 0))
-            self._who[own.getsockname()[:2]] = self.source  # known before the stand-in accepts
+            self._who[own.getsockname()[:2]] = self.source  # recorded before the stand-in accepts
             await asyncio.get_running_loop().sock_connect(own, self.target)
             await asyncio.get_running_loop().create_connection(lambda: far, sock=own)
         except OSError:
@@ -229,22 +235,22 @@
         far.permanently_silent = near.permanently_silent
         if near.ended:
             far.abort()
-        for data in near.waiting:
+        for data in near.buffered:
             self.forward(near, data)
-        near.waiting.clear()
+        near.buffered.clear()
 
     async def _reset_after_silence(self, near: _Half) -> None:
-        """A connection that was begun in a silence never comes up, or is reset once the way is back: what was
-        written to it meanwhile must not arrive late.
+        """Reset a connection that was opened during a silence once the silence is over: data that was written
+        to it meanwhile must not arrive late.
         """
         while self.conditions.is_silent(True) and not near.ended:
             await asyncio.sleep(_SILENCE_POLL_INTERVAL_S)
-        self.counts["silent_bytes"] += sum(map(len, near.waiting))
-        near.waiting.clear()
+        self.counts["silent_bytes"] += sum(map(len, near.buffered))
+        near.buffered.clear()
         near.abort()
 
     def forward(self, half: _Half, data: bytes) -> None:
-        """On to the other side, as the conditions has it."""
+        """Forward data to the other side under the current conditions."""
         if half.permanently_silent or self.conditions.is_silent(half.up):
             self.counts["silent_bytes"] += len(data)
             return
@@ -257,7 +263,7 @@
             loop.call_at(arrives, half.other.write, data)
 
     def lost(self, half: _Half) -> None:
-        """A close goes on to the other side, unless that direction is silent."""
+        """Forward a close to the other side, unless that direction is silent."""
         if half.up:
             self._pairs.discard(half)
             if self.watcher is not None:
@@ -268,11 +274,13 @@
             asyncio.get_running_loop().call_later(late, other.abort)
 
     def reset_all(self) -> None:
+        """Reset all connections."""
         for near in list(self._pairs):
             self.reset_one(near)
 
     @property
     def open(self) -> int:
+        """The number of open connections."""
         return len(self._pairs)
 
     def close(self) -> None:
@@ -282,7 +290,7 @@
 
 
 class _PairEndpoint(asyncio.DatagramProtocol):
-    """The proxy's address of member `to`, as member `source` knows it."""
+    """The proxy's socket by which member `source` reaches member `to`."""
 
     def __init__(self, proxy: DatagramProxy, source: int, to: int) -> None:
         self.proxy, self.source, self.to = proxy, source, to
@@ -313,20 +321,20 @@
         jitter: float = 0.0,
         doubled: float = 0.0,
     ) -> None:
-        """Times in seconds, `loss` and `doubled` as shares of the datagrams."""
+        """Times are in seconds, `loss` and `doubled` are shares of the datagrams."""
         self.members = list(members)
         self.conditions = NetworkConditions(drop=loss, delay_s=delay, jitter_s=jitter, double=doubled)
         self.between: dict[
             tuple[int, int], NetworkConditions
         ] = {}  # where it differs for one pair and direction
-        self.split: set[int] = set()  # members that are cut off from the rest
-        self.groups: list[set[int]] = []  # more than two parts: only those of one group hear each other
+        self.split: set[int] = set()  # members that are cut off from the others
+        self.groups: list[set[int]] = []  # only members of one group reach each other
         self.passed = self.lost = self.bytes = 0
         self._rng = random.Random(seed)
         self._endpoints: dict[tuple[int, int], _PairEndpoint] = {}
 
     async def start(self) -> dict[tuple[int, int], Address]:
-        """The address by which the first of each pair knows the second."""
+        """By pair of members: the address by which the first reaches the second."""
         loop = asyncio.get_running_loop()
         found = {}
         for source in range(len(self.members)):
@@ -341,11 +349,13 @@
         return found
 
     def separated(self, source: int, to: int) -> bool:
+        """Whether a partition separates the two members."""
         if (source in self.split) != (to in self.split):
             return True
         return bool(self.groups) and not any(source in group and to in group for group in self.groups)
 
     def forward(self, source: int, to: int, data: bytes) -> None:
+        """Deliver a datagram under the conditions between the two members."""
         self.bytes += len(data)
         conditions = self.between.get((source, to), self.conditions)
         late = [] if self.separated(source, to) else conditions.datagram(True, self._rng)
@@ -355,7 +365,7 @@
             asyncio.get_running_loop().call_later(after, self._send, source, to, data)
 
     def _send(self, source: int, to: int, data: bytes) -> None:
-        # From the address by which the receiver knows the sender.
+        # Sent from the address by which the receiver knows the sender.
         endpoint = self._endpoints[to, source]
         if endpoint.transport is not None and not endpoint.transport.is_closing():
             endpoint.transport.sendto(data, self.members[to])
@@ -367,26 +377,28 @@
 
 
 class Proxies:
-    """All TCP proxies of a rig, by whose they are and to whom.
+    """All TCP proxies of a rig, by source and target.
 
-    Those of one party listen at and dial from a loopback address of their own: each address has some 28,000
-    ports that the system hands out, and connections that have ended keep theirs for a minute.
+    The proxies of one party use a loopback address of their own: each address has some 28,000 ephemeral
+    ports, and closed connections keep theirs for a minute.
     """
 
     def __init__(self, seed: int, hosts: Mapping[str, str] | None = None) -> None:
-        """`hosts`: the address for the proxies of each party, by its name; others share one."""
+        """`hosts`: by party, the address for its proxies; the other parties share one."""
         self._hosts = hosts or {}
         self.all: dict[tuple[str, str], StreamProxy] = {}
-        self.who: dict[Address, str] = {}  # which member a connection at a stand-in is from
+        self.who: dict[Address, str] = {}  # by peer address at a stand-in: the member behind it
         self._seed = seed
 
     async def add(self, source: str, name: str, target: Address, port: int = 0) -> Address:
+        """Start a proxy from `source` to the party `name`; returns its address."""
         host = self._hosts.get(source) or self._hosts.get(name) or HOST
         proxy = StreamProxy(source, name, target, f"{self._seed}/{source}/{name}", self.who, host)
         self.all[source, name] = proxy
         return await proxy.start(port)
 
     def between(self, first: Callable[[str], bool], second: Callable[[str], bool]) -> list[StreamProxy]:
+        """The proxies whose source and target match."""
         return [proxy for (one, other), proxy in self.all.items() if first(one) and second(other)]
 
     def close(self) -> None:
