--- a/mountgauge/lab/__init__.py
+++ b/mountgauge/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: rigs and experiments round real senders. Nothing that serves imports it."""
+"""The lab: rigs and experiments with real senders. No production module imports it."""
--- a/mountgauge/lab/cli.py
+++ b/mountgauge/lab/cli.py
@@ -1,4 +1,4 @@
-"""`mountgauge lab`: plays schedules of faults on real senders and judges what came of them."""
+"""`mountgauge lab`: plays schedules of faults on real senders and judges the runs."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 
 
 def measured_from(events: Sequence[Event]) -> float:
-    """From when on a run is judged by its figures: the last time that members or partners were struck."""
-    strikes = ("cold", "shut", "kill", "term", "never-warm", "crash-loop")
-    at = max([0.0, *(one.at for one in events if one.kind == "fault" and one.fields["do"] in strikes)])
-    return at + 0.02  # what a partner bears is on record then
+    """The time from which figures are measured: the last fault of members or partners."""
+    faults = ("cold", "shut", "kill", "term", "never-warm", "crash-loop")
+    at = max([0.0, *(one.at for one in events if one.kind == "fault" and one.fields["do"] in faults)])
+    return at + 0.02  # by then the partner's capacity is recorded
 
 
-def outcome(schedule: Schedule, events: Iterable[Event], folder: Path, page: bool) -> int:
-    """Write the figures and the page of a run; 1 where a rule is broken."""
+def report_run(schedule: Schedule, events: Iterable[Event], folder: Path, page: bool) -> int:
+    """Write the figures and the page of a run; returns 1 if a rule is broken."""
     all_events = sorted(events, key=lambda one: one.at)
     judged: Judgement = judge(schedule, all_events)
     figures = summary(all_events, judged, measured_from(all_events), schedule.seconds)
@@ -63,7 +63,7 @@
 
 
 def main(argv: Sequence[str]) -> int:
-    """Exit 0: no rule broken; 1: one was; ConfigError: the schedule cannot be used."""
+    """Returns 0 if no rule is broken, else 1; ConfigError if the schedule is invalid."""
     args = _parser().parse_args(argv)
     if args.lab == "scale":
         return run_scale(args)
@@ -71,7 +71,7 @@
         return run_soak(args)
     if args.lab == "judge":
         schedule = load(args.folder / "schedule.toml")
-        return outcome(schedule, read(args.folder / "events.jsonl"), args.folder, not args.no_page)
+        return report_run(schedule, read(args.folder / "events.jsonl"), args.folder, not args.no_page)
     schedule = load(args.file)
     if args.seed is not None:
         schedule = schedule.with_(seed=args.seed)
@@ -83,4 +83,4 @@
     if not events.all:
         print("mountgauge: nothing happened", file=sys.stderr)
         return 1
-    return outcome(schedule, events, folder, not args.no_page)
+    return report_run(schedule, events, folder, not args.no_page)
--- a/mountgauge/lab/faults/__init__.py
+++ b/mountgauge/lab/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults below a sender, where it reaches sockets, files and clocks: for tests and the lab."""
+"""Injects faults into the sockets, files and clocks that a sender uses, for tests and the lab."""
--- a/mountgauge/lab/faults/files.py
+++ b/mountgauge/lab/faults/files.py
@@ -1,4 +1,4 @@
-"""A disk that fails when told to, at the seam through which the state folder is read and written."""
+"""A disk with injected failures, behind the interface through which the state folder is accessed."""
 
 from __future__ import annotations
 
@@ -11,13 +11,12 @@
 
 
 class Killed(BaseException):
-    """The process is gone: nothing that it would do next happens."""
+    """Simulates the death of the process: nothing after the call runs."""
 
 
 class FailingFiles(SystemFiles):
-    """The system's calls, of which those that `fails` names raise `error`; a write does past
-    `writable_bytes`. Those
-    that `late` names raise it after they took effect.
+    """File system calls of which those in `fails` raise `error`, as does a write beyond `writable_bytes`;
+    those in `late` raise it after they took effect.
     """
 
     def __init__(self) -> None:
@@ -26,11 +25,11 @@
         self.heal()
 
     def heal(self) -> None:
-        """The disk is back."""
+        """End all failures."""
         self.fails: set[str] = set()
         self.late: set[str] = set()
-        self.writable_bytes: int | None = None  # bytes that are still written; None: any number
-        self.killed_at = ""  # the call at which the process ends
+        self.writable_bytes: int | None = None  # bytes that can still be written; None: unlimited
+        self.killed_at = ""  # the call at which the process dies
 
     def _call(self, name: str) -> None:
         self.calls[name] += 1
--- a/mountgauge/lab/faults/lease.py
+++ b/mountgauge/lab/faults/lease.py
@@ -1,4 +1,4 @@
-"""A fault in a sender: its list is believed as long as no answer is known to be lost."""
+"""A fault in a sender: its list stays valid as long as no answer is known to be lost."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def ignore_silent_expiry() -> None:
-    """From now on, in this process."""
+    """Ignore the expiry of the list's lease in silence, from now on in this process."""
     ended = ListLease.ended
 
-    def believing(lease: ListLease, now: float) -> LeaseEnd | None:
+    def ended_unless_silent(lease: ListLease, now: float) -> LeaseEnd | None:
         found = ended(lease, now)
         silent = (LeaseEnd.NO_EVIDENCE, LeaseEnd.EXPIRED, LeaseEnd.MOVED)
         return None if found in silent else found
 
-    setattr(ListLease, "ended", believing)  # noqa: B010
+    setattr(ListLease, "ended", ended_unless_silent)  # noqa: B010
--- a/mountgauge/lab/faults/system_calls.py
+++ b/mountgauge/lab/faults/system_calls.py
@@ -1,7 +1,8 @@
-"""System calls that fail as Linux documents: the one place where they are injected.
+"""Injects the failures of system calls that Linux documents; all such faults are injected here.
 
-`FaultyCalls` stands in for a registry's system calls (clients' connections); `FaultyLoop` is an event loop
-whose sockets fail (endpoints, discovery, notices, console). Both take what fails next from one `Faults`.
+`FaultyCalls` replaces a registry's system calls (for clients' connections). `FaultyLoop` is an event loop
+with failing sockets (for endpoints, discovery, notices and the console). Both read the pending failures from
+a `Faults`.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class Faults:
-    """What fails next, by call: "accept", "socket", "connect", "connected" (late), "read" and "write"."""
+    """The pending failures by call: "accept", "socket", "connect", "connected" (late), "read", "write"."""
 
     def __init__(self) -> None:
         self._next: dict[str, deque[int]] = {}
@@ -35,18 +36,18 @@
         self.on_failure: Callable[[], None] = lambda: None
 
     def fail(self, call: str, *errors: int) -> None:
-        """Its next calls fail with these errors, one after another."""
+        """Let the next calls fail with these errors, one after another."""
         self._next.setdefault(call, deque()).extend(errors)
 
     def fail_always(self, call: str, error: int | None) -> None:
-        """It fails from now on; None: no longer."""
+        """Let all further calls fail with this error; None: end that."""
         if error is None:
             self._always.pop(call, None)
         else:
             self._always[call] = error
 
     def raise_pending(self, call: str) -> None:
-        """Raise what is due for this call."""
+        """Raise the pending error of this call, if any."""
         if self.bytes_before_failure.get(call, 0) > 0:
             return
         waiting = self._next.get(call)
@@ -57,7 +58,7 @@
             raise OSError(error, os.strerror(error))
 
     def size(self, call: str, size: int) -> int:
-        """How many of so many bytes the call moves."""
+        """How many of `size` bytes the call moves."""
         size = min(size, self.max_bytes.get(call, size))
         if self.bytes_before_failure.get(call, 0) > 0:
             size = min(size, self.bytes_before_failure[call])
@@ -66,7 +67,7 @@
 
 
 class FaultyCalls(SystemCalls):
-    """A registry's system calls."""
+    """The system calls of a registry, with failures."""
 
     def __init__(self, faults: Faults) -> None:
         self.faults = faults
@@ -92,7 +93,7 @@
 
 
 class FaultySocket(LeasedSocket):
-    """A TCP socket whose calls fail."""
+    """A TCP socket with failing calls."""
 
     def __init__(self, faults: Faults, fileno: int | None = None, slot: LeaseSlot | None = None) -> None:
         super().__init__(slot or LeaseSlot(), socket.AF_INET, fileno)
@@ -106,7 +107,7 @@
     def connect(self, address: Any) -> None:
         try:
             self.faults.raise_pending("connect")
-        except InterruptedError:  # the system goes on connecting
+        except InterruptedError:  # the connect continues in the background
             with contextlib.suppress(BlockingIOError):
                 super().connect(address)
             raise
@@ -122,8 +123,8 @@
 
     def send(self, data: Any, flags: int = 0) -> int:
         self.faults.raise_pending("write")
-        with memoryview(data) as whole, whole[: self.faults.size("write", len(whole))] as part:
-            return super().send(part, flags)
+        with memoryview(data) as view, view[: self.faults.size("write", len(view))] as chunk:
+            return super().send(chunk, flags)
 
     def recv_into(self, buffer: Any, size: int = 0, flags: int = 0) -> int:
         self.faults.raise_pending("read")
@@ -132,7 +133,7 @@
 
 
 class FaultyLoop(asyncio.SelectorEventLoop):
-    """An event loop whose sockets fail; those of a test's own stand-ins come from the stand-ins' sockets."""
+    """An event loop with failing sockets; sockets that stand-ins accept come from their listeners."""
 
     def __init__(self, faults: Faults) -> None:
         super().__init__()
@@ -146,14 +147,14 @@
         finally:
             faulty.detach()
 
-    async def create_connection(self, protocol_factory: Any, *place: Any, **options: Any) -> Any:
+    async def create_connection(self, protocol_factory: Any, *address: Any, **options: Any) -> Any:
         sock = options.get("sock")
         if isinstance(sock, LeasedSocket):
             options["sock"] = FaultySocket(self.faults, sock.detach(), sock.slot)
-        return await super().create_connection(protocol_factory, *place, **options)
+        return await super().create_connection(protocol_factory, *address, **options)
 
     async def create_faulty_server(self, make: Callable[[], asyncio.BaseProtocol]) -> asyncio.Server:
-        """A server whose listening socket, and each that it accepts, fails."""
+        """A server whose listening and accepted sockets fail."""
         sock = FaultySocket(self.faults)
         sock.bind((_LOOPBACK, 0))
         return await self.create_server(make, sock=sock)
--- a/mountgauge/lab/ports.py
+++ b/mountgauge/lab/ports.py
@@ -1,9 +1,9 @@
-"""Ports of the loopback address for processes that are still to be started.
+"""Reserves loopback ports for processes that are yet to be started.
 
-A port that the system hands out belongs, once it is closed, to whoever binds or dials next: several runs and
-rigs beside each other take such ports from each other. These lie outside the range that the system hands
-out, and each is held by a bound socket until this process ends. A listener binds to it all the same, as
-both sockets allow the address to be reused; another reservation does not.
+The system may give an ephemeral port to any other process once it is closed, so concurrent runs and rigs
+would take such ports from each other. The ports reserved here lie outside the ephemeral range, and a bound
+socket holds each until this process exits. A listener can still bind to it, as both sockets allow the address
+to be reused; another reservation cannot.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 from mountgauge.lab.rig.proxies import HOST
 
-_HANDED_OUT = Path("/proc/sys/net/ipv4/ip_local_port_range")
+_EPHEMERAL_RANGE = Path("/proc/sys/net/ipv4/ip_local_port_range")
 _FIRST, _LAST = 10_000, 65_535  # below: ports of well-known services
-_STEP = 7_919  # prime: processes with neighbouring ids begin far apart
+_STEP = 7_919  # a prime, so that processes with adjacent ids begin far apart
 
 _held: list[socket.socket] = []
 
 
 class NoPortError(OSError):
-    """All ports outside the system's own range are taken."""
+    """All ports outside the ephemeral range are in use."""
 
 
 def reserve_ports(count: int) -> list[int]:
-    """So many ports that nobody else of this machine's runs is given; NoPortError where there are none."""
+    """Reserve `count` ports that no other run on this machine uses; NoPortError if none is free."""
     return [_reserve() for _ in range(count)]
 
 
@@ -38,15 +38,15 @@
         with contextlib.suppress(OSError):
             _held.append(_hold(port))
             return port
-    raise NoPortError("no port is free outside the system's own range")
+    raise NoPortError("no port is free outside the ephemeral range")
 
 
 def _hold(port: int) -> socket.socket:
-    """A socket bound to this port; OSError where any other one is."""
+    """A socket bound to this port; OSError if another socket is bound to it."""
     found = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         found.bind((HOST, port))
-        found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # only now: it had to be alone
+        found.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # only now: the bind must be exclusive
     except OSError:
         found.close()
         raise
@@ -54,8 +54,8 @@
 
 
 def _candidates() -> Iterator[int]:
-    """The ports outside the system's own range, each process's from a place of its own."""
-    low, high = map(int, _HANDED_OUT.read_text().split())
+    """The ports outside the ephemeral range; each process begins at a different one."""
+    low, high = map(int, _EPHEMERAL_RANGE.read_text().split())
     found = list(chain(range(_FIRST, low), range(high + 1, _LAST + 1)))
     begin = os.getpid() * _STEP % len(found)
     yield from found[begin:]
--- a/mountgauge/lab/rig/metrics.py
+++ b/mountgauge/lab/rig/metrics.py
@@ -14,12 +14,12 @@
 from mountgauge.lab.rig.oracle import Judgement
 
 WINDOW_S = 0.1
-FULL_SHARE = 0.9  # of what is offered, or of what is borne where that is less
-FULL_FOR_S = 2.0  # s for which that holds before it counts as full service
+FULL_SHARE = 0.9  # of the offered load, or of the capacity if that is less
+FULL_FOR_S = 2.0  # for which that must hold to count as full service
 
 
 class RunMetrics:
-    """What a partner bore and what came of it, looked up by time."""
+    """The capacity of a partner and the results of its calls, by time."""
 
     def __init__(self, events: Iterable[Event], dest: int | None = None) -> None:
         events = list(events)
@@ -38,39 +38,42 @@
 
     @staticmethod
     def count(times: Sequence[float], begin: float, end: float) -> int:
+        """The number of times from `begin` to before `end`; `times` is sorted."""
         return bisect_left(times, end) - bisect_left(times, begin)
 
     def capacity_at(self, at: float) -> float:
-        """What the partner bore at a moment, by the record before it."""
-        place = bisect_right(self._capacity_times, at) - 1
+        """The partner's capacity at a moment, by the last record before it."""
+        index = bisect_right(self._capacity_times, at) - 1
         return (
-            float(self.capacity_records[max(0, place)].fields["rate"]) if self.capacity_records else math.inf
+            float(self.capacity_records[max(0, index)].fields["rate"]) if self.capacity_records else math.inf
         )
 
     def capacity_between(self, begin: float, end: float, step: float = 0.02) -> float:
-        """Calls that it could have borne."""
+        """The number of calls that the capacity allowed."""
         steps = max(1, round((end - begin) / step))
         width = (end - begin) / steps
-        return sum(self.capacity_at(begin + (place + 0.5) * width) * width for place in range(steps))
+        return sum(self.capacity_at(begin + (index + 0.5) * width) * width for index in range(steps))
 
     def served_share(self, begin: float, end: float) -> float:
+        """The served calls as a share of the capacity."""
         return self.count(self.served_times, begin, end) / max(1.0, self.capacity_between(begin, end))
 
     def refused_share(self, begin: float, end: float) -> float:
+        """The refused calls as a share of the served and refused ones."""
         refused = self.count(self.refused_times, begin, end)
         return refused / max(1, self.count(self.served_times, begin, end) + refused)
 
     def peak_over_capacity(self, begin: float, end: float) -> float:
-        """The worst window's calls over what it bore in it, one call more counted as borne."""
+        """The largest ratio of calls to capacity in a window; one call is added to the capacity."""
         worst = 0.0
-        for place in range(max(1, round((end - begin) / WINDOW_S))):
-            at = begin + place * WINDOW_S
+        for index in range(max(1, round((end - begin) / WINDOW_S))):
+            at = begin + index * WINDOW_S
             calls = self.count(self.call_times, at, at + WINDOW_S)
             worst = max(worst, calls / (self.capacity_between(at, at + WINDOW_S) + 1.0))
         return worst
 
     def full_service_from(self, begin: float, end: float, demand: float) -> float | None:
-        """The first moment from which for `FULL_FOR_S` all that is asked or borne is served; None: never."""
+        """When `FULL_SHARE` of demand or capacity begins to be served for `FULL_FOR_S`; None: never."""
         at = begin
         while at + FULL_FOR_S <= end:
             want = min(demand * FULL_FOR_S, self.capacity_between(at, at + FULL_FOR_S))
@@ -80,13 +83,14 @@
         return None
 
     def earliest_full_service(self, begin: float, end: float, demand: float) -> float:
-        """When a fleet that knew what is borne would be there: as soon as the partner bears that much."""
+        """The earliest possible full service: when the partner's capacity covers the demand."""
         at = begin
         while at < end and self.capacity_at(at) < FULL_SHARE * demand:
             at += 0.05
         return at
 
     def by_second(self) -> list[dict[str, float]]:
+        """The counts of each second."""
         last = max([0.0, *self.call_times, *self.offer_times])
         first = math.floor(min([0.0, *self.call_times]))
         return [
@@ -103,7 +107,7 @@
 
 
 def latencies(events: Iterable[Event]) -> dict[str, float]:
-    """From the first handing in to the delivery's answer, s, by key."""
+    """Percentiles of the time from the first submission of a key to the answer of its delivery, s."""
     histogram = HdrHistogram(1, 120_000, 3)  # ms
     offered: dict[str, float] = {}
     key_of: dict[str, str] = {}
@@ -125,7 +129,7 @@
 
 
 def phases(events: Iterable[Event]) -> dict[str, list[tuple[float, str]]]:
-    """Each member's phases over time, as its log tells them."""
+    """By member: its phases over time, from its log."""
     found: dict[str, list[tuple[float, str]]] = {}
     for event in sorted(events, key=lambda one: one.at):
         if event.kind == "log" and event.fields["event"] == "phase":
@@ -140,7 +144,7 @@
 def summary(
     events: Sequence[Event], judged: Judgement, begin: float, end: float, dest: int | None = None
 ) -> dict[str, Any]:
-    """The figures that a scene is judged by; `begin` is when its last fault struck."""
+    """The figures of a scene; `begin` is the time of its last fault."""
     found = RunMetrics(events, dest)
     demand = found.count(found.offer_times, begin, end) / max(end - begin, 1e-9)
     full = found.full_service_from(begin, end, demand)
--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -1,9 +1,10 @@
-"""Senders that break one rule each: the oracle must name every one of them, or its silence proves nothing.
+"""Senders that break one rule each: only an oracle that detects all of them proves anything by a clean run.
 
     python -m mountgauge.lab.rig.mutants NAME run FILE
 
-`MUTANTS` maps each name to the rule that it breaks and to what is changed in the program before it starts;
-`ON_DRAINS` has those whose fault shows only where discovery fails, as in `experiments/rig/drains.toml`.
+`MUTANTS` maps each name to the rule that it breaks and to the function that patches the program before it
+starts. `ON_DRAINS` has the mutants that only a failing discovery reveals, as in
+`experiments/rig/drains.toml`.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 from rillspindle import interface
 from rillspindle.interface import Readiness
 
-_PATIENT_S = 60.0  # s: longer than a scene
+_LONGER_THAN_A_SCENE_S = 60.0
 
 
 def _forgets() -> None:
-    """Says +OK without a record: what it holds is gone with its process."""
+    """Answers +OK without a journal record, so its messages are lost with the process."""
     take = Journal.accept
 
     def forgetful(self: Journal, stored: Any) -> None:
@@ -39,29 +40,29 @@
 
 
 def _never_tells() -> None:
-    """Gives up without a notice."""
+    """Sends no notices."""
 
-    def tell(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        told()
+    def report(self: Any, msg_id: str, end: MessageOutcome, reported: Callable[[], None]) -> None:
+        reported()
 
-    setattr(notices.Notices, "report_outcome", tell)  # noqa: B010
+    setattr(notices.Notices, "report_outcome", report)  # noqa: B010
 
 
 def _tells_two_ends() -> None:
-    """Tells a deferred message as undeliverable as well."""
-    tell = notices.Notices.report_outcome
+    """Reports a deferred message as undeliverable as well."""
+    report = notices.Notices.report_outcome
 
-    def both(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        tell(self, msg_id, end, told)
+    def both(self: Any, msg_id: str, end: MessageOutcome, reported: Callable[[], None]) -> None:
+        report(self, msg_id, end, reported)
         if end.status is Status.DEFERRED:
             later = MessageOutcome(Status.UNDELIVERABLE)
-            asyncio.get_running_loop().call_later(0.2, tell, self, msg_id, later, lambda: None)
+            asyncio.get_running_loop().call_later(0.2, report, self, msg_id, later, lambda: None)
 
     setattr(notices.Notices, "report_outcome", both)  # noqa: B010
 
 
 def _two_out() -> None:
-    """Calls a second time on another connection while the first call is out."""
+    """Sends a second call on another connection while the first is in flight."""
     start = HttpNextHops.start
 
     def twice(self: HttpNextHops, call: Call) -> None:
@@ -84,7 +85,7 @@
 
 
 def _repeats() -> None:
-    """Takes every class for one that may be repeated freely."""
+    """Treats every message class as idempotent."""
     grade = interface.MessageClass
 
     def lax(**fields: Any) -> interface.MessageClass:
@@ -94,12 +95,12 @@
 
 
 def _deaf_to_waits() -> None:
-    """Does not read how long it is told to wait."""
+    """Ignores required waits."""
     setattr(next_hops, "wait_s", lambda message: 0.0)  # noqa: B010
 
 
 def _deaf_to_drains() -> None:
-    """Goes on sending to endpoints that are told to leave."""
+    """Keeps sending to draining endpoints."""
     learn = core.Sender.list_changed
 
     def deaf(self: core.Sender, update: Any) -> None:
@@ -110,20 +111,20 @@
 
 
 def _late() -> None:
-    """Sits on the ends that it has to tell until long after the message's time."""
-    tell = notices.Notices.report_outcome
+    """Reports outcomes long after the deadline of the message."""
+    report = notices.Notices.report_outcome
 
-    def late(self: Any, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        asyncio.get_running_loop().call_later(6.0, tell, self, msg_id, end, told)
+    def late(self: Any, msg_id: str, end: MessageOutcome, reported: Callable[[], None]) -> None:
+        asyncio.get_running_loop().call_later(6.0, report, self, msg_id, end, reported)
 
     setattr(notices.Notices, "report_outcome", late)  # noqa: B010
 
 
 def _waits_on_silence() -> None:
-    """Asks for the list again only long after a call has fallen silent, and believes it meanwhile."""
+    """Requests the list again only long after a call fell silent, and uses the old one meanwhile."""
     ignore_silent_expiry()
-    setattr(watch, "ANSWER_MARGIN_S", _PATIENT_S)  # noqa: B010
-    setattr(watch_bounds.WatchBounds, "hedge_delay_s", lambda bounds, calls: _PATIENT_S)  # noqa: B010
+    setattr(watch, "ANSWER_MARGIN_S", _LONGER_THAN_A_SCENE_S)  # noqa: B010
+    setattr(watch_bounds.WatchBounds, "hedge_delay_s", lambda bounds, calls: _LONGER_THAN_A_SCENE_S)  # noqa: B010
 
 
 MUTANTS: dict[str, tuple[str, Callable[[], None]]] = {
--- a/mountgauge/lab/rig/page.py
+++ b/mountgauge/lab/rig/page.py
@@ -1,7 +1,6 @@
-"""One HTML page of a run, without network: what was borne and what came of it, service, phases, broken
-rules.
+"""Renders a run as one self-contained HTML page: calls against capacity, service, phases, broken rules.
 
-Charts are SVG by matplotlib, the page is Jinja2's; both are optional parts (`requirements-lab.txt`).
+The charts are SVG by matplotlib, the page is a Jinja2 template; both are optional (`requirements-lab.txt`).
 """
 
 from __future__ import annotations
@@ -66,7 +65,7 @@
 
 
 def answer(figures: Mapping[str, Any], judged: Judgement) -> str:
-    """The run in one sentence or two."""
+    """A summary of the run in one or two sentences."""
     if figures["endless"]:
         text = "Service never came back in this run."
     else:
--- a/mountgauge/lab/rig/runner.py
+++ b/mountgauge/lab/rig/runner.py
@@ -1,6 +1,4 @@
-"""Runs a schedule: starts members, stand-ins and proxies, lets the load run, strikes, and keeps what
-happened.
-"""
+"""Runs a schedule: starts members, stand-ins and proxies, generates load, injects faults, records events."""
 
 from __future__ import annotations
 
@@ -45,9 +43,9 @@
 from mountgauge.lab.rig.starvation import KIND as STARVED
 from mountgauge.lab.rig.starvation import MIN_RECORDED_WAIT_S, SAMPLE_INTERVAL_S, RunDelays
 
-_BEARS_EVERY = 0.05  # s between two records of what a partner bears
-_LAG_S = 0.02  # s by which the rig's own loop may be late without a record of it
-_KEPT_LINES = (
+_CAPACITY_INTERVAL_S = 0.05  # between two records of a partner's capacity
+_LAG_S = 0.02  # smaller delays of the rig's own loop are not recorded
+_RECORDED_LOG_EVENTS = (
     "phase", "full-service", "held-up", "stale", "remembered", "life", "ready", "restored", "budget",
     "paused", "folder",
 )  # fmt: skip
@@ -55,34 +53,39 @@
 
 
 class Runner:
-    """One run of a schedule: made and run once."""
+    """One run of a schedule; an instance is run once."""
 
     def __init__(self, schedule: Schedule, folder: Path, command: list[str] | None = None) -> None:
-        """`command`: what stands after the interpreter in place of `-m mountgauge`, for mutated senders."""
+        """`command`: the interpreter's arguments in place of `-m mountgauge`, for mutated senders."""
         self.schedule, self.folder = schedule, folder
         self.events = Events(time.monotonic)
-        places = dict(zip(schedule.names, hosts(schedule.fleet.members, next(_RIGS)), strict=True))
-        self.proxies = Proxies(schedule.seed, places)
+        addresses = dict(zip(schedule.names, hosts(schedule.fleet.members, next(_RIGS)), strict=True))
+        self.proxies = Proxies(schedule.seed, addresses)
         self.partners = {
-            spec.dest: PartnerStandIn(spec, self.events, self._who) for spec in schedule.partners
+            spec.dest: PartnerStandIn(spec, self.events, self._member_at) for spec in schedule.partners
         }
         self.platform = PlatformStandIn(
-            self.events, self._who, self._address_of, self._carries, self._connection, schedule.fleet.pushed
+            self.events,
+            self._member_at,
+            self._address_of,
+            self._carries,
+            self._connection,
+            schedule.fleet.pushed,
         )
         self.members = {
-            name: Member(name, host, folder / name, self.events, watch=self._line)
-            for name, host in places.items()
+            name: Member(name, host, folder / name, self.events, watch=self._log_line)
+            for name, host in addresses.items()
         }
         self.command = command or ["-m", "mountgauge"]
         self.gossip_proxy: DatagramProxy | None = None
         self.peers: dict[tuple[int, int], Address] = {}
         self.member_clients: dict[tuple[str, str], MemberClient] = {}
         self.load_generators: list[LoadGenerator] = []
-        self._last: list[str] = []
+        self._last_members: list[str] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self.errors: list[str] = []
 
-    def _who(self, peer: Any) -> str:
+    def _member_at(self, peer: Any) -> str:
         return self.proxies.who.get(tuple(peer[:2]), "?") if peer else "?"
 
     def _address_of(self, member: str, endpoint: str) -> Address:
@@ -93,21 +96,21 @@
         return link is None or link.carries_from(peer)
 
     def _connection(self, member: str, peer: Address) -> str:
-        """The member's connection to discovery, as its list calls name it; empty where it is not known."""
+        """The name of the member's connection to discovery in events; empty if it is not known."""
         link = self.proxies.all.get((member, "discovery"))
         number = None if link is None else link.number_of(peer)
         return "" if link is None or number is None else connection_name(str(link.address[1]), number)
 
-    def _line(self, member: str, pairs: Mapping[str, str]) -> None:
+    def _log_line(self, member: str, pairs: Mapping[str, str]) -> None:
         event = pairs.get("event", "")
-        if event.startswith(_KEPT_LINES) or pairs.get("level") in ("error", "critical"):
+        if event.startswith(_RECORDED_LOG_EVENTS) or pairs.get("level") in ("error", "critical"):
             rest = {key: value for key, value in pairs.items() if key not in ("ts", "level", "at", "event")}
             self.events.add("log", member=member, event=event, level=pairs.get("level", ""), pairs=rest)
 
-    # Setting up
+    # Setup
 
     async def start(self) -> None:
-        """Everything stands, the members serve, the load begins; time 0 comes `settle_s` later."""
+        """Start everything, wait until the members serve, begin the load; time 0 is `settle_s` later."""
         schedule = self.schedule
         shutil.rmtree(self.folder, ignore_errors=True)
         self.folder.mkdir(parents=True)
@@ -136,7 +139,7 @@
         )
         for member in self.members.values():
             self._write(member)
-        await asyncio.gather(*(self._up(member) for member in self.members.values()))
+        await asyncio.gather(*(self._start_member(member) for member in self.members.values()))
         self._spawn(self._log_capacities())
         self._spawn(self._log_starvation())
         for load in schedule.loads:
@@ -153,9 +156,9 @@
             self._spawn(one.run(schedule.seconds))
 
     async def _add_discovery_link(self, name: str) -> None:
-        """The address by which the member reaches discovery from now on."""
-        place = await self.proxies.add(name, "discovery", self.platform.address)
-        self.proxies.all[name, "discovery"].watcher = ListCallRecorder(name, str(place[1]), self.events)
+        """Add a link by which the member reaches discovery from now on."""
+        address = await self.proxies.add(name, "discovery", self.platform.address)
+        self.proxies.all[name, "discovery"].watcher = ListCallRecorder(name, str(address[1]), self.events)
         self._log_link(name)
 
     def _log_link(self, name: str) -> None:
@@ -169,14 +172,14 @@
                 self._log_link(proxy.source)
 
     def _write(self, member: Member) -> None:
-        """The member's file, in one piece; what it says of endpoints counts as told from then on."""
+        """Write the member's file atomically; its list of endpoints is recorded as told from then on."""
         schedule, name = self.schedule, member.name
         if schedule.fleet.front == "platform":
             path = member.folder / "config.json"
             known = self.platform.last.get(name) or self.platform.as_json(name)
             self.events.add("known", member=name, version=known["version"])
-            place = self.proxies.all[name, "discovery"].address
-            text = files.platform_file(schedule, name, member.host, place, known)
+            address = self.proxies.all[name, "discovery"].address
+            text = files.platform_file(schedule, name, member.host, address, known)
             member.env = {"GW_CONFIG": str(path), "GW_STATE": str(member.state), "GW_NAME": name}
             member.command = [*self.command]
         else:
@@ -201,18 +204,18 @@
         if schedule.fleet.front == "operator" or not member.run_count:
             self.platform.record_list(name, self.platform.as_json(name))
 
-    async def _up(self, member: Member) -> None:
-        if self.schedule.fleet.front == "platform" and member.run_count:  # it gets the list as it last had it
+    async def _start_member(self, member: Member) -> None:
+        if self.schedule.fleet.front == "platform" and member.run_count:  # it starts with its last list
             self._write(member)
         await member.start()
         await member.ready()
 
     def _spawn(self, work: Any) -> None:
-        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(self._kept(work))
+        task: asyncio.Task[None] = asyncio.get_running_loop().create_task(self._report_errors(work))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _kept(self, work: Any) -> None:
+    async def _report_errors(self, work: Any) -> None:
         try:
             await work
         except (OSError, RuntimeError) as error:
@@ -224,9 +227,9 @@
         while True:
             for partner in self.partners.values():
                 partner.log_capacity()
-            due = loop.time() + _BEARS_EVERY
-            await asyncio.sleep(_BEARS_EVERY)
-            if (late := loop.time() - due) > _LAG_S:  # what the stand-ins saw is that much late
+            due = loop.time() + _CAPACITY_INTERVAL_S
+            await asyncio.sleep(_CAPACITY_INTERVAL_S)
+            if (late := loop.time() - due) > _LAG_S:  # the stand-ins' records are that much late
                 self.events.add("lag", late_s=round(late, 3))
 
     async def _log_starvation(self) -> None:
@@ -240,29 +243,30 @@
                     self.events.add(STARVED, member=member.name, waited_s=round(waited_s, 3))
             await asyncio.sleep(SAMPLE_INTERVAL_S)
 
-    # The schedule
+    # Faults
 
     async def run(self) -> Events:
-        """The whole schedule; what happened."""
+        """Run the whole schedule and return its events."""
         schedule = self.schedule
         try:
             await self.start()
-            for place in sorted(range(len(schedule.faults)), key=lambda one: schedule.faults[one].at):
-                fault = schedule.faults[place]
+            for index in sorted(range(len(schedule.faults)), key=lambda one: schedule.faults[one].at):
+                fault = schedule.faults[index]
                 await asyncio.sleep(max(0.0, fault.at - self.events.now))
-                await self.inject(place)
+                await self.inject(index)
             await asyncio.sleep(max(0.0, schedule.seconds + schedule.drain_s - self.events.now))
         finally:
             await self.stop()
         return self.events
 
-    async def inject(self, place: int) -> None:
-        fault = self.schedule.faults[place]
+    async def inject(self, index: int) -> None:
+        """Inject the fault at this index of the schedule."""
+        fault = self.schedule.faults[index]
         if fault.do in ON_MEMBERS:
-            who = select_members(self.schedule, place, self._last)
-            self._last = who
+            who = select_members(self.schedule, index, self._last_members)
+            self._last_members = who
             self.events.add("fault", do=fault.do, who=who, back_s=fault.back_s, folder=list(fault.folder))
-            await self._on_members(fault, who, place)
+            await self._on_members(fault, who, index)
         else:
             self.events.add(
                 "fault", do=fault.do, dest=fault.dest, for_s=fault.for_s, between=list(fault.between)
@@ -279,9 +283,9 @@
             else:
                 self._on_links(fault)
 
-    async def _on_members(self, fault: Fault, who: list[str], place: int) -> None:
+    async def _on_members(self, fault: Fault, who: list[str], index: int) -> None:
         members = [self.members[name] for name in who]
-        rng = self.schedule.rng(f"fault/{place}")
+        rng = self.schedule.rng(f"fault/{index}")
         match fault.do:
             case "save-folder":
                 for member in members:
@@ -293,16 +297,16 @@
                 for member in members:
                     member.signal(signal.SIGSTOP)
                     self.events.add("paused", member=member.name, for_s=fault.for_s)
-                self._later(fault.for_s, partial(_resume, members))
+                self._call_later(fault.for_s, partial(_resume, members))
             case "start":
                 for member in members:
-                    self._spawn(self._up(member))
+                    self._spawn(self._start_member(member))
             case "move-discovery":
                 for member in members:
                     await self._move_discovery(member, fault)
             case "discovery-hangs":
                 self.platform.hang(who, fault.count)
-                self._later(fault.for_s, partial(self.platform.hang, who, 0))
+                self._call_later(fault.for_s, partial(self.platform.hang, who, 0))
             case "crash-loop":
                 for member in members:
                     self._spawn(self._crash_loop(member, fault))
@@ -313,14 +317,14 @@
                     member.signal(number)
                     if fault.kill_s >= 0:
                         self._spawn(
-                            self._end_of_series(member, fault, self.schedule.rng(f"{place}/{member.name}"))
+                            self._signal_series(member, fault, self.schedule.rng(f"{index}/{member.name}"))
                         )
                 if fault.back_s >= 0:
                     struck = [member.process for member in members]
-                    self._spawn(self._back(fault, members, struck, rng.random()))
+                    self._spawn(self._restart(fault, members, struck, rng.random()))
 
-    async def _end_of_series(self, member: Member, fault: Fault, rng: random.Random) -> None:
-        """Further signals behind SIGTERM, and SIGKILL where the process still runs at the end."""
+    async def _signal_series(self, member: Member, fault: Fault, rng: random.Random) -> None:
+        """Send further signals after SIGTERM, and SIGKILL if the process still runs at the end."""
         process, before = member.process, 0.0
         for at in sorted(rng.uniform(0.0, fault.kill_s) for _ in range(fault.signals)):
             await asyncio.sleep(at - before)
@@ -333,7 +337,7 @@
             member.signal(signal.SIGKILL)
 
     async def _move_discovery(self, member: Member, fault: Fault) -> None:
-        """Another address of discovery in its file, and SIGHUP; the link's keys strike the old address."""
+        """Write a new address of discovery to its file and send SIGHUP; conditions apply to the old one."""
         old = self.proxies.all[member.name, "discovery"]
         self.proxies.all[member.name, f"discovery before {self.events.now:.3f}"] = old
         await self._add_discovery_link(member.name)
@@ -353,21 +357,21 @@
             await asyncio.sleep(fault.for_s)
         await member.ready()
 
-    async def _back(
+    async def _restart(
         self,
         fault: Fault,
         members: list[Member],
         struck: list[asyncio.subprocess.Process | None],
         seed: float,
     ) -> None:
-        """Start the members again once the processes that the fault struck have ended. One that another fault
-        had just ended may be starting anew: its end would be waited for in vain.
+        """Restart the members once the processes that the fault hit have exited. A process that another fault
+        had just ended may have a successor by then, whose exit must not be awaited.
         """
         await asyncio.gather(*(one.ended(process) for one, process in zip(members, struck, strict=True)))
         await asyncio.sleep(fault.back_s)
         rng = self.schedule.rng(f"folders/{seed}")
-        for place, member in enumerate(members):
-            match fault.folder[place % len(fault.folder)]:
+        for index, member in enumerate(members):
+            match fault.folder[index % len(fault.folder)]:
                 case "lost":
                     member.delete_state()
                 case "old":
@@ -375,25 +379,25 @@
                 case "cut":
                     member.truncate_files(rng)
                 case "foreign":
-                    member.copy_from(members[(place + 1) % len(members)])
-                case "swapped" if place % 2 == 0 and place + 1 < len(members):
-                    member.swap(members[place + 1])
+                    member.copy_from(members[(index + 1) % len(members)])
+                case "swapped" if index % 2 == 0 and index + 1 < len(members):
+                    member.swap(members[index + 1])
         gap = fault.over_s / max(1, len(members) - 1)
 
-        def late(place: int) -> float:
-            """s after the first at which this one starts."""
+        def late(index: int) -> float:
+            """The delay of this start after the first one, s."""
             if fault.start == "together":
                 return 0.0
-            return place * gap if fault.start == "one-by-one" else rng.uniform(0.0, fault.over_s)
+            return index * gap if fault.start == "one-by-one" else rng.uniform(0.0, fault.over_s)
 
         async def start(member: Member, after: float) -> None:
             await asyncio.sleep(after)
             member.should_run = True
-            await self._up(member)
+            await self._start_member(member)
 
-        await asyncio.gather(*(start(member, late(place)) for place, member in enumerate(members)))
+        await asyncio.gather(*(start(member, late(index)) for index, member in enumerate(members)))
 
-    def _later(self, after: float, then: Callable[[], object]) -> None:
+    def _call_later(self, after: float, then: Callable[[], object]) -> None:
         asyncio.get_running_loop().call_later(after, then)
 
     async def _on_partner(self, fault: Fault) -> None:
@@ -407,23 +411,23 @@
                 partner.wait_s = fault.wait_s
             case "limit":
                 capacity.limit_factor = fault.share
-                self._later(fault.for_s, lambda: setattr(capacity, "limit_factor", 1.0))
+                self._call_later(fault.for_s, lambda: setattr(capacity, "limit_factor", 1.0))
             case "never-warm":
                 capacity.stays_cold = True
                 capacity.go_cold(now)
             case "silent" | "error" | "spoilt":
                 partner.mode = fault.do
-                self._later(fault.for_s, lambda: setattr(partner, "mode", ""))
+                self._call_later(fault.for_s, lambda: setattr(partner, "mode", ""))
             case "add":
                 listed = await self._new_endpoint(partner)
-                self._list({**self.platform.entries, listed.id: listed})
+                self._publish({**self.platform.entries, listed.id: listed})
             case "replace":
                 new = [await self._new_endpoint(partner) for _ in range(partner.spec.endpoints)]
                 entries = {
                     name: replace(one, state="leaving") if one.dest == fault.dest else one
                     for name, one in self.platform.entries.items()
                 }
-                self._list({**entries, **{one.id: one for one in new}})
+                self._publish({**entries, **{one.id: one for one in new}})
             case "drain" | "remove":
                 endpoint = partner.endpoints[fault.endpoint]
                 entries = dict(self.platform.entries)
@@ -433,7 +437,7 @@
                     )
                 else:
                     entries.pop(endpoint.id, None)
-                self._list(entries)
+                self._publish(entries)
 
     async def _new_endpoint(self, partner: PartnerStandIn) -> ListEntry:
         endpoint = partner.new_endpoint()
@@ -442,7 +446,7 @@
             await self.proxies.add(name, endpoint.id, endpoint.address)
         return ListEntry(endpoint.id, partner.spec.dest, partner.spec.advertised_rate)
 
-    def _list(self, entries: Mapping[str, ListEntry]) -> None:
+    def _publish(self, entries: Mapping[str, ListEntry]) -> None:
         self.platform.change(entries)
         if self.schedule.fleet.front == "operator":
             for member in self.members.values():
@@ -453,19 +457,19 @@
         match fault.do:
             case "discovery-down":
                 platform.set(down=True)
-                self._later(fault.for_s, partial(platform.set, down=False))
+                self._call_later(fault.for_s, partial(platform.set, down=False))
             case "discovery-slow":
                 platform.set(slow_s=fault.wait_s)
-                self._later(fault.for_s, partial(platform.set, slow_s=0.0))
+                self._call_later(fault.for_s, partial(platform.set, slow_s=0.0))
             case "discovery-limited":
                 platform.set(cost_s=fault.wait_s)
-                self._later(fault.for_s, partial(platform.set, cost_s=0.0))
+                self._call_later(fault.for_s, partial(platform.set, cost_s=0.0))
             case "discovery-reset":
                 platform.set(resets=True)
-                self._later(fault.for_s, partial(platform.set, resets=False))
+                self._call_later(fault.for_s, partial(platform.set, resets=False))
             case _:
                 platform.set(older=max(1, fault.count if fault.count != 50 else 1))
-                self._later(fault.for_s, partial(platform.set, older=0))
+                self._call_later(fault.for_s, partial(platform.set, older=0))
 
     def _on_clients(self, fault: Fault) -> None:
         if fault.do == "reconnect":
@@ -477,11 +481,11 @@
                 self._spawn(client.crowd(fault.count, fault.for_s))
             return
         at_dest = [one for one in self.load_generators if one.load.dest == fault.dest]
-        for place in range(fault.count):
-            at_dest[place % len(at_dest)].offer()
+        for index in range(fault.count):
+            at_dest[index % len(at_dest)].offer()
 
     def _parties(self, name: str) -> Any:
-        """Whether a link's end is meant by a name of the schedule."""
+        """A predicate for the parties that a link end of the schedule names."""
         if name == "members":
             return lambda one: one in self.members
         if name == "partners":
@@ -497,7 +501,7 @@
             gossip, had = self.gossip_proxy, self.gossip_proxy.conditions
             gossip.conditions = conditions
             if fault.for_s > 0:
-                self._later(fault.for_s, lambda: setattr(gossip, "conditions", had))
+                self._call_later(fault.for_s, lambda: setattr(gossip, "conditions", had))
             return
         proxies = self.proxies.between(self._parties(first), self._parties(second))
         self._set_links(proxies, conditions)
@@ -505,7 +509,7 @@
             for proxy in proxies:
                 proxy.reset_all()
         if fault.for_s > 0:
-            self._later(fault.for_s, partial(self._set_links, proxies, NetworkConditions()))
+            self._call_later(fault.for_s, partial(self._set_links, proxies, NetworkConditions()))
 
     def _split(self, fault: Fault) -> None:
         if self.gossip_proxy is None:
@@ -513,9 +517,10 @@
         names, proxy = self.schedule.names, self.gossip_proxy
         proxy.groups = [{names.index(one) for one in group if one in names} for group in fault.groups]
         if fault.for_s > 0:
-            self._later(fault.for_s, lambda: setattr(proxy, "groups", []))
+            self._call_later(fault.for_s, lambda: setattr(proxy, "groups", []))
 
     async def stop(self) -> None:
+        """Kill the members and close everything."""
         for one in self.load_generators:
             await one.stop()
         for task in list(self._tasks):
@@ -546,7 +551,7 @@
 
 
 def run_schedule(schedule: Schedule, folder: Path, command: list[str] | None = None) -> Events:
-    """Run a schedule to its end in this process; RuntimeError where the rig itself failed."""
+    """Run a schedule to its end in this process; errors of the rig itself go to stderr."""
     one = Runner(schedule, folder, command)
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(one.run())
--- a/mountgauge/lab/rig/schedule.py
+++ b/mountgauge/lab/rig/schedule.py
@@ -32,7 +32,7 @@
 ON_DISCOVERY = (
     "discovery-down", "discovery-slow", "discovery-limited", "discovery-older", "discovery-reset",
 )  # fmt: skip
-ON_PLATFORM = (*ON_DISCOVERY, "move-discovery", "discovery-hangs")  # faults that its front alone knows
+ON_PLATFORM = (*ON_DISCOVERY, "move-discovery", "discovery-hangs")  # only for the platform's front
 ON_LINKS = ("link", "split")
 ON_CLIENTS = ("reconnect", "clump", "crowd")
 KINDS = (*ON_MEMBERS, *ON_PARTNERS, *ON_DISCOVERY, *ON_LINKS, *ON_CLIENTS)
@@ -40,35 +40,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """`[fleet]`: the senders that are run."""
+    """`[fleet]`: the senders of the run."""
 
     members: int = 3
     front: str = "operator"  # or "platform": GW_CONFIG, discovery, notices
-    senders: int = 0  # what each member is told; 0: as many as there are members
+    senders: int = 0  # fleet size in the members' configuration; 0: the number of members
     slots: int = 8
     max_open: int = 400
     cold_s: float = 14.0
-    gossip: bool = False  # [fleet] in the members' files
+    gossip: bool = False  # whether the members' files have [fleet]
     gossip_interval_s: float = 0.25
-    voters: int = 0  # members, from the first on, that vote on budgets; 0: all
+    voters: int = 0  # number of members, from the first on, that vote on budgets; 0: all
     comeback: bool = True
     disk_mb: float = 16.0
     ask_within_s: float = 10.0
     discovery: str = "subscribe"  # or "automatic": lists are pushed to an agent on the member's machine
-    extra: str = ""  # more of the members' files, in TOML
+    extra: str = ""  # TOML to append to the members' files
 
     @property
     def sender_count(self) -> int:
+        """The fleet size in the members' configuration."""
         return self.senders or self.members
 
     @property
     def pushed(self) -> bool:
+        """Whether lists are pushed to an agent."""
         return self.discovery == "automatic"
 
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
-    """`[[class]]`: a class of message."""
+    """`[[class]]`: a message class."""
 
     name: str
     semantics: str = "idempotent"
@@ -80,11 +82,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Partner:
-    """`[[partner]]`: a destination and what it bears."""
+    """`[[partner]]`: a destination and its capacity."""
 
     dest: int
     rate: float = 100.0
-    listed: float = -1.0  # what the list tells; below 0: the rate
+    listed: float = -1.0  # rate in the list; below 0: `rate`
     endpoints: int = 1
     depth_s: float = 0.3
     refused_cost: float = 0.5
@@ -98,22 +100,23 @@
 
     @property
     def advertised_rate(self) -> float:
+        """The rate in discovery's list."""
         return self.rate if self.listed < 0 else self.listed
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """`[[load]]`: messages that are offered to members."""
+    """`[[load]]`: messages offered to members."""
 
     dest: int
     grade: str
     each: float = 4.0  # messages/s offered to each member
-    retries: int = 2  # times that a client comes again after a refusal
-    back_off: bool = True  # waits as told and longer each time; else comes again at once
+    retries: int = 2  # submissions after a rejection
+    back_off: bool = True  # wait as required, longer each time; else submit again at once
     begin_s: float = -1e9
     until_s: float = 1e9
     tenant: str = ""
-    who: str = "*"  # a glob of the members that are offered it
+    who: str = "*"  # glob of the members that receive it
     body_bytes: int = 5  # of each message
 
 
@@ -124,7 +127,7 @@
     name: str
     rate: float
     burst: float
-    strict: bool = False  # met by a fleet-wide budget
+    strict: bool = False  # enforced by a fleet-wide budget
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,7 +138,7 @@
     dest: int
     whole: float
     kind: str = "rate"
-    burst: float = 0.0  # 0: as many as the whole
+    burst: float = 0.0  # 0: as large as `whole`
     reserve: float = 0.05
     lease_s: float = 4.0
     ends_within_s: float = 0.0
@@ -143,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """`[[fault]]`: what is done to whom at a time (s)."""
+    """`[[fault]]`: a fault, its targets and its time (s)."""
 
     at: float
     do: str
@@ -151,30 +154,30 @@
     dest: int = 0
     endpoint: int = 0
     for_s: float = 0.0
-    back_s: float = -1.0  # killed and ended ones start again after so long; below 0: not by themselves
+    back_s: float = -1.0  # delay of the restart after an exit; below 0: no restart
     start: str = "together"
     over_s: float = 0.0
-    folder: tuple[str, ...] = ("kept",)  # one for all, or one for each in turn
-    times: int = 3  # of a crash loop
-    share: float = 0.5  # what is left of a limit
-    wait_s: float = 0.0  # told while shut
-    between: tuple[str, str] = ("members", "members")  # a link's ends
+    folder: tuple[str, ...] = ("kept",)  # used in turn for the members
+    times: int = 3  # restarts of a crash loop
+    share: float = 0.5  # remaining share of a limit
+    wait_s: float = 0.0  # Retry-After while shut; delay or cost of discovery's answers
+    between: tuple[str, str] = ("members", "members")  # ends of a link
     conditions: Mapping[str, Any] = field(default_factory=dict)
     groups: tuple[tuple[str, ...], ...] = ()
-    count: int = 50  # messages of a clump, connections of a crowd, calls of each member that hang
-    kill_s: float = -1.0  # SIGKILL so long after SIGTERM where the process still runs; below 0: never
-    signals: int = 0  # further SIGTERMs and SIGHUPs until then
+    count: int = 50  # messages of a clump, connections of a crowd, hanging calls of each member
+    kill_s: float = -1.0  # from SIGTERM to SIGKILL if the process still runs; below 0: never
+    signals: int = 0  # further SIGTERMs and SIGHUPs before that
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A run as its file has it; times in s."""
+    """A run as its file describes it; times in s."""
 
     name: str
     seed: int
     seconds: float
-    settle_s: float  # load before time 0, not judged by the figures
-    drain_s: float  # after the load's end, for what is held
+    settle_s: float  # load before time 0, which the figures leave out
+    drain_s: float  # after the end of the load, for queued messages
     fleet: Fleet
     message_classes: tuple[MessageClass, ...]
     partners: tuple[Partner, ...]
@@ -185,14 +188,15 @@
 
     @property
     def names(self) -> list[str]:
-        return [f"m{place + 1:02d}" for place in range(self.fleet.members)]
+        """The names of the members."""
+        return [f"m{index + 1:02d}" for index in range(self.fleet.members)]
 
     def rng(self, what: str) -> random.Random:
-        """A stream of its own for each part, so that one more draw in one part moves no other."""
+        """A random stream for each part, so that an added draw in one part does not change another."""
         return random.Random(f"{self.seed}/{what}")
 
     def with_(self, **changes: Any) -> Schedule:
-        """The same with other seed, fleet settings and the like."""
+        """The schedule with other values of its own fields or of the fleet's."""
         own = {
             key: value for key, value in changes.items() if key in {f.name for f in dataclasses.fields(self)}
         }
@@ -201,9 +205,9 @@
         return dataclasses.replace(self, fleet=fleet, **own)
 
 
-def select_members(schedule: Schedule, place: int, last: Sequence[str]) -> list[str]:
-    """The members that the fault at this place of the schedule means; `last` are those of the one before."""
-    fault, names = schedule.faults[place], schedule.names
+def select_members(schedule: Schedule, index: int, last: Sequence[str]) -> list[str]:
+    """The members that a fault of the schedule affects; `last` are those of the fault before it."""
+    fault, names = schedule.faults[index], schedule.names
     match fault.who:
         case "all":
             return names
@@ -212,7 +216,7 @@
         case "rest":
             return [name for name in names if name not in last]
         case int(count):
-            return sorted(schedule.rng(f"who/{place}").sample(names, min(count, len(names))))
+            return sorted(schedule.rng(f"who/{index}").sample(names, min(count, len(names))))
         case str(glob):
             return [name for name in names if fnmatch(name, glob)]
         case globs:
@@ -220,13 +224,13 @@
 
 
 def load(path: Path) -> Schedule:
-    """Read and check a schedule's file; ConfigError with one line that names the file and the fault."""
+    """Read and check a schedule's file; ConfigError names the file and the error in one line."""
     with faults_of(path):
         return parse(read(path))
 
 
 def parse(raw: Mapping[str, Any]) -> Schedule:
-    """The schedule in a file's tables; ConfigError names the first fault."""
+    """The schedule in a file's tables; ConfigError names the first error."""
     top = Table(raw, "")
     fleet = _fill(Fleet, top.table("fleet") or Table({}, "fleet"))
     if fleet.front not in ("operator", "platform"):
@@ -248,25 +252,25 @@
     budgets = tuple(_fill(BudgetSpec, table) for table in top.tables("budget"))
     if (budgets or any(one.strict for one in tenants)) and not fleet.gossip:
         raise ConfigError("budget: needs fleet.gossip = true")
-    faults = tuple(_fault(table, place, fleet) for place, table in enumerate(top.tables("fault")))
+    faults = tuple(_fault(table, index, fleet) for index, table in enumerate(top.tables("fault")))
     if not partners:
         raise ConfigError("partner: at least one is needed")
     dests, named = {one.dest for one in partners}, {one.name for one in message_classes}
     if len(dests) < len(partners):
         raise ConfigError("partner.dest: stands twice")
-    for place, one in enumerate(loads):
+    for index, one in enumerate(loads):
         if one.dest not in dests:
-            raise ConfigError(f"load[{place}].dest: no partner has {one.dest}")
+            raise ConfigError(f"load[{index}].dest: no partner has {one.dest}")
         if one.grade not in named:
-            raise ConfigError(f"load[{place}].grade: no class '{one.grade}'")
-    for place, budget in enumerate(budgets):
+            raise ConfigError(f"load[{index}].grade: no class '{one.grade}'")
+    for index, budget in enumerate(budgets):
         if budget.dest not in dests:
-            raise ConfigError(f"budget[{place}].dest: no partner has {budget.dest}")
-    for place, fault in enumerate(faults):
+            raise ConfigError(f"budget[{index}].dest: no partner has {budget.dest}")
+    for index, fault in enumerate(faults):
         if fault.do in (*ON_PARTNERS, "clump") and fault.dest not in dests:
-            raise ConfigError(f"fault[{place}].dest: no partner has {fault.dest}")
+            raise ConfigError(f"fault[{index}].dest: no partner has {fault.dest}")
         if fault.do in ON_PLATFORM and fleet.front != "platform":
-            raise ConfigError(f"fault[{place}].do: {fault.do} is for fleet.front = 'platform'")
+            raise ConfigError(f"fault[{index}].do: {fault.do} is for fleet.front = 'platform'")
     found = Schedule(
         name=top.get("name", str),
         seed=int(top.get("seed", int, default=1)),
@@ -286,7 +290,7 @@
 
 
 def _fill(kind: type[_T], table: Table) -> _T:
-    """A record from a table, each key checked against the field's type."""
+    """Make a record from a table, with each value checked against the field's type."""
     values: dict[str, Any] = {}
     for one in dataclasses.fields(kind):  # type: ignore[arg-type]
         key = one.name
@@ -321,8 +325,8 @@
 }
 
 
-def _fault(table: Table, place: int, fleet: Fleet) -> Fault:
-    where = f"fault[{place}]"
+def _fault(table: Table, index: int, fleet: Fleet) -> Fault:
+    where = f"fault[{index}]"
     do = table.get("do", str)
     if do not in KINDS:
         raise ConfigError(f"{where}.do: not one of {', '.join(KINDS)}")
--- a/mountgauge/lab/rig/stand_ins.py
+++ b/mountgauge/lab/rig/stand_ins.py
@@ -1,7 +1,7 @@
 """Stand-ins on loopback: partners' endpoints, the platform (discovery and notices), clients.
 
-Each tells `events` all that goes over its sockets; none knows the program beyond its wires. What a partner
-bears is `capacity.CapacityModel`'s to say.
+Each records its traffic as events and knows only the protocols of the program. The capacity of a partner is
+a `capacity_model.CapacityModel`.
 """
 
 from __future__ import annotations
@@ -26,34 +26,34 @@
 from mountgauge.lab.rig.proxies import HOST, Address, StreamProxy
 from mountgauge.lab.rig.schedule import Load, Partner
 
-_CLIENT_TIMEOUT_S = 0.4  # s that a client waits for the answer to a message
-_RETRY_DELAY_S = 0.5  # s after which one that heard nothing comes again
-_CLIENT_PATIENCE_S = 2.0  # s in which a client must have been let in
-_RESET_AFTER_S = 0.05  # s after which a half-written answer's connection is reset
+_CLIENT_TIMEOUT_S = 0.4  # until a client abandons a submission without an answer
+_RETRY_DELAY_S = 0.5  # until a client without an answer submits again
+_CLIENT_PATIENCE_S = 2.0  # within which a client must be connected, and retries failed submissions
+_RESET_AFTER_S = 0.05  # from a half-written answer to the reset of its connection
 _FOREVER_S = 3600.0
-_LISTS_KEPT = 64  # versions of the list that discovery can go back to
+_LISTS_KEPT = 64  # versions of the list that discovery can return to
 
-MemberLookup = Callable[[Any], str]  # which member a connection's peer name belongs to
-LinkCheck = Callable[[str, Address], bool]  # whether the link carries what is said to a member's peer name
+MemberLookup = Callable[[Any], str]  # the member behind a connection's peer address
+LinkCheck = Callable[[str, Address], bool]  # whether the link delivers data sent to a peer address
 ConnectionLookup = Callable[
     [str, Address], str
 ]  # the name of the connection that a member has from an address
 
 
 class Truncated(NamedTuple):
-    """An answer of which only this much is written before the connection is reset."""
+    """The part of an answer that is written before the connection is reset."""
 
     data: bytes
 
 
 class _Server:
-    """Listens, reads HTTP and answers one message after another."""
+    """An HTTP server that answers the requests of a connection one after another."""
 
     def __init__(self, who: MemberLookup) -> None:
         self._who = who
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self.began: dict[Address, float] = {}  # by peer: when its request's first byte came, loop time
+        self.began: dict[Address, float] = {}  # by peer: when its request's first byte arrived, loop time
         self.address: Address = (HOST, 0)
 
     async def start(self) -> Address:
@@ -62,6 +62,7 @@
         return self.address
 
     def stop(self) -> None:
+        """Close the listening socket and abort all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -78,9 +79,9 @@
                     self.began[peer] = asyncio.get_running_loop().time()
                 for message in parser.feed(data):
                     answering = asyncio.ensure_future(self.answer(member, message, peer))
-                    gone = asyncio.ensure_future(_eof(reader))
+                    closed = asyncio.ensure_future(_eof(reader))
                     try:
-                        await asyncio.wait({answering, gone}, return_when=asyncio.FIRST_COMPLETED)
+                        await asyncio.wait({answering, closed}, return_when=asyncio.FIRST_COMPLETED)
                         if not answering.done():
                             answering.cancel()
                         answer = await answering
@@ -88,7 +89,7 @@
                         answering.cancel()
                         raise
                     finally:
-                        gone.cancel()
+                        closed.cancel()
                     if answer is None or writer.transport.is_closing():
                         return
                     if isinstance(answer, Truncated):
@@ -104,18 +105,18 @@
             writer.transport.abort()
 
     async def answer(self, member: str, message: Message, peer: Address) -> bytes | Truncated | None:
-        """What is written; None: the connection is reset without an answer."""
+        """The answer to write; None: reset the connection without an answer."""
         raise NotImplementedError
 
 
 async def _eof(reader: asyncio.StreamReader) -> None:
-    """Until the other side has gone: it sends nothing while it waits for an answer."""
+    """Wait until the other side has closed: it sends nothing while it waits for an answer."""
     while not reader.at_eof() and reader.exception() is None:
         await asyncio.sleep(0.02)
 
 
 class PartnerStandIn:
-    """One destination: its endpoints share what it bears."""
+    """One destination, whose endpoints share its capacity."""
 
     def __init__(self, spec: Partner, events: Events, who: MemberLookup) -> None:
         self.spec, self.events = spec, events
@@ -130,20 +131,22 @@
             spec.span_s,
         )
         self.capacity.cold_at = -1e9
-        self.mode = ""  # "silent", "error", "spoilt": how calls fare that it takes
-        self.wait_s = 0.0  # told while it is shut
-        self.out: Counter[str] = Counter()  # by message: calls that are out
+        self.mode = ""  # "silent", "error", "spoilt": how it handles accepted calls
+        self.wait_s = 0.0  # Retry-After while it refuses all calls
+        self.out: Counter[str] = Counter()  # by message: calls in flight
         self.endpoints = [_Endpoint(self, number, who) for number in range(spec.endpoints)]
         self._next = spec.endpoints
         self.who = who
 
     def new_endpoint(self) -> _Endpoint:
+        """Add an endpoint, which is not started yet."""
         self._next += 1
         endpoint = _Endpoint(self, self._next - 1, self.who)
         self.endpoints.append(endpoint)
         return endpoint
 
     def log_capacity(self) -> None:
+        """Record the current capacity as an event."""
         now = self.events.now
         self.events.add(
             "bears",
@@ -197,7 +200,7 @@
             events.add("broken", ran=ran, **call)
             raise
         wait_s = float(extra.get("Retry-After", 0))
-        spoilt = partner.mode == "spoilt" and taken  # what is refused is refused in plain words
+        spoilt = partner.mode == "spoilt" and taken  # refusals stay well-formed
         events.add("answer", status=0 if spoilt else status, ran=ran, wait=wait_s, **call)
         if spoilt:
             return b"\x16\x03\x01 no answer at all\r\n\r\n"
@@ -206,7 +209,7 @@
 
 @dataclass
 class ListEntry:
-    """One line of discovery's list; its address differs from member to member."""
+    """An entry of discovery's list; its address differs between members."""
 
     id: str
     dest: int
@@ -215,9 +218,10 @@
 
 
 class PlatformStandIn(_Server):
-    """Discovery, which works through calls one after another, and the notices.
+    """Discovery, which handles calls one after another, and the receiver of notices.
 
-    With `pushed` it is the agents on the members' machines: silent while discovery is down, else at once.
+    With `pushed` it plays the agents on the members' machines, which are silent while discovery is down and
+    otherwise answer at once.
     """
 
     def __init__(
@@ -235,18 +239,19 @@
         self.entries: dict[str, ListEntry] = {}
         self.version = 0
         self.kept: list[tuple[int, dict[str, ListEntry]]] = []
-        self.last: dict[str, Mapping[str, Any]] = {}  # the list as each member last had it
+        self.last: dict[str, Mapping[str, Any]] = {}  # the last list of each member
         self.down = False
-        self.cost_s = 0.0  # of its time for each call
-        self.slow_s = 0.0
-        self.older = 0  # versions that it has gone back by
-        self.resets = False  # answers are reset half-way
-        self.patience_s = 2.0  # s after which a call that has waited fails
-        self.to_hang: Counter[str] = Counter()  # by member: calls that are not answered
+        self.cost_s = 0.0  # processing time of each call
+        self.slow_s = 0.0  # added delay of each answer
+        self.older = 0  # by how many versions its list is behind
+        self.resets = False  # whether answers are reset half-way
+        self.patience_s = 2.0  # longest time that a call waits for processing
+        self.to_hang: Counter[str] = Counter()  # by member: further calls that are not answered
         self._free_at = 0.0
         self._news = asyncio.Event()
 
     def change(self, entries: Mapping[str, ListEntry]) -> None:
+        """Publish a new version of the list."""
         self.entries = {name: one for name, one in entries.items()}
         self.version += 1
         self.kept = [*self.kept[-_LISTS_KEPT:], (self.version, dict(self.entries))]
@@ -267,7 +272,7 @@
         older: int | None = None,
         resets: bool | None = None,
     ) -> None:
-        """How it fares from now on; what is not named stays."""
+        """Set the faults of discovery; those that are not given stay."""
         self.down = self.down if down is None else down
         self.cost_s = self.cost_s if cost_s is None else cost_s
         self.slow_s = self.slow_s if slow_s is None else slow_s
@@ -281,11 +286,12 @@
         self._wake()
 
     def hang(self, members: Sequence[str], calls: int) -> None:
-        """So many further calls of each of these members are never answered."""
+        """Leave the next `calls` calls of each of these members without an answer."""
         for member in members:
             self.to_hang[member] = calls
 
     def as_json(self, member: str) -> dict[str, Any]:
+        """The list as the member receives it."""
         version, entries = self.version, self.entries
         if self.older and len(self.kept) > self.older:
             version, entries = self.kept[-1 - self.older]
@@ -340,7 +346,7 @@
         loop = asyncio.get_running_loop()
         asked = loop.time()
         self._free_at = max(asked, self._free_at) + self.cost_s
-        if self._free_at - asked > self.patience_s:  # it costs as much as one that is served
+        if self._free_at - asked > self.patience_s:  # it costs as much time as an answered call
             await asyncio.sleep(self.patience_s)
             self.events.add("list-failed", member=member)
             return response(503, "Service Unavailable", {}, b"")
@@ -359,7 +365,7 @@
         return answer
 
     async def _news_after(self, index: int, ends: float) -> bool:
-        """Wait for a newer version, to the wait's end; False where discovery went down."""
+        """Wait for a newer version until the end of the wait; False if discovery went down."""
         loop = asyncio.get_running_loop()
         while (index >= self.version and loop.time() < ends) or (self.down and self.pushed):
             if self.down and not self.pushed:
@@ -370,7 +376,7 @@
         return not self.down
 
     def record_list(self, member: str, found: Mapping[str, Any], connection: str = "") -> None:
-        """A list is written to the member on this connection, or given to it at its start."""
+        """Record that a list was written to the member on this connection, or given to it at its start."""
         if found["full"]:
             self.last[member] = found
         self.events.add(
@@ -385,7 +391,7 @@
 
 @dataclass(eq=False)
 class MemberClient:
-    """A member's clients: connections kept, more opened when all are busy."""
+    """The clients of a member: a pool of connections, which grows when all are busy."""
 
     member: str
     proxy: StreamProxy
@@ -395,7 +401,7 @@
     user: str = ""  # logs in as this tenant's user
 
     async def ask(self, *args: bytes) -> bytes:
-        """One command, one answer; OSError where there is none."""
+        """Send a command and return its answer; OSError if there is none."""
         reader, writer = await self._connection()
         try:
             writer.write(b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%b\r\n" % (len(a), a) for a in args))
@@ -430,7 +436,7 @@
         return reader, writer
 
     async def reconnect(self, count: int) -> None:
-        """All connections go, and so many come at once; each asks PING."""
+        """Abort all connections and open `count` new ones at once, each of which sends PING."""
         for _, writer in self.idle:
             writer.transport.abort()
         self.idle.clear()
@@ -443,7 +449,7 @@
         await asyncio.gather(*(one() for _ in range(count)))
 
     async def crowd(self, count: int, for_s: float) -> None:
-        """So many connections come and say nothing for a while."""
+        """Open `count` connections that send nothing for `for_s` seconds."""
         opened: list[asyncio.StreamWriter] = []
         try:
             for _ in range(count):
@@ -455,12 +461,13 @@
                 writer.transport.abort()
 
     def close(self) -> None:
+        """Abort the idle connections."""
         for _, writer in self.idle:
             writer.transport.abort()
 
 
 class LoadGenerator:
-    """One load at one member: what it offers, and what comes of it."""
+    """Generates one load at one member and records the results of its messages."""
 
     ids = itertools.count(1)
 
@@ -474,7 +481,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, until: float) -> None:
-        """Offer messages until then, in the schedule's time."""
+        """Offer messages until the time `until` of the schedule."""
         at = max(self.events.now, self.load.begin_s)
         while True:
             at += float(self._numbers.exponential(1 / self.load.each)) if self.load.each > 0 else 1e9
@@ -484,6 +491,7 @@
             self.offer()
 
     def offer(self) -> None:
+        """Offer one message, in a task of its own."""
         task = asyncio.get_running_loop().create_task(self._submit(self._rng.getrandbits(64)))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -528,11 +536,12 @@
             await asyncio.sleep(again * (1 + self._rng.random()) * refused if load.back_off else 0.02)
 
     async def stop(self) -> None:
+        """Cancel all submissions."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 def hash_text(text: str) -> int:
-    """The same number for the same text in each process."""
+    """A number that depends on the text alone, not on the process."""
     return int.from_bytes(random.Random(text).randbytes(8), "big")
--- a/mountgauge/lab/soak/command.py
+++ b/mountgauge/lab/soak/command.py
@@ -1,4 +1,4 @@
-"""`mountgauge lab soak`: plays the runs of one seed after another and says which rule each broke."""
+"""`mountgauge lab soak`: runs one seed after another and prints which rules each run broke."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SoakRunner(Runner):
-    """A rig whose senders are started by the soak's launcher, and fail by its plan from time 0 on."""
+    """A rig whose senders run under the soak's launcher and fail by its plan from time 0 on."""
 
     def __init__(self, soak: Soak, folder: Path, mutant: str = "") -> None:
         folder = folder.resolve()
@@ -30,7 +30,7 @@
         self.soak = soak
 
     async def start(self) -> None:
-        """As the rig's; then the faults inside the senders are told to them."""
+        """Start the rig, then write the plan of faults for the senders."""
         await super().start()
         Plan(self.events.zero, self.soak.process_faults).write(self.folder)
 
@@ -38,7 +38,7 @@
 def play(
     seed: int, members: int, seconds: float, folder: Path, mutant: str = "", density: Density = RANDOM
 ) -> Verdict:
-    """One run, judged; its folder holds the events, the plan and the senders' logs."""
+    """Run a seed and judge it; its folder holds the events, the plan and the senders' logs."""
     soak = draw(seed, members, seconds, density)
     runner = SoakRunner(soak, folder, mutant)
     asyncio.run(runner.run())
@@ -53,13 +53,13 @@
 def _play_apart(
     seed: int, members: int, seconds: float, folder: Path, mutant: str, density: Density
 ) -> Verdict:
-    """In a process of its own: rigs tell their addresses apart by their processes."""
+    """Run a seed in its own process: rigs derive distinct addresses from their process ids."""
     with ProcessPoolExecutor(1, multiprocessing.get_context("spawn")) as pool:
         return pool.submit(play, seed, members, seconds, folder, mutant, density).result()
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """The words of the command."""
+    """Add the options of the command."""
     parser.add_argument("--seed", type=int, default=1, help="of the first run")
     parser.add_argument("--seeds", type=int, default=1, help="how many runs, one seed after another")
     parser.add_argument("--members", type=int, default=40, help="senders of a run")
@@ -72,7 +72,7 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Exit 1 where any run broke a rule."""
+    """Returns 1 if any run broke a rule, else 0."""
     failed, density = [], DENSITIES[args.density]
     for seed in range(args.seed, args.seed + args.seeds):
         folder, began = args.out / f"{args.mutant or 'seed'}-{seed}", time.monotonic()
--- a/mountgauge/lab/soak/draw.py
+++ b/mountgauge/lab/soak/draw.py
@@ -1,6 +1,6 @@
 """Draws a soak from its seed: the fleet, its load, and overlapping faults on every layer.
 
-Pure: the same seed always gives the same run. Each kind of fault has a stream of its own.
+Pure: the same seed always gives the same run. Each kind of fault has its own random stream.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from mountgauge.lab.rig.schedule import Schedule, parse
 from mountgauge.lab.soak.plan import ProcessFault
 
-KILL_S = 3.7  # after SIGTERM, at the earliest by the platform's page
-BACK_S = 0.6  # after SIGKILL, at which the next process starts
-WINDOW_S = 0.8  # of the class whose repeats endpoints drop
-MAX_FAULT_S = 1.0  # that one call fails for
-MAX_PAUSE_S = 0.15  # that a sender is held up for
-QUIET_S = 4.0  # at the end without new faults, in which what is held is to end
-CROWD_SHARE = 0.3  # of the runs
+KILL_S = 3.7  # from SIGTERM to SIGKILL: the shortest by the platform's page
+BACK_S = 0.6  # from SIGKILL to the start of the next process
+WINDOW_S = 0.8  # repeat window of the class whose repeats endpoints drop
+MAX_FAULT_S = 1.0  # for which one call fails
+MAX_PAUSE_S = 0.15  # for which a sender is paused
+QUIET_S = 4.0  # without new faults at the end, in which queued messages finish
+CROWD_SHARE = 0.3  # of the runs have a crowd of connections
 CROWD = 40  # connections at each member
-SLOW_SHARE = 0.2  # of the runs, in which discovery answers each call so much later
-SLOW_S = 1.0
+SLOW_SHARE = 0.2  # of the runs have a slow discovery throughout
+SLOW_S = 1.0  # by which it then answers each call later
 EVERY_CALL = 1000  # more than a member makes
 
 _DESTINATIONS = (1, 2, 3)
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultKind:
-    """One kind of process fault: the call that fails and how it may."""
+    """A kind of process fault: the failing call and its possible errors."""
 
     seam: str
     call: str
@@ -45,7 +45,7 @@
 KINDS = (
     FaultKind("sockets", "write", (errno.EAGAIN, errno.EAGAIN, errno.ECONNRESET, errno.EPIPE), 6),
     FaultKind("sockets", "read", (errno.EAGAIN, errno.ECONNRESET, errno.ETIMEDOUT), 5),
-    # Not ECONNREFUSED: it would prove that discovery is down, which ends a doubt, where it is not.
+    # Not ECONNREFUSED: it would wrongly prove to the sender that discovery is down and end its doubts.
     FaultKind("sockets", "connect", (errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ENOBUFS), 3),
     FaultKind("sockets", "connected", (errno.ETIMEDOUT, errno.EHOSTUNREACH), 1),
     FaultKind("sockets", "socket", (errno.EMFILE, errno.ENFILE), 1),
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Density:
-    """How often what strikes; mean times in s."""
+    """How often each kind of fault occurs; mean times in s."""
 
     inside_every_s: float = 1.5  # between two faults inside one sender
     listed_every_s: float = 1.5  # between two changes of the list
     partner_every_s: float = 2.0  # between two failures of partners
-    load: float = 1.0  # times the usual messages a second
+    load: float = 1.0  # factor on the usual message rate
     answer_s: tuple[float, float] = (0.02, 0.2)  # of partners
     body_bytes: int = 5  # of each message
     disk_mb: float = 16.0  # of each sender
@@ -80,7 +80,7 @@
 
 
 RANDOM = Density()
-# For senders with a fault in their guard: what is decided is held up time and again, and lists change.
+# For senders with a fault in their send guard: decided sends are often delayed, and lists change often.
 HELD_UP = Density(
     inside_every_s=0.8, listed_every_s=0.6, partner_every_s=0.35, load=2.5, answer_s=(0.02, 0.03),
     partner_fails=("error",), kinds=(
@@ -89,7 +89,7 @@
         FaultKind("files", "write", (errno.EIO,), 2),
     ),
 )  # fmt: skip
-# For the journal: it is compacted time and again, calls fail then, and senders are killed.
+# For the journal: it is compacted often, calls fail meanwhile, and senders are killed.
 SMALL_DISK = Density(
     inside_every_s=0.5, load=2.5, body_bytes=2000, disk_mb=0.2, killed_every_s=2.0, kinds=(
         FaultKind("files", "replace", (errno.EIO,), 4),
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Soak:
-    """One run: what the rig plays, and the faults inside the senders."""
+    """A run: the schedule for the rig, and the faults inside the senders."""
 
     schedule: Schedule
     process_faults: tuple[ProcessFault, ...]
@@ -129,7 +129,7 @@
         for name, every_s in every.items()
         for fault in _series(random.Random(f"soak/{seed}/{name}"), makers[name], every_s, end, members)
     ]
-    # A link that is silent to the end would keep the last ends from being told.
+    # A link that is silent to the end would prevent the last outcomes from being reported.
     faults = [
         {**one, "for_s": min(one["for_s"], end - one["at"])} if "half_open" in one else one for one in faults
     ]
@@ -215,7 +215,7 @@
 
 
 def _listed(rng: random.Random, members: int) -> RawFault:
-    """Nothing new may go to what leaves; `replace` brings new ones at once."""
+    """Drain all endpoints of a destination; `replace` adds new ones at the same time."""
     return {"do": "replace", "dest": rng.choice(_DESTINATIONS)}
 
 
@@ -226,14 +226,14 @@
 
 
 def _hangs(rng: random.Random, members: int) -> RawFault:
-    """One call, several in a row or all of them, at discovery or at the agents."""
+    """Let one call, several in a row or all of them hang, at discovery or at the agents."""
     who = rng.choice((_random_count(rng, members), [_member(rng, members)], "all"))
     count = rng.choice((1, 2, 4, 8, EVERY_CALL))
     return {"do": "discovery-hangs", "who": who, "for_s": rng.uniform(1.0, 20.0), "count": count}
 
 
 def _long_silence(rng: random.Random, members: int) -> RawFault:
-    """The way to discovery: calls that are out stay silent after it, new ones do not come up in it."""
+    """Silence the link to discovery: open connections stay silent after it, new ones hang during it."""
     ends = [_member(rng, members), "discovery"]
     return {
         "do": "link",
@@ -245,7 +245,7 @@
 
 
 def _drained_then_killed(rng: random.Random, at: float, members: int) -> list[RawFault]:
-    """Changes just before the kill and as the next process starts, whose first calls hang or do not."""
+    """Change the list just before a kill and at the next start, whose first calls may hang."""
     who = [f"m{one + 1:02d}" for one in rng.sample(range(members), _random_count(rng, members))]
     dest = rng.choice(_DESTINATIONS)
     found: list[RawFault] = [
--- a/mountgauge/lab/soak/launcher.py
+++ b/mountgauge/lab/soak/launcher.py
@@ -1,9 +1,9 @@
-"""Runs one sender of the platform whose system calls, files and clock fail by a plan.
+"""Runs one sender of the platform, whose system calls, files and clock fail by a plan.
 
     python -m mountgauge.lab.soak.launcher FOLDER [MUTANT]
 
-FOLDER holds the plan once the run has begun; `GW_NAME` says which sender this is. The sender is the program
-as it is, on an event loop, files and clocks of the lab.
+FOLDER holds the plan once the run has begun; `GW_NAME` is the name of this sender. The sender is the
+unchanged program on an event loop, files and clocks of the lab.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 from mountgauge.lab.soak.plan import FILE, Plan, ProcessFault
 from mountgauge.run import handover
 
-PLAN_POLL_INTERVAL_S = 0.05  # for the plan, until it is there
-RIG_CHECK_INTERVAL_S = 1.0  # whether the rig that started this sender is still there
+PLAN_POLL_INTERVAL_S = 0.05  # until the plan exists
+RIG_CHECK_INTERVAL_S = 1.0  # between two checks whether the rig still runs
 _RIG_GONE = 3  # exit code
 
 
 class PlannedFaults:
-    """The seams of this process, and what of the plan strikes them now."""
+    """The injection points of this process, and the faults of the plan that are active."""
 
     def __init__(self) -> None:
         self.sockets, self.clients, self.files = Faults(), Faults(), FailingFiles()
-        self.clock_offset_s = 0.0  # of the wall clock
+        self.clock_offset_s = 0.0  # added to the wall clock
         self._active: list[ProcessFault] = []
 
     def install(self) -> None:
-        """Put the seams in the places of the system's calls."""
+        """Replace the system's calls by the injection points."""
         wall = durable_time.SystemClocks.wall
         setattr(durable_time.SystemClocks, "wall", lambda clocks: wall(clocks) + self.clock_offset_s)  # noqa: B010
         for module in (journal, handover):
@@ -45,17 +45,17 @@
         asyncio.set_event_loop_policy(_Policy(self))
 
     def begin(self, fault: ProcessFault) -> None:
-        """It strikes from now on."""
+        """Activate the fault."""
         self._active.append(fault)
         self._apply()
 
     def end(self, fault: ProcessFault) -> None:
-        """It strikes no longer."""
+        """Deactivate the fault."""
         self._active.remove(fault)
         self._apply()
 
     def _apply(self) -> None:
-        """What is active now; of two that strike one call the later one counts."""
+        """Apply the active faults; of two on the same call the later one counts."""
         by_seam = {"sockets": self.sockets, "clients": self.clients}
         for faults in by_seam.values():
             for call in ("accept", "socket", "connect", "connected", "read", "write"):
@@ -76,7 +76,7 @@
 
 
 class PlannedLoop(FaultyLoop):
-    """An event loop that lets the plan strike once it is there."""
+    """An event loop that schedules the faults of the plan once it exists."""
 
     def __init__(self, planned: PlannedFaults) -> None:
         super().__init__(planned.sockets)
@@ -85,7 +85,7 @@
         self.call_soon(self._end_with_rig)
 
     def _end_with_rig(self) -> None:
-        """A sender whose rig was killed would run on for ever."""
+        """Exit once the rig was killed: the sender would run on forever."""
         if os.getppid() != self._rig:
             os._exit(_RIG_GONE)
         self.call_later(RIG_CHECK_INTERVAL_S, self._end_with_rig)
@@ -111,7 +111,7 @@
 
 
 def launch() -> int:
-    """The sender's exit code."""
+    """Run the sender; returns its exit code."""
     for name in sys.argv[2:]:
         MUTANTS[name]()
     PlannedFaults().install()
--- a/mountgauge/lab/soak/mutants.py
+++ b/mountgauge/lab/soak/mutants.py
@@ -1,4 +1,4 @@
-"""Senders with one fault each in what guards their sends: the soak must find every one of them."""
+"""Senders with one fault each in the guard of their sends: the soak must detect every one of them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _guard_off() -> None:
-    """Whatever was decided is sent, at any time."""
+    """Permits every decided send at any time."""
 
     def permit(message: MessageState, endpoint: EndpointState, call_until: float, now: float) -> SendPermit:
         return SendPermit(math.inf)
@@ -22,17 +22,17 @@
 
 
 def _window_unchecked() -> None:
-    """A repeat that was decided within its window is sent whenever it can be."""
+    """Sends a repeat that was decided within its window even after the window."""
     setattr(send_guard, "repeat_until", lambda *_: math.inf)  # noqa: B010
 
 
 def _late_byte() -> None:
-    """A socket writes what it holds as soon as it can, and asks no lease."""
+    """Writes buffered data to a socket without checking the lease."""
     setattr(LeaseSlot, "check", lambda slot: None)  # noqa: B010
 
 
 def _early_end() -> None:
-    """An end is told at once, on record or not."""
+    """Reports outcomes at once, whether they are recorded or not."""
     setattr(send_guard, "may_tell_end", lambda *_: True)  # noqa: B010
 
 
--- a/mountgauge/lab/soak/plan.py
+++ b/mountgauge/lab/soak/plan.py
@@ -1,7 +1,7 @@
-"""The faults below the senders of a soak: data that the soak writes and each sender's launcher reads.
+"""The faults inside the senders of a soak: data that the soak writes and each sender's launcher reads.
 
-Times are seconds of the schedule; a written plan also says when its time 0 is on the machine's monotonic
-clock, which all processes of one machine share, so that a restarted sender meets what is left of its faults.
+Times are seconds of the schedule. A written plan also gives its time 0 on the machine's monotonic clock,
+which all processes of the machine share, so that a restarted sender has the remaining faults.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
     at: float
     for_s: float
     seam: str  # of `SEAMS`
-    call: str  # as the seam names it; of the clock: "step"
+    call: str  # in the seam's own terms; of the clock: "step"
     error: int = 0  # errno
-    late: bool = False  # of files: it fails after it took effect
-    most: int = 0  # of sockets: bytes that a write still moves before it fails
-    step_s: float = 0.0  # of the clock: by how much the wall clock is set
+    late: bool = False  # of files: the call fails after it took effect
+    most: int = 0  # of sockets: bytes that writes still move before they fail
+    step_s: float = 0.0  # of the clock: by how much the wall clock is stepped
 
     @property
     def until(self) -> float:
@@ -43,7 +43,7 @@
     faults: tuple[ProcessFault, ...]
 
     def write(self, folder: Path) -> None:
-        """In one piece, as senders look for it all the time."""
+        """Write the plan atomically: senders poll for it."""
         path = folder / FILE
         spare = path.with_suffix(".new")
         found = {"zero": self.zero, "faults": [asdict(one) for one in self.faults]}
@@ -52,7 +52,7 @@
 
     @classmethod
     def read(cls, path: Path) -> Plan | None:
-        """None as long as there is none."""
+        """Read a plan; None if it does not exist yet."""
         try:
             raw = json.loads(path.read_text())
         except FileNotFoundError:
@@ -60,5 +60,5 @@
         return cls(raw["zero"], tuple(ProcessFault(**one) for one in raw["faults"]))
 
     def of(self, member: str) -> list[ProcessFault]:
-        """Those of one sender."""
+        """The faults of one sender."""
         return [one for one in self.faults if one.member == member]
--- a/mountgauge/lab/soak/verdict.py
+++ b/mountgauge/lab/soak/verdict.py
@@ -1,4 +1,4 @@
-"""Judges a soak: the rig's oracle, the senders' own run-time check, and how their processes ended."""
+"""Judges a soak by the rig's oracle, the senders' run-time checks, and the exits of their processes."""
 
 from __future__ import annotations
 
@@ -14,32 +14,32 @@
 from mountgauge.lab.rig.schedule import Schedule
 from mountgauge.lab.soak.plan import ProcessFault
 
-SLACK_S = 0.1  # that proxies add to what links do
-# Turns of the rig's own loop between what it writes to a sender and its record of the sender's next call: the
-# proxy's read, its accept, its dial and its read of the call, the endpoint's accept and its read. Where a
-# turn is late, each of them may be.
+SLACK_S = 0.1  # delay that proxies add to that of links
+# Turns of the rig's own loop from its write to a sender to its record of the sender's next call: the proxy's
+# read, its accept, its connect and its read of the call, the endpoint's accept and its read. Each of them may
+# be late.
 LATE_TURNS = 6
-LAG_SPAN_S = 2.0  # before a verdict in which lateness of the loop counts for it
-PROXY_TURN_S = 0.02  # from a stand-in's write to the turn in which the proxy carries it on
-LAG_RADIUS_S = 1.0  # before and after a write, lateness of the loop that may hold the proxy up
-_LEVELS_S = (0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.8, 2.7)  # slacks with which a run is judged
+LAG_SPAN_S = 2.0  # before a violation, in which lag of the loop may excuse it
+PROXY_TURN_S = 0.02  # from a stand-in's write to the turn in which the proxy forwards it
+LAG_RADIUS_S = 1.0  # before and after a write, in which lag of the loop may delay the proxy
+_LEVELS_S = (0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.8, 2.7)  # the tolerances with which a run is judged
 LOST_OUTCOME_S = (
-    3.0  # past which an end is not late but lost: writes and connections fail for a second at a time
+    3.0  # after which an outcome is lost, not late: writes and connections fail for up to 1 s at a time
 )
-UNREAD_ANSWER_S = 1.5  # within which a fault before it may have kept an answer from being read
-DISK_RECOVERY_S = 0.1  # after a fault of the disk, within which a sender has written what it owed
-_UNKNOWN_EXIT = 255  # what asyncio reports where a signal that was sent just then has taken the process's end
-_TIMED = ("final",)  # rules whose moment the faults themselves move
+UNREAD_ANSWER_S = 1.5  # around a fault, in which an answer may not have been read
+DISK_RECOVERY_S = 0.1  # from the end of a disk fault until a sender has written pending records
+_UNKNOWN_EXIT = 255  # reported by asyncio if a signal sent at the exit collected the exit status
+_TIMED = ("final",)  # rules whose deadlines the faults themselves defer
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a run has shown."""
+    """The result of a run."""
 
     violations: list[Violation]
     taken: int
     delivered: int
-    lag_s: float  # the most by which the rig's own loop was late
+    lag_s: float  # the largest lag of the rig's own loop
 
     def __str__(self) -> str:
         rules = ",".join(sorted({one.rule for one in self.violations})) or "none"
@@ -47,10 +47,10 @@
 
 
 def verdict(schedule: Schedule, events: Sequence[Event], inside: Iterable[ProcessFault]) -> Verdict:
-    """Every rule that was broken, once.
+    """Every violation, once.
 
-    The oracle sees what the rig's loop has got round to: a moment of its is late by what the loop was late
-    just then. The senders' own check needs no slack.
+    The oracle's times are those at which the rig's loop handled an event, so they are late by its lag at that
+    time. The senders' own checks need no tolerance.
     """
     lags = [(event.at, event.fields["late_s"]) for event in events if event.kind == "lag"]
     events = _without_swallowed(events, lags)
@@ -71,7 +71,7 @@
         if one.rule not in _TIMED and not late and not excused:
             broken.append(one)
     worst = max((late for _, late in lags), default=0.0)
-    lost_s = LOST_OUTCOME_S + 2 * LATE_TURNS * worst  # a call for the notice, and one that failed before it
+    lost_s = LOST_OUTCOME_S + 2 * LATE_TURNS * worst  # for the notice's call and a failed one before it
     silences = _silences(events)
     broken += [
         one for one in judge(schedule, events, lost_s).violations
@@ -82,8 +82,8 @@
 
 
 def _without_swallowed(events: Sequence[Event], lags: Sequence[tuple[float, float]]) -> list[Event]:
-    """Without the lists that were swallowed on their way: a silence of the link began between the stand-in's
-    write and the proxy's next turn, which carries it on.
+    """The events without lists that were dropped on their way: the link fell silent between the stand-in's
+    write and the proxy's next turn, which forwards it.
     """
     silences = defaultdict[str, list[float]](list)
     for event in events:
@@ -99,7 +99,7 @@
 
 
 def _silences(events: Iterable[Event]) -> defaultdict[str, list[Span]]:
-    """By member: when its link to the platform, on which notices go too, was silent."""
+    """By member: when its link to the platform, which also carries notices, was silent."""
     found = defaultdict[str, OpenSpans](OpenSpans)
     for event in events:
         if event.kind == "discovery-link":
@@ -108,7 +108,7 @@
 
 
 def _delayed_by_silence(one: Violation, silences: Iterable[Span], lost_s: float) -> bool:
-    """Whether an end that was late came soon after the link carried it again. One that never came is lost."""
+    """Whether a late outcome came soon after a silence of the link. One that never came is lost."""
     if one.why.startswith("no end"):
         return False
     return any(span.begin <= one.at <= span.end + lost_s for span in silences)
@@ -119,7 +119,7 @@
 
 
 def _answer_unread(one: Violation, unread: Iterable[ProcessFault]) -> bool:
-    """A wait that was told in an answer which its sender could not read binds nobody who knows of it."""
+    """Whether the sender could not read the answer with the required wait, so the wait does not bind it."""
     return one.rule == "wait" and any(
         fault.member == one.member and fault.at - UNREAD_ANSWER_S < one.at < fault.until + UNREAD_ANSWER_S
         for fault in unread
@@ -127,36 +127,37 @@
 
 
 class _Outcomes:
-    """The notices of each message, beside what kept a member from writing and when its processes ended."""
+    """The notices of each message, the disk faults of each member and the exits of its processes."""
 
     def __init__(self, events: Iterable[Event], failing: Sequence[ProcessFault]) -> None:
         self._failing = failing
         self._due: dict[str, float] = {}
-        self._told: dict[str, float] = {}  # the first notice of each
-        self._gone: dict[str, list[float]] = defaultdict(list)
+        self._reported: dict[str, float] = {}  # the first notice of each
+        self._exits: dict[str, list[float]] = defaultdict(list)
         for event in events:
             f = event.fields
             if event.kind == "handed":
                 self._due[f["id"]] = event.at + f["left"]
             elif event.kind == "notice":
-                self._told.setdefault(f["id"], event.at)
+                self._reported.setdefault(f["id"], event.at)
             elif event.kind == "gone":
-                self._gone[f["member"]].append(event.at)
+                self._exits[f["member"]].append(event.at)
 
     def could_not_be_recorded(self, one: Violation) -> bool:
-        """Whether two ends were told by two lives, of which the first could not write its own down up to its
-        end: past the message's time it has to be told all the same, and the next life can't know.
+        """Whether two process runs reported different outcomes, of which the first could not record its own
+        before its exit. After the deadline it must report the outcome all the same, and the next run cannot
+        know of it.
         """
-        if one.rule != "ends" or one.id not in self._told:
+        if one.rule != "ends" or one.id not in self._reported:
             return False
-        told_at = self._told[one.id]
-        gone_at = next((at for at in self._gone[one.member] if told_at <= at <= one.at), None)
-        if gone_at is None or told_at < self._due.get(one.id, told_at + 1.0):
+        reported_at = self._reported[one.id]
+        exited_at = next((at for at in self._exits[one.member] if reported_at <= at <= one.at), None)
+        if exited_at is None or reported_at < self._due.get(one.id, reported_at + 1.0):
             return False
-        return self._failing_until(one.member, told_at) >= gone_at
+        return self._failing_until(one.member, reported_at) >= exited_at
 
     def _failing_until(self, member: str, at: float) -> float:
-        """Until when the member's disk has failed without a pause in which it could have written."""
+        """Until when the member's disk failed without a pause in which the member could have written."""
         until = at
         for fault in sorted(self._failing, key=lambda fault: fault.at):
             if fault.member == member and fault.at <= until:
@@ -165,7 +166,7 @@
 
 
 def _violations(events: Iterable[Event]) -> list[Violation]:
-    """What the senders' own check has counted."""
+    """The violations that the senders' own checks logged."""
     found = []
     for event in events:
         if event.kind == "log" and event.fields["event"] == "invariant-violated":
@@ -176,9 +177,9 @@
 
 
 def _crashes(events: Iterable[Event]) -> list[Violation]:
-    """Processes that ended by themselves in another way than with 0.
+    """Processes that exited by themselves with another code than 0.
 
-    One that a signal ended before it was ready had not begun to hear them, and had taken nothing on.
+    A process that a signal ended before it was ready had no signal handlers yet and had accepted nothing.
     """
     found, serving = [], set[str]()
     for event in events:
