--- a/mountgauge/lab/rig/capacity_model.py
+++ b/mountgauge/lab/rig/capacity_model.py
@@ -72,9 +72,9 @@
             if span != self._span:
                 self._span, self._tokens = span, rate * self.span_s
         else:
-            most = max(1.0, rate * self.depth_s)
-            gone = max(0.0, now - self._filled_at) if self._filled_at > -math.inf else self.depth_s
-            self._tokens = min(most, self._tokens + rate * gone)
+            max_tokens = max(1.0, rate * self.depth_s)
+            elapsed = max(0.0, now - self._filled_at) if self._filled_at > -math.inf else self.depth_s
+            self._tokens = min(max_tokens, self._tokens + rate * elapsed)
             self._filled_at = now
         if self._tokens >= 1.0:
             self._tokens -= 1.0
@@ -92,12 +92,12 @@
             self._arrivals.popleft()
         while self._capacity_samples and self._capacity_samples[0][0] < since:
             self._capacity_samples.popleft()
-        borne = (
+        allowed = (
             sum(rate for _, rate in self._capacity_samples)
             / len(self._capacity_samples)
             * self.falls_window_s
         )
-        if len(self._arrivals) > self.falls_at * max(borne, 1.0):
+        if len(self._arrivals) > self.falls_at * max(allowed, 1.0):
             self.fall_count += 1
             self.go_cold(now)
             self._arrivals.clear()
--- a/mountgauge/lab/rig/files.py
+++ b/mountgauge/lab/rig/files.py
@@ -75,15 +75,15 @@
             f"strict = {str(tenant.strict).lower()}",
             f'users = {{ {tenant.name} = "{tenant.name}" }}',
         ]
-    for grade in schedule.message_classes:
+    for message_class in schedule.message_classes:
         text += [
             "[[class]]",
-            f'name = "{grade.name}"',
-            f'semantics = "{grade.semantics}"',
-            f"deadline = {grade.deadline_s}",
-            f"aim = {min(grade.aim_s, grade.deadline_s)}",
-            f"repeat_window = {grade.repeat_window_s}",
-            f"worth = {grade.worth}",
+            f'name = "{message_class.name}"',
+            f'semantics = "{message_class.semantics}"',
+            f"deadline = {message_class.deadline_s}",
+            f"aim = {min(message_class.aim_s, message_class.deadline_s)}",
+            f"repeat_window = {message_class.repeat_window_s}",
+            f"worth = {message_class.worth}",
         ]
     for hop, dest, (at, port), state in hops:
         text += [
@@ -106,7 +106,7 @@
 ) -> str:
     """The contents of the file that `GW_CONFIG` names; `known` is the list that the member starts with."""
     fleet = schedule.fleet
-    grades = [
+    message_classes = [
         {
             "name": one.name,
             "semantics": one.semantics,
@@ -126,7 +126,7 @@
         "tick": 0.005,
         "discovery": fleet.discovery,
         "weights": "nominal",
-        "grades": grades,
+        "grades": message_classes,
         "localities": [],
         "shapes": [_KIND],
         "ceilings": {
--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -86,10 +86,10 @@
 
 def _repeats() -> None:
     """Treats every message class as idempotent."""
-    grade = interface.MessageClass
+    message_class = interface.MessageClass
 
     def lax(**fields: Any) -> interface.MessageClass:
-        return grade(**{**fields, "semantics": "idempotent"})
+        return message_class(**{**fields, "semantics": "idempotent"})
 
     setattr(interface, "MessageClass", lax)  # noqa: B010
 
--- a/mountgauge/lab/rig/notified.py
+++ b/mountgauge/lab/rig/notified.py
@@ -165,15 +165,15 @@
     found = [_unwatched(made, run.began, run.calls[0].began, run.ask_within_s, run)]
     following = [*(call.began for call in run.calls[1:]), run.ended]
     for call, next_call in zip(run.calls, following, strict=True):
-        held = run.ask_within_s * (FAILED_CALL_FACTOR if call.failed else 1.0)
+        allowed_s = run.ask_within_s * (FAILED_CALL_FACTOR if call.failed else 1.0)
         if next_call - call.ended > WATCH_GAP_S:
-            found.append(_unwatched(made, call.ended, next_call, held, run))
+            found.append(_unwatched(made, call.ended, next_call, allowed_s, run))
     return min(found)
 
 
-def _unwatched(made: float, last: float, next_call: float, held: float, run: ProcessRun) -> float:
+def _unwatched(made: float, last: float, next_call: float, allowed_s: float, run: ProcessRun) -> float:
     """The moment within a gap between two calls; inf where the next call comes before it."""
-    at = _after_reachable_for(max(made, last) + held, held, run)
+    at = _after_reachable_for(max(made, last) + allowed_s, allowed_s, run)
     return at if at < next_call else math.inf
 
 
--- a/mountgauge/lab/rig/oracle.py
+++ b/mountgauge/lab/rig/oracle.py
@@ -112,36 +112,36 @@
 class _Judge:
     def __init__(self, schedule: Schedule, events: list[Event], slack_s: float) -> None:
         self.schedule, self.events = schedule, events
-        self.message_classes = {grade.name: grade for grade in schedule.message_classes}
+        self.message_classes = {one.name: one for one in schedule.message_classes}
         self.slack = slack(schedule) + slack_s
         self.found = Judgement()
         self.calls: dict[int, Call] = {}
         self.by_id: dict[str, list[Call]] = defaultdict(list)
-        self.handed: dict[str, Event] = {}
+        self.submitted: dict[str, Event] = {}
         self.taken: dict[str, Event] = {}
         self.notices: dict[str, list[Event]] = defaultdict(list)
-        self.refused: dict[str, float] = {}  # when each of these was rejected
-        self.down: dict[str, list[tuple[float, float]]] = defaultdict(list)  # from its exit until it serves
+        self.rejected: dict[str, float] = {}  # when each of these was rejected
+        self.unavailable: dict[str, list[tuple[float, float]]] = defaultdict(list)  # exit until it serves
         self.losses: dict[str, list[float]] = defaultdict(list)  # when a member's folder was lost or replaced
         self._struck: set[str] = set()  # hit by a fault that loses the folder, and still running
-        self._open_downs: dict[str, float] = {}
+        self._open_outages: dict[str, float] = {}
         self.end_at = events[-1].at if events else 0.0
 
     def judge(self) -> Judgement:
         for event in self.events:
             self._read(event)
-        for name, began in list(self._open_downs.items()):
-            self.down[name].append((began, self.end_at + RECOVERY_GRACE_S))
+        for name, began in list(self._open_outages.items()):
+            self.unavailable[name].append((began, self.end_at + RECOVERY_GRACE_S))
         for msg_id, taken in self.taken.items():
             self._final(msg_id, taken)
         for msg_id, calls in self.by_id.items():
             self._overlaps(msg_id, calls)
             self._repeats(msg_id, calls)
-            self._handed_back(msg_id, calls)
+            self._resubmittable(msg_id, calls)
         self._waits()
-        told = self._drains()
+        reported_calls = self._drains()
         if self.schedule.fleet.front == "platform":
-            self._unwritten_drains(told)
+            self._unwritten_drains(reported_calls)
         for budget in self.schedule.budgets:
             self._budget(budget)
         for tenant in self.schedule.tenants:
@@ -154,11 +154,11 @@
         f = event.fields
         match event.kind:
             case "handed":
-                self.handed[f["id"]] = event
+                self.submitted[f["id"]] = event
             case "taken":
                 self.taken[f["id"]] = event
             case "refused":
-                self.refused[f["id"]] = event.at
+                self.rejected[f["id"]] = event.at
             case "call":
                 began = f.get("began", event.at)
                 call = Call(f["call"], event.at, began, f["member"], f["endpoint"], f["id"], f["dest"])
@@ -183,20 +183,20 @@
                 for name in f["who"]:
                     self.losses[name].append(event.at)
             case "paused":
-                self.down[f["member"]].append((event.at, event.at + f["for_s"] + RECOVERY_GRACE_S))
+                self.unavailable[f["member"]].append((event.at, event.at + f["for_s"] + RECOVERY_GRACE_S))
             case "gone":
-                self._open_downs.setdefault(f["member"], event.at)
+                self._open_outages.setdefault(f["member"], event.at)
                 if f["member"] in self._struck:
                     self._struck.discard(f["member"])
                     self.losses[f["member"]].append(event.at)
             case "ready":
-                if (began := self._open_downs.pop(f["member"], None)) is not None:
-                    self.down[f["member"]].append((began, event.at + RECOVERY_GRACE_S))
+                if (began := self._open_outages.pop(f["member"], None)) is not None:
+                    self.unavailable[f["member"]].append((began, event.at + RECOVERY_GRACE_S))
 
     def _excused(self, member: str, at: float) -> float:
         """Until when a message due at `at` is not overdue because the member was unavailable."""
         until = at
-        for began, ended in sorted(self.down[member]):
+        for began, ended in sorted(self.unavailable[member]):
             if began - 0.01 <= until + OUTCOME_GRACE_S and ended > until:
                 until = ended
         return until
@@ -206,19 +206,19 @@
 
     def _copied(self, member: str, msg_id: str, at: float) -> bool:
         """Whether this member has the message from a copy of another member's folder."""
-        taken = self.taken.get(msg_id) or self.handed.get(msg_id)
+        taken = self.taken.get(msg_id) or self.submitted.get(msg_id)
         others = taken is not None and taken.fields["member"] != member
         return others and any(when <= at for when in self.losses[member])
 
-    def _broken(self, rule: str, at: float, member: str, msg_id: str, why: str) -> None:
+    def _report(self, rule: str, at: float, member: str, msg_id: str, why: str) -> None:
         self.found.violations.append(Violation(rule, at, member, msg_id, why))
 
     def _final(self, msg_id: str, taken: Event) -> None:
         """Check that the message got one outcome, in time."""
         member = taken.fields["member"]
         self.found.taken += 1
-        handed = self.handed.get(msg_id, taken)
-        due = handed.at + taken.fields["left"]
+        submitted = self.submitted.get(msg_id, taken)
+        due = submitted.at + taken.fields["left"]
         delivered = [
             call.ended for call in self.by_id[msg_id] if call.status == 200 and call.ended is not None
         ]
@@ -226,7 +226,7 @@
         ends = sorted([*delivered, *(one.at for one in notices)])
         statuses = {one.fields["status"] for one in notices}
         if len(statuses) > 1 and not self._lost_after(member, min(one.at for one in notices)):
-            self._broken(
+            self._report(
                 "ends", notices[-1].at, member, msg_id, f"told as {' and as '.join(sorted(statuses))}"
             )
         if delivered:
@@ -238,11 +238,11 @@
         if self._lost_after(member, taken.at):
             self.found.with_folder += 1
         elif ends:
-            self._broken(
+            self._report(
                 "final", ends[0], member, msg_id, f"its end came {ends[0] - due:.3f} s after its time"
             )
         elif self._excused(member, due) + OUTCOME_GRACE_S + self.slack < self.end_at:
-            self._broken("final", due, member, msg_id, "no end by its time")
+            self._report("final", due, member, msg_id, "no end by its time")
 
     def _overlaps(self, msg_id: str, calls: list[Call]) -> None:
         for first, second in itertools.pairwise(calls):
@@ -250,43 +250,44 @@
             copied = any(self._copied(one.member, msg_id, one.at) for one in (first, second))
             if ended > second.at + CLOSE_SLACK_S + self.slack and not first.end_unseen and not copied:
                 why = f"call {first.number} to {first.endpoint} still out as {second.number} came"
-                self._broken("two-out", second.at, second.member, msg_id, why)
+                self._report("two-out", second.at, second.member, msg_id, why)
         if len(calls) > MAX_ATTEMPTS:
-            self._broken("attempts", calls[-1].at, calls[-1].member, msg_id, f"{len(calls)} calls")
+            self._report("attempts", calls[-1].at, calls[-1].member, msg_id, f"{len(calls)} calls")
 
     def _repeats(self, msg_id: str, calls: list[Call]) -> None:
-        if (handed := self.handed.get(msg_id)) is None:
+        if (submitted := self.submitted.get(msg_id)) is None:
             call = calls[0]
-            self._broken("unasked", call.at, call.member, msg_id, "nobody handed it in")
+            self._report("unasked", call.at, call.member, msg_id, "nobody handed it in")
             return
-        grade = self.message_classes[handed.fields["grade"]]
+        message_class = self.message_classes[submitted.fields["grade"]]
         ran: Call | None = None
         for call in calls:
             if ran is not None:
                 late = call.at - ran.at
-                bad = grade.semantics == "at_most_once" or (
-                    grade.semantics == "deduplicated" and late > grade.repeat_window_s + self.slack
+                bad = message_class.semantics == "at_most_once" or (
+                    message_class.semantics == "deduplicated"
+                    and late > message_class.repeat_window_s + self.slack
                 )
                 copied = any(self._copied(one.member, msg_id, one.at) for one in (ran, call))
                 if bad and (copied or self._lost_after(call.member, ran.at)):
                     self.found.repeats_after_loss += 1
                 elif bad:
-                    why = f"{grade.semantics}, called again {late:.3f} s after call {ran.number}"
-                    self._broken("repeat", call.at, call.member, msg_id, why)
+                    why = f"{message_class.semantics}, called again {late:.3f} s after call {ran.number}"
+                    self._report("repeat", call.at, call.member, msg_id, why)
             if ran is None and call.may_have_run:
                 ran = call
 
-    def _handed_back(self, msg_id: str, calls: list[Call]) -> None:
-        handed = self.handed.get(msg_id)
-        if handed is None or self.message_classes[handed.fields["grade"]].semantics != "at_most_once":
+    def _resubmittable(self, msg_id: str, calls: list[Call]) -> None:
+        submitted = self.submitted.get(msg_id)
+        if submitted is None or self.message_classes[submitted.fields["grade"]].semantics != "at_most_once":
             return
         deferred = (one.at for one in self.notices[msg_id] if one.fields["status"] == "deferred")
-        told_at = min(deferred, default=self.refused.get(msg_id))
+        reported_at = min(deferred, default=self.rejected.get(msg_id))
         ran = next((call for call in calls if call.may_have_run), None)
-        if told_at is None or ran is None or self._lost_after(ran.member, handed.at):
+        if reported_at is None or ran is None or self._lost_after(ran.member, submitted.at):
             return
-        why = f"told at {told_at:.3f} that it may come again, but call {ran.number} may have run"
-        self._broken("handed-back", max(told_at, ran.at), ran.member, msg_id, why)
+        why = f"told at {reported_at:.3f} that it may come again, but call {ran.number} may have run"
+        self._report("handed-back", max(reported_at, ran.at), ran.member, msg_id, why)
 
     def _starts(self, member: str) -> list[float]:
         return [
@@ -308,7 +309,7 @@
                     began - WAIT_SLACK_S < at <= call.at for at in starts[call.member]
                 ):
                     why = f"told to wait until {ended:.3f}"
-                    self._broken("wait", call.at, call.member, call.id, why)
+                    self._report("wait", call.at, call.member, call.id, why)
                     break
 
     def _budget(self, budget: BudgetSpec) -> None:
@@ -318,14 +319,14 @@
             self._rate(budget.name, budget.whole, budget.burst or budget.whole,
                        [(call.at, call.member, call.id) for call in calls])  # fmt: skip
         elif budget.kind == "concurrent":
-            out: list[float] = []
+            in_flight: list[float] = []
             for call in calls:
-                out = [end for end in out if end > call.at]
+                in_flight = [end for end in in_flight if end > call.at]
                 ended = call.ended if call.ended is not None else self.end_at
-                out.append(ended - self.slack)
-                if len(out) > budget.whole:
-                    why = f"{budget.name}: {len(out)} calls out, {budget.whole:g} may be"
-                    self._broken("budget", call.at, call.member, call.id, why)
+                in_flight.append(ended - self.slack)
+                if len(in_flight) > budget.whole:
+                    why = f"{budget.name}: {len(in_flight)} calls out, {budget.whole:g} may be"
+                    self._report("budget", call.at, call.member, call.id, why)
 
     def _rate(self, name: str, rate: float, burst: float, times: list[tuple[float, str, str]]) -> None:
         """Check that no span of time that ends at a call exceeds the rate by more than the burst."""
@@ -334,7 +335,7 @@
             level, before = max(0.0, level - rate * (at - before)) + 1.0, at
             if (over := level - burst - rate * self.slack) > 1e-6:
                 why = f"{name}: {over:.1f} above {rate:g}/s and its burst"
-                self._broken("budget", at, member, msg_id, why)
+                self._report("budget", at, member, msg_id, why)
 
     def _strict(self, tenant: Tenant) -> None:
         """Check the messages that all members together accepted for the tenant."""
@@ -349,13 +350,13 @@
         """Check calls against the lists written to each member; return the calls that broke the rule."""
         found: set[int] = set()
         shut: dict[tuple[str, str], float] = {}  # since when the list has an endpoint as leaving or removed
-        known: dict[str, set[str]] = defaultdict(set)
+        listed: dict[str, set[str]] = defaultdict(set)
         for event in self.events:
             f = event.fields
             if event.kind == "told":
                 states = f["states"]
-                known[f["member"]] |= set(states)
-                for name in known[f["member"]]:
+                listed[f["member"]] |= set(states)
+                for name in listed[f["member"]]:
                     state = states.get(name, "left" if f["full"] else "")
                     if state in ("leaving", "left"):
                         shut.setdefault((f["member"], name), event.at)
@@ -365,19 +366,19 @@
                 since, began = shut.get((f["member"], f["endpoint"])), f.get("began", event.at)
                 if since is not None and began > since + DRAIN_GRACE_S + self.slack:
                     why = f"{f['endpoint']} was told to leave {began - since:.3f} s before"
-                    self._broken("drain", event.at, f["member"], f["id"], why)
+                    self._report("drain", event.at, f["member"], f["id"], why)
                     found.add(f["call"])
         return found
 
-    def _unwritten_drains(self, told: set[int]) -> None:
-        """Check calls against all changes that count as notified, without the calls in `told`."""
+    def _unwritten_drains(self, reported_calls: set[int]) -> None:
+        """Check calls against all changes that count as notified, without the calls in `reported_calls`."""
         fleet = self.schedule.fleet
         lists = history(self.events, fleet.ask_within_s, fleet.pushed)
         changes = lists.changes()
         spans: dict[tuple[str, str], list[tuple[Change, Span]]] = {}
         for call in self.calls.values():
             link = (call.member, call.endpoint)
-            if call.endpoint not in changes or call.number in told:
+            if call.endpoint not in changes or call.number in reported_calls:
                 continue
             if link not in spans:
                 spans[link] = [
@@ -392,5 +393,5 @@
                         f"{call.endpoint} left at {change.at:.3f} (version {change.version}), "
                         f"which counted as notified {call.began - span.begin:.3f} s before"
                     )
-                    self._broken("drain", call.at, call.member, call.id, why)
+                    self._report("drain", call.at, call.member, call.id, why)
                     break
--- a/mountgauge/lab/rig/page.py
+++ b/mountgauge/lab/rig/page.py
@@ -99,7 +99,7 @@
         found = RunMetrics(events, dest)
         step, begin = 0.25, -schedule.settle_s
         times = [
-            begin + place * step for place in range(round((schedule.seconds + schedule.settle_s) / step))
+            begin + index * step for index in range(round((schedule.seconds + schedule.settle_s) / step))
         ]
         figure, axes = plot.subplots(figsize=(11, 3.2))
         rate = {
--- a/mountgauge/lab/rig/runner.py
+++ b/mountgauge/lab/rig/runner.py
@@ -143,14 +143,14 @@
         self._spawn(self._log_capacities())
         self._spawn(self._log_starvation())
         for load in schedule.loads:
-            grade = next(one for one in schedule.message_classes if one.name == load.grade)
+            message_class = next(one for one in schedule.message_classes if one.name == load.grade)
             for name in (one for one in schedule.names if fnmatch(one, load.who)):
                 client = self.member_clients.setdefault(
                     (name, load.tenant),
                     MemberClient(name, self.proxies.all["clients", name], self.events, user=load.tenant),
                 )
                 seed = f"{schedule.seed}/{name}/{load.dest}/{load.grade}/{load.tenant}"
-                self.load_generators.append(LoadGenerator(load, client, grade.deadline_s, seed))
+                self.load_generators.append(LoadGenerator(load, client, message_class.deadline_s, seed))
         self.events.begin(-schedule.settle_s)
         for one in self.load_generators:
             self._spawn(one.run(schedule.seconds))
@@ -172,7 +172,7 @@
                 self._log_link(proxy.source)
 
     def _write(self, member: Member) -> None:
-        """Write the member's file atomically; its list of endpoints is recorded as told from then on."""
+        """Write the member's file atomically; its list counts as written to the member from then on."""
         schedule, name = self.schedule, member.name
         if schedule.fleet.front == "platform":
             path = member.folder / "config.json"
@@ -320,8 +320,8 @@
                             self._signal_series(member, fault, self.schedule.rng(f"{index}/{member.name}"))
                         )
                 if fault.back_s >= 0:
-                    struck = [member.process for member in members]
-                    self._spawn(self._restart(fault, members, struck, rng.random()))
+                    processes = [member.process for member in members]
+                    self._spawn(self._restart(fault, members, processes, rng.random()))
 
     async def _signal_series(self, member: Member, fault: Fault, rng: random.Random) -> None:
         """Send further signals after SIGTERM, and SIGKILL if the process still runs at the end."""
@@ -361,13 +361,13 @@
         self,
         fault: Fault,
         members: list[Member],
-        struck: list[asyncio.subprocess.Process | None],
+        processes: list[asyncio.subprocess.Process | None],
         seed: float,
     ) -> None:
         """Restart the members once the processes that the fault hit have exited. A process that another fault
         had just ended may have a successor by then, whose exit must not be awaited.
         """
-        await asyncio.gather(*(one.ended(process) for one, process in zip(members, struck, strict=True)))
+        await asyncio.gather(*(one.ended(process) for one, process in zip(members, processes, strict=True)))
         await asyncio.sleep(fault.back_s)
         rng = self.schedule.rng(f"folders/{seed}")
         for index, member in enumerate(members):
--- a/mountgauge/lab/rig/stand_ins.py
+++ b/mountgauge/lab/rig/stand_ins.py
@@ -527,8 +527,8 @@
             if not answer.startswith(b"-BUSY"):
                 events.add("failed", answer=answer.decode(errors="replace").strip(), **same)
                 return
-            told = answer[5:].strip()
-            again = int(told) / 1000 if told.isdigit() else 0.25
+            wait_text = answer[5:].strip()
+            again = int(wait_text) / 1000 if wait_text.isdigit() else 0.25
             events.add("refused", again=again, **same)
             refused += 1
             if refused > load.retries:
--- a/mountgauge/lab/soak/draw.py
+++ b/mountgauge/lab/soak/draw.py
@@ -176,10 +176,10 @@
 
 
 def _partner(rng: random.Random, dest: int, density: Density) -> dict[str, Any]:
-    tells = rng.choice((0.0, 0.4))
+    wait_s = rng.choice((0.0, 0.4))
     return {
         "dest": dest, "rate": rng.uniform(150, 400), "endpoints": _ENDPOINTS, "refused_cost": 0.2,
-        "answer_s": rng.uniform(*density.answer_s), "tells_wait_s": tells,
+        "answer_s": rng.uniform(*density.answer_s), "tells_wait_s": wait_s,
     }  # fmt: skip
 
 
--- a/mountgauge/lab/soak/verdict.py
+++ b/mountgauge/lab/soak/verdict.py
@@ -23,9 +23,8 @@
 PROXY_TURN_S = 0.02  # from a stand-in's write to the turn in which the proxy forwards it
 LAG_RADIUS_S = 1.0  # before and after a write, in which lag of the loop may delay the proxy
 _LEVELS_S = (0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.8, 2.7)  # the tolerances with which a run is judged
-LOST_OUTCOME_S = (
-    3.0  # after which an outcome is lost, not late: writes and connections fail for up to 1 s at a time
-)
+# After it an outcome is lost, not late: writes and connections fail for up to 1 s at a time.
+LOST_OUTCOME_S = 3.0
 UNREAD_ANSWER_S = 1.5  # around a fault, in which an answer may not have been read
 DISK_RECOVERY_S = 0.1  # from the end of a disk fault until a sender has written pending records
 _UNKNOWN_EXIT = 255  # reported by asyncio if a signal sent at the exit collected the exit status
