--- a/tests/lab/test_notified.py
+++ b/tests/lab/test_notified.py
@@ -1,5 +1,5 @@
-"""When a change of the list counts as notified: each clause where it holds and where it does not, then the
-events out of which the oracle reads it.
+"""When a change of the list counts as notified: each clause where it applies and where it does not, then the
+events from which the oracle derives it.
 """
 
 from __future__ import annotations
@@ -37,12 +37,14 @@
     return replace(RUN, calls=calls, **changes)
 
 
-# Each clause: the member's calls and what befell them, and when the change of version 5 at 4.0 s counts
+# Each clause: the member's calls, their faults, and when the change of version 5 at 4.0 s counts
 
 WRITTEN = [
-    pytest.param(run(replace(WATCH, ended=4.1, version=5)), 4.1, id="written as it was made"),
-    pytest.param(run(replace(WATCH, ended=7.0, version=6)), 7.0, id="written with a later one"),
-    pytest.param(run(replace(WATCH, ended=10.0, version=4), WATCH), 10.0, id="an older list tells it not"),
+    pytest.param(run(replace(WATCH, ended=4.1, version=5)), 4.1, id="written when it was made"),
+    pytest.param(run(replace(WATCH, ended=7.0, version=6)), 7.0, id="written with a later change"),
+    pytest.param(
+        run(replace(WATCH, ended=10.0, version=4), WATCH), 10.0, id="an older list does not contain it"
+    ),
     pytest.param(run(known=5), 4.0, id="the process was started with it"),
 ]
 SILENT = [
@@ -50,19 +52,19 @@
     pytest.param(
         run(replace(WATCH, wait_s=2.0), silences=[Span(3.0, 5.0)]),
         9.0,
-        id="6 s after it fell silent, behind its wait",
+        id="6 s after it fell silent, after its wait",
     ),
     pytest.param(
         run(replace(WATCH, began=3.5, wait_s=2.0), silences=[Span(3.0, 5.0)]), 9.5, id="begun in the silence"
     ),
     pytest.param(run(WATCH, silences=[Span(-3.0, -1.0)]), 10.0, id="a silence before the watch"),
     pytest.param(
-        run(WATCH, silences=[Span(3.0, 20.0)], cuts=[Span(3.0, 20.0)]), 9.0, id="cut off past that moment"
+        run(WATCH, silences=[Span(3.0, 20.0)], cuts=[Span(3.0, 20.0)]), 9.0, id="still cut at that moment"
     ),
     pytest.param(
         run(WATCH, silences=[Span(3.0, 5.0)], refusing=[Span(6.0, 7.0)]),
         13.0,
-        id="a refusal begins the 6 s anew",
+        id="a refusal restarts the 6 s",
     ),
     pytest.param(
         run(WATCH, silences=[Span(3.0, 5.0)], slow=[Slowness(Span(3.0, 13.0), 1.5)]),
@@ -76,26 +78,26 @@
     ),
 ]
 REACHED = [
-    pytest.param(run(WATCH), 10.0, id="a watch that is merely out, and never written to"),
+    pytest.param(run(WATCH), 10.0, id="a watch in flight that is never written to"),
     pytest.param(run(replace(WATCH, ended=3.0)), 10.0, id="failed before: 6 s after the change"),
-    pytest.param(run(replace(WATCH, ended=5.0)), 10.0, id="given up after the change: 6 s after that"),
+    pytest.param(run(replace(WATCH, ended=5.0)), 10.0, id="abandoned after the change: 6 s after the change"),
     pytest.param(
         run(replace(WATCH, ended=3.0), refusing=[Span(3.0, 8.0)]), 14.0, id="6 s after discovery is back"
     ),
     pytest.param(
         run(replace(WATCH, ended=3.0), refusing=[Span(3.0, 8.0), Span(13.0, 13.5)]),
         19.5,
-        id="a refusal begins them anew",
+        id="a refusal restarts them",
     ),
     pytest.param(
         run(replace(WATCH, ended=3.0), ListCall(5.0, 0.0, 7.0, refused=True)),
         13.0,
-        id="this member's call was turned away",
+        id="this member's call was refused",
     ),
     pytest.param(
         run(replace(WATCH, ended=3.0), ListCall(3.2, 0.0, 6.0), ListCall(7.0, 0.0, 9.0)),
         10.0,
-        id="calls that are lost do not put it off",
+        id="lost calls do not defer it",
     ),
     pytest.param(
         run(replace(WATCH, ended=2.0), ListCall(2.2, 0.0, 3.0, version=4), ListCall(3.1, 20.0)),
@@ -105,16 +107,14 @@
     pytest.param(
         run(replace(WATCH, ended=3.0), slow=[Slowness(Span(0.0, 20.0), 2.5)]), 10.0, id="slow discovery"
     ),
-    pytest.param(
-        run(began=6.5), 10.0, id="a new process that has asked nothing is held to the list's own time"
-    ),
-    pytest.param(run(began=13.0), 13.0, id="from its first moment, if that is later"),
+    pytest.param(run(began=6.5), 10.0, id="for a new process without calls from the change on"),
+    pytest.param(run(began=13.0), 13.0, id="from its start, if that is later"),
 ]
 MOVED = [
     pytest.param(run(moves=[4.5]), 8.5, id="4 s after SIGHUP"),
     pytest.param(run(moves=[4.5, 6.0]), 8.5, id="two in quick succession: the first"),
-    pytest.param(run(moves=[4.5], refusing=[Span(5.0, 6.0)]), 8.5, id="the new address down meanwhile"),
-    pytest.param(run(moves=[4.5], refusing=[Span(5.0, 9.0)]), 15.0, id="the new address down as they end"),
+    pytest.param(run(moves=[4.5], refusing=[Span(5.0, 6.0)]), 8.5, id="the new address is down in between"),
+    pytest.param(run(moves=[4.5], refusing=[Span(5.0, 9.0)]), 15.0, id="the new address is down as they end"),
     pytest.param(run(WATCH, moves=[3.0]), 7.0, id="made after SIGHUP, and the address has not answered"),
     pytest.param(
         run(ListCall(3.1, 0.0, 3.2, version=4), ListCall(3.2, 10.0), moves=[3.0]),
@@ -123,14 +123,14 @@
     ),
 ]
 UNWATCHED = [
-    pytest.param(run(ask_within_s=2.0), 6.0, id="never asked: askWithin after the change"),
+    pytest.param(run(ask_within_s=2.0), 6.0, id="without calls: askWithin after the change"),
     pytest.param(
         run(ListCall(3.5, 0.0, 3.8, version=4), ask_within_s=2.0), 6.0, id="askWithin after the last call"
     ),
     pytest.param(
         run(ListCall(1.0, 0.0, 1.5, version=4), ListCall(5.0, 30.0), ask_within_s=2.0),
         10.0,
-        id="the next call came before it",
+        id="the next call begins before it",
     ),
     pytest.param(
         run(ListCall(1.0, 0.0, 1.5, version=4), refusing=[Span(5.0, 5.5)], ask_within_s=2.0),
@@ -143,14 +143,14 @@
 ]
 PUSHED = [
     pytest.param(run(pushed=True), 4.0, id="at once, without a watch"),
-    pytest.param(run(pushed=True, began=6.0), 6.0, id="from a new process's first moment"),
+    pytest.param(run(pushed=True, began=6.0), 6.0, id="from the start of a new process"),
     pytest.param(run(pushed=True, down=[Span(3.0, 8.0)]), 8.0, id="as discovery returns"),
     pytest.param(run(pushed=True, moves=[3.0]), 7.0, id="4 s after SIGHUP"),
-    pytest.param(run(pushed=True, cuts=[Span(3.5, 4.5)]), 10.0, id="the way to the agent is cut"),
+    pytest.param(run(pushed=True, cuts=[Span(3.5, 4.5)]), 10.0, id="the link to the agent is cut"),
     pytest.param(
-        run(WATCH, pushed=True, silences=[Span(3.5, 3.9)]), 9.5, id="a watch that is silent in between"
+        run(WATCH, pushed=True, silences=[Span(3.5, 3.9)]), 9.5, id="a watch that was silent in between"
     ),
-    pytest.param(run(WATCH), 10.0, id="not where lists are asked for"),
+    pytest.param(run(WATCH), 10.0, id="not if lists are not pushed"),
 ]
 
 
@@ -159,14 +159,14 @@
     assert notified_at(CHANGE, one) == pytest.approx(at)
 
 
-def test_the_earliest_clause_holds() -> None:
+def test_the_earliest_clause_applies() -> None:
     silent = run(replace(WATCH, ended=11.5), ListCall(11.5, 10.0, 11.8, version=5), silences=[Span(3.0, 5.0)])
     assert notified_at(CHANGE, silent) == 9.0
     assert notified_at(CHANGE, replace(silent, moves=[4.1])) == 8.1
     assert notified_at(CHANGE, run(replace(WATCH, ended=8.0, version=5), silences=[Span(3.0, 5.0)])) == 8.0
 
 
-def test_an_older_list_takes_the_change_back_until_it_counts_again() -> None:
+def test_an_older_list_revokes_the_change_until_it_counts_again() -> None:
     one = run(
         ListCall(3.0, 10.0, 4.1, version=5),
         ListCall(4.1, 0.0, 6.0, version=4),
@@ -175,7 +175,7 @@
     assert forbidden_spans(CHANGE, one) == [Span(4.1, 6.0), Span(7.0)]
 
 
-def test_a_change_counts_until_the_endpoint_is_active_again_or_the_process_ends() -> None:
+def test_a_change_counts_until_the_endpoint_is_active_again_or_the_process_exits() -> None:
     one = run(ListCall(3.0, 10.0, 4.1, version=5))
     assert forbidden_spans(replace(CHANGE, until=9.0), one) == [Span(4.1, 9.0)]
     assert forbidden_spans(CHANGE, replace(one, ended=8.0)) == [Span(4.1, 8.0)]
@@ -183,7 +183,7 @@
     assert forbidden_spans(replace(CHANGE, until=-2.0), one) == []
 
 
-# Out of events
+# From events
 
 
 def at(when: float, kind: str, **fields: Any) -> Event:
@@ -205,40 +205,40 @@
 REMOVED = changed(5.0, 3, e1="active")
 
 
-def called(when: float, endpoint: str = "e1-0") -> Event:
+def call(when: float, endpoint: str = "e1-0") -> Event:
     return at(when, "call", call=int(when * 100), id="a", dest=1, endpoint=endpoint)
 
 
 def test_changes_and_calls_are_read_from_events() -> None:
-    told = at(4.1, "told", version=2, full=True, states={"e1-0": "leaving", "e1-1": "active"})
+    written = at(4.1, "told", version=2, full=True, states={"e1-0": "leaving", "e1-1": "active"})
     again = at(4.2, "list-ask", connection="a/1", watch=True, wait_s=10.0)
     ended = at(7.0, "list-end", connection="a/1")
     elsewhere = at(6.0, "list-end", connection="a/0")
-    found = history([*STARTED, DRAINED, told, again, REMOVED, elsewhere, ended], 10.0, False)
+    found = history([*STARTED, DRAINED, written, again, REMOVED, elsewhere, ended], 10.0, False)
     assert found.changes() == {"e1-0": [Change("e1-0", 2, 4.0)]}
     (process,) = found.process_runs("m01")
     assert process.calls == [ListCall(0.1, 10.0, 4.1, version=2), ListCall(4.2, 10.0, 7.0)]
     assert (process.began, process.known) == (-1.0, 1)
 
 
-def test_a_call_that_discovery_lets_hang_is_silent_from_then_on() -> None:
+def test_a_call_that_discovery_never_answers_is_silent_from_then_on() -> None:
     found = history([*STARTED, at(0.2, "list-hung"), DRAINED], 10.0, True)
     (process,) = found.process_runs("m01")
     assert process.calls == [ListCall(0.1, 10.0, hung_at=0.2)]
-    assert notified_at(CHANGE, replace(process, known=1)) == 6.2, "not at once, though lists are pushed"
+    assert notified_at(CHANGE, replace(process, known=1)) == 6.2, "not at once, although lists are pushed"
 
 
-def test_an_answer_is_that_of_the_call_on_its_connection() -> None:
-    """The soak's seed 10206: an older call was answered while the newest one hung."""
+def test_an_answer_belongs_to_the_call_on_its_connection() -> None:
+    """Seed 10206 of the soak: an older call was answered while the newest one hung."""
     beside = at(3.0, "list-ask", connection="a/2", watch=True, wait_s=0.001)
     hung = at(3.1, "list-hung", connection="a/2")
-    told = at(3.5, "told", connection="a/1", version=1, full=True, states={})
-    found = history([*STARTED, beside, hung, told, DRAINED], 10.0, True)
+    written = at(3.5, "told", connection="a/1", version=1, full=True, states={})
+    found = history([*STARTED, beside, hung, written, DRAINED], 10.0, True)
     (process,) = found.process_runs("m01")
     assert process.calls == [ListCall(0.1, 10.0, 3.5, version=1), ListCall(3.0, 0.001, hung_at=3.1)]
-    assert notified_at(CHANGE, process) == 9.1, "the call that is out at the change is silent"
+    assert notified_at(CHANGE, process) == 9.1, "the call in flight at the change is silent"
     late = at(5.0, "told", connection="a/2", version=2, full=True, states={})
-    found = history([*STARTED, beside, told, DRAINED, late], 10.0, True)
+    found = history([*STARTED, beside, written, DRAINED, late], 10.0, True)
     assert found.process_runs("m01")[0].calls[-1] == ListCall(3.0, 0.001, 5.0, version=2)
 
 
@@ -263,15 +263,15 @@
     assert process.down == [Span(1.0, 2.0)] and process.slow == [Slowness(Span(2.0, 3.0), 1.5)]
     assert process.silences == [Span(5.0, 6.0)] and process.moves == [8.0]
     assert process.cuts == [Span(5.0, 6.5)] and process.refusing == [Span(1.0, 2.0), Span(6.0, 6.5)]
-    assert len(process.calls) == 1, "a dial of something else while a watch is out"
+    assert len(process.calls) == 1, "a connection attempt for something else during a watch"
 
 
-def test_a_watch_says_how_long_it_may_wait() -> None:
+def test_a_watch_states_how_long_it_may_wait() -> None:
     assert read_wait("/registry/instances?index=4&wait=2500") == (True, 2.5)
     assert read_wait("/registry/instances") == (False, 0.0)
 
 
-# By the oracle
+# In the oracle
 
 
 def schedule(fleet: str = "front = 'platform'\nmembers = 1") -> Schedule:
@@ -283,40 +283,40 @@
     return [one.why for one in judge(schedule(fleet), events).violations if one.rule == "drain"]
 
 
-def test_the_oracle_names_a_call_after_a_silent_watchs_moment() -> None:
+def test_the_oracle_reports_a_call_after_a_silent_watch_counts() -> None:
     silent = [
         at(3.0, "discovery-link", silent=True, refuses=False),
         at(5.0, "discovery-link", silent=False, refuses=False),
     ]
     events = [*STARTED, *silent, DRAINED]
-    assert drains(*events, called(9.3)) == []
-    assert drains(*events, called(9.5), called(9.6, "e1-1")) == [
+    assert drains(*events, call(9.3)) == []
+    assert drains(*events, call(9.5), call(9.6, "e1-1")) == [
         "e1-0 left at 4.000 (version 2), which counted as notified 0.500 s before"
     ]
-    assert drains(*STARTED, DRAINED, called(9.5)) == [], "the watch was not silent"
+    assert drains(*STARTED, DRAINED, call(9.5)) == [], "the watch was not silent"
 
 
-def test_the_oracle_names_a_call_once_by_the_list_that_was_written() -> None:
-    told = at(4.1, "told", version=2, full=True, states={"e1-0": "leaving", "e1-1": "active"})
-    assert drains(*STARTED, DRAINED, told, called(4.5)) == ["e1-0 was told to leave 0.400 s before"]
+def test_the_oracle_reports_a_call_once_by_the_written_list() -> None:
+    written = at(4.1, "told", version=2, full=True, states={"e1-0": "leaving", "e1-1": "active"})
+    assert drains(*STARTED, DRAINED, written, call(4.5)) == ["e1-0 was told to leave 0.400 s before"]
 
 
-def test_a_new_process_is_held_to_the_list_that_it_was_started_with() -> None:
+def test_the_list_that_a_process_was_started_with_counts_as_notified() -> None:
     restarted = [at(5.0, "gone", code=-9), at(5.5, "known", version=2), at(5.6, "start"), at(6.0, "ready")]
-    assert len(drains(*STARTED, DRAINED, *restarted, called(6.1))) == 1
+    assert len(drains(*STARTED, DRAINED, *restarted, call(6.1))) == 1
     stale = [at(5.0, "gone", code=-9), at(5.5, "known", version=1), at(5.6, "start"), at(6.0, "ready")]
-    assert drains(*STARTED, DRAINED, *stale, called(6.1), called(10.2)) == []
-    assert len(drains(*STARTED, DRAINED, *stale, called(10.5))) == 1, "it never asked"
+    assert drains(*STARTED, DRAINED, *stale, call(6.1), call(10.2)) == []
+    assert len(drains(*STARTED, DRAINED, *stale, call(10.5))) == 1, "it made no call"
 
 
-def test_what_an_agent_has_counts_at_once() -> None:
+def test_a_change_that_an_agent_has_counts_at_once() -> None:
     pushed = "front = 'platform'\nmembers = 1\ndiscovery = 'automatic'"
-    assert len(drains(*STARTED, DRAINED, called(4.4), fleet=pushed)) == 1
-    assert drains(*STARTED, DRAINED, called(4.2), fleet=pushed) == []
+    assert len(drains(*STARTED, DRAINED, call(4.4), fleet=pushed)) == 1
+    assert drains(*STARTED, DRAINED, call(4.2), fleet=pushed) == []
 
 
 @pytest.mark.parametrize(
-    ("extra", "says"),
+    ("extra", "expected"),
     [
         ("[fleet]\ndiscovery = 'pushed'", "fleet.discovery: subscribe or automatic"),
         ("[fleet]\ndiscovery = 'automatic'", "fleet.discovery: automatic is for fleet.front"),
@@ -329,7 +329,7 @@
         ),
     ],
 )
-def test_bad_schedules_are_refused_with_one_line(extra: str, says: str) -> None:
+def test_invalid_schedules_are_rejected_with_one_line(extra: str, expected: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse(tomllib.loads(f"name = 'one'\nseconds = 30\n{extra}\n[[partner]]\ndest = 1\n"))
-    assert str(error.value).startswith(says) and "\n" not in str(error.value)
+    assert str(error.value).startswith(expected) and "\n" not in str(error.value)
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -1,6 +1,4 @@
-"""The rig's parts without I/O: what a partner bears, what links do, schedules, and the oracle's rules one
-by one.
-"""
+"""The rig's parts without I/O: capacity model, link conditions, schedules, and each rule of the oracle."""
 
 from __future__ import annotations
 
@@ -52,7 +50,7 @@
     st.lists(st.floats(0.001, 0.4), min_size=5, max_size=120),
     st.floats(1, 200), st.floats(0.05, 1), st.floats(0, 1), st.floats(0, 8),
 )  # fmt: skip
-def test_a_partner_never_takes_more_than_it_bears(
+def test_a_partner_never_accepts_more_than_its_capacity(
     gaps: list[float], rate: float, depth: float, cost: float, warm: float
 ) -> None:
     one = CapacityModel(rate, depth, cost, 0.2, warm)
@@ -65,10 +63,10 @@
     assert taken <= one.capacity_between(0.0, now, 0.001) + max(1.0, rate * depth) + 1e-6
 
 
-def test_a_partner_that_is_overrun_starts_cold_anew_and_else_warms() -> None:
+def test_an_overloaded_partner_becomes_cold_again_and_another_warms_up() -> None:
     one = CapacityModel(100, cold_share=0.2, warm_s=5, falls_at=1.5)
     one.go_cold(0.0)
-    for place in range(500):  # 50 calls/s, where 20 to 36 are borne
+    for place in range(500):  # 50 calls/s against a capacity of 20 to 36
         one.call(place / 50)
     assert one.fall_count >= 5 and one.capacity_at(10.0) < 40
     calm = CapacityModel(100, cold_share=0.2, warm_s=5, falls_at=1.5)
@@ -81,7 +79,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.integers(1, 9000), st.floats(0, 0.3)), max_size=60), st.integers(0, 99))
-def test_a_stream_keeps_its_order_and_its_throttle(pieces: list[tuple[int, float]], seed: int) -> None:
+def test_a_stream_keeps_its_order_and_throttle(pieces: list[tuple[int, float]], seed: int) -> None:
     conditions, rng = NetworkConditions(delay_s=0.05, jitter_s=0.2, throttle=10_000), random.Random(seed)
     now = free = last = 0.0
     sent = 0
@@ -93,7 +91,7 @@
         last = arrives
 
 
-def test_a_link_is_quiet_in_the_direction_that_it_is_told() -> None:
+def test_a_silent_link_drops_data_in_its_silent_direction_only() -> None:
     rng = random.Random(1)
     silent_up, silent = NetworkConditions(silent="up"), NetworkConditions(silent="both")
     assert silent_up.datagram(True, rng) == [] != silent_up.datagram(False, rng)
@@ -105,7 +103,7 @@
 
 
 @pytest.mark.parametrize(
-    ("extra", "says"),
+    ("extra", "expected"),
     [
         ("[fleet]\nmembers = 0", "fleet.members: must be above 0"),
         ("[fleet]\nfront = 'gate'", "fleet.front: operator or platform"),
@@ -121,13 +119,13 @@
         ("[[load]]\ndest = 7\ngrade = 'gold'", "load[1].grade: no class 'gold'"),
     ],
 )
-def test_bad_schedules_are_refused_with_one_line(extra: str, says: str) -> None:
+def test_invalid_schedules_are_rejected_with_one_line(extra: str, expected: str) -> None:
     with pytest.raises(ConfigError) as error:
         schedule(extra)
-    assert str(error.value).startswith(says) and "\n" not in str(error.value)
+    assert str(error.value).startswith(expected) and "\n" not in str(error.value)
 
 
-def test_one_seed_always_means_the_same_members() -> None:
+def test_a_seed_always_selects_the_same_members() -> None:
     text = "[fleet]\nmembers = 10\n" + "".join(
         f"[[fault]]\nat = {at}\ndo = 'kill'\nwho = {who}\n"
         for at, who in ((1, "4"), (2, "'rest'"), (3, "'m0*'"))
@@ -140,14 +138,14 @@
     assert len(select_members(one, 2, [])) == 9
 
 
-def test_log_lines_are_read_as_they_are_written() -> None:
+def test_log_lines_are_parsed() -> None:
     assert parse_log_line('ts=1.0 event=phase to=full why="a \\"b\\" c" n=3') == {
         "ts": "1.0", "event": "phase", "to": "full", "why": 'a "b" c', "n": "3"
     }  # fmt: skip
     assert parse_log_line("Traceback (most recent call last):") == {} == parse_log_line("")
 
 
-# The oracle: a history in which nothing is wrong, then with one thing changed
+# The oracle: a clean history, then histories with one change each
 
 
 def at(when: float, kind: str, **fields: Any) -> Event:
@@ -159,15 +157,20 @@
     return [at(when, "handed", left=left, **same), at(when + 0.01, "taken", left=left, **same)]
 
 
-def call(number: int, when: float, status: int | None = 200, took: float = 0.1, **more: Any) -> list[Event]:
+def call(
+    number: int, when: float, status: int | None = 200, duration_s: float = 0.1, **more: Any
+) -> list[Event]:
     same = {"call": number, "id": "a", "dest": 7, "endpoint": "e7-0", **more}
     wait = same.pop("wait", 0.0)
     if status is None:
-        return [at(when, "call", **same), at(when + took, "broken", ran=True, **same)]
-    return [at(when, "call", **same), at(when + took, "answer", status=status, ran=True, wait=wait, **same)]
+        return [at(when, "call", **same), at(when + duration_s, "broken", ran=True, **same)]
+    return [
+        at(when, "call", **same),
+        at(when + duration_s, "answer", status=status, ran=True, wait=wait, **same),
+    ]
 
 
-def told(when: float, state: str) -> Event:
+def listed(when: float, state: str) -> Event:
     return at(when, "told", version=1, full=True, states={"e7-0": state})
 
 
@@ -184,8 +187,8 @@
     assert rules(*CLEAN) == []
     assert rules(*message(grade="once"), *call(1, 0.1, 503), *call(2, 0.5, None)) == ["final"]
     assert rules(*message(), at(2.9, "notice", id="a", status="deferred")) == []
-    assert rules(*message(), DEFERRED, *call(1, 1.5)) == [], "of a class in which a repeat does no harm"
-    assert rules(*message(grade="once"), *call(1, 0.5, 503), DEFERRED) == [], "it has not run"
+    assert rules(*message(), DEFERRED, *call(1, 1.5)) == [], "repeats are harmless in this class"
+    assert rules(*message(grade="once"), *call(1, 0.5, 503), DEFERRED) == [], "it did not run"
 
 
 @pytest.mark.parametrize(
@@ -200,7 +203,7 @@
         ([*message(grade="keyed"), *call(1, 0.1, 500), *call(2, 2.4)], "repeat"),
         ([*message(), *(one for n in range(9) for one in call(n, 0.1 + n / 4))], "attempts"),
         ([*message(), *call(1, 0.1, 429, wait=1.0), *call(2, 0.9)], "wait"),
-        ([*message(), told(0.0, "leaving"), *call(1, 0.5)], "drain"),
+        ([*message(), listed(0.0, "leaving"), *call(1, 0.5)], "drain"),
         (call(1, 0.5), "unasked"),
         ([*message(grade="once"), DEFERRED, *call(1, 1.5)], "handed-back"),
         ([*message(grade="once"), *call(1, 0.5, 500), DEFERRED], "handed-back"),
@@ -227,40 +230,46 @@
 """
 
 
-def test_the_oracle_holds_calls_against_fleet_wide_budgets() -> None:
-    def calls(gap: float, took: float) -> list[Event]:
-        each = [[*message(f"b{n}"), *call(n, 0.1 + n * gap, 200, took, id=f"b{n}")] for n in range(12)]
+def test_the_oracle_checks_calls_against_fleet_wide_budgets() -> None:
+    def calls(gap: float, duration_s: float) -> list[Event]:
+        each = [[*message(f"b{n}"), *call(n, 0.1 + n * gap, 200, duration_s, id=f"b{n}")] for n in range(12)]
         return sorted((one for some in each for one in some), key=lambda one: one.at)
 
     assert rules(*calls(0.13, 0.1), text=BUDGETS) == []
-    assert rules(*calls(0.08, 0.1), text=BUDGETS)[0] == "budget", "12 in 0.88 s, where 11 may go"
-    assert rules(*calls(0.13, 0.5), text=BUDGETS)[0] == "budget", "four are out at once"
+    assert rules(*calls(0.08, 0.1), text=BUDGETS)[0] == "budget", (
+        "12 calls in 0.88 s, of which 11 are allowed"
+    )
+    assert rules(*calls(0.13, 0.5), text=BUDGETS)[0] == "budget", "four calls are in flight at once"
 
 
-def test_the_oracle_excuses_what_a_rule_excuses() -> None:
+def test_the_oracle_applies_the_exceptions_of_each_rule() -> None:
     killed = at(1.0, "fault", do="kill", who=["m01"], folder=["lost"])
     assert rules(*message(), killed, at(1.0, "gone", code=-9)) == [], "its folder was lost with it"
-    told_twice = [at(n, "notice", id="a", status=f"{n}") for n in (1, 3)]
-    put_back = at(2.0, "fault", do="kill", who=["m01"], folder=["old"])
-    assert rules(*message(), *told_twice, put_back) == [], "its old folder knew of no end"
-    struck = at(-0.1, "fault", do="kill", who=["m01"], folder=["foreign"])
-    assert rules(*message(), struck, at(0.1, "gone", code=-9)) == [], "taken between the blow and its end"
-    assert rules(*message(), struck, at(-0.05, "gone", code=-9), at(-0.04, "ready", life=2)) == ["final"]
+    two_outcomes = [at(n, "notice", id="a", status=f"{n}") for n in (1, 3)]
+    restored = at(2.0, "fault", do="kill", who=["m01"], folder=["old"])
+    assert rules(*message(), *two_outcomes, restored) == [], "its old folder has no record of the outcome"
+    killed_in_advance = at(-0.1, "fault", do="kill", who=["m01"], folder=["foreign"])
+    assert rules(*message(), killed_in_advance, at(0.1, "gone", code=-9)) == [], (
+        "accepted between the fault and the exit"
+    )
+    assert rules(*message(), killed_in_advance, at(-0.05, "gone", code=-9), at(-0.04, "ready", life=2)) == [
+        "final"
+    ]
     copied = at(0.2, "fault", do="kill", who=["m02"], folder=["foreign"])
     twice = [*call(1, 0.1, 500), *call(2, 1.0, member="m02")]
-    assert rules(*message(grade="once"), copied, *twice) == [], "its folder was a copy of the first one's"
+    assert rules(*message(grade="once"), copied, *twice) == [], "its folder was a copy of the other member's"
     assert rules(*message(grade="once"), *twice) == ["repeat"]
     kept = at(1.0, "fault", do="kill", who=["m01"], folder=["kept"])
     again = [at(1.0, "gone", code=-9), at(4.0, "start", life=2), at(4.5, "ready", life=2)]
-    assert rules(*message(), kept, *again, *call(1, 5.5)) == [], "1.5 s from ready on are its own"
+    assert rules(*message(), kept, *again, *call(1, 5.5)) == [], "1.5 s after it is ready are excused"
     assert rules(*message(), kept, *again, *call(1, 6.6)) == ["final"]
     assert rules(*message(), *call(1, 0.1, 429, wait=1.0), at(0.5, "start", life=2), *call(2, 0.9)) == []
-    assert rules(*message(), told(0.0, "leaving"), told(1.0, "active"), *call(1, 1.5)) == []
+    assert rules(*message(), listed(0.0, "leaving"), listed(1.0, "active"), *call(1, 1.5)) == []
 
 
 @pytest.mark.parametrize("first_bytes", [1, 7, 30, 60])
-def test_a_call_for_the_list_is_recorded_in_whatever_parts_it_comes(first_bytes: int) -> None:
-    """The soak's seed 722: of a request whose first part was 7 bytes nothing was recorded."""
+def test_a_call_for_the_list_is_recorded_however_it_is_split(first_bytes: int) -> None:
+    """Seed 722 of the soak: a request whose first part had 7 bytes was not recorded."""
     events = Events(lambda: 1.0)
     recorder = ListCallRecorder("m01", "1", events)
     call = request("GET", f"{PATH}?index=5&wait=2000", "discovery", {})
--- a/tests/rigs.py
+++ b/tests/rigs.py
@@ -1,7 +1,6 @@
-"""Rigs that play while other tests run: real senders take their time, which the pure tests use meanwhile.
+"""Rigs that run in the background of other tests, because real senders take long.
 
-`conftest.py` begins them once it is known which tests are wanted; the tests that judge them come last and
-wait.
+`conftest.py` starts them once the selected tests are known; the tests that judge them run last and wait.
 """
 
 from __future__ import annotations
@@ -26,14 +25,19 @@
 
 EXPERIMENTS = Path(__file__).parent.parent / "experiments"
 EVERY_RULE = EXPERIMENTS / "rig" / "every-rule.toml"
-SCENES = {"folders": 9.0, "paused": 9.0, "never-warms": 16.0, "falls-over": 20.0}  # s that each is played
+SCENES = {
+    "folders": 9.0,
+    "paused": 9.0,
+    "never-warms": 16.0,
+    "falls-over": 20.0,
+}  # s for which each is played
 FLEETS = {
     "again-while-ramping": 10.0, "all-lost": 10.0, "thirds": 10.0, "discovery": 18.0, "split": 12.0,
     "crash-loop": 9.0, "reconnect": 8.0,
 }  # fmt: skip
 BUDGETS = {"kill": 18.0, "rough": 18.0, "strict": 12.0}
 DRAINS = {"drains": 20.0, "drains-pushed": 14.0}
-MUTATED = {f"drains-{mutant}": ("drains", mutant) for mutant in ON_DRAINS}  # the scene, and the sender in it
+MUTATED = {f"drains-{mutant}": ("drains", mutant) for mutant in ON_DRAINS}  # the scene, and the mutant in it
 _PLAYED = {
     "scenes": SCENES,
     "fleets": FLEETS,
@@ -42,14 +46,14 @@
 }
 _FOLDER = {"scenes": "comeback", "fleets": "comeback", "budgets": "budgets", "drains": "rig"}
 SENDERS = ("unchanged", *MUTANTS)
-SOAKED = ("held-up", *GUARD_MUTANTS)  # few senders under dense faults: without a fault of theirs, and with
-SOAK_SEED = 54  # every kind of signal, a crowd and a discovery that is down are drawn in it
-_MEMORY, _ROOM_BYTES = Path("/dev/shm"), 2 << 30
-_AT_ONCE = 3  # fleets of up to twelve senders, beside the other tests
-_LIMIT = 240.0  # s that a rig may take, however slow the machine
-# A play whose senders had to wait for the machine says nothing of what the program serves: it is played again
-# by itself, and the last one counts for that. Rules hold on a busy machine too, and are judged in each play.
-_MOST_PLAYS = 3
+SOAKED = ("held-up", *GUARD_MUTANTS)  # few senders under dense faults: unchanged ones, and mutants
+SOAK_SEED = 54  # it draws every kind of signal, a crowd and an outage of discovery
+_MEMORY, _REQUIRED_BYTES = Path("/dev/shm"), 2 << 30
+_CONCURRENT_RIGS = 3  # of up to twelve senders each, beside the other tests
+_LIMIT_S = 240.0  # for one rig, on a slow machine too
+# A play whose senders waited for the machine says nothing about the service of the program: it is repeated
+# alone, and the last play counts for that. Rules hold on a busy machine too and are judged in each play.
+_MAX_PLAYS = 3
 SAFETY_RULES = ("repeat", "drain", "wait", "two-out", "handed-back", "invariant", "crash")
 
 _CODE = (
@@ -75,31 +79,31 @@
 
 
 def _mutated(name: str) -> tuple[str, ...]:
-    """What stands in place of the program's own module; nothing where the sender is unchanged."""
+    """The arguments in place of the program's own module; empty for an unchanged sender."""
     return (*_MUTANTS, MUTATED[name][1]) if name in MUTATED else ()
 
 
 def _memory_folder() -> Path | None:
-    """Where the senders of rigs write: in memory, where there is room. Their folders are written to in their
-    loops, and a disk that is busy with something else holds all of them up at once, for up to 3 s.
+    """A folder in memory for rigs, if it has enough space. Senders write to their folders in their event
+    loops, so a disk that is busy with something else delays all of them at once, for up to 3 s.
     """
-    if not _MEMORY.is_dir() or shutil.disk_usage(_MEMORY).free < _ROOM_BYTES:
+    if not _MEMORY.is_dir() or shutil.disk_usage(_MEMORY).free < _REQUIRED_BYTES:
         return None
     return _MEMORY
 
 
 class Rigs:
-    """Batches of rigs, one batch after another, each rig in a process of its own."""
+    """Runs batches of rigs one after another, each rig in its own process."""
 
     def __init__(self) -> None:
         self._folder: tempfile.TemporaryDirectory[str] | None = None
         self._thread: threading.Thread | None = None
         self._done: dict[str, threading.Event] = {}
         self.failed: list[str] = []
-        self.starved: dict[str, list[float]] = {}  # by rig: the part that its senders waited, for each play
+        self.starved: dict[str, list[float]] = {}  # by rig: its senders' waited share in each play
 
     def begin(self, batches: Sequence[str]) -> None:
-        """Play these batches (`scenes`, `fleets`, `senders`) from now on; those that have begun go on."""
+        """Start these batches (`scenes`, `fleets`, `senders`) unless they have been started."""
         wanted = [batch for batch in batches if batch not in self._done]
         if not wanted:
             return
@@ -119,8 +123,10 @@
                 self._wait({name: self._soak(name, 6, 14.0, dense=True) for name in SOAKED})
             elif batch in _PLAYED:
                 names = list(_PLAYED[batch])
-                for begin in range(0, len(names), _AT_ONCE):
-                    self._wait({name: self._scene(batch, name) for name in names[begin : begin + _AT_ONCE]})
+                for begin in range(0, len(names), _CONCURRENT_RIGS):
+                    self._wait(
+                        {name: self._scene(batch, name) for name in names[begin : begin + _CONCURRENT_RIGS]}
+                    )
                 for name in names:
                     self._play_again(batch, name)
             else:
@@ -132,9 +138,9 @@
             self._done[batch].set()
 
     def _play_again(self, batch: str, name: str) -> None:
-        """As long as its senders were starved, by itself; what was served is not looked at."""
+        """Repeat a play alone while its senders are starved, whatever it served."""
         shares = self.starved[name] = [self._share(batch, name)]
-        while shares[-1] > MAX_WAITED_SHARE and len(shares) < _MOST_PLAYS:
+        while shares[-1] > MAX_WAITED_SHARE and len(shares) < _MAX_PLAYS:
             shutil.move(self.folder / name, _starved(self.folder, name, len(shares)))
             self._wait({name: self._scene(batch, name)})
             shares.append(self._share(batch, name))
@@ -145,7 +151,7 @@
         return share(events, schedule.fleet.members, _PLAYED[batch][name])
 
     def report(self) -> list[str]:
-        """A line for each rig whose senders were starved in any play."""
+        """A line for each rig with starved senders in any play."""
         return [
             f"STARVED {name}: senders waited {', '.join(f'{one:.1%}' for one in shares)} of the time; "
             f"played {len(shares)} times, the last one counts"
@@ -153,7 +159,7 @@
         ]  # fmt: skip
 
     def keep(self, folder: Path) -> None:
-        """Copy what the rigs have left, for a look at what failed."""
+        """Copy the folders of the rigs, to inspect failures."""
         if self._folder is not None:
             shutil.copytree(self.folder, folder, dirs_exist_ok=True)
 
@@ -163,20 +169,20 @@
     def _wait(self, rigs: Mapping[str, subprocess.Popen[bytes]]) -> None:
         for name, rig in rigs.items():
             try:
-                if rig.wait(_LIMIT):
+                if rig.wait(_LIMIT_S):
                     self.failed.append(name)
             except subprocess.TimeoutExpired:
                 rig.kill()
                 self.failed.append(name)
 
     def _rig(self, file: Path, name: str, seconds: float, *mutant: str) -> subprocess.Popen[bytes]:
-        words = [str(file), str(self.folder / name), str(seconds), *mutant]
-        return subprocess.Popen([sys.executable, "-c", _CODE, *words])
+        args = [str(file), str(self.folder / name), str(seconds), *mutant]
+        return subprocess.Popen([sys.executable, "-c", _CODE, *args])
 
     def _soak(self, name: str, members: int, seconds: float, dense: bool = False) -> subprocess.Popen[bytes]:
         mutant = name if name in GUARD_MUTANTS else ""
-        words = [str(SOAK_SEED), str(members), str(seconds), str(self.folder / f"soak-{name}"), mutant]
-        return subprocess.Popen([sys.executable, "-c", _SOAK_CODE, *words, "dense" if dense else ""])
+        args = [str(SOAK_SEED), str(members), str(seconds), str(self.folder / f"soak-{name}"), mutant]
+        return subprocess.Popen([sys.executable, "-c", _SOAK_CODE, *args, "dense" if dense else ""])
 
     @property
     def folder(self) -> Path:
@@ -184,20 +190,20 @@
         return Path(self._folder.name)
 
     def wait(self, batch: str) -> Path:
-        """The folder in which each rig of the batch has left its own."""
+        """Wait for the batch; returns the folder that holds the folders of its rigs."""
         self.begin([batch])
-        assert self._done[batch].wait(3 * _LIMIT) and self.failed == []
+        assert self._done[batch].wait(3 * _LIMIT_S) and self.failed == []
         return self.folder
 
 
 def _starved(root: Path, name: str, play: int) -> Path:
-    """Where a play of which the senders were starved is kept."""
+    """The folder that keeps a play with starved senders."""
     return root / f"{name}-starved-{play}"
 
 
 def unsafe_plays(batch: str, name: str, root: Path) -> list[str]:
-    """A line for each rule of safety that was broken in a play with starved senders."""
-    folders = [_starved(root, name, play) for play in range(1, _MOST_PLAYS)]
+    """A line for each safety rule that was broken in a play with starved senders."""
+    folders = [_starved(root, name, play) for play in range(1, _MAX_PLAYS)]
     plays = [Played(load(_file(batch, name)), folder) for folder in folders if folder.exists()]
     return [f"{name}: {line}" for play in plays for line in play.unsafe()]
 
@@ -206,9 +212,9 @@
 
 
 class Played:
-    """A scene that was played, and what the oracle says of it."""
+    """A played scene and the oracle's findings on it."""
 
-    SLACK_S = 0.6  # that a busy machine may add: the schedules' pauses, waits and drains are far longer
+    SLACK_S = 0.6  # delay of a busy machine; the schedules' pauses, waits and drains are far longer
 
     def __init__(self, schedule: Schedule, folder: Path) -> None:
         self.schedule = schedule
@@ -217,7 +223,7 @@
 
     @classmethod
     def all(cls, batch: str) -> dict[str, Played]:
-        """The plays of a batch that count; in those before them no rule of safety may have been broken."""
+        """The last play of each scene of a batch; no earlier play may have broken a safety rule."""
         root = RIGS.wait(batch)
         unsafe = [
             line for name in _PLAYED[batch] if name not in MUTATED for line in unsafe_plays(batch, name, root)
@@ -226,17 +232,18 @@
         return {name: cls(load(_file(batch, name)), root / name) for name in _PLAYED[batch]}
 
     def unsafe(self) -> list[str]:
-        """The rules of safety that were broken, with what the rig's own lateness excuses taken out."""
+        """The violations of safety rules that the rig's own lag does not excuse."""
         found = verdict(self.schedule, self.events, ())
-        return [str(broken) for broken in found.violations if broken.rule in SAFETY_RULES]
+        return [str(one) for one in found.violations if one.rule in SAFETY_RULES]
 
     def logs(self, event: str) -> list[dict[str, Any]]:
+        """The members' log lines of this event."""
         return [
             {"member": one.fields["member"], "at": one.at, **one.fields["pairs"]}
             for one in self.events if one.kind == "log" and one.fields["event"] == event
         ]  # fmt: skip
 
     def statuses(self, begin: float, end: float) -> Counter[int]:
-        """What the partners answered between two moments."""
+        """The partners' answers by status in a span of time."""
         within = [one for one in self.events if one.kind == "answer" and begin <= one.at < end]
         return Counter(one.fields["status"] for one in within)
