--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page: it is what the results say, missing results are unknown, and the arithmetic is right."""
+"""The capacity page: it matches the results, missing results are unknown, and the arithmetic is right."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def test_page_and_kept_results_agree() -> None:
-    """Write it anew with `python -m benchmarks.capacity` where this fails."""
+    """If this fails, render the page again with `python -m benchmarks.capacity`."""
     assert PAGE.read_text() == capacity_page.render(RESULTS)
 
 
@@ -54,7 +54,7 @@
     (folder / "slopes.json").write_bytes(orjson.dumps(raw))
 
 
-def test_another_result_gives_another_page(tmp_path: Path) -> None:
+def test_a_different_result_yields_a_different_page(tmp_path: Path) -> None:
     pages = []
     for cost in (1000.0, 1010.0):
         kept_slopes(tmp_path, cost)
@@ -62,7 +62,7 @@
     assert pages[0] != pages[1] and "1.7 GB" in pages[0] and "1.72 GB" in pages[1]
 
 
-def test_without_results_all_that_is_not_arithmetic_is_unknown(tmp_path: Path, size: FleetSize) -> None:
+def test_without_results_all_measured_figures_are_unknown(tmp_path: Path, size: FleetSize) -> None:
     text = capacity_page.render(tmp_path, SIZE_FILE)
     assert "The scale run is not among the results" in text and "Nothing measured." in text
     found = work_out(load_kept(tmp_path), size)
@@ -73,7 +73,7 @@
     assert all(one.factor is None and not one.measured_at_all for one in found.limits)
 
 
-def test_scale_run_fills_the_relays_rows(tmp_path: Path) -> None:
+def test_a_scale_run_fills_the_rows_of_the_relays(tmp_path: Path) -> None:
     cost = {"exponent": 1.0, "residual": 0.01, "low": 0.4, "high": 0.6, "why_unknown": "not near"}
     raw = {
         "slopes": [
@@ -96,14 +96,14 @@
 
 @pytest.mark.parametrize("name", ["slopes.json", "outage.json", "scale.json"])
 @pytest.mark.parametrize("content", [b"{", b"[]", b'{"probes": [{}]}', b"3"])
-def test_a_damaged_result_is_one_clear_line(tmp_path: Path, name: str, content: bytes) -> None:
+def test_a_damaged_result_is_reported_in_one_line(tmp_path: Path, name: str, content: bytes) -> None:
     (tmp_path / name).write_bytes(content)
     with pytest.raises(KeptError, match=name) as raised:
         load_kept(tmp_path)
     assert "\n" not in str(raised.value)
 
 
-def test_terms_are_added_and_one_that_is_missing_makes_it_unknown() -> None:
+def test_terms_are_added_and_a_missing_one_makes_the_sum_unknown() -> None:
     known = slopes(slope("one", 1e-6, 1.0), slope("two", 2e-6, 1.0))
     found = summed(known, (Term("one", 2), Term("two")), 1000.0, Unit.SECONDS, bound=8e-3)
     assert isinstance(found.value, Estimate) and found.value.value == pytest.approx(4e-3)
@@ -111,7 +111,7 @@
     assert isinstance(summed(known, (Term("one"), Term("three")), 1000.0, Unit.SECONDS).value, Unknown)
 
 
-def test_limit_breaks_where_its_cost_meets_the_bound() -> None:
+def test_a_limit_is_reached_where_its_cost_equals_the_bound() -> None:
     limit = Limit("x", "destinations", (Term("one"),), 0.25, Unit.CORE, 1e6, 100.0, "here")
     after, before = slopes(slope("one", 1e-6, 1.0)), slopes(slope("one", 1e-6, 2.0))
     found = break_point(Kept(after, before, (), None), limit)
@@ -120,13 +120,13 @@
     assert found.with_shards == pytest.approx(100 / 250_000)
 
 
-def test_a_cost_that_does_not_grow_never_breaks() -> None:
+def test_a_constant_cost_never_reaches_its_limit() -> None:
     limit = Limit("x", "destinations", (Term("one"),), 0.25, Unit.CORE, 1e6, None, "here")
     found = break_point(Kept(slopes(slope("one", 1e-6, 0.0)), None, (), None), limit)
     assert found.size is None and found.factor is None and found.measured_at_all
 
 
-def test_arithmetic_of_the_size(size: FleetSize) -> None:
+def test_the_derived_figures_of_the_size(size: FleetSize) -> None:
     assert size.events_per_sender_s == pytest.approx(833.3, abs=0.1)
     assert size.backlog_per_sender == pytest.approx(3_333_333, abs=1)
     assert size.destinations_down == pytest.approx(30_600)
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
         (("senders = 18_000", "senders = 0"), "fleet.senders: must be above 0"),
         (("senders = 18_000", "senders = 1.5"), "fleet.senders: not a whole number"),
@@ -146,15 +146,17 @@
         (("[sharding]", "[shards]"), "sharding: missing"),
     ],
 )
-def test_a_wrong_size_is_one_clear_line(tmp_path: Path, change: tuple[str, str], says: str) -> None:
+def test_an_invalid_size_is_reported_in_one_line(
+    tmp_path: Path, change: tuple[str, str], message: str
+) -> None:
     path = tmp_path / "size.toml"
     path.write_text(SIZE_FILE.read_text().replace(*change, 1))
-    with pytest.raises(ConfigError, match=says) as raised:
+    with pytest.raises(ConfigError, match=message) as raised:
         load_size(path)
     assert "\n" not in str(raised.value) and str(raised.value).startswith(str(path))
 
 
-def test_numbers_in_the_unit_that_suits_them() -> None:
+def test_numbers_have_a_suitable_unit() -> None:
     assert [short(one) for one in (0, 0.0123456, 1.0, 23.44, 1234.5, 1.7e6)] == [
         "0", "0.0123", "1", "23.4", "1,230", "1,700,000",
     ]  # fmt: skip
@@ -163,10 +165,12 @@
     assert Figure(Unknown("not measured"), Unit.CORE, "", 1.0).share is None
 
 
-def test_an_outage_costs_trials_and_its_end_brings_calls_back() -> None:
-    """The real module: nothing but trials while it is down, and no more than a cold one bears after it."""
+def test_an_outage_causes_trials_and_its_end_a_limited_number_of_calls() -> None:
+    """The real module: only trials during the outage, then at most the capacity of a cold destination."""
     found = play(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1)
     assert found.learned == 3
     assert 0 < found.trials_per_s < 9.0
     assert 0 < found.calls_after <= cold_budget(18.0) + 2 * cold_budget(18.0) ** 0.5 + 2
-    assert play(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1) == found, "one seed, one course"
+    assert play(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1) == found, (
+        "a seed always yields the same outage"
+    )
--- a/tests/lab/test_fit.py
+++ b/tests/lab/test_fit.py
@@ -1,4 +1,4 @@
-"""Growth laws: known data gives its law back, noise gives no figure, too little is an error."""
+"""Growth laws: known data yields its law, noisy data yields no figure, too little data is an error."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     return [Measurement(size, cost * (1 + rng.uniform(-noise, noise))) for size, cost in law.items()]
 
 
-def test_known_power_law_is_found_exactly() -> None:
+def test_a_known_power_law_is_found_exactly() -> None:
     found = fit(_measured({size: 2e-6 * size**1.5 for size in SIZES}))
     assert found.model is Model.POWER
     assert found.exponent == pytest.approx(1.5, abs=1e-9)
@@ -44,7 +44,7 @@
         assert isinstance(near, Estimate) and isinstance(far, Estimate)
         assert far.high / far.low > near.high / near.low
         covered += far.low <= 3e-6 * 1_700_000 <= far.high
-    assert covered >= 180  # 95 % of 200, with room for chance
+    assert covered >= 180  # 95 % of 200, less a margin for chance
 
 
 def test_noisy_costs_give_no_figure() -> None:
@@ -55,12 +55,12 @@
     assert "interval" in predicted.why
 
 
-def test_three_sizes_with_little_noise_say_nothing_far_away() -> None:
+def test_three_sizes_with_little_noise_predict_nothing_far_away() -> None:
     found = fit(_measured({100: 1.0, 200: 2.1, 400: 3.9}))
     assert isinstance(found.at(1_700_000), Unknown)
 
 
-def test_constant_part_is_found_where_a_plain_law_would_mislead() -> None:
+def test_a_constant_term_is_found_where_a_plain_law_would_mislead() -> None:
     law = {size: 0.01 + 1e-6 * size for size in (*SIZES, 100_000, 300_000)}
     plain, found = fit_power(_measured(law, 0.01)), fit(_measured(law, 0.01))
     assert found.model is Model.OFFSET_POWER
@@ -72,7 +72,7 @@
     assert predicted.low < 1.71 < predicted.high
 
 
-def test_plain_law_stays_plain_under_noise() -> None:
+def test_a_plain_law_is_chosen_under_noise() -> None:
     chosen = [
         fit(_measured({size: 1e-6 * size**1.2 for size in SIZES}, 0.05, seed)).model for seed in range(100)
     ]
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("measured", "says"),
+    ("measured", "message"),
     [
         ([], "0 different sizes"),
         ([Measurement(10, 1.0), Measurement(20, 2.0)], "2 different sizes"),
@@ -90,17 +90,17 @@
         ([Measurement(1, 1.0), Measurement(2, float("nan")), Measurement(3, 1.0)], "above 0"),
     ],
 )
-def test_unusable_measurements_are_an_error(measured: list[Measurement], says: str) -> None:
-    with pytest.raises(FitError, match=says):
+def test_unusable_measurements_are_an_error(measured: list[Measurement], message: str) -> None:
+    with pytest.raises(FitError, match=message):
         fit(measured)
 
 
-def test_flat_costs_are_called_flat() -> None:
+def test_constant_costs_are_flat() -> None:
     found: Fit = fit(_measured(dict.fromkeys(SIZES, 1e-4), noise=0.02))
     assert found.flat
 
 
-def test_one_odd_point_makes_no_steep_law() -> None:
+def test_one_outlier_yields_no_steep_law() -> None:
     law = {**dict.fromkeys(SIZES, 1e-4), 30_000: 1.1e-4}
     found = fit(_measured(law))
     assert found.model is Model.POWER and found.exponent < 0.1
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -1,4 +1,4 @@
-"""The rig at work: real senders behind links, and senders that break one rule each. Judged by counts and
+"""The rig with real senders behind links, and with senders that break one rule each. Tests check counts and
 orders.
 """
 
@@ -29,10 +29,10 @@
 
 
 class Echo:
-    """Says back what it hears."""
+    """Echoes the data that it receives."""
 
     async def start(self) -> Address:
-        self.heard = b""
+        self.received = b""
         self.ended = 0
         self._server = await asyncio.start_server(self._serve, HOST, 0)
         place: Address = self._server.sockets[0].getsockname()[:2]
@@ -41,7 +41,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while data := await reader.read(4096):
-                self.heard += data
+                self.received += data
                 writer.write(data)
         except OSError:
             pass
@@ -49,7 +49,7 @@
         writer.close()
 
 
-def test_a_link_delays_falls_silent_resets_and_refuses() -> None:
+def test_a_link_delays_drops_resets_and_refuses() -> None:
     async def main() -> None:
         echo, who = Echo(), dict[Address, str]()
         link = StreamProxy("m01", "echo", await echo.start(), "seed", who)
@@ -63,14 +63,16 @@
         writer.write(b"two")
         assert await reader.readexactly(3) == b"two"
         assert asyncio.get_running_loop().time() - began >= 0.4
-        link.set(NetworkConditions(silent="down"))  # heard, and never answered
+        link.set(NetworkConditions(silent="down"))  # data arrives, answers do not
         writer.write(b"three")
-        await until(lambda: echo.heard.endswith(b"three"))
+        await until(lambda: echo.received.endswith(b"three"))
         link.set(NetworkConditions(silent="both"))
         writer.write(b"four")
         writer.close()
         await asyncio.sleep(0.1)
-        assert not echo.heard.endswith(b"four") and not echo.ended, "half open: nobody was told"
+        assert not echo.received.endswith(b"four") and not echo.ended, (
+            "half open: the close was not forwarded"
+        )
         link.set(NetworkConditions())
         reader, writer = await asyncio.open_connection(*link.address)
         writer.write(b"five")
@@ -81,14 +83,14 @@
             await reader.readexactly(3)
         link.set(NetworkConditions(refuse=True))
         reader, writer = await asyncio.open_connection(*link.address)
-        assert await asyncio.wait_for(_gone(reader), 5)
+        assert await asyncio.wait_for(_closed(reader), 5)
         link.close()
 
     run(main())
 
 
-def test_what_is_written_to_a_connection_begun_in_a_silence_does_not_arrive_late() -> None:
-    """The soak's seed 1108: a repeat that left in time was kept by the link and arrived past its window."""
+def test_data_written_to_a_connection_opened_in_a_silence_does_not_arrive_late() -> None:
+    """Seed 1108 of the soak: the link kept a repeat that was sent in time until after its window."""
 
     async def main() -> None:
         echo = Echo()
@@ -99,14 +101,14 @@
         writer.write(b"late")
         await asyncio.sleep(0.1)
         link.set(NetworkConditions())
-        assert await asyncio.wait_for(_gone(reader), 5)
-        assert b"late" not in echo.heard
+        assert await asyncio.wait_for(_closed(reader), 5)
+        assert b"late" not in echo.received
         link.close()
 
     run(main())
 
 
-def test_a_half_open_silence_lasts_for_what_it_meets_and_lets_dials_hang() -> None:
+def test_a_half_open_silence_is_permanent_for_open_connections_and_lets_new_ones_hang() -> None:
     async def main() -> None:
         echo, who = Echo(), dict[Address, str]()
         link = StreamProxy("m01", "echo", await echo.start(), "seed", who)
@@ -126,16 +128,18 @@
         assert await asyncio.wait_for(again.readexactly(3), 5) == b"two"
         writer.write(b"three")
         await asyncio.sleep(0.1)
-        assert b"three" not in echo.heard and not link.carries_from(target_side), "it stays silent"
+        assert b"three" not in echo.received and not link.carries_from(target_side), (
+            "the connection stays silent"
+        )
         writer.close()
         await asyncio.sleep(0.1)
-        assert not echo.ended, "nobody was told"
+        assert not echo.ended, "the close was not forwarded"
         link.close()
 
     run(main())
 
 
-def test_a_link_to_discovery_tells_what_a_member_asks_though_nothing_arrives() -> None:
+def test_a_silent_link_to_discovery_records_the_calls_of_a_member() -> None:
     async def main() -> None:
         echo, events = Echo(), Events(asyncio.get_running_loop().time)
         link = StreamProxy("m01", "discovery", await echo.start(), "seed", {})
@@ -149,20 +153,20 @@
         await until(lambda: len(events.all) == 2)
         link.set(NetworkConditions(refuse=True))
         reader, _ = await asyncio.open_connection(*link.address)
-        assert await asyncio.wait_for(_gone(reader), 5)
+        assert await asyncio.wait_for(_closed(reader), 5)
         assert [(event.kind, event.fields) for event in events] == [
             ("list-ask", {"member": "m01", "connection": "a/1", "watch": True, "wait_s": 2.5}),
             ("list-end", {"member": "m01", "connection": "a/1"}),
             ("dial-refused", {"member": "m01"}),
         ]
-        assert echo.heard == b""
+        assert echo.received == b""
         link.close()
 
     run(main())
 
 
-def test_a_call_for_the_list_that_comes_in_parts_is_a_call_once_it_is_whole() -> None:
-    """Its first part would say that it asks for something else; the soak's seed 104 was judged by that."""
+def test_a_call_for_the_list_in_parts_is_recorded_once_it_is_complete() -> None:
+    """Seed 104 of the soak: the first part alone was taken for another request."""
     events = Events(lambda: 0.0)
     recorder = ListCallRecorder("m01", "a", events)
     recorder.data_sent(1, b"GET /registry/instances")
@@ -172,21 +176,21 @@
     assert [(event.kind, event.fields) for event in events] == [("list-ask", asked)]
 
 
-async def _gone(reader: asyncio.StreamReader) -> bool:
+async def _closed(reader: asyncio.StreamReader) -> bool:
     try:
         return await reader.read(1) == b""
     except OSError:
         return True
 
 
-_SLACK = 0.6  # s that a busy machine may add: the schedule's waits, answers and drains are far longer
+_SLACK_S = 0.6  # delay of a busy machine; the schedule's waits, answers and drains are far longer
 
 
-def test_the_oracle_catches_each_mutated_sender_and_none_that_is_not() -> None:
-    """Eight senders that each break a rule and one that breaks none, on the same schedule of faults."""
+def test_the_oracle_detects_each_mutated_sender_and_reports_nothing_on_the_unchanged_one() -> None:
+    """Eight senders that break one rule each and one that breaks none, on the same schedule of faults."""
     schedule, root = load(EVERY_RULE), RIGS.wait("senders")
     histories = {name: read(root / name / "events.jsonl") for name in SENDERS}
-    found = {name: judge(schedule, events, _SLACK) for name, events in histories.items()}
+    found = {name: judge(schedule, events, _SLACK_S) for name, events in histories.items()}
     judged = found.pop("unchanged")
     assert [str(one) for one in judged.violations] == []
     assert judged.taken > 100 and judged.delivered > 50
@@ -195,9 +199,7 @@
     assert [name for name, one in found.items() if MUTANTS[name][0] not in one.rules] == []
 
 
-def test_a_run_leaves_a_folder_that_can_be_judged_again(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_the_folder_of_a_run_can_be_judged_again(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "short.toml"
     text = EVERY_RULE.read_text()
     file.write_text(
@@ -223,7 +225,7 @@
         main(["rig", str(tmp_path / "none.toml")])
 
 
-def test_the_platforms_path_imports_nothing_of_the_lab() -> None:
+def test_the_platforms_program_does_not_import_the_lab() -> None:
     code = (
         "import sys, mountgauge.cli, mountgauge.run.platform, mountgauge.run.serve\n"
         "print([m for m in sys.modules if '.lab' in m or '.recovery' in m])"
@@ -232,8 +234,8 @@
     assert found.stdout.strip() == "[]"
 
 
-def test_connections_that_wait_are_accepted_together() -> None:
-    """One in three turns of a busy loop was too slow for clients that gave up meanwhile and came again."""
+def test_waiting_connections_are_accepted_together() -> None:
+    """Accepting one in three turns of a busy loop was too slow: clients timed out and connected again."""
 
     async def main() -> None:
         made = list[asyncio.Protocol]()
@@ -255,8 +257,8 @@
     run(main())
 
 
-def test_the_end_of_a_struck_process_is_waited_for_and_not_that_of_its_successor(tmp_path: Path) -> None:
-    """A kill that fell into a start let all that were killed with it come 15 s late (soak, 10206)."""
+def test_the_exit_of_a_killed_process_is_awaited_and_not_that_of_its_successor(tmp_path: Path) -> None:
+    """Seed 10206 of the soak: a kill during a start delayed the restart of all killed members by 15 s."""
 
     async def main() -> None:
         ended = await asyncio.create_subprocess_exec(sys.executable, "-c", "")
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -1,4 +1,4 @@
-"""The measuring of slopes: every probe measures something, the loop ends by itself, results are kept."""
+"""The slope measurement: every probe measures something, the loop terminates, results are kept."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.lab.test_capacity import SIZE_FILE
 
 SMALLEST = 4
-PAGED = 1000  # messages that fill many pages: the resident size grows by whole ones
+PAGED = 1000  # messages that fill many pages: the resident size grows by pages
 
 
 @pytest.mark.parametrize("probe", PROBES, ids=lambda probe: probe.name)
@@ -28,16 +28,16 @@
     assert probe.prepare(size)() > least
 
 
-def test_each_limit_rests_on_probes_that_there_are() -> None:
+def test_each_limit_uses_existing_probes() -> None:
     known = {probe.name: probe for probe in PROBES}
-    assert len(known) == len(PROBES), "a name stands twice"
+    assert len(known) == len(PROBES), "a name occurs twice"
     for limit in limits(load_size(SIZE_FILE)):
         for term in limit.terms:
             assert limit.axis.startswith(known[term.probe].axis.value), limit.what
 
 
 def _counted(name: str, costs: list[int]) -> Probe:
-    """A probe whose cost is its size, and which notes the sizes that it was asked for."""
+    """A probe whose cost is its size, and which records the requested sizes."""
 
     def prepare(size: int) -> object:
         costs.append(size)
@@ -46,10 +46,10 @@
     return Probe(name, prepare, "here", unit=Unit.BYTES, method=Method.COUNTED, repeats=1)  # type: ignore[arg-type]
 
 
-def test_no_larger_size_is_begun_past_the_limit() -> None:
-    asked: list[int] = []
-    found = measure(replace(_counted("x", asked), sizes=(1, 2, 3, 4, 5), limit_s=0.0), quick=False)
-    assert asked == [1, 2, 3], "three sizes are measured whatever they cost"
+def test_no_larger_size_is_measured_after_the_time_limit() -> None:
+    requested: list[int] = []
+    found = measure(replace(_counted("x", requested), sizes=(1, 2, 3, 4, 5), limit_s=0.0), quick=False)
+    assert requested == [1, 2, 3], "three sizes are always measured"
     assert [one.cost for one in found.measurements] == [1.0, 2.0, 3.0]
 
 
@@ -68,7 +68,7 @@
     assert kept[0]["load_average"] == 0.5 and kept[0]["fit"]["exponent"] == pytest.approx(1.0)
 
 
-def test_a_line_names_exponent_figure_and_source() -> None:
+def test_a_line_has_the_exponent_figure_and_source() -> None:
     found = Measured(_counted("x", []), tuple(Measurement(n, 2.0 * n) for n in (10, 100, 1000)), 0.5, 0.1)
     text = line(found, {found.probe.axis: 1e6})
     assert "1.00" in text and "2e+06 bytes (2e+06 to 2e+06) at 1000000" in text and text.endswith("; here")
--- a/tests/lab/test_soak.py
+++ b/tests/lab/test_soak.py
@@ -1,5 +1,5 @@
-"""The soak, short and from one seed: two dozen real senders under random faults on every layer break no rule,
-and each sender with a fault in its guard is found.
+"""A short soak from one seed: two dozen real senders under random faults on every layer break no rule, and
+each sender with a fault in its send guard is detected.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
     events = read(RIGS.folder / "soak-random" / "events.jsonl")
     kinds = [event.kind for event in events]
     assert kinds.count("taken") > 50 and kinds.count("answer") > 50, "the senders served"
-    struck = {event.fields["do"] for event in events if event.kind == "fault"}
+    injected = {event.fields["do"] for event in events if event.kind == "fault"}
     drawn = {"replace", "drain", "link", "term", "kill", "pause", "crowd", "move-discovery", "discovery-down",
              "discovery-hangs"}  # fmt: skip
-    assert drawn <= struck, "the faults did strike"
+    assert drawn <= injected, "the faults occurred"
     logged = {event.fields["event"] for event in events if event.kind == "log"}
     assert "invariant-violated" not in logged
 
 
-def test_no_rule_is_broken_where_what_is_decided_is_held_up_all_the_time() -> None:
-    """What the mutants meet, without a fault in the guard."""
+def test_no_rule_is_broken_if_decided_sends_are_always_delayed() -> None:
+    """The faults of the mutants' runs, without a fault in the guard."""
     assert broken("held-up") == []
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_a_fault_in_the_guard_is_found(mutant: str) -> None:
+def test_a_fault_in_the_guard_is_detected(mutant: str) -> None:
     assert {line.split(" at ")[0] for line in broken(mutant)} & {"invariant", "repeat", "drain"}
 
 
-def told_twice(first_at: float, failed_at: float, for_s: float) -> list[str]:
-    """The verdict's rules on a message of 1 s that two lives of a sender tell two ends of."""
+def two_outcomes(first_at: float, failed_at: float, for_s: float) -> list[str]:
+    """The broken rules where two runs of a sender report different outcomes of a message due after 1 s."""
     soak = draw(7, 6, 20.0)
     same = {"member": "m01", "id": "a", "key": "k", "dest": 1, "grade": "safe"}
     events = [
@@ -58,14 +58,14 @@
     return [one.rule for one in verdict(soak.schedule, events, [fault]).violations]
 
 
-def test_two_ends_are_excused_only_where_the_first_could_not_be_kept() -> None:
-    assert told_twice(1.1, 1.0, 0.6) == []
-    assert told_twice(0.9, 0.8, 0.8) == ["ends"], "told before its time"
-    assert told_twice(1.1, 1.0, 0.2) == ["ends"], "the first process could have written it before its end"
-    assert told_twice(1.1, 0.2, 0.6) == ["ends"], "the disk did not fail when it was told"
+def test_two_outcomes_are_excused_only_if_the_first_could_not_be_recorded() -> None:
+    assert two_outcomes(1.1, 1.0, 0.6) == []
+    assert two_outcomes(0.9, 0.8, 0.8) == ["ends"], "reported before its deadline"
+    assert two_outcomes(1.1, 1.0, 0.2) == ["ends"], "the first process could have recorded it before its exit"
+    assert two_outcomes(1.1, 0.2, 0.6) == ["ends"], "the disk did not fail when it was reported"
 
 
-def test_a_seed_always_means_the_same_run_and_signals_end_with_the_kill() -> None:
+def test_a_seed_always_draws_the_same_run_and_signals_end_with_the_kill() -> None:
     one, again, other = draw(7, 24, 20.0), draw(7, 24, 20.0), draw(8, 24, 20.0)
     assert one == again and one != other
     ends = [
--- a/tests/lab/test_starvation.py
+++ b/tests/lab/test_starvation.py
@@ -1,4 +1,4 @@
-"""How long senders waited for a processor, as the system tells it and as a run's events have it."""
+"""How long senders waited for a processor, by the system's counters and by a run's events."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from tests.rigs import unsafe_plays
 
 
-def test_only_what_a_counter_has_grown_by_counts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    told = iter(["7 2000000000 1", "8 2000000000 1", "9 2500000000 1", "no figures"])
-    monkeypatch.setattr(Path, "read_text", lambda path: next(told))
+def test_only_the_increase_of_a_counter_counts(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    contents = iter(["7 2000000000 1", "8 2000000000 1", "9 2500000000 1", "no figures"])
+    monkeypatch.setattr(Path, "read_text", lambda path: next(contents))
     delays = RunDelays()
     assert [delays.increase_s(1) for _ in range(4)] == [0.0, 0.0, 0.5, 0.0]
 
 
-def test_a_process_that_has_gone_shows_none() -> None:
+def test_a_missing_process_has_no_wait() -> None:
     delays = RunDelays()
     assert delays.increase_s(os.getpid()) == 0.0 and delays.increase_s(2**22 + 1) == 0.0
 
 
-def test_the_share_is_of_all_senders_times() -> None:
+def test_the_share_is_averaged_over_all_senders() -> None:
     events = [Event(float(at), KIND, {"member": name, "waited_s": 0.5}) for at, name in enumerate("aab")]
     assert waited_s(events) == {"a": 1.0, "b": 0.5}
     assert share([*events, Event(1.0, "lag", {"late_s": 9.0})], members=3, seconds=10.0) == 0.05
 
 
-def test_rules_of_safety_are_judged_in_plays_with_starved_senders_too(tmp_path: Path) -> None:
+def test_safety_rules_are_judged_in_plays_with_starved_senders_too(tmp_path: Path) -> None:
     states = {"e1-0": "leaving", "e1-1": "active"}
     events = [
         Event(0.0, "start", {"member": "m01"}),
