--- a/mountgauge/lab/faults/system_calls.py
+++ b/mountgauge/lab/faults/system_calls.py
@@ -30,9 +30,8 @@
         self.count = Counter[str]()  # failures, by call
         self.moved = Counter[str]()  # bytes, by call
         self.max_bytes: dict[str, int] = {}  # bytes that one "read" or "write" moves
-        self.bytes_before_failure: dict[
-            str, int
-        ] = {}  # bytes that "read" or "write" still moves before it fails
+        # Bytes that "read" or "write" still moves before it fails.
+        self.bytes_before_failure: dict[str, int] = {}
         self.on_failure: Callable[[], None] = lambda: None
 
     def fail(self, call: str, *errors: int) -> None:
@@ -133,7 +132,7 @@
 
 
 class FaultyLoop(asyncio.SelectorEventLoop):
-    """An event loop with failing sockets; sockets that stand-ins accept come from their listeners."""
+    """An event loop with failing sockets; a server's connections come from its own listening socket."""
 
     def __init__(self, faults: Faults) -> None:
         super().__init__()
--- a/mountgauge/lab/rig/capacity_model.py
+++ b/mountgauge/lab/rig/capacity_model.py
@@ -35,9 +35,8 @@
     _filled_at: float = -math.inf
     _span: int = -1
     _arrivals: deque[float] = field(default_factory=deque)  # arrival times
-    _capacity_samples: deque[tuple[float, float]] = field(
-        default_factory=deque
-    )  # (when, calls/s) samples of the window
+    # (time, calls/s) samples in the window
+    _capacity_samples: deque[tuple[float, float]] = field(default_factory=deque)
 
     def capacity_at(self, now: float) -> float:
         """The capacity at this moment, calls/s."""
--- a/mountgauge/lab/rig/oracle.py
+++ b/mountgauge/lab/rig/oracle.py
@@ -123,7 +123,7 @@
         self.rejected: dict[str, float] = {}  # when each of these was rejected
         self.unavailable: dict[str, list[tuple[float, float]]] = defaultdict(list)  # exit until it serves
         self.losses: dict[str, list[float]] = defaultdict(list)  # when a member's folder was lost or replaced
-        self._struck: set[str] = set()  # hit by a fault that loses the folder, and still running
+        self._losing: set[str] = set()  # hit by a fault that loses the folder, and still running
         self._open_outages: dict[str, float] = {}
         self.end_at = events[-1].at if events else 0.0
 
@@ -178,7 +178,7 @@
                 for index, name in enumerate(f["who"]):
                     if f["folder"][index % len(f["folder"])] in _LOSING_FOLDERS:
                         self.losses[name].append(event.at)
-                        self._struck.add(name)
+                        self._losing.add(name)
             case "fault" if f["do"] == "empty-folder":
                 for name in f["who"]:
                     self.losses[name].append(event.at)
@@ -186,8 +186,8 @@
                 self.unavailable[f["member"]].append((event.at, event.at + f["for_s"] + RECOVERY_GRACE_S))
             case "gone":
                 self._open_outages.setdefault(f["member"], event.at)
-                if f["member"] in self._struck:
-                    self._struck.discard(f["member"])
+                if f["member"] in self._losing:
+                    self._losing.discard(f["member"])
                     self.losses[f["member"]].append(event.at)
             case "ready":
                 if (began := self._open_outages.pop(f["member"], None)) is not None:
@@ -349,7 +349,9 @@
     def _drains(self) -> set[int]:
         """Check calls against the lists written to each member; return the calls that broke the rule."""
         found: set[int] = set()
-        shut: dict[tuple[str, str], float] = {}  # since when the list has an endpoint as leaving or removed
+        inactive_since: dict[
+            tuple[str, str], float
+        ] = {}  # since when the list has an endpoint as leaving or removed
         listed: dict[str, set[str]] = defaultdict(set)
         for event in self.events:
             f = event.fields
@@ -359,11 +361,11 @@
                 for name in listed[f["member"]]:
                     state = states.get(name, "left" if f["full"] else "")
                     if state in ("leaving", "left"):
-                        shut.setdefault((f["member"], name), event.at)
+                        inactive_since.setdefault((f["member"], name), event.at)
                     elif state == "active":
-                        shut.pop((f["member"], name), None)
+                        inactive_since.pop((f["member"], name), None)
             elif event.kind == "call":
-                since, began = shut.get((f["member"], f["endpoint"])), f.get("began", event.at)
+                since, began = inactive_since.get((f["member"], f["endpoint"])), f.get("began", event.at)
                 if since is not None and began > since + DRAIN_GRACE_S + self.slack:
                     why = f"{f['endpoint']} was told to leave {began - since:.3f} s before"
                     self._report("drain", event.at, f["member"], f["id"], why)
--- a/mountgauge/lab/rig/processes.py
+++ b/mountgauge/lab/rig/processes.py
@@ -67,7 +67,7 @@
     run_count: int = 0
     paused: bool = False
     should_run: bool = True
-    watch: Callable[[str, Mapping[str, str]], None] | None = None  # called with each log line
+    on_log_line: Callable[[str, Mapping[str, str]], None] | None = None  # called with each log line
     tail: list[str] = field(default_factory=list)
     _reading: asyncio.Task[None] | None = None
     _starting: asyncio.Lock = field(default_factory=asyncio.Lock)
@@ -81,7 +81,7 @@
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
-        """Start the process, which serves once `ready` returns. Of two concurrent calls one starts it."""
+        """Start the process, which serves once `wait_ready` returns. One of two concurrent calls does so."""
         async with self._starting:
             if not self.running:
                 await self._start()
@@ -111,12 +111,12 @@
                 out.flush()
                 text = line.decode(errors="replace").rstrip()
                 self.tail = [*self.tail[-40:], text]
-                if (pairs := parse_log_line(text)) and self.watch is not None:
-                    self.watch(self.name, pairs)
+                if (pairs := parse_log_line(text)) and self.on_log_line is not None:
+                    self.on_log_line(self.name, pairs)
         code = await process.wait()
         self.events.add("gone", member=self.name, code=code, pid=process.pid)
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait until it answers PING; RuntimeError with its last log lines if it exits or takes too long."""
         loop = asyncio.get_running_loop()
         process, began = self.process, loop.time()
@@ -144,7 +144,7 @@
             elif number in (signal.SIGCONT, signal.SIGKILL):
                 self.paused = False
 
-    async def ended(
+    async def wait_exit(
         self, process: asyncio.subprocess.Process | None = None, limit: float = _EXIT_LIMIT_S
     ) -> None:
         """Wait for the exit of the process; kill it after `limit` seconds, which is recorded as an event.
--- a/mountgauge/lab/rig/proxies.py
+++ b/mountgauge/lab/rig/proxies.py
@@ -34,12 +34,12 @@
     def refused(self) -> None: ...
 
 
-class _Half(asyncio.Protocol):
+class _Side(asyncio.Protocol):
     """One side of a proxied connection; `up` is the side that opened it."""
 
     def __init__(self, proxy: StreamProxy, up: bool) -> None:
         self.proxy, self.up = proxy, up
-        self.other: _Half | None = None
+        self.other: _Side | None = None
         self.transport: asyncio.Transport | None = None
         self.free_at = 0.0
         self.buffered: list[bytes] = []  # received before the other side was connected
@@ -67,7 +67,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self.ended = True
-        self.proxy.lost(self)
+        self.proxy.side_closed(self)
 
     def write(self, data: bytes) -> None:
         if self.transport is not None and not self.transport.is_closing():
@@ -151,12 +151,12 @@
         self.watcher: LinkWatcher | None = None
         self._rng, self._who = random.Random(seed), who
         self._listener: DialListener | None = None
-        self._pairs: set[_Half] = set()  # the connecting sides
+        self._pairs: set[_Side] = set()  # the connecting sides
         self.address: Address = (host, 0)
 
     async def start(self, port: int = 0) -> Address:
         """Listen; returns the address by which `source` reaches `target`."""
-        self._listener = DialListener(lambda: _Half(self, True), (self._host, port))
+        self._listener = DialListener(lambda: _Side(self, True), (self._host, port))
         self._listener.accept()
         self.address = self._listener.address
         return self.address
@@ -185,11 +185,11 @@
         near = self._from(target_side)
         return None if near is None else near.number
 
-    def _from(self, target_side: Address) -> _Half | None:
+    def _from(self, target_side: Address) -> _Side | None:
         found = (near for near in self._pairs if near.other is not None and near.other.own == target_side)
         return next(found, None)
 
-    def accepted(self, near: _Half) -> None:
+    def accepted(self, near: _Side) -> None:
         """Handle a new connection from `source`."""
         self.counts["connections"] += 1
         near.number = self.counts["connections"]
@@ -203,23 +203,23 @@
             self._reset_later(near)
         asyncio.get_running_loop().create_task(self._connect(near))
 
-    def _reset_later(self, near: _Half) -> None:
+    def _reset_later(self, near: _Side) -> None:
         asyncio.get_running_loop().call_later(
             self._rng.expovariate(self.conditions.reset), self.reset_one, near
         )
 
-    def reset_one(self, near: _Half) -> None:
+    def reset_one(self, near: _Side) -> None:
         """Reset both sides of a connection."""
         self.counts["reset"] += 1
         near.abort()
         if near.other is not None:
             near.other.abort()
 
-    async def _connect(self, near: _Half) -> None:
+    async def _connect(self, near: _Side) -> None:
         if self.conditions.is_silent(True):
             await self._reset_after_silence(near)
             return
-        far = _Half(self, False)
+        far = _Side(self, False)
         own = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             own.setblocking(False)
@@ -239,7 +239,7 @@
             self.forward(near, data)
         near.buffered.clear()
 
-    async def _reset_after_silence(self, near: _Half) -> None:
+    async def _reset_after_silence(self, near: _Side) -> None:
         """Reset a connection that was opened during a silence once the silence is over: data that was written
         to it meanwhile must not arrive late.
         """
@@ -249,7 +249,7 @@
         near.buffered.clear()
         near.abort()
 
-    def forward(self, half: _Half, data: bytes) -> None:
+    def forward(self, half: _Side, data: bytes) -> None:
         """Forward data to the other side under the current conditions."""
         if half.permanently_silent or self.conditions.is_silent(half.up):
             self.counts["silent_bytes"] += len(data)
@@ -262,7 +262,7 @@
         else:
             loop.call_at(arrives, half.other.write, data)
 
-    def lost(self, half: _Half) -> None:
+    def side_closed(self, half: _Side) -> None:
         """Forward a close to the other side, unless that direction is silent."""
         if half.up:
             self._pairs.discard(half)
@@ -324,9 +324,8 @@
         """Times are in seconds, `loss` and `doubled` are shares of the datagrams."""
         self.members = list(members)
         self.conditions = NetworkConditions(drop=loss, delay_s=delay, jitter_s=jitter, double=doubled)
-        self.between: dict[
-            tuple[int, int], NetworkConditions
-        ] = {}  # where it differs for one pair and direction
+        # The conditions of single pairs and directions, where they differ.
+        self.between: dict[tuple[int, int], NetworkConditions] = {}
         self.split: set[int] = set()  # members that are cut off from the others
         self.groups: list[set[int]] = []  # only members of one group reach each other
         self.passed = self.lost = self.bytes = 0
--- a/mountgauge/lab/rig/runner.py
+++ b/mountgauge/lab/rig/runner.py
@@ -73,7 +73,7 @@
             schedule.fleet.pushed,
         )
         self.members = {
-            name: Member(name, host, folder / name, self.events, watch=self._log_line)
+            name: Member(name, host, folder / name, self.events, on_log_line=self._log_line)
             for name, host in addresses.items()
         }
         self.command = command or ["-m", "mountgauge"]
@@ -208,7 +208,7 @@
         if self.schedule.fleet.front == "platform" and member.run_count:  # it starts with its last list
             self._write(member)
         await member.start()
-        await member.ready()
+        await member.wait_ready()
 
     def _spawn(self, work: Any) -> None:
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(self._report_errors(work))
@@ -350,12 +350,12 @@
         for _ in range(fault.times):
             member.should_run = False
             member.signal(signal.SIGKILL)
-            await member.ended()
+            await member.wait_exit()
             await asyncio.sleep(max(0.0, fault.back_s))
             member.should_run = True
             await member.start()
             await asyncio.sleep(fault.for_s)
-        await member.ready()
+        await member.wait_ready()
 
     async def _restart(
         self,
@@ -367,7 +367,9 @@
         """Restart the members once the processes that the fault hit have exited. A process that another fault
         had just ended may have a successor by then, whose exit must not be awaited.
         """
-        await asyncio.gather(*(one.ended(process) for one, process in zip(members, processes, strict=True)))
+        await asyncio.gather(
+            *(one.wait_exit(process) for one, process in zip(members, processes, strict=True))
+        )
         await asyncio.sleep(fault.back_s)
         rng = self.schedule.rng(f"folders/{seed}")
         for index, member in enumerate(members):
@@ -505,7 +507,7 @@
             return
         proxies = self.proxies.between(self._parties(first), self._parties(second))
         self._set_links(proxies, conditions)
-        if conditions.reset >= 1000:  # all at once
+        if conditions.reset >= 1000:  # reset all connections at once
             for proxy in proxies:
                 proxy.reset_all()
         if fault.for_s > 0:
@@ -532,7 +534,7 @@
                 member.signal(signal.SIGCONT)
             member.signal(signal.SIGKILL)
         for member in self.members.values():
-            await member.ended()
+            await member.wait_exit()
         for client in self.member_clients.values():
             client.close()
         self.proxies.close()
--- a/mountgauge/lab/rig/stand_ins.py
+++ b/mountgauge/lab/rig/stand_ins.py
@@ -31,13 +31,12 @@
 _CLIENT_PATIENCE_S = 2.0  # within which a client must be connected, and retries failed submissions
 _RESET_AFTER_S = 0.05  # from a half-written answer to the reset of its connection
 _FOREVER_S = 3600.0
-_LISTS_KEPT = 64  # versions of the list that discovery can return to
+_KEPT_VERSIONS = 64  # versions of the list that discovery can return to
 
 MemberLookup = Callable[[Any], str]  # the member behind a connection's peer address
 LinkCheck = Callable[[str, Address], bool]  # whether the link delivers data sent to a peer address
-ConnectionLookup = Callable[
-    [str, Address], str
-]  # the name of the connection that a member has from an address
+# The name of the connection that a member has from a peer address.
+ConnectionLookup = Callable[[str, Address], str]
 
 
 class Truncated(NamedTuple):
@@ -254,7 +253,7 @@
         """Publish a new version of the list."""
         self.entries = {name: one for name, one in entries.items()}
         self.version += 1
-        self.kept = [*self.kept[-_LISTS_KEPT:], (self.version, dict(self.entries))]
+        self.kept = [*self.kept[-_KEPT_VERSIONS:], (self.version, dict(self.entries))]
         states = {name: one.state for name, one in self.entries.items()}
         self.events.add("change", version=self.version, states=states)
         self._wake()
--- a/mountgauge/lab/soak/draw.py
+++ b/mountgauge/lab/soak/draw.py
@@ -206,15 +206,15 @@
     return {"do": "link", "between": ends, **rng.choice(how)}
 
 
-def _to_discovery(rng: random.Random, members: int) -> RawFault:
+def _discovery_link(rng: random.Random, members: int) -> RawFault:
     return _link(rng, [rng.choice(("members", _member(rng, members))), "discovery"])
 
 
-def _to_partner(rng: random.Random, members: int) -> RawFault:
+def _partner_link(rng: random.Random, members: int) -> RawFault:
     return _link(rng, [_member(rng, members), f"partner:{rng.choice(_DESTINATIONS)}"])
 
 
-def _listed(rng: random.Random, members: int) -> RawFault:
+def _endpoints_replaced(rng: random.Random, members: int) -> RawFault:
     """Drain all endpoints of a destination; `replace` adds new ones at the same time."""
     return {"do": "replace", "dest": rng.choice(_DESTINATIONS)}
 
@@ -225,7 +225,7 @@
     return {**fault, "wait_s": rng.uniform(0.3, 1.0)} if do == "shut" else fault
 
 
-def _hangs(rng: random.Random, members: int) -> RawFault:
+def _discovery_hangs(rng: random.Random, members: int) -> RawFault:
     """Let one call, several in a row or all of them hang, at discovery or at the agents."""
     who = rng.choice((_random_count(rng, members), [_member(rng, members)], "all"))
     count = rng.choice((1, 2, 4, 8, EVERY_CALL))
@@ -274,24 +274,24 @@
     return {"do": "kill", "who": _random_count(rng, members), "back_s": BACK_S}
 
 
-def _held_up(rng: random.Random, members: int) -> RawFault:
+def _paused(rng: random.Random, members: int) -> RawFault:
     return {"do": "pause", "who": _random_count(rng, members), "for_s": rng.uniform(0.02, MAX_PAUSE_S)}
 
 
-def _moved(rng: random.Random, members: int) -> RawFault:
+def _discovery_moved(rng: random.Random, members: int) -> RawFault:
     return {"do": "move-discovery", "who": _random_count(rng, members)}
 
 
 _MAKERS: dict[str, FaultMaker] = {
-    "listed": _listed,
-    "to-discovery": _to_discovery,
-    "to-partner": _to_partner,
+    "listed": _endpoints_replaced,
+    "to-discovery": _discovery_link,
+    "to-partner": _partner_link,
     "discovery-fails": _discovery_fails,
     "terminated": _terminated,
     "killed": _killed,
-    "held-up": _held_up,
-    "moved": _moved,
-    "hangs": _hangs,
+    "held-up": _paused,
+    "moved": _discovery_moved,
+    "hangs": _discovery_hangs,
     "long-silence": _long_silence,
 }
 # The mean time between two faults of a kind, in s.
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -266,10 +266,10 @@
             sys.executable, "-c", "input()", stdin=subprocess.PIPE
         )
         member = Member("m01", HOST, tmp_path, Events(lambda: 0.0), process=successor)
-        await asyncio.wait_for(member.ended(ended), 10)
+        await asyncio.wait_for(member.wait_exit(ended), 10)
         assert member.running
         member.signal(signal.SIGKILL)
-        await member.ended()
+        await member.wait_exit()
         assert not member.running
 
     run(main())
