--- a/mountgauge/lab/rig/list_history.py
+++ b/mountgauge/lab/rig/list_history.py
@@ -46,19 +46,20 @@
     calls: list[ListCall] = field(default_factory=list)
     connections: list[str] = field(default_factory=list)  # of the calls
     moves: list[float] = field(default_factory=list)
-    _open_connection: str | None = None  # connection of the call in flight
+    _call_connection: str | None = None  # connection of the call in flight
 
     def call_started(self, at: float, connection: str, wait_s: float) -> None:
+        """A call begins, which ends the one in flight."""
         self.call_failed(at)
         self.calls.append(ListCall(at, wait_s))
         self.connections.append(connection)
-        self._open_connection = connection
+        self._call_connection = connection
 
     def call_failed(self, at: float, connection: str | None = None) -> None:
         """The call in flight (on this connection) has ended without an answer."""
-        if self._open_connection is not None and connection in (None, self._open_connection):
+        if self._call_connection is not None and connection in (None, self._call_connection):
             self.calls[-1] = replace(self.calls[-1], ended=at)
-            self._open_connection = None
+            self._call_connection = None
 
     def call_hung(self, at: float, connection: str) -> None:
         """Discovery will never answer the call on this connection."""
@@ -71,20 +72,20 @@
             return
         self.calls[index] = replace(self.calls[index], ended=at, version=version)
         if index == len(self.calls) - 1:
-            self._open_connection = None
+            self._call_connection = None
 
     def _unanswered_call(self, connection: str) -> int | None:
         """The index of the newest call on this connection, if it has no answer yet. Where the connection is
         not known, the index of the call in flight.
         """
-        if connection in ("", self._open_connection):
-            return None if self._open_connection is None else len(self.calls) - 1
+        if connection in ("", self._call_connection):
+            return None if self._call_connection is None else len(self.calls) - 1
         found = [index for index, name in enumerate(self.connections) if name == connection]
         return found[-1] if found and self.calls[found[-1]].version is None else None
 
     def dial_refused(self, at: float) -> None:
         """A connection attempt was refused."""
-        if self._open_connection is None:
+        if self._call_connection is None:
             self.calls.append(ListCall(at, 0.0, at, refused=True))
             self.connections.append("")
 
--- a/mountgauge/lab/rig/metrics.py
+++ b/mountgauge/lab/rig/metrics.py
@@ -73,7 +73,7 @@
         return worst
 
     def full_service_from(self, begin: float, end: float, demand: float) -> float | None:
-        """When `FULL_SHARE` of demand or capacity begins to be served for `FULL_FOR_S`; None: never."""
+        """When `FULL_SHARE` of the lesser of demand and capacity is served for `FULL_FOR_S`; None: never."""
         at = begin
         while at + FULL_FOR_S <= end:
             want = min(demand * FULL_FOR_S, self.capacity_between(at, at + FULL_FOR_S))
--- a/mountgauge/lab/rig/stand_ins.py
+++ b/mountgauge/lab/rig/stand_ins.py
@@ -428,7 +428,7 @@
             )
             try:
                 if not (await reader.readline()).startswith(b"+"):
-                    raise ConnectionResetError("not let in")
+                    raise ConnectionResetError("authentication was rejected")
             except BaseException:
                 writer.transport.abort()
                 raise
--- a/mountgauge/lab/soak/verdict.py
+++ b/mountgauge/lab/soak/verdict.py
@@ -45,21 +45,21 @@
         return f"taken {self.taken}, delivered {self.delivered}, lag {self.lag_s:.2f} s, broken: {rules}"
 
 
-def verdict(schedule: Schedule, events: Sequence[Event], inside: Iterable[ProcessFault]) -> Verdict:
+def verdict(schedule: Schedule, events: Sequence[Event], process_faults: Iterable[ProcessFault]) -> Verdict:
     """Every violation, once.
 
     The oracle's times are those at which the rig's loop handled an event, so they are late by its lag at that
     time. The senders' own checks need no tolerance.
     """
     lags = [(event.at, event.fields["late_s"]) for event in events if event.kind == "lag"]
-    events = _without_swallowed(events, lags)
+    events = _without_dropped_lists(events, lags)
     judged = {level: judge(schedule, events, level) for level in _LEVELS_S}
     strict = judged[_LEVELS_S[0]]
     keys_by_slack = {level: {_key(one) for one in found.violations} for level, found in judged.items()}
-    inside = list(inside)
-    unread = [one for one in inside if one.seam == "sockets" and one.call == "read"]
-    ends = _Outcomes(events, [one for one in inside if one.seam == "files"])
-    broken = []
+    process_faults = list(process_faults)
+    unread = [one for one in process_faults if one.seam == "sockets" and one.call == "read"]
+    ends = _Outcomes(events, [one for one in process_faults if one.seam == "files"])
+    violations = []
     for one in strict.violations:
         needed = SLACK_S + LATE_TURNS * max(
             (late for at, late in lags if 0 <= one.at - at < LAG_SPAN_S), default=0.0
@@ -68,19 +68,19 @@
         late = level is None or _key(one) not in keys_by_slack[level]
         excused = _answer_unread(one, unread) or ends.could_not_be_recorded(one)
         if one.rule not in _TIMED and not late and not excused:
-            broken.append(one)
+            violations.append(one)
     worst = max((late for _, late in lags), default=0.0)
     lost_s = LOST_OUTCOME_S + 2 * LATE_TURNS * worst  # for the notice's call and a failed one before it
     silences = _silences(events)
-    broken += [
+    violations += [
         one for one in judge(schedule, events, lost_s).violations
         if one.rule in _TIMED and not _delayed_by_silence(one, silences[one.member], lost_s)
     ]  # fmt: skip
-    broken += [*_violations(events), *_crashes(events)]
-    return Verdict(sorted(broken, key=lambda one: one.at), strict.taken, strict.delivered, worst)
+    violations += [*_violations(events), *_crashes(events)]
+    return Verdict(sorted(violations, key=lambda one: one.at), strict.taken, strict.delivered, worst)
 
 
-def _without_swallowed(events: Sequence[Event], lags: Sequence[tuple[float, float]]) -> list[Event]:
+def _without_dropped_lists(events: Sequence[Event], lags: Sequence[tuple[float, float]]) -> list[Event]:
     """The events without lists that were dropped on their way: the link fell silent between the stand-in's
     write and the proxy's next turn, which forwards it.
     """
@@ -144,7 +144,7 @@
 
     def could_not_be_recorded(self, one: Violation) -> bool:
         """Whether two process runs reported different outcomes, of which the first could not record its own
-        before its exit. After the deadline it must report the outcome all the same, and the next run cannot
+        before its exit. After the deadline it must still report the outcome, and the next run cannot
         know of it.
         """
         if one.rule != "ends" or one.id not in self._reported:
--- a/tests/lab/test_pure.py
+++ b/tests/lab/test_pure.py
@@ -66,12 +66,12 @@
 def test_an_overloaded_partner_becomes_cold_again_and_another_warms_up() -> None:
     one = CapacityModel(100, cold_share=0.2, warm_s=5, falls_at=1.5)
     one.go_cold(0.0)
-    for place in range(500):  # 50 calls/s against a capacity of 20 to 36
-        one.call(place / 50)
+    for index in range(500):  # 50 calls/s against a capacity of 20 to 36
+        one.call(index / 50)
     assert one.fall_count >= 5 and one.capacity_at(10.0) < 40
     calm = CapacityModel(100, cold_share=0.2, warm_s=5, falls_at=1.5)
     calm.go_cold(0.0)
-    assert all(calm.call(place / 20) for place in range(120)) and not calm.fall_count
+    assert all(calm.call(index / 20) for index in range(120)) and not calm.fall_count
     assert calm.capacity_at(6.0) == 100
     calm.close_for(6.0, 1.0)
     assert calm.capacity_at(6.5) == 0 and not calm.call(6.5) and calm.capacity_at(7.0) == 20
--- a/tests/lab/test_rig.py
+++ b/tests/lab/test_rig.py
@@ -35,8 +35,8 @@
         self.received = b""
         self.ended = 0
         self._server = await asyncio.start_server(self._serve, HOST, 0)
-        place: Address = self._server.sockets[0].getsockname()[:2]
-        return place
+        address: Address = self._server.sockets[0].getsockname()[:2]
+        return address
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
