--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -22,8 +22,8 @@
 
 from benchmarks.comeback_model import scene
 from benchmarks.fleet_model import FLUSH, Weather, World
-from mountgauge.lab.cli import began
-from mountgauge.lab.rig.events import Event, of, read
+from mountgauge.lab.cli import measured_from
+from mountgauge.lab.rig.events import Event, of_kinds, read
 from mountgauge.lab.rig.metrics import RunMetrics, summary
 from mountgauge.lab.rig.oracle import judge
 from mountgauge.lab.rig.schedule import load
@@ -57,7 +57,9 @@
 def _figures(name: str, folder: Path, seed: int, seconds: float) -> dict[str, Any]:
     schedule = load(SCENES / f"{name}.toml").with_(seed=seed)
     events = read(folder / "events.jsonl")
-    return summary(events, judge(schedule, events, _SLACK), began(events), seconds or schedule.seconds, 7)
+    return summary(
+        events, judge(schedule, events, _SLACK), measured_from(events), seconds or schedule.seconds, 7
+    )
 
 
 def play(name: str, seed: int, root: Path, seconds: float) -> dict[str, dict[str, Any]]:
@@ -73,8 +75,8 @@
 
 def quota(events: Sequence[Event], rate: float, end: float) -> dict[str, float]:
     """The part of the quota that was in use, from 5 s after the last start on and over the first 8 s."""
-    taken = [event.at for event in of(events, "taken")]
-    ready = max((event.at for event in of(events, "ready") if event.at > 0), default=0.0)
+    taken = [event.at for event in of_kinds(events, "taken")]
+    ready = max((event.at for event in of_kinds(events, "ready") if event.at > 0), default=0.0)
 
     def use(begin: float, until: float) -> float:
         return round(RunMetrics.count(taken, begin, until) / rate / (until - begin), 3)
@@ -94,7 +96,7 @@
 
 def list_peak(events: Sequence[Event], begin: float, end: float, capacity: float) -> float:
     """The busiest second's list calls over what discovery works through in a second."""
-    at = [event.at for event in of(events, "list-call") if begin <= event.at < end]
+    at = [event.at for event in of_kinds(events, "list-call") if begin <= event.at < end]
     return round(max((RunMetrics.count(at, one, one + 1) for one in at), default=0) / capacity, 2)
 
 
--- a/benchmarks/comeback_model.py
+++ b/benchmarks/comeback_model.py
@@ -156,7 +156,7 @@
     for place in fleet._rng.sample(range(members), max(1, members * 4 // 5)):
         held = len(fleet.lives[place].policy.messages)
         fleet.start(place, held)
-    could = fleet.capacity.could(zero, zero + 5)
+    could = fleet.capacity.capacity_between(zero, zero + 5)
     fleet.play(seconds)
     served = [at for at in fleet.served if zero <= at < zero + 5]
     refused = [at for at in fleet.refused if zero <= at < zero + 5]
@@ -164,7 +164,7 @@
     return {
         "served_share_5s": round(len(served) / could, 3),
         "refused_share": round(len(refused) / max(1, len(served) + len(refused)), 3),
-        "last_5s_per_s": len(last) / 5, "fell": fleet.capacity.fell, "ended": fleet.ended,
+        "last_5s_per_s": len(last) / 5, "fell": fleet.capacity.fall_count, "ended": fleet.ended,
         "before_per_s": len([at for at in fleet.served if zero - 5 <= at < zero]) / 5,
         "refused_all": len([at for at in fleet.refused if at >= zero]),
     }  # fmt: skip
@@ -179,9 +179,9 @@
     fleet.begin()
     fleet.play(15.0)
     zero = fleet.now
-    fleet.capacity.cut = 0.4
+    fleet.capacity.limit_factor = 0.4
     fleet.play(20)
-    fleet.capacity.cut = 1.0
+    fleet.capacity.limit_factor = 1.0
     fleet.play(15)
 
     def rate(times: list[float], begin: float, end: float) -> float:
--- a/mountgauge/lab/cli.py
+++ b/mountgauge/lab/cli.py
@@ -1,4 +1,4 @@
-"""`mountgauge lab`: plays schedules of faults on real senders and judges what came of them."""
+"""`mountgauge lab`: plays schedules of faults on real senders and judges the runs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from mountgauge.lab.rig.events import Event, read
 from mountgauge.lab.rig.metrics import summary
-from mountgauge.lab.rig.oracle import Judged, judge
+from mountgauge.lab.rig.oracle import Judgement, judge
 from mountgauge.lab.rig.runner import run_schedule
 from mountgauge.lab.rig.schedule import Schedule, load
 from mountgauge.lab.scale.command import add_arguments as add_scale_arguments
@@ -38,32 +38,32 @@
     return lab
 
 
-def began(events: Sequence[Event]) -> float:
-    """From when on a run is judged by its figures: the last time that members or partners were struck."""
-    strikes = ("cold", "shut", "kill", "term", "never-warm", "crash-loop")
-    at = max([0.0, *(one.at for one in events if one.kind == "fault" and one.fields["do"] in strikes)])
-    return at + 0.02  # what a partner bears is on record then
+def measured_from(events: Sequence[Event]) -> float:
+    """The time from which figures are measured: the last fault of members or partners."""
+    faults = ("cold", "shut", "kill", "term", "never-warm", "crash-loop")
+    at = max([0.0, *(one.at for one in events if one.kind == "fault" and one.fields["do"] in faults)])
+    return at + 0.02  # by then the partner's capacity is recorded
 
 
-def outcome(schedule: Schedule, events: Iterable[Event], folder: Path, page: bool) -> int:
-    """Write the figures and the page of a run; 1 where a rule is broken."""
+def report_run(schedule: Schedule, events: Iterable[Event], folder: Path, page: bool) -> int:
+    """Write the figures and the page of a run; returns 1 if a rule is broken."""
     all_events = sorted(events, key=lambda one: one.at)
-    judged: Judged = judge(schedule, all_events)
-    figures = summary(all_events, judged, began(all_events), schedule.seconds)
+    judged: Judgement = judge(schedule, all_events)
+    figures = summary(all_events, judged, measured_from(all_events), schedule.seconds)
     (folder / "figures.json").write_text(json.dumps(figures, indent=2) + "\n")
-    (folder / "broken.txt").write_text("".join(f"{one}\n" for one in judged.broken))
+    (folder / "broken.txt").write_text("".join(f"{one}\n" for one in judged.violations))
     if page:
         from mountgauge.lab.rig.page import write_page
 
         write_page(folder / "run.html", schedule, all_events, judged, figures)
-    for one in judged.broken[:20]:
+    for one in judged.violations[:20]:
         print(f"broken: {one}")
     print(json.dumps({"name": schedule.name, "seed": schedule.seed, "folder": str(folder), **figures}))
-    return 1 if judged.broken else 0
+    return 1 if judged.violations else 0
 
 
 def main(argv: Sequence[str]) -> int:
-    """Exit 0: no rule broken; 1: one was; ConfigError: the schedule cannot be used."""
+    """Returns 0 if no rule is broken, else 1; ConfigError if the schedule is invalid."""
     args = _parser().parse_args(argv)
     if args.lab == "scale":
         return run_scale(args)
@@ -71,7 +71,7 @@
         return run_soak(args)
     if args.lab == "judge":
         schedule = load(args.folder / "schedule.toml")
-        return outcome(schedule, read(args.folder / "events.jsonl"), args.folder, not args.no_page)
+        return report_run(schedule, read(args.folder / "events.jsonl"), args.folder, not args.no_page)
     schedule = load(args.file)
     if args.seed is not None:
         schedule = schedule.with_(seed=args.seed)
@@ -83,4 +83,4 @@
     if not events.all:
         print("mountgauge: nothing happened", file=sys.stderr)
         return 1
-    return outcome(schedule, events, folder, not args.no_page)
+    return report_run(schedule, events, folder, not args.no_page)
--- a/mountgauge/lab/faults/files.py
+++ b/mountgauge/lab/faults/files.py
@@ -1,4 +1,4 @@
-"""A disk that fails when told to, at the seam through which the state folder is read and written."""
+"""A disk with injected failures, behind the interface through which the state folder is accessed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class Killed(BaseException):
-    """The process is gone: nothing that it would do next happens."""
+    """Simulates the death of the process: nothing after the call runs."""
 
 
 class FailingFiles(SystemFiles):
-    """The system's calls, of which those that `fails` names raise `error`; a write does past `room`. Those
-    that `late` names raise it after they took effect.
+    """File system calls of which those in `fails` raise `error`, as does a write beyond `writable_bytes`;
+    those in `late` raise it after they took effect.
     """
 
     def __init__(self) -> None:
@@ -25,11 +25,11 @@
         self.heal()
 
     def heal(self) -> None:
-        """The disk is back."""
+        """End all failures."""
         self.fails: set[str] = set()
         self.late: set[str] = set()
-        self.room: int | None = None  # bytes that are still written; None: any number
-        self.killed_at = ""  # the call at which the process ends
+        self.writable_bytes: int | None = None  # bytes that can still be written; None: unlimited
+        self.killed_at = ""  # the call at which the process dies
 
     def _call(self, name: str) -> None:
         self.calls[name] += 1
@@ -52,12 +52,12 @@
 
     def write(self, file: int, data: memoryview) -> int:
         self._call("write")
-        if self.room is None:
+        if self.writable_bytes is None:
             return super().write(file, data)
-        if not self.room:
+        if not self.writable_bytes:
             raise OSError(self.error, os.strerror(self.error))
-        written = super().write(file, data[: self.room])
-        self.room -= written
+        written = super().write(file, data[: self.writable_bytes])
+        self.writable_bytes -= written
         return written
 
     def truncate(self, file: int, size: int) -> None:
--- a/mountgauge/lab/rig/files.py
+++ b/mountgauge/lab/rig/files.py
@@ -1,4 +1,4 @@
-"""What a member of the rig is told: an operator's file, or the platform's configuration. Text out."""
+"""Renders the configuration of a member: an operator's file, or the platform's configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 from mountgauge.lab.rig.processes import GOSSIP, RESP, STATUS
-from mountgauge.lab.rig.proxies import Place
+from mountgauge.lab.rig.proxies import Address
 from mountgauge.lab.rig.schedule import Schedule
 
 KEY = "the rig's own gossip key"
@@ -18,14 +18,14 @@
     schedule: Schedule,
     name: str,
     host: str,
-    hops: Iterable[tuple[str, int, Place, str]],
-    peers: Iterable[Place],
-    notices: Place,
-    members: Iterable[tuple[str, Place]] = (),
+    hops: Iterable[tuple[str, int, Address, str]],
+    peers: Iterable[Address],
+    notices: Address,
+    members: Iterable[tuple[str, Address]] = (),
 ) -> str:
-    """`hops`: id, destination, where this member reaches it, state; `members`: where it reaches them."""
+    """`hops`: id, destination, address, state; `members`: names and addresses; both as this member needs."""
     fleet = schedule.fleet
-    rates = {partner.dest: partner.told for partner in schedule.partners}
+    rates = {partner.dest: partner.advertised_rate for partner in schedule.partners}
     text = [
         f'name = "{name}"',
         'state = "state"',
@@ -37,7 +37,7 @@
         "[limits]",
         f"disk_mb = {fleet.disk_mb}",
         "[rules]",
-        f"senders = {fleet.counted}",
+        f"senders = {fleet.sender_count}",
         f"slots = {fleet.slots}",
         f"max_open = {fleet.max_open}",
         f"cold = {fleet.cold_s}",
@@ -75,15 +75,15 @@
             f"strict = {str(tenant.strict).lower()}",
             f'users = {{ {tenant.name} = "{tenant.name}" }}',
         ]
-    for grade in schedule.grades:
+    for message_class in schedule.message_classes:
         text += [
             "[[class]]",
-            f'name = "{grade.name}"',
-            f'semantics = "{grade.semantics}"',
-            f"deadline = {grade.deadline_s}",
-            f"aim = {min(grade.aim_s, grade.deadline_s)}",
-            f"repeat_window = {grade.repeat_window_s}",
-            f"worth = {grade.worth}",
+            f'name = "{message_class.name}"',
+            f'semantics = "{message_class.semantics}"',
+            f"deadline = {message_class.deadline_s}",
+            f"aim = {min(message_class.aim_s, message_class.deadline_s)}",
+            f"repeat_window = {message_class.repeat_window_s}",
+            f"worth = {message_class.worth}",
         ]
     for hop, dest, (at, port), state in hops:
         text += [
@@ -102,11 +102,11 @@
 
 
 def platform_file(
-    schedule: Schedule, name: str, host: str, discovery: Place, known: Mapping[str, Any]
+    schedule: Schedule, name: str, host: str, discovery: Address, known: Mapping[str, Any]
 ) -> str:
-    """What the platform would give a member as `GW_CONFIG`; `known` is the list it starts with."""
+    """The contents of the file that `GW_CONFIG` names; `known` is the list that the member starts with."""
     fleet = schedule.fleet
-    grades = [
+    message_classes = [
         {
             "name": one.name,
             "semantics": one.semantics,
@@ -118,15 +118,15 @@
             "lateWorth": 0.3,
             "repeatWindow": one.repeat_window_s,
         }
-        for one in schedule.grades
+        for one in schedule.message_classes
     ]
     settings = {
-        "balancers": fleet.counted,
+        "balancers": fleet.sender_count,
         "zone": 0,
         "tick": 0.005,
         "discovery": fleet.discovery,
         "weights": "nominal",
-        "grades": grades,
+        "grades": message_classes,
         "localities": [],
         "shapes": [_KIND],
         "ceilings": {
--- a/mountgauge/lab/rig/metrics.py
+++ b/mountgauge/lab/rig/metrics.py
@@ -10,63 +10,70 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from mountgauge.lab.rig.events import Event, of
-from mountgauge.lab.rig.oracle import Judged
+from mountgauge.lab.rig.events import Event, of_kinds
+from mountgauge.lab.rig.oracle import Judgement
 
 WINDOW_S = 0.1
-FULL_SHARE = 0.9  # of what is offered, or of what is borne where that is less
-FULL_FOR_S = 2.0  # s for which that holds before it counts as full service
+FULL_SHARE = 0.9  # of the offered load, or of the capacity if that is less
+FULL_FOR_S = 2.0  # for which that must hold to count as full service
 
 
 class RunMetrics:
-    """What a partner bore and what came of it, looked up by time."""
+    """The capacity of a partner and the results of its calls, by time."""
 
     def __init__(self, events: Iterable[Event], dest: int | None = None) -> None:
         events = list(events)
-        self.calls = [one for one in of(events, "call") if dest in (None, one.fields["dest"])]
-        self.answers = [one for one in of(events, "answer") if dest in (None, one.fields["dest"])]
-        self.bears = [one for one in of(events, "bears") if dest in (None, one.fields["dest"])]
-        self.offers = [one for one in of(events, "offer") if dest in (None, one.fields["dest"])]
-        self.list_calls = of(events, "list-call")
+        self.calls = [one for one in of_kinds(events, "call") if dest in (None, one.fields["dest"])]
+        self.answers = [one for one in of_kinds(events, "answer") if dest in (None, one.fields["dest"])]
+        self.capacity_records = [
+            one for one in of_kinds(events, "bears") if dest in (None, one.fields["dest"])
+        ]
+        self.offers = [one for one in of_kinds(events, "offer") if dest in (None, one.fields["dest"])]
+        self.list_calls = of_kinds(events, "list-call")
         self.call_times = [one.at for one in self.calls]
         self.served_times = [one.at for one in self.answers if one.fields["status"] == 200]
         self.refused_times = [one.at for one in self.answers if one.fields["status"] in (429, 503)]
         self.offer_times = [one.at for one in self.offers]
-        self._bear_times = [one.at for one in self.bears]
+        self._capacity_times = [one.at for one in self.capacity_records]
 
     @staticmethod
     def count(times: Sequence[float], begin: float, end: float) -> int:
+        """The number of times from `begin` to before `end`; `times` is sorted."""
         return bisect_left(times, end) - bisect_left(times, begin)
 
     def capacity_at(self, at: float) -> float:
-        """What the partner bore at a moment, by the record before it."""
-        place = bisect_right(self._bear_times, at) - 1
-        return float(self.bears[max(0, place)].fields["rate"]) if self.bears else math.inf
+        """The partner's capacity at a moment, by the last record before it."""
+        index = bisect_right(self._capacity_times, at) - 1
+        return (
+            float(self.capacity_records[max(0, index)].fields["rate"]) if self.capacity_records else math.inf
+        )
 
     def capacity_between(self, begin: float, end: float, step: float = 0.02) -> float:
-        """Calls that it could have borne."""
+        """The number of calls that the capacity allowed."""
         steps = max(1, round((end - begin) / step))
         width = (end - begin) / steps
-        return sum(self.capacity_at(begin + (place + 0.5) * width) * width for place in range(steps))
+        return sum(self.capacity_at(begin + (index + 0.5) * width) * width for index in range(steps))
 
     def served_share(self, begin: float, end: float) -> float:
+        """The served calls as a share of the capacity."""
         return self.count(self.served_times, begin, end) / max(1.0, self.capacity_between(begin, end))
 
     def refused_share(self, begin: float, end: float) -> float:
+        """The refused calls as a share of the served and refused ones."""
         refused = self.count(self.refused_times, begin, end)
         return refused / max(1, self.count(self.served_times, begin, end) + refused)
 
-    def peak_over_bearing(self, begin: float, end: float) -> float:
-        """The worst window's calls over what it bore in it, one call more counted as borne."""
+    def peak_over_capacity(self, begin: float, end: float) -> float:
+        """The largest ratio of calls to capacity in a window; one call is added to the capacity."""
         worst = 0.0
-        for place in range(max(1, round((end - begin) / WINDOW_S))):
-            at = begin + place * WINDOW_S
+        for index in range(max(1, round((end - begin) / WINDOW_S))):
+            at = begin + index * WINDOW_S
             calls = self.count(self.call_times, at, at + WINDOW_S)
             worst = max(worst, calls / (self.capacity_between(at, at + WINDOW_S) + 1.0))
         return worst
 
-    def full_from(self, begin: float, end: float, demand: float) -> float | None:
-        """The first moment from which for `FULL_FOR_S` all that is asked or borne is served; None: never."""
+    def full_service_from(self, begin: float, end: float, demand: float) -> float | None:
+        """When `FULL_SHARE` of the lesser of demand and capacity is served for `FULL_FOR_S`; None: never."""
         at = begin
         while at + FULL_FOR_S <= end:
             want = min(demand * FULL_FOR_S, self.capacity_between(at, at + FULL_FOR_S))
@@ -75,14 +82,15 @@
             at += 0.1
         return None
 
-    def best_full(self, begin: float, end: float, demand: float) -> float:
-        """When a fleet that knew what is borne would be there: as soon as the partner bears that much."""
+    def earliest_full_service(self, begin: float, end: float, demand: float) -> float:
+        """The earliest possible full service: when the partner's capacity covers the demand."""
         at = begin
         while at < end and self.capacity_at(at) < FULL_SHARE * demand:
             at += 0.05
         return at
 
     def by_second(self) -> list[dict[str, float]]:
+        """The counts of each second."""
         last = max([0.0, *self.call_times, *self.offer_times])
         first = math.floor(min([0.0, *self.call_times]))
         return [
@@ -99,7 +107,7 @@
 
 
 def latencies(events: Iterable[Event]) -> dict[str, float]:
-    """From the first handing in to the delivery's answer, s, by key."""
+    """Percentiles of the time from the first submission of a key to the answer of its delivery, s."""
     histogram = HdrHistogram(1, 120_000, 3)  # ms
     offered: dict[str, float] = {}
     key_of: dict[str, str] = {}
@@ -121,7 +129,7 @@
 
 
 def phases(events: Iterable[Event]) -> dict[str, list[tuple[float, str]]]:
-    """Each member's phases over time, as its log tells them."""
+    """By member: its phases over time, from its log."""
     found: dict[str, list[tuple[float, str]]] = {}
     for event in sorted(events, key=lambda one: one.at):
         if event.kind == "log" and event.fields["event"] == "phase":
@@ -134,20 +142,20 @@
 
 
 def summary(
-    events: Sequence[Event], judged: Judged, begin: float, end: float, dest: int | None = None
+    events: Sequence[Event], judged: Judgement, begin: float, end: float, dest: int | None = None
 ) -> dict[str, Any]:
-    """The figures that a scene is judged by; `begin` is when its last fault struck."""
+    """The figures of a scene; `begin` is the time of its last fault."""
     found = RunMetrics(events, dest)
     demand = found.count(found.offer_times, begin, end) / max(end - begin, 1e-9)
-    full = found.full_from(begin, end, demand)
-    best = found.best_full(begin, end, demand)
+    full = found.full_service_from(begin, end, demand)
+    best = found.earliest_full_service(begin, end, demand)
     stop = min(begin + 5, end)
     rules = judged.rules
     return {
         "served_share_5s": round(found.served_share(begin, stop), 3),
         "refused_share": round(found.refused_share(begin, stop), 3),
         "refused_share_all": round(found.refused_share(begin, end), 3),
-        "peak_over_bearing_100ms": round(found.peak_over_bearing(begin, stop), 2),
+        "peak_over_bearing_100ms": round(found.peak_over_capacity(begin, stop), 2),
         "full_service_s": None if full is None else round(full - begin, 2),
         "full_service_best_s": round(best - begin, 2),
         "full_service_over_limit": None
@@ -161,7 +169,7 @@
         "delivered": judged.delivered,
         "lost": rules["final"],
         "doubled": rules["repeat"] + rules["two-out"],
-        "rules_broken": len(judged.broken),
+        "rules_broken": len(judged.violations),
         "stale_sends": rules["drain"] + rules["wait"],
         "with_folder": judged.with_folder,
         "rules": dict(rules),
--- a/mountgauge/lab/rig/page.py
+++ b/mountgauge/lab/rig/page.py
@@ -1,7 +1,6 @@
-"""One HTML page of a run, without network: what was borne and what came of it, service, phases, broken
-rules.
+"""Renders a run as one self-contained HTML page: calls against capacity, service, phases, broken rules.
 
-Charts are SVG by matplotlib, the page is Jinja2's; both are optional parts (`requirements-lab.txt`).
+The charts are SVG by matplotlib, the page is a Jinja2 template; both are optional (`requirements-lab.txt`).
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 from mountgauge.lab.rig.events import Event
 from mountgauge.lab.rig.metrics import RunMetrics, phases
-from mountgauge.lab.rig.oracle import Judged
+from mountgauge.lab.rig.oracle import Judgement
 from mountgauge.lab.rig.schedule import Schedule
 
 _COLOURS = {
@@ -47,16 +46,16 @@
 <h1>{{ schedule.name }}</h1>
 <small>{{ schedule.fleet.members }} senders, seed {{ schedule.seed }}, {{ schedule.seconds }} s,
 {{ "with" if schedule.fleet.comeback else "without" }} comeback</small>
-<p class="answer {{ 'good' if not judged.broken and not figures.endless else 'bad' }}">{{ answer }}</p>
+<p class="answer {{ 'good' if not judged.violations and not figures.endless else 'bad' }}">{{ answer }}</p>
 <div class="figures">{% for name, value, unit in shown %}
 <div><b>{{ value }}</b>{{ name }} <small>{{ unit }}</small></div>{% endfor %}</div>
 {% for title, chart in charts %}<h2>{{ title }}</h2>{{ chart | safe }}{% endfor %}
 <h2>Faults</h2><div class="scroll"><table><tr><th>at, s<th>what<th>whom</tr>
 {% for one in faults %}<tr><td>{{ "%.2f" | format(one.at) }}<td>{{ one.fields.do }}
 <td>{{ whom(one) }}</tr>{% endfor %}</table></div>
-{% if judged.broken %}<h2>Broken rules ({{ judged.broken | length }})</h2><div class="scroll"><table>
+{% if judged.violations %}<h2>Broken rules ({{ judged.violations | length }})</h2><div class="scroll"><table>
 <tr><th>at, s<th>rule<th>sender<th>message<th>why</tr>
-{% for one in judged.broken[:200] %}<tr><td>{{ "%.3f" | format(one.at) }}<td>{{ one.rule }}
+{% for one in judged.violations[:200] %}<tr><td>{{ "%.3f" | format(one.at) }}<td>{{ one.rule }}
 <td>{{ one.member }}<td>{{ one.id }}<td>{{ one.why }}</tr>{% endfor %}</table></div>{% endif %}
 <h2>By second</h2><div class="scroll"><table>
 <tr>{% for name in seconds[0] %}<th>{{ name }}{% endfor %}</tr>
@@ -65,8 +64,8 @@
 """
 
 
-def answer(figures: Mapping[str, Any], judged: Judged) -> str:
-    """The run in one sentence or two."""
+def answer(figures: Mapping[str, Any], judged: Judgement) -> str:
+    """A summary of the run in one or two sentences."""
     if figures["endless"]:
         text = "Service never came back in this run."
     else:
@@ -74,9 +73,9 @@
             f"Full service {figures['full_service_s']} s after the last fault, "
             f"{figures['full_service_over_limit']} times the best that the partner allowed."
         )
-    if judged.broken:
+    if judged.violations:
         rules = ", ".join(f"{rule} {count}" for rule, count in judged.rules.most_common())
-        return f"{text} {len(judged.broken)} broken rules: {rules}."
+        return f"{text} {len(judged.violations)} broken rules: {rules}."
     return f"{text} No rule was broken."
 
 
@@ -100,7 +99,7 @@
         found = RunMetrics(events, dest)
         step, begin = 0.25, -schedule.settle_s
         times = [
-            begin + place * step for place in range(round((schedule.seconds + schedule.settle_s) / step))
+            begin + index * step for index in range(round((schedule.seconds + schedule.settle_s) / step))
         ]
         figure, axes = plot.subplots(figsize=(11, 3.2))
         rate = {
@@ -156,7 +155,7 @@
 
 
 def write_page(
-    path: Path, schedule: Schedule, events: Sequence[Event], judged: Judged, figures: Mapping[str, Any]
+    path: Path, schedule: Schedule, events: Sequence[Event], judged: Judgement, figures: Mapping[str, Any]
 ) -> None:
     """Write the page of a run; `figures` are those of `metrics.summary`."""
     from jinja2 import Environment
--- a/mountgauge/lab/rig/stand_ins.py
+++ b/mountgauge/lab/rig/stand_ins.py
@@ -1,7 +1,7 @@
 """Stand-ins on loopback: partners' endpoints, the platform (discovery and notices), clients.
 
-Each tells `events` all that goes over its sockets; none knows the program beyond its wires. What a partner
-bears is `capacity.CapacityModel`'s to say.
+Each records its traffic as events and knows only the protocols of the program. The capacity of a partner is
+a `capacity_model.CapacityModel`.
 """
 
 from __future__ import annotations
@@ -23,43 +23,45 @@
 from mountgauge.lab.rig.capacity_model import CapacityModel
 from mountgauge.lab.rig.events import Events
 from mountgauge.lab.rig.list_calls import PATH, read_wait
-from mountgauge.lab.rig.proxies import HOST, Place, StreamProxy
+from mountgauge.lab.rig.proxies import HOST, Address, StreamProxy
 from mountgauge.lab.rig.schedule import Load, Partner
 
-_CLIENT_WAITS = 0.4  # s that a client waits for the answer to a message
-_COMES_AGAIN = 0.5  # s after which one that heard nothing comes again
-_PATIENCE = 2.0  # s in which a client must have been let in
-_RESET_AFTER_S = 0.05  # s after which a half-written answer's connection is reset
-_FOR_EVER_S = 3600.0
-_LISTS_KEPT = 64  # versions of the list that discovery can go back to
+_CLIENT_TIMEOUT_S = 0.4  # until a client abandons a submission without an answer
+_RETRY_DELAY_S = 0.5  # until a client without an answer submits again
+_CLIENT_PATIENCE_S = 2.0  # within which a client must be connected, and retries failed submissions
+_RESET_AFTER_S = 0.05  # from a half-written answer to the reset of its connection
+_FOREVER_S = 3600.0
+_KEPT_VERSIONS = 64  # versions of the list that discovery can return to
 
-Who = Callable[[Any], str]  # which member a connection's peer name belongs to
-Carries = Callable[[str, Place], bool]  # whether the link carries what is said to a member's peer name
-Connections = Callable[[str, Place], str]  # the name of the connection that a member has from an address
+MemberLookup = Callable[[Any], str]  # the member behind a connection's peer address
+LinkCheck = Callable[[str, Address], bool]  # whether the link delivers data sent to a peer address
+# The name of the connection that a member has from a peer address.
+ConnectionLookup = Callable[[str, Address], str]
 
 
 class Truncated(NamedTuple):
-    """An answer of which only this much is written before the connection is reset."""
+    """The part of an answer that is written before the connection is reset."""
 
     data: bytes
 
 
 class _Server:
-    """Listens, reads HTTP and answers one message after another."""
+    """An HTTP server that answers the requests of a connection one after another."""
 
-    def __init__(self, who: Who) -> None:
+    def __init__(self, who: MemberLookup) -> None:
         self._who = who
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self.began: dict[Place, float] = {}  # by peer: when its request's first byte came, loop time
-        self.place: Place = (HOST, 0)
+        self.began: dict[Address, float] = {}  # by peer: when its request's first byte arrived, loop time
+        self.address: Address = (HOST, 0)
 
-    async def start(self) -> Place:
-        self._server = await asyncio.start_server(self._serve, HOST, self.place[1], backlog=1024)
-        self.place = self._server.sockets[0].getsockname()[:2]
-        return self.place
+    async def start(self) -> Address:
+        self._server = await asyncio.start_server(self._serve, HOST, self.address[1], backlog=1024)
+        self.address = self._server.sockets[0].getsockname()[:2]
+        return self.address
 
     def stop(self) -> None:
+        """Close the listening socket and abort all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -68,7 +70,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        peer: Place = tuple(writer.get_extra_info("peername")[:2])
+        peer: Address = tuple(writer.get_extra_info("peername")[:2])
         member, parser = self._who(peer), Parser(requests=True)
         try:
             while data := await reader.read(65536):
@@ -76,9 +78,9 @@
                     self.began[peer] = asyncio.get_running_loop().time()
                 for message in parser.feed(data):
                     answering = asyncio.ensure_future(self.answer(member, message, peer))
-                    gone = asyncio.ensure_future(_eof(reader))
+                    closed = asyncio.ensure_future(_eof(reader))
                     try:
-                        await asyncio.wait({answering, gone}, return_when=asyncio.FIRST_COMPLETED)
+                        await asyncio.wait({answering, closed}, return_when=asyncio.FIRST_COMPLETED)
                         if not answering.done():
                             answering.cancel()
                         answer = await answering
@@ -86,7 +88,7 @@
                         answering.cancel()
                         raise
                     finally:
-                        gone.cancel()
+                        closed.cancel()
                     if answer is None or writer.transport.is_closing():
                         return
                     if isinstance(answer, Truncated):
@@ -101,21 +103,21 @@
             self.began.pop(peer, None)
             writer.transport.abort()
 
-    async def answer(self, member: str, message: Message, peer: Place) -> bytes | Truncated | None:
-        """What is written; None: the connection is reset without an answer."""
+    async def answer(self, member: str, message: Message, peer: Address) -> bytes | Truncated | None:
+        """The answer to write; None: reset the connection without an answer."""
         raise NotImplementedError
 
 
 async def _eof(reader: asyncio.StreamReader) -> None:
-    """Until the other side has gone: it sends nothing while it waits for an answer."""
+    """Wait until the other side has closed: it sends nothing while it waits for an answer."""
     while not reader.at_eof() and reader.exception() is None:
         await asyncio.sleep(0.02)
 
 
 class PartnerStandIn:
-    """One destination: its endpoints share what it bears."""
+    """One destination, whose endpoints share its capacity."""
 
-    def __init__(self, spec: Partner, events: Events, who: Who) -> None:
+    def __init__(self, spec: Partner, events: Events, who: MemberLookup) -> None:
         self.spec, self.events = spec, events
         self.capacity = CapacityModel(
             spec.rate,
@@ -128,45 +130,47 @@
             spec.span_s,
         )
         self.capacity.cold_at = -1e9
-        self.mode = ""  # "silent", "error", "spoilt": how calls fare that it takes
-        self.wait_s = 0.0  # told while it is shut
-        self.out: Counter[str] = Counter()  # by message: calls that are out
+        self.mode = ""  # "silent", "error", "spoilt": how it handles accepted calls
+        self.wait_s = 0.0  # Retry-After while it refuses all calls
+        self.out: Counter[str] = Counter()  # by message: calls in flight
         self.endpoints = [_Endpoint(self, number, who) for number in range(spec.endpoints)]
         self._next = spec.endpoints
         self.who = who
 
     def new_endpoint(self) -> _Endpoint:
+        """Add an endpoint, which is not started yet."""
         self._next += 1
         endpoint = _Endpoint(self, self._next - 1, self.who)
         self.endpoints.append(endpoint)
         return endpoint
 
     def log_capacity(self) -> None:
+        """Record the current capacity as an event."""
         now = self.events.now
         self.events.add(
             "bears",
             dest=self.spec.dest,
             rate=round(self.capacity.capacity_at(now), 3),
-            fell=self.capacity.fell,
+            fell=self.capacity.fall_count,
         )
 
 
 class _Endpoint(_Server):
     numbers = itertools.count(1)  # of calls, over all endpoints
 
-    def __init__(self, partner: PartnerStandIn, number: int, who: Who) -> None:
+    def __init__(self, partner: PartnerStandIn, number: int, who: MemberLookup) -> None:
         super().__init__(who)
         self.partner, self.id = partner, f"e{partner.spec.dest}-{number}"
         self.state = "active"
 
-    async def answer(self, member: str, message: Message, peer: Place) -> bytes | Truncated | None:
+    async def answer(self, member: str, message: Message, peer: Address) -> bytes | Truncated | None:
         partner, events = self.partner, self.partner.events
         spec, capacity, headers = partner.spec, partner.capacity, message.headers
         if message.start is None or message.start[:2] != ("POST", "/hook"):
             return response(400, "Bad Request", {}, b"")
         number, msg_id = next(self.numbers), headers.get("x-trace-id", "")
         call = {"call": number, "member": member, "dest": spec.dest, "endpoint": self.id, "id": msg_id}
-        was = capacity.fell
+        was = capacity.fall_count
         taken = capacity.call(events.now)
         events.add(
             "call",
@@ -175,7 +179,7 @@
             began=round(self.began[peer] - events.zero, 4),
             **call,
         )
-        if capacity.fell > was:
+        if capacity.fall_count > was:
             events.add("fell", dest=spec.dest)
         status, extra, ran = 200, dict[str, str](), taken
         try:
@@ -184,7 +188,7 @@
                 await asyncio.sleep(3600)
             elif not taken:
                 status = 503
-                shut = capacity.shut_until - events.now
+                shut = capacity.closed_until - events.now
                 wait = shut if shut > 0 and partner.wait_s > 0 else spec.tells_wait_s
                 if wait > 0:
                     status, extra = 429, {"Retry-After": f"{wait:.3f}"}
@@ -195,7 +199,7 @@
             events.add("broken", ran=ran, **call)
             raise
         wait_s = float(extra.get("Retry-After", 0))
-        spoilt = partner.mode == "spoilt" and taken  # what is refused is refused in plain words
+        spoilt = partner.mode == "spoilt" and taken  # refusals stay well-formed
         events.add("answer", status=0 if spoilt else status, ran=ran, wait=wait_s, **call)
         if spoilt:
             return b"\x16\x03\x01 no answer at all\r\n\r\n"
@@ -203,8 +207,8 @@
 
 
 @dataclass
-class Listed:
-    """One line of discovery's list; its address differs from member to member."""
+class ListEntry:
+    """An entry of discovery's list; its address differs between members."""
 
     id: str
     dest: int
@@ -213,41 +217,43 @@
 
 
 class PlatformStandIn(_Server):
-    """Discovery, which works through calls one after another, and the notices.
+    """Discovery, which handles calls one after another, and the receiver of notices.
 
-    With `pushed` it is the agents on the members' machines: silent while discovery is down, else at once.
+    With `pushed` it plays the agents on the members' machines, which are silent while discovery is down and
+    otherwise answer at once.
     """
 
     def __init__(
         self,
         events: Events,
-        who: Who,
-        place_of: Callable[[str, str], Place],
-        carries: Carries,
-        connection: Connections,
+        who: MemberLookup,
+        address_of: Callable[[str, str], Address],
+        carries: LinkCheck,
+        connection: ConnectionLookup,
         pushed: bool = False,
     ) -> None:
         super().__init__(who)
-        self.events, self._place_of, self._carries = events, place_of, carries
+        self.events, self._address_of, self._carries = events, address_of, carries
         self._connection, self.pushed = connection, pushed
-        self.entries: dict[str, Listed] = {}
+        self.entries: dict[str, ListEntry] = {}
         self.version = 0
-        self.kept: list[tuple[int, dict[str, Listed]]] = []
-        self.last: dict[str, Mapping[str, Any]] = {}  # the list as each member last had it
+        self.kept: list[tuple[int, dict[str, ListEntry]]] = []
+        self.last: dict[str, Mapping[str, Any]] = {}  # the last list of each member
         self.down = False
-        self.cost_s = 0.0  # of its time for each call
-        self.slow_s = 0.0
-        self.older = 0  # versions that it has gone back by
-        self.resets = False  # answers are reset half-way
-        self.patience_s = 2.0  # s after which a call that has waited fails
-        self.to_hang: Counter[str] = Counter()  # by member: calls that are not answered
+        self.cost_s = 0.0  # processing time of each call
+        self.slow_s = 0.0  # added delay of each answer
+        self.older = 0  # by how many versions its list is behind
+        self.resets = False  # whether answers are reset half-way
+        self.patience_s = 2.0  # longest time that a call waits for processing
+        self.to_hang: Counter[str] = Counter()  # by member: further calls that are not answered
         self._free_at = 0.0
         self._news = asyncio.Event()
 
-    def change(self, entries: Mapping[str, Listed]) -> None:
+    def change(self, entries: Mapping[str, ListEntry]) -> None:
+        """Publish a new version of the list."""
         self.entries = {name: one for name, one in entries.items()}
         self.version += 1
-        self.kept = [*self.kept[-_LISTS_KEPT:], (self.version, dict(self.entries))]
+        self.kept = [*self.kept[-_KEPT_VERSIONS:], (self.version, dict(self.entries))]
         states = {name: one.state for name, one in self.entries.items()}
         self.events.add("change", version=self.version, states=states)
         self._wake()
@@ -265,7 +271,7 @@
         older: int | None = None,
         resets: bool | None = None,
     ) -> None:
-        """How it fares from now on; what is not named stays."""
+        """Set the faults of discovery; those that are not given stay."""
         self.down = self.down if down is None else down
         self.cost_s = self.cost_s if cost_s is None else cost_s
         self.slow_s = self.slow_s if slow_s is None else slow_s
@@ -279,11 +285,12 @@
         self._wake()
 
     def hang(self, members: Sequence[str], calls: int) -> None:
-        """So many further calls of each of these members are never answered."""
+        """Leave the next `calls` calls of each of these members without an answer."""
         for member in members:
             self.to_hang[member] = calls
 
     def as_json(self, member: str) -> dict[str, Any]:
+        """The list as the member receives it."""
         version, entries = self.version, self.entries
         if self.older and len(self.kept) > self.older:
             version, entries = self.kept[-1 - self.older]
@@ -293,8 +300,8 @@
             "servers": [self._line(member, one) for one in entries.values()],
         }
 
-    def _line(self, member: str, one: Listed) -> dict[str, Any]:
-        host, port = self._place_of(member, one.id)
+    def _line(self, member: str, one: ListEntry) -> dict[str, Any]:
+        host, port = self._address_of(member, one.id)
         return {
             "id": one.id,
             "addr": f"{host}:{port}",
@@ -305,7 +312,7 @@
             "started_ms": 0,
         }
 
-    async def answer(self, member: str, message: Message, peer: Place) -> bytes | Truncated | None:
+    async def answer(self, member: str, message: Message, peer: Address) -> bytes | Truncated | None:
         assert message.start is not None
         method, path, _ = message.start
         if method == "POST" and path == "/v1/notices":
@@ -329,16 +336,16 @@
         if self.to_hang[member] > 0:
             self.to_hang[member] -= 1
             self.events.add("list-hung", member=member, connection=self._connection(member, peer))
-            await asyncio.sleep(_FOR_EVER_S)
+            await asyncio.sleep(_FOREVER_S)
         return await self._list(member, path, wait_s, peer)
 
-    async def _list(self, member: str, path: str, wait_s: float, peer: Place) -> bytes | Truncated | None:
+    async def _list(self, member: str, path: str, wait_s: float, peer: Address) -> bytes | Truncated | None:
         if self.down and not self.pushed:
             return None
         loop = asyncio.get_running_loop()
         asked = loop.time()
         self._free_at = max(asked, self._free_at) + self.cost_s
-        if self._free_at - asked > self.patience_s:  # it costs as much as one that is served
+        if self._free_at - asked > self.patience_s:  # it costs as much time as an answered call
             await asyncio.sleep(self.patience_s)
             self.events.add("list-failed", member=member)
             return response(503, "Service Unavailable", {}, b"")
@@ -353,11 +360,11 @@
         if self.resets:
             return Truncated(answer[: len(answer) // 2])
         if self._carries(member, peer):
-            self.told(member, found, self._connection(member, peer))
+            self.record_list(member, found, self._connection(member, peer))
         return answer
 
     async def _news_after(self, index: int, ends: float) -> bool:
-        """Wait for a newer version, to the wait's end; False where discovery went down."""
+        """Wait for a newer version until the end of the wait; False if discovery went down."""
         loop = asyncio.get_running_loop()
         while (index >= self.version and loop.time() < ends) or (self.down and self.pushed):
             if self.down and not self.pushed:
@@ -367,8 +374,8 @@
                 await asyncio.wait_for(self._news.wait(), left)
         return not self.down
 
-    def told(self, member: str, found: Mapping[str, Any], connection: str = "") -> None:
-        """A list is written to the member on this connection, or given to it at its start."""
+    def record_list(self, member: str, found: Mapping[str, Any], connection: str = "") -> None:
+        """Record that a list was written to the member on this connection, or given to it at its start."""
         if found["full"]:
             self.last[member] = found
         self.events.add(
@@ -383,7 +390,7 @@
 
 @dataclass(eq=False)
 class MemberClient:
-    """A member's clients: connections kept, more opened when all are busy."""
+    """The clients of a member: a pool of connections, which grows when all are busy."""
 
     member: str
     proxy: StreamProxy
@@ -393,7 +400,7 @@
     user: str = ""  # logs in as this tenant's user
 
     async def ask(self, *args: bytes) -> bytes:
-        """One command, one answer; OSError where there is none."""
+        """Send a command and return its answer; OSError if there is none."""
         reader, writer = await self._connection()
         try:
             writer.write(b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%b\r\n" % (len(a), a) for a in args))
@@ -413,7 +420,7 @@
                 return reader, writer
             writer.transport.abort()
         self.opened += 1
-        reader, writer = await asyncio.open_connection(*self.proxy.place)
+        reader, writer = await asyncio.open_connection(*self.proxy.address)
         if self.user:
             name = self.user.encode()
             writer.write(
@@ -421,44 +428,45 @@
             )
             try:
                 if not (await reader.readline()).startswith(b"+"):
-                    raise ConnectionResetError("not let in")
+                    raise ConnectionResetError("authentication was rejected")
             except BaseException:
                 writer.transport.abort()
                 raise
         return reader, writer
 
     async def reconnect(self, count: int) -> None:
-        """All connections go, and so many come at once; each asks PING."""
+        """Abort all connections and open `count` new ones at once, each of which sends PING."""
         for _, writer in self.idle:
             writer.transport.abort()
         self.idle.clear()
 
         async def one() -> None:
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(_PATIENCE):
+                async with asyncio.timeout(_CLIENT_PATIENCE_S):
                     await self.ask(b"PING")
 
         await asyncio.gather(*(one() for _ in range(count)))
 
     async def crowd(self, count: int, for_s: float) -> None:
-        """So many connections come and say nothing for a while."""
+        """Open `count` connections that send nothing for `for_s` seconds."""
         opened: list[asyncio.StreamWriter] = []
         try:
             for _ in range(count):
                 with contextlib.suppress(OSError):
-                    opened.append((await asyncio.open_connection(*self.proxy.place))[1])
+                    opened.append((await asyncio.open_connection(*self.proxy.address))[1])
             await asyncio.sleep(for_s)
         finally:
             for writer in opened:
                 writer.transport.abort()
 
     def close(self) -> None:
+        """Abort the idle connections."""
         for _, writer in self.idle:
             writer.transport.abort()
 
 
 class LoadGenerator:
-    """One load at one member: what it offers, and what comes of it."""
+    """Generates one load at one member and records the results of its messages."""
 
     ids = itertools.count(1)
 
@@ -472,7 +480,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, until: float) -> None:
-        """Offer messages until then, in the schedule's time."""
+        """Offer messages until the time `until` of the schedule."""
         at = max(self.events.now, self.load.begin_s)
         while True:
             at += float(self._numbers.exponential(1 / self.load.each)) if self.load.each > 0 else 1e9
@@ -482,11 +490,12 @@
             self.offer()
 
     def offer(self) -> None:
-        task = asyncio.get_running_loop().create_task(self._hand_in(self._rng.getrandbits(64)))
+        """Offer one message, in a task of its own."""
+        task = asyncio.get_running_loop().create_task(self._submit(self._rng.getrandbits(64)))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _hand_in(self, key: int) -> None:
+    async def _submit(self, key: int) -> None:
         load, events, member = self.load, self.events, self.client.member
         loop, key_text = asyncio.get_running_loop(), f"{key:016x}"
         offered, refused, failed = loop.time(), 0, 0
@@ -499,16 +508,16 @@
             same = {"member": member, "id": msg_id, "key": key_text, "dest": load.dest, "grade": load.grade}
             events.add("handed", left=left, **same)
             try:
-                async with asyncio.timeout(_CLIENT_WAITS):
+                async with asyncio.timeout(_CLIENT_TIMEOUT_S):
                     answer = await self.client.ask(
                         b"ENQUEUE", b"0" * 16, msg_id.encode(), pairs.encode(), b"x" * load.body_bytes
                     )
             except (OSError, TimeoutError):
                 events.add("unheard", **same)
                 failed += 1
-                if loop.time() - offered > _PATIENCE:
+                if loop.time() - offered > _CLIENT_PATIENCE_S:
                     return
-                pause = _COMES_AGAIN * (1 + self._rng.random()) if load.back_off else 0.05
+                pause = _RETRY_DELAY_S * (1 + self._rng.random()) if load.back_off else 0.05
                 await asyncio.sleep(pause)
                 continue
             if answer.startswith(b"+"):
@@ -517,8 +526,8 @@
             if not answer.startswith(b"-BUSY"):
                 events.add("failed", answer=answer.decode(errors="replace").strip(), **same)
                 return
-            told = answer[5:].strip()
-            again = int(told) / 1000 if told.isdigit() else 0.25
+            wait_text = answer[5:].strip()
+            again = int(wait_text) / 1000 if wait_text.isdigit() else 0.25
             events.add("refused", again=again, **same)
             refused += 1
             if refused > load.retries:
@@ -526,11 +535,12 @@
             await asyncio.sleep(again * (1 + self._rng.random()) * refused if load.back_off else 0.02)
 
     async def stop(self) -> None:
+        """Cancel all submissions."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
 
 def hash_text(text: str) -> int:
-    """The same number for the same text in each process."""
+    """A number that depends on the text alone, not on the process."""
     return int.from_bytes(random.Random(text).randbytes(8), "big")
--- a/mountgauge/lab/soak/draw.py
+++ b/mountgauge/lab/soak/draw.py
@@ -1,6 +1,6 @@
 """Draws a soak from its seed: the fleet, its load, and overlapping faults on every layer.
 
-Pure: the same seed always gives the same run. Each kind of fault has a stream of its own.
+Pure: the same seed always gives the same run. Each kind of fault has its own random stream.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from mountgauge.lab.rig.schedule import Schedule, parse
 from mountgauge.lab.soak.plan import ProcessFault
 
-KILL_S = 3.7  # after SIGTERM, at the earliest by the platform's page
-BACK_S = 0.6  # after SIGKILL, at which the next process starts
-WINDOW_S = 0.8  # of the class whose repeats endpoints drop
-MOST_FAULT_S = 1.0  # that one call fails for
-MOST_PAUSE_S = 0.15  # that a sender is held up for
-QUIET_S = 4.0  # at the end without new faults, in which what is held is to end
-CROWD_SHARE = 0.3  # of the runs
+KILL_S = 3.7  # from SIGTERM to SIGKILL: the shortest by the platform's page
+BACK_S = 0.6  # from SIGKILL to the start of the next process
+WINDOW_S = 0.8  # repeat window of the class whose repeats endpoints drop
+MAX_FAULT_S = 1.0  # for which one call fails
+MAX_PAUSE_S = 0.15  # for which a sender is paused
+QUIET_S = 4.0  # without new faults at the end, in which queued messages finish
+CROWD_SHARE = 0.3  # of the runs have a crowd of connections
 CROWD = 40  # connections at each member
-SLOW_SHARE = 0.2  # of the runs, in which discovery answers each call so much later
-SLOW_S = 1.0
+SLOW_SHARE = 0.2  # of the runs have a slow discovery throughout
+SLOW_S = 1.0  # by which it then answers each call later
 EVERY_CALL = 1000  # more than a member makes
 
 _DESTINATIONS = (1, 2, 3)
@@ -33,8 +33,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """One kind of process fault: the call that fails and how it may."""
+class FaultKind:
+    """A kind of process fault: the failing call and its possible errors."""
 
     seam: str
     call: str
@@ -43,60 +43,60 @@
 
 
 KINDS = (
-    Kind("sockets", "write", (errno.EAGAIN, errno.EAGAIN, errno.ECONNRESET, errno.EPIPE), 6),
-    Kind("sockets", "read", (errno.EAGAIN, errno.ECONNRESET, errno.ETIMEDOUT), 5),
-    # Not ECONNREFUSED: it would prove that discovery is down, which ends a doubt, where it is not.
-    Kind("sockets", "connect", (errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ENOBUFS), 3),
-    Kind("sockets", "connected", (errno.ETIMEDOUT, errno.EHOSTUNREACH), 1),
-    Kind("sockets", "socket", (errno.EMFILE, errno.ENFILE), 1),
-    Kind("clients", "read", (errno.EAGAIN, errno.ECONNRESET), 1),
-    Kind("clients", "write", (errno.EAGAIN, errno.ECONNRESET), 1),
-    Kind("clients", "accept", (errno.EMFILE, errno.ECONNABORTED), 1),
-    Kind("files", "write", (errno.EIO, errno.ENOSPC), 4),
-    Kind("files", "replace", (errno.EIO,), 1),
-    Kind("files", "truncate", (errno.EIO,), 1),
-    Kind("files", "open", (errno.EMFILE,), 1),
-    Kind("files", "read", (errno.EIO,), 1),
-    Kind("files", "lock", (errno.EMFILE, errno.EIO), 1),
-    Kind("files", "unlink", (errno.EIO,), 1),
-    Kind("clock", "step", (0,), 2),
+    FaultKind("sockets", "write", (errno.EAGAIN, errno.EAGAIN, errno.ECONNRESET, errno.EPIPE), 6),
+    FaultKind("sockets", "read", (errno.EAGAIN, errno.ECONNRESET, errno.ETIMEDOUT), 5),
+    # Not ECONNREFUSED: it would wrongly prove to the sender that discovery is down and end its doubts.
+    FaultKind("sockets", "connect", (errno.ENETUNREACH, errno.EADDRNOTAVAIL, errno.ENOBUFS), 3),
+    FaultKind("sockets", "connected", (errno.ETIMEDOUT, errno.EHOSTUNREACH), 1),
+    FaultKind("sockets", "socket", (errno.EMFILE, errno.ENFILE), 1),
+    FaultKind("clients", "read", (errno.EAGAIN, errno.ECONNRESET), 1),
+    FaultKind("clients", "write", (errno.EAGAIN, errno.ECONNRESET), 1),
+    FaultKind("clients", "accept", (errno.EMFILE, errno.ECONNABORTED), 1),
+    FaultKind("files", "write", (errno.EIO, errno.ENOSPC), 4),
+    FaultKind("files", "replace", (errno.EIO,), 1),
+    FaultKind("files", "truncate", (errno.EIO,), 1),
+    FaultKind("files", "open", (errno.EMFILE,), 1),
+    FaultKind("files", "read", (errno.EIO,), 1),
+    FaultKind("files", "lock", (errno.EMFILE, errno.EIO), 1),
+    FaultKind("files", "unlink", (errno.EIO,), 1),
+    FaultKind("clock", "step", (0,), 2),
 )  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
 class Density:
-    """How often what strikes; mean times in s."""
+    """How often each kind of fault occurs; mean times in s."""
 
     inside_every_s: float = 1.5  # between two faults inside one sender
     listed_every_s: float = 1.5  # between two changes of the list
     partner_every_s: float = 2.0  # between two failures of partners
-    load: float = 1.0  # times the usual messages a second
+    load: float = 1.0  # factor on the usual message rate
     answer_s: tuple[float, float] = (0.02, 0.2)  # of partners
     body_bytes: int = 5  # of each message
     disk_mb: float = 16.0  # of each sender
     killed_every_s: float = 9.0  # between two SIGKILLs
     partner_fails: tuple[str, ...] = ("error", "error", "silent", "spoilt", "shut", "limit")
-    kinds: tuple[Kind, ...] = KINDS
+    kinds: tuple[FaultKind, ...] = KINDS
 
 
 RANDOM = Density()
-# For senders with a fault in their guard: what is decided is held up time and again, and lists change.
+# For senders with a fault in their send guard: decided sends are often delayed, and lists change often.
 HELD_UP = Density(
     inside_every_s=0.8, listed_every_s=0.6, partner_every_s=0.35, load=2.5, answer_s=(0.02, 0.03),
     partner_fails=("error",), kinds=(
-        Kind("sockets", "write", (errno.EAGAIN,), 4),
-        Kind("sockets", "read", (errno.ECONNRESET,), 1),
-        Kind("files", "write", (errno.EIO,), 2),
+        FaultKind("sockets", "write", (errno.EAGAIN,), 4),
+        FaultKind("sockets", "read", (errno.ECONNRESET,), 1),
+        FaultKind("files", "write", (errno.EIO,), 2),
     ),
 )  # fmt: skip
-# For the journal: it is compacted time and again, calls fail then, and senders are killed.
+# For the journal: it is compacted often, calls fail meanwhile, and senders are killed.
 SMALL_DISK = Density(
     inside_every_s=0.5, load=2.5, body_bytes=2000, disk_mb=0.2, killed_every_s=2.0, kinds=(
-        Kind("files", "replace", (errno.EIO,), 4),
-        Kind("files", "write", (errno.EIO, errno.ENOSPC), 2),
-        Kind("files", "truncate", (errno.EIO,), 1),
-        Kind("files", "open", (errno.EMFILE, errno.ENOSPC), 1),
-        Kind("sockets", "read", (errno.ECONNRESET,), 2),
+        FaultKind("files", "replace", (errno.EIO,), 4),
+        FaultKind("files", "write", (errno.EIO, errno.ENOSPC), 2),
+        FaultKind("files", "truncate", (errno.EIO,), 1),
+        FaultKind("files", "open", (errno.EMFILE, errno.ENOSPC), 1),
+        FaultKind("sockets", "read", (errno.ECONNRESET,), 2),
     ),
 )  # fmt: skip
 DENSITIES = {"random": RANDOM, "held-up": HELD_UP, "small-disk": SMALL_DISK}
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Soak:
-    """One run: what the rig plays, and the faults inside the senders."""
+    """A run: the schedule for the rig, and the faults inside the senders."""
 
     schedule: Schedule
     process_faults: tuple[ProcessFault, ...]
@@ -120,13 +120,16 @@
         "partner-fails": density.partner_every_s,
         "killed": density.killed_every_s,
     }
-    makers: dict[str, Maker] = {**_MAKERS, "partner-fails": partial(_partner_fails, density.partner_fails)}
+    makers: dict[str, FaultMaker] = {
+        **_MAKERS,
+        "partner-fails": partial(_partner_fails, density.partner_fails),
+    }
     faults = [
         fault
         for name, every_s in every.items()
         for fault in _series(random.Random(f"soak/{seed}/{name}"), makers[name], every_s, end, members)
     ]
-    # A link that is silent to the end would keep the last ends from being told.
+    # A link that is silent to the end would prevent the last outcomes from being reported.
     faults = [
         {**one, "for_s": min(one["for_s"], end - one["at"])} if "half_open" in one else one for one in faults
     ]
@@ -173,27 +176,27 @@
 
 
 def _partner(rng: random.Random, dest: int, density: Density) -> dict[str, Any]:
-    tells = rng.choice((0.0, 0.4))
+    wait_s = rng.choice((0.0, 0.4))
     return {
         "dest": dest, "rate": rng.uniform(150, 400), "endpoints": _ENDPOINTS, "refused_cost": 0.2,
-        "answer_s": rng.uniform(*density.answer_s), "tells_wait_s": tells,
+        "answer_s": rng.uniform(*density.answer_s), "tells_wait_s": wait_s,
     }  # fmt: skip
 
 
-Drawn = Mapping[str, Any]
-Maker = Callable[[random.Random, int], Drawn]
+RawFault = Mapping[str, Any]
+FaultMaker = Callable[[random.Random, int], RawFault]
 
 
 def _member(rng: random.Random, members: int) -> str:
     return f"m{rng.randrange(members) + 1:02d}"
 
 
-def _some(rng: random.Random, members: int) -> int:
+def _random_count(rng: random.Random, members: int) -> int:
     return max(1, round(members * rng.choice((0.1, 0.25, 0.5))))
 
 
-def _link(rng: random.Random, ends: list[str]) -> Drawn:
-    how: list[Drawn] = [
+def _link(rng: random.Random, ends: list[str]) -> RawFault:
+    how: list[RawFault] = [
         {"reset": 1000.0, "for_s": 0.05},
         {"silent": rng.choice(("up", "down", "both")), "for_s": rng.uniform(0.2, 1.0)},
         {"refuse": True, "for_s": rng.uniform(0.1, 0.6)},
@@ -203,34 +206,34 @@
     return {"do": "link", "between": ends, **rng.choice(how)}
 
 
-def _to_discovery(rng: random.Random, members: int) -> Drawn:
+def _discovery_link(rng: random.Random, members: int) -> RawFault:
     return _link(rng, [rng.choice(("members", _member(rng, members))), "discovery"])
 
 
-def _to_partner(rng: random.Random, members: int) -> Drawn:
+def _partner_link(rng: random.Random, members: int) -> RawFault:
     return _link(rng, [_member(rng, members), f"partner:{rng.choice(_DESTINATIONS)}"])
 
 
-def _listed(rng: random.Random, members: int) -> Drawn:
-    """Nothing new may go to what leaves; `replace` brings new ones at once."""
+def _endpoints_replaced(rng: random.Random, members: int) -> RawFault:
+    """Drain all endpoints of a destination; `replace` adds new ones at the same time."""
     return {"do": "replace", "dest": rng.choice(_DESTINATIONS)}
 
 
-def _partner_fails(how: tuple[str, ...], rng: random.Random, members: int) -> Drawn:
+def _partner_fails(how: tuple[str, ...], rng: random.Random, members: int) -> RawFault:
     do = rng.choice(how)
     fault = {"do": do, "dest": rng.choice(_DESTINATIONS), "for_s": rng.uniform(0.3, 1.5)}
     return {**fault, "wait_s": rng.uniform(0.3, 1.0)} if do == "shut" else fault
 
 
-def _hangs(rng: random.Random, members: int) -> Drawn:
-    """One call, several in a row or all of them, at discovery or at the agents."""
-    who = rng.choice((_some(rng, members), [_member(rng, members)], "all"))
+def _discovery_hangs(rng: random.Random, members: int) -> RawFault:
+    """Let one call, several in a row or all of them hang, at discovery or at the agents."""
+    who = rng.choice((_random_count(rng, members), [_member(rng, members)], "all"))
     count = rng.choice((1, 2, 4, 8, EVERY_CALL))
     return {"do": "discovery-hangs", "who": who, "for_s": rng.uniform(1.0, 20.0), "count": count}
 
 
-def _long_silence(rng: random.Random, members: int) -> Drawn:
-    """The way to discovery: calls that are out stay silent after it, new ones do not come up in it."""
+def _long_silence(rng: random.Random, members: int) -> RawFault:
+    """Silence the link to discovery: open connections stay silent after it, new ones hang during it."""
     ends = [_member(rng, members), "discovery"]
     return {
         "do": "link",
@@ -241,11 +244,11 @@
     }
 
 
-def _drained_then_killed(rng: random.Random, at: float, members: int) -> list[Drawn]:
-    """Changes just before the kill and as the next process starts, whose first calls hang or do not."""
-    who = [f"m{one + 1:02d}" for one in rng.sample(range(members), _some(rng, members))]
+def _drained_then_killed(rng: random.Random, at: float, members: int) -> list[RawFault]:
+    """Change the list just before a kill and at the next start, whose first calls may hang."""
+    who = [f"m{one + 1:02d}" for one in rng.sample(range(members), _random_count(rng, members))]
     dest = rng.choice(_DESTINATIONS)
-    found: list[Drawn] = [
+    found: list[RawFault] = [
         {"at": max(0.0, at - rng.uniform(0.5, 6.0)), "do": "drain", "dest": dest, "endpoint": 0},
         {"at": at, "do": "kill", "who": who, "back_s": BACK_S},
         {"at": at + rng.uniform(0.0, 1.5), "do": "replace", "dest": dest},
@@ -257,38 +260,38 @@
     return found
 
 
-def _discovery_fails(rng: random.Random, members: int) -> Drawn:
+def _discovery_fails(rng: random.Random, members: int) -> RawFault:
     do = rng.choice(("discovery-down", "discovery-slow", "discovery-reset"))
     return {"do": do, "for_s": rng.uniform(0.3, 2.0), "wait_s": rng.uniform(0.1, 0.6)}
 
 
-def _terminated(rng: random.Random, members: int) -> Drawn:
-    return {"do": "term", "who": _some(rng, members), "kill_s": KILL_S, "back_s": BACK_S,
+def _terminated(rng: random.Random, members: int) -> RawFault:
+    return {"do": "term", "who": _random_count(rng, members), "kill_s": KILL_S, "back_s": BACK_S,
             "signals": rng.randrange(4), "start": "spread", "over_s": rng.uniform(0.0, 1.0)}  # fmt: skip
 
 
-def _killed(rng: random.Random, members: int) -> Drawn:
-    return {"do": "kill", "who": _some(rng, members), "back_s": BACK_S}
+def _killed(rng: random.Random, members: int) -> RawFault:
+    return {"do": "kill", "who": _random_count(rng, members), "back_s": BACK_S}
 
 
-def _held_up(rng: random.Random, members: int) -> Drawn:
-    return {"do": "pause", "who": _some(rng, members), "for_s": rng.uniform(0.02, MOST_PAUSE_S)}
+def _paused(rng: random.Random, members: int) -> RawFault:
+    return {"do": "pause", "who": _random_count(rng, members), "for_s": rng.uniform(0.02, MAX_PAUSE_S)}
 
 
-def _moved(rng: random.Random, members: int) -> Drawn:
-    return {"do": "move-discovery", "who": _some(rng, members)}
+def _discovery_moved(rng: random.Random, members: int) -> RawFault:
+    return {"do": "move-discovery", "who": _random_count(rng, members)}
 
 
-_MAKERS: dict[str, Maker] = {
-    "listed": _listed,
-    "to-discovery": _to_discovery,
-    "to-partner": _to_partner,
+_MAKERS: dict[str, FaultMaker] = {
+    "listed": _endpoints_replaced,
+    "to-discovery": _discovery_link,
+    "to-partner": _partner_link,
     "discovery-fails": _discovery_fails,
     "terminated": _terminated,
     "killed": _killed,
-    "held-up": _held_up,
-    "moved": _moved,
-    "hangs": _hangs,
+    "held-up": _paused,
+    "moved": _discovery_moved,
+    "hangs": _discovery_hangs,
     "long-silence": _long_silence,
 }
 # The mean time between two faults of a kind, in s.
@@ -298,8 +301,8 @@
 }  # fmt: skip
 
 
-def _series(rng: random.Random, make: Maker, every_s: float, end: float, members: int) -> list[Drawn]:
-    found, at = list[Drawn](), rng.expovariate(1 / every_s)
+def _series(rng: random.Random, make: FaultMaker, every_s: float, end: float, members: int) -> list[RawFault]:
+    found, at = list[RawFault](), rng.expovariate(1 / every_s)
     while at < end:
         found.append({"at": at, **make(rng, members)})
         at += rng.expovariate(1 / every_s)
@@ -315,8 +318,8 @@
     return found
 
 
-def _process_fault(rng: random.Random, kind: Kind, member: str, at: float) -> ProcessFault:
-    for_s = rng.uniform(0.05, MOST_FAULT_S)
+def _process_fault(rng: random.Random, kind: FaultKind, member: str, at: float) -> ProcessFault:
+    for_s = rng.uniform(0.05, MAX_FAULT_S)
     if kind.seam == "clock":
         step_s = rng.choice((-3600.0, -2.0, 2.0, 600.0))
         return ProcessFault(member, at, 3 * for_s, "clock", "step", step_s=step_s)
--- a/mountgauge/lab/soak/mutants.py
+++ b/mountgauge/lab/soak/mutants.py
@@ -1,18 +1,18 @@
-"""Senders with one fault each in what guards their sends: the soak must find every one of them."""
+"""Senders with one fault each in the guard of their sends: the soak must detect every one of them."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
 
-from mountgauge.lab.faults.lease import believe_silence
+from mountgauge.lab.faults.lease import ignore_silent_expiry
 from mountgauge.leased_socket import LeaseSlot
 from rillspindle import send_guard
 from rillspindle.send_guard import EndpointState, MessageState, SendPermit
 
 
 def _guard_off() -> None:
-    """Whatever was decided is sent, at any time."""
+    """Permits every decided send at any time."""
 
     def permit(message: MessageState, endpoint: EndpointState, call_until: float, now: float) -> SendPermit:
         return SendPermit(math.inf)
@@ -22,17 +22,17 @@
 
 
 def _window_unchecked() -> None:
-    """A repeat that was decided within its window is sent whenever it can be."""
+    """Sends a repeat that was decided within its window even after the window."""
     setattr(send_guard, "repeat_until", lambda *_: math.inf)  # noqa: B010
 
 
 def _late_byte() -> None:
-    """A socket writes what it holds as soon as it can, and asks no lease."""
+    """Writes buffered data to a socket without checking the lease."""
     setattr(LeaseSlot, "check", lambda slot: None)  # noqa: B010
 
 
 def _early_end() -> None:
-    """An end is told at once, on record or not."""
+    """Reports outcomes at once, whether they are recorded or not."""
     setattr(send_guard, "may_tell_end", lambda *_: True)  # noqa: B010
 
 
@@ -41,5 +41,5 @@
     "window-unchecked": _window_unchecked,
     "late-byte": _late_byte,
     "early-end": _early_end,
-    "silence-believed": believe_silence,
+    "silence-believed": ignore_silent_expiry,
 }
--- a/tests/budgets/test_processes.py
+++ b/tests/budgets/test_processes.py
@@ -20,7 +20,7 @@
 def test_no_span_of_time_has_more_calls_than_the_total(played: dict[str, Played]) -> None:
     for name, one in played.items():
         assert one.judged.delivered > 300, name
-        assert [str(broken) for broken in one.judged.broken] == [], name
+        assert [str(broken) for broken in one.judged.violations] == [], name
 
 
 def test_the_share_of_killed_members_is_used_by_the_others_and_divided_again_after_their_restart(
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -126,13 +126,13 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with listening_front(faults, crowd=False) as front:
-            faults.always("accept", error)
+            faults.fail_always("accept", error)
             began = loop.time()
             sock = await front.client()
             await loop.sock_sendall(sock, PING)
             await until(lambda: faults.count["accept"] >= 6)
             assert faults.count["accept"] <= 2 * ((loop.time() - began) / ACCEPT_PAUSE_S + 1)
-            faults.always("accept", None)
+            faults.fail_always("accept", None)
             assert await receive_bytes(sock, 7) == b"+PONG\r\n"
 
     run_faulty(main)
@@ -142,7 +142,7 @@
 def test_clients_are_served_over_interrupted_short_reads_and_writes(crowd: bool) -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with listening_front(faults, crowd) as front:
-            faults.most |= {"read": 7, "write": 3}
+            faults.max_bytes |= {"read": 7, "write": 3}
             faults.fail("read", *[errno.EINTR] * 9)
             faults.fail("write", *[errno.EINTR] * 9)
             sock = await front.client()
@@ -166,12 +166,12 @@
                 await loop.sock_sendall(one, PING)
                 assert await receive_bytes(one, 7) == b"+PONG\r\n"
             if how == "rest of a write":
-                faults.after["write"], faults.most["write"] = 2, 2
+                faults.bytes_before_failure["write"], faults.max_bytes["write"] = 2, 2
             faults.fail(how.split()[-1], error)
             await loop.sock_sendall(sock, enqueue(b"a"))
             await until(lambda: faults.count and front.registry.open == 1)
             assert front.accepted == ([] if how == "read" else ["a"])
-            faults.most.clear()
+            faults.max_bytes.clear()
             await loop.sock_sendall(other, enqueue(b"b"))
             assert await receive_bytes(other, 5) == b"+OK\r\n"
 
@@ -226,7 +226,7 @@
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner, 0.2)
-        faults.always("socket", error)
+        faults.fail_always("socket", error)
         began, one = loop.time(), call(hop.port, limit=0.5 if end == "its time" else 5.0)
         hops.start(one)
         if end == "a cancel":
@@ -238,7 +238,7 @@
         tried = faults.count["socket"]
         await asyncio.sleep(3 * SHORTAGE_RETRY_S)
         assert faults.count["socket"] <= tried + 1, "the connection is no longer needed"
-        faults.always("socket", None)
+        faults.fail_always("socket", None)
         hops.start(call(hop.port, limit=5.0))
         assert (await finished(owner))[0] == AttemptResult(Outcome.OK)
         hops.close()
@@ -255,7 +255,7 @@
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner)
-        faults.always(step, error)
+        faults.fail_always(step, error)
         hops.start(call(hop.port, limit=5.0))
         assert (await finished(owner))[0] == AttemptResult(Outcome.CONNECT_FAILED)
         assert faults.count[step] == 1 and not hop.calls
@@ -354,8 +354,8 @@
         hops = next_hops(wire, owner)
         hops.start(call(hop.port, limit=5.0))
         assert (await finished(owner))[0] == AttemptResult(Outcome.OK)
-        faults.after["write"] = written
-        faults.always("write", error)
+        faults.bytes_before_failure["write"] = written
+        faults.fail_always("write", error)
         hops.start(call(hop.port, limit=5.0))
         assert (await finished(owner))[0].outcome is Outcome.CONNECT_FAILED
         assert len(hop.calls) == 1
@@ -382,8 +382,8 @@
         complete, cut_off = call(hop.port, limit=5.0), call(hop.port, limit=5.0)
         hops.start(complete)
         await until(lambda: len(hop.calls) == 3)
-        faults.after["write"] = written
-        faults.always("write", errno.EHOSTUNREACH)
+        faults.bytes_before_failure["write"] = written
+        faults.fail_always("write", errno.EHOSTUNREACH)
         hops.start(cut_off)
         await until(lambda: len(owner.done) == 2)
         found = {one: results[0].outcome for one, results in owner.done}
@@ -400,7 +400,7 @@
         hop, owner = stand_in(wire), Owner()
         await hop.start()
         hops = next_hops(wire, owner)
-        faults.most |= {"read": 1, "write": 3}
+        faults.max_bytes |= {"read": 1, "write": 3}
         faults.fail("connect", errno.EINTR)
         faults.fail("read", *[errno.EINTR] * 5)
         faults.fail("write", *[errno.EINTR] * 5)
@@ -420,12 +420,12 @@
 
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with SenderHarness(tmp_path, protocol) as world:
-            faults.always("socket", errno.EMFILE)
+            faults.fail_always("socket", errno.EMFILE)
             assert await world.client.submit("long", "once", key="a") is None
             assert await world.client.submit("short", "once", remaining_s=1.5, key="b") is None
             await until(lambda: world.runtime.sender.counts["end", "deferred"])
             assert faults.count["socket"] > 1
-            faults.always("socket", None)
+            faults.fail_always("socket", None)
             assert await world.client.outcome("short") == "deferred"
             assert await world.client.outcome("long") == "delivered"
             assert [one for _, one, *_ in world.calls] == ["long"]
@@ -495,7 +495,7 @@
 def test_a_list_is_received_over_interrupted_short_reads_and_writes() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with discovery_client(listing(4, True)) as (server, owner, transport_map):
-            faults.most |= {"read": 1, "write": 1}
+            faults.max_bytes |= {"read": 1, "write": 1}
             faults.fail("connect", errno.EINTR)
             faults.fail("read", *[errno.EINTR] * 5)
             transport_map.watch(True)
@@ -628,7 +628,7 @@
 def test_the_console_answers_over_interrupted_short_reads_and_writes() -> None:
     async def main(faults: Faults, loop: FaultyLoop) -> None:
         async with console(loop, Reply(200, "ready")) as address:
-            faults.most |= {"read": 1, "write": 1}
+            faults.max_bytes |= {"read": 1, "write": 1}
             faults.fail("read", *[errno.EINTR] * 5)
             faults.fail("write", *[errno.EINTR] * 5)
             assert await fetch_ready(loop, address) == (200, {"ok": True, "says": "ready"})
