--- a/mountgauge/lab/scale/capacity.py
+++ b/mountgauge/lab/scale/capacity.py
@@ -129,7 +129,7 @@
     return tuple(rows)
 
 
-def work_out(kept: Kept, size: FleetSize) -> Capacity:
+def compute_capacity(kept: Kept, size: FleetSize) -> Capacity:
     """All of the page's figures."""
     roles = (
         sender_role(kept, size),
--- a/mountgauge/lab/scale/capacity_page.py
+++ b/mountgauge/lab/scale/capacity_page.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from mountgauge.lab.scale import capacity_tables as tables
-from mountgauge.lab.scale.capacity import work_out
+from mountgauge.lab.scale.capacity import compute_capacity
 from mountgauge.lab.scale.kept import Kept, Slopes, load_kept
 from mountgauge.lab.scale.outage import RETURN_S
 from mountgauge.lab.scale.size import FleetSize, load_size
@@ -137,7 +137,7 @@
     """The page, from what was kept."""
     from jinja2 import Environment
 
-    found = work_out(kept, size)
+    found = compute_capacity(kept, size)
     slopes = kept.slopes
     # Markdown, of the project's own texts: nothing is to be escaped
     template = Environment(autoescape=False, keep_trailing_newline=True, trim_blocks=True).from_string(
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -10,7 +10,7 @@
 from benchmarks.capacity import PAGE, RESULTS, ROOT
 from mountgauge.core.config import ConfigError
 from mountgauge.lab.scale import capacity_page
-from mountgauge.lab.scale.capacity import work_out
+from mountgauge.lab.scale.capacity import compute_capacity
 from mountgauge.lab.scale.capacity_tables import number, short
 from mountgauge.lab.scale.figures import Figure, Term, Unit, summed
 from mountgauge.lab.scale.fit import Estimate, Measurement, Unknown, fit
@@ -65,7 +65,7 @@
 def test_without_results_all_that_is_not_arithmetic_is_unknown(tmp_path: Path, size: FleetSize) -> None:
     text = capacity_page.render(tmp_path, SIZE_FILE)
     assert "The scale run is not among the results" in text and "Nothing measured." in text
-    found = work_out(load_kept(tmp_path), size)
+    found = compute_capacity(load_kept(tmp_path), size)
     figures = [row.figure for role in found.roles for row in role.rows]
     assert all(
         isinstance(one.value, Unknown) for one in figures if "slopes" in one.origin or "scale" in one.origin
