--- a/mountgauge/lab/scale/limits.py
+++ b/mountgauge/lab/scale/limits.py
@@ -86,7 +86,7 @@
 
 def limits(size: FleetSize) -> tuple[Limit, ...]:
     """Every cost that has a bound, whatever its size today."""
-    part, each = size.part_of_destinations, size.events_per_sender_s
+    part, each = size.destinations_per_sender, size.events_per_sender_s
     memory, core = size.memory_mb * 1e6, size.core_share
     one_change = (
         Term("policy-one-change", size.changes_per_s),
--- a/mountgauge/lab/scale/roles.py
+++ b/mountgauge/lab/scale/roles.py
@@ -33,7 +33,7 @@
 
 def sender_role(kept: Kept, size: FleetSize) -> Role:
     slopes, scale = kept.slopes, kept.scale
-    whole, part = float(size.destinations), size.part_of_destinations
+    whole, part = float(size.destinations), size.destinations_per_sender
     core, memory, kb_s = size.core_share, size.memory_mb * 1e6, size.kb_per_s * 1e3
     memory_terms = (Term("policy-memory"), Term("sender-memory"))
     changes = (Term("policy-one-change", size.changes_per_s), Term("sender-one-change", size.changes_per_s))
@@ -423,7 +423,7 @@
     slopes, held = kept.slopes, size.backlog_per_sender
     journal, module = "mountgauge.core.journal.Journal", "rillspindle.policy.Policy._pump"
     turns = held / recovery_bounds.RESTORED_PER_TURN
-    of_one = held / size.part_of_destinations
+    of_one = held / size.destinations_per_sender
     memory = (Term("journal-start-memory"), Term("sender-restore-memory"))
     start = (Term("journal-start"), Term("sender-restore"))
     return (
--- a/mountgauge/lab/scale/size.py
+++ b/mountgauge/lab/scale/size.py
@@ -58,7 +58,7 @@
         return self.backlog_events / self.senders
 
     @property
-    def part_of_destinations(self) -> float:
+    def destinations_per_sender(self) -> float:
         """Destinations that one sender holds where each shard has its places."""
         return self.destinations * self.places / self.senders
 
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -131,7 +131,7 @@
     assert size.backlog_per_sender == pytest.approx(3_333_333, abs=1)
     assert size.destinations_down == pytest.approx(30_600)
     assert size.changes_per_s == pytest.approx(0.648, abs=0.001)
-    assert size.part_of_destinations == pytest.approx(283.3, abs=0.1)
+    assert size.destinations_per_sender == pytest.approx(283.3, abs=0.1)
 
 
 @pytest.mark.parametrize(
