--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from mountgauge.core.config import ConfigError
-from mountgauge.lab.scale.outage import Outage, Seen, play
+from mountgauge.lab.scale.outage import Outage, OutageObservations, play
 from mountgauge.lab.scale.size import FleetSize, load_size
 
 _SIZE = Path(__file__).parents[1] / "experiments" / "scale" / "two-years.toml"
@@ -36,9 +36,9 @@
     ]
 
 
-def mean(each: list[Seen]) -> Seen:
+def mean(each: list[OutageObservations]) -> OutageObservations:
     columns = zip(*(asdict(one).values() for one in each), strict=True)
-    return Seen(*(statistics.mean(column) for column in columns))
+    return OutageObservations(*(statistics.mean(column) for column in columns))
 
 
 def main() -> int:
--- a/mountgauge/lab/scale/kept.py
+++ b/mountgauge/lab/scale/kept.py
@@ -13,7 +13,7 @@
 import orjson
 
 from mountgauge.lab.scale.fit import Fit, FitError, Measurement, fit
-from mountgauge.lab.scale.outage import Seen
+from mountgauge.lab.scale.outage import OutageObservations
 
 SLOPES, SLOPES_BEFORE, OUTAGE, SCALE = "slopes.json", "slopes-before.json", "outage.json", "scale.json"
 
@@ -58,7 +58,7 @@
     down_s: float
     listed_rate: float
     seeds: int
-    seen: Seen
+    seen: OutageObservations
 
 
 @dataclass(frozen=True, slots=True)
@@ -146,7 +146,7 @@
         return tuple(
             OutageRun(
                 one["way"], int(one["senders"]), float(one["down_s"]), float(one["listed_rate"]),
-                int(one["seeds"]), Seen(**one["seen"]),
+                int(one["seeds"]), OutageObservations(**one["seen"]),
             )
             for one in raw["outages"]
         )  # fmt: skip
--- a/mountgauge/lab/scale/outage.py
+++ b/mountgauge/lab/scale/outage.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class OutageObservations:
     """Of all senders, scaled up from the nodes that were played."""
 
     trials_per_s: float  # while it is down, after the first tenth of that time
@@ -172,7 +172,7 @@
         self._push(at + spent, node, io.Response(number, spent, _ENDPOINT, outcome, send_no, ended, 0, ()))
 
 
-def play(outage: Outage, seed: int) -> Seen:
+def play(outage: Outage, seed: int) -> OutageObservations:
     """Play some nodes and count for all senders."""
     course = _Play(outage, seed)
     course.run()
@@ -182,7 +182,7 @@
     during = [one for one in course.attempts if down_at <= one.at < up_at]
     after = [one for one in course.attempts if up_at <= one.at < up_at + RETURN_S]
     by_second = Counter(int(one.at - up_at) for one in after)
-    return Seen(
+    return OutageObservations(
         trials_per_s=scale * sum(one.at >= steady_at for one in during) / (up_at - steady_at),
         learned=scale * len({one.node for one in during}),
         calls_after=scale * len(after),
