--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from mountgauge.core.config import ConfigError
-from mountgauge.lab.scale.outage import Outage, OutageObservations, play
+from mountgauge.lab.scale.outage import Outage, OutageObservations, simulate
 from mountgauge.lab.scale.size import FleetSize, load_size
 
 _SIZE = Path(__file__).parents[1] / "experiments" / "scale" / "two-years.toml"
@@ -54,7 +54,7 @@
         return 2
     found = []
     for way, outage in outages(size):
-        each = [play(outage, seed) for seed in range(1, arguments.seeds + 1)]
+        each = [simulate(outage, seed) for seed in range(1, arguments.seeds + 1)]
         seen = mean(each)
         spread = [
             round(min(one.trials_per_s for one in each), 4),
--- a/mountgauge/lab/scale/outage.py
+++ b/mountgauge/lab/scale/outage.py
@@ -172,7 +172,7 @@
         self._push(at + spent, node, io.Response(number, spent, _ENDPOINT, outcome, send_no, ended, 0, ()))
 
 
-def play(outage: Outage, seed: int) -> OutageObservations:
+def simulate(outage: Outage, seed: int) -> OutageObservations:
     """Play some nodes and count for all senders."""
     course = _Play(outage, seed)
     course.run()
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -16,7 +16,7 @@
 from mountgauge.lab.scale.fit import Estimate, Measurement, Unknown, fit
 from mountgauge.lab.scale.kept import Kept, KeptError, Slope, Slopes, load_kept
 from mountgauge.lab.scale.limits import Limit, break_point
-from mountgauge.lab.scale.outage import Outage, cold_budget, play
+from mountgauge.lab.scale.outage import Outage, cold_budget, simulate
 from mountgauge.lab.scale.size import FleetSize, load_size
 
 SIZE_FILE = ROOT / capacity_page.SIZE_FILE
@@ -165,8 +165,8 @@
 
 def test_an_outage_costs_trials_and_its_end_brings_calls_back() -> None:
     """The real module: nothing but trials while it is down, and no more than a cold one bears after it."""
-    found = play(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1)
+    found = simulate(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1)
     assert found.learned == 3
     assert 0 < found.trials_per_s < 9.0
     assert 0 < found.calls_after <= cold_budget(18.0) + 2 * cold_budget(18.0) ** 0.5 + 2
-    assert play(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1) == found, "one seed, one course"
+    assert simulate(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1) == found, "one seed, one course"
