--- a/mountgauge/lab/scale/capacity_tables.py
+++ b/mountgauge/lab/scale/capacity_tables.py
@@ -106,7 +106,7 @@
         "from",
         "mechanism",
     )
-    known = [one for one in points if one.measured_at_all]
+    known = [one for one in points if one.has_laws]
     return table(
         columns,
         [
--- a/mountgauge/lab/scale/limits.py
+++ b/mountgauge/lab/scale/limits.py
@@ -47,7 +47,7 @@
     before: float | None  # the factor with the slopes before
     with_shards: float | None
     measured: bool  # the size lies among those that were measured
-    measured_at_all: bool  # there is a law for each of its terms
+    has_laws: bool  # there is a law for each of its terms
 
 
 def breaks_at(slopes: Slopes | None, terms: Sequence[Term], bound: float) -> float | None:
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -70,7 +70,7 @@
     assert all(
         isinstance(one.value, Unknown) for one in figures if "slopes" in one.origin or "scale" in one.origin
     )
-    assert all(one.factor is None and not one.measured_at_all for one in found.limits)
+    assert all(one.factor is None and not one.has_laws for one in found.limits)
 
 
 def test_scale_run_fills_the_relays_rows(tmp_path: Path) -> None:
@@ -123,7 +123,7 @@
 def test_a_cost_that_does_not_grow_never_breaks() -> None:
     limit = Limit("x", "destinations", (Term("one"),), 0.25, Unit.CORE, 1e6, None, "here")
     found = break_point(Kept(slopes(slope("one", 1e-6, 0.0)), None, (), None), limit)
-    assert found.size is None and found.factor is None and found.measured_at_all
+    assert found.size is None and found.factor is None and found.has_laws
 
 
 def test_arithmetic_of_the_size(size: FleetSize) -> None:
