--- a/mountgauge/lab/scale/capacity_page.py
+++ b/mountgauge/lab/scale/capacity_page.py
@@ -6,7 +6,7 @@
 
 from mountgauge.lab.scale import capacity_tables as tables
 from mountgauge.lab.scale.capacity import compute_capacity
-from mountgauge.lab.scale.kept import Kept, Slopes, load_kept
+from mountgauge.lab.scale.kept import Kept, Slopes, load_kept_results
 from mountgauge.lab.scale.outage import RETURN_S
 from mountgauge.lab.scale.size import FleetSize, load_size
 
@@ -130,7 +130,7 @@
     unknown on the page.
     """
     path = size_file or results.resolve().parents[1] / SIZE_FILE
-    return page(load_kept(results), load_size(path))
+    return page(load_kept_results(results), load_size(path))
 
 
 def page(kept: Kept, size: FleetSize) -> str:
--- a/mountgauge/lab/scale/kept.py
+++ b/mountgauge/lab/scale/kept.py
@@ -97,7 +97,7 @@
     scale: ScaleRun | None
 
 
-def load_kept(folder: Path) -> Kept:
+def load_kept_results(folder: Path) -> Kept:
     return Kept(
         _slopes(folder / SLOPES), _slopes(folder / SLOPES_BEFORE), _outages(folder / OUTAGE),
         _scale(folder / SCALE),
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -14,7 +14,7 @@
 from mountgauge.lab.scale.capacity_tables import number, short
 from mountgauge.lab.scale.figures import Figure, Term, Unit, summed
 from mountgauge.lab.scale.fit import Estimate, Measurement, Unknown, fit
-from mountgauge.lab.scale.kept import Kept, KeptError, Slope, Slopes, load_kept
+from mountgauge.lab.scale.kept import Kept, KeptError, Slope, Slopes, load_kept_results
 from mountgauge.lab.scale.limits import Limit, break_point
 from mountgauge.lab.scale.outage import Outage, cold_budget, simulate
 from mountgauge.lab.scale.size import FleetSize, load_size
@@ -65,7 +65,7 @@
 def test_without_results_all_that_is_not_arithmetic_is_unknown(tmp_path: Path, size: FleetSize) -> None:
     text = capacity_page.render(tmp_path, SIZE_FILE)
     assert "The scale run is not among the results" in text and "Nothing measured." in text
-    found = compute_capacity(load_kept(tmp_path), size)
+    found = compute_capacity(load_kept_results(tmp_path), size)
     figures = [row.figure for role in found.roles for row in role.rows]
     assert all(
         isinstance(one.value, Unknown) for one in figures if "slopes" in one.origin or "scale" in one.origin
@@ -99,7 +99,7 @@
 def test_a_damaged_result_is_one_clear_line(tmp_path: Path, name: str, content: bytes) -> None:
     (tmp_path / name).write_bytes(content)
     with pytest.raises(KeptError, match=name) as raised:
-        load_kept(tmp_path)
+        load_kept_results(tmp_path)
     assert "\n" not in str(raised.value)
 
 
