--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -13,7 +13,7 @@
 
 from mountgauge.core.config import ConfigError
 from mountgauge.lab.scale import capacity_page
-from mountgauge.lab.scale.kept import KeptError
+from mountgauge.lab.scale.kept import KeptResultsError
 
 ROOT = Path(__file__).parents[1]
 RESULTS = ROOT / "benchmarks" / "results"
@@ -26,7 +26,7 @@
     arguments = parser.parse_args()
     try:
         text = capacity_page.render(RESULTS)
-    except (ConfigError, KeptError) as error:
+    except (ConfigError, KeptResultsError) as error:
         print(error, file=sys.stderr)
         return 2
     if arguments.check:
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity import PAGE, RESULTS, ROOT
 from mountgauge.core.config import ConfigError
 from mountgauge.lab.scale import capacity_page, command, page
-from mountgauge.lab.scale.kept import SCALE, KeptError
+from mountgauge.lab.scale.kept import SCALE, KeptResultsError
 from mountgauge.lab.scale.live import ComparisonError
 from mountgauge.lab.scale.runner import RunStoppedError
 from mountgauge.lab.scale.settings import load
@@ -53,7 +53,7 @@
             PAGE.write_text(capacity_page.render(RESULTS))
             return 0
         return play(arguments.quick)
-    except (ConfigError, KeptError) as error:
+    except (ConfigError, KeptResultsError) as error:
         print(error, file=sys.stderr)
         return 2
     except (RunStoppedError, ComparisonError) as error:
--- a/mountgauge/lab/scale/kept.py
+++ b/mountgauge/lab/scale/kept.py
@@ -1,6 +1,6 @@
 """Kept results of measurements, read into typed values: slopes, outages and the scale run.
 
-What is missing is None or empty, never made up; what cannot be read is a `KeptError` in one line.
+What is missing is None or empty, never made up; what cannot be read is a `KeptResultsError` in one line.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 SLOPES, SLOPES_BEFORE, OUTAGE, SCALE = "slopes.json", "slopes-before.json", "outage.json", "scale.json"
 
 
-class KeptError(ValueError):
+class KeptResultsError(ValueError):
     """A results file that cannot be read; the text is one line."""
 
 
@@ -110,7 +110,7 @@
     except FileNotFoundError:
         return None
     except (OSError, orjson.JSONDecodeError) as error:
-        raise KeptError(f"{path}: {error}") from None
+        raise KeptResultsError(f"{path}: {error}") from None
 
 
 def _slopes(path: Path) -> Slopes | None:
@@ -121,7 +121,7 @@
         probes = {one["name"]: _slope(one) for one in raw["probes"]}
         return Slopes(str(raw["processor"]), str(raw["python"]), probes)
     except (KeyError, TypeError, ValueError) as error:
-        raise KeptError(f"{path}: not a result of benchmarks.slopes: {error!r}") from None
+        raise KeptResultsError(f"{path}: not a result of benchmarks.slopes: {error!r}") from None
 
 
 def _slope(raw: Mapping[str, Any]) -> Slope:
@@ -151,7 +151,7 @@
             for one in raw["outages"]
         )  # fmt: skip
     except (KeyError, TypeError, ValueError) as error:
-        raise KeptError(f"{path}: not a result of benchmarks.outage: {error!r}") from None
+        raise KeptResultsError(f"{path}: not a result of benchmarks.outage: {error!r}") from None
 
 
 def _scale(path: Path) -> ScaleRun | None:
@@ -169,7 +169,7 @@
         }  # fmt: skip
         return ScaleRun(int(summary["senders"]), int(summary["destinations"]), costs, summary)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise KeptError(f"{path}: not a result of benchmarks.scale: {error!r}") from None
+        raise KeptResultsError(f"{path}: not a result of benchmarks.scale: {error!r}") from None
 
 
 def _number(value: Any) -> float | None:
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -14,7 +14,7 @@
 from mountgauge.lab.scale.capacity_tables import number, short
 from mountgauge.lab.scale.figures import Figure, Term, Unit, summed
 from mountgauge.lab.scale.fit import Estimate, Measurement, Unknown, fit
-from mountgauge.lab.scale.kept import Kept, KeptError, Slope, Slopes, load_kept_results
+from mountgauge.lab.scale.kept import Kept, KeptResultsError, Slope, Slopes, load_kept_results
 from mountgauge.lab.scale.limits import Limit, break_point
 from mountgauge.lab.scale.outage import Outage, cold_budget, simulate
 from mountgauge.lab.scale.size import FleetSize, load_size
@@ -98,7 +98,7 @@
 @pytest.mark.parametrize("content", [b"{", b"[]", b'{"probes": [{}]}', b"3"])
 def test_a_damaged_result_is_one_clear_line(tmp_path: Path, name: str, content: bytes) -> None:
     (tmp_path / name).write_bytes(content)
-    with pytest.raises(KeptError, match=name) as raised:
+    with pytest.raises(KeptResultsError, match=name) as raised:
         load_kept_results(tmp_path)
     assert "\n" not in str(raised.value)
 
