--- a/mountgauge/lab/scale/capacity.py
+++ b/mountgauge/lab/scale/capacity.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from mountgauge.lab.scale.figures import Role, Row
-from mountgauge.lab.scale.kept import Kept, OutageRun
+from mountgauge.lab.scale.kept import KeptResults, OutageRun
 from mountgauge.lab.scale.limits import BreakPoint, worst_first
 from mountgauge.lab.scale.outage import RETURN_S, cold_budget
 from mountgauge.lab.scale.roles import (
@@ -120,7 +120,7 @@
     )
 
 
-def outage_rows(kept: Kept, size: FleetSize) -> tuple[OutageRow, ...]:
+def outage_rows(kept: KeptResults, size: FleetSize) -> tuple[OutageRow, ...]:
     rows = []
     for run in kept.outages:
         fleet = run.seen.trials_per_s * size.destinations_down
@@ -129,7 +129,7 @@
     return tuple(rows)
 
 
-def compute_capacity(kept: Kept, size: FleetSize) -> Capacity:
+def compute_capacity(kept: KeptResults, size: FleetSize) -> Capacity:
     """All of the page's figures."""
     roles = (
         sender_role(kept, size),
--- a/mountgauge/lab/scale/capacity_page.py
+++ b/mountgauge/lab/scale/capacity_page.py
@@ -6,7 +6,7 @@
 
 from mountgauge.lab.scale import capacity_tables as tables
 from mountgauge.lab.scale.capacity import compute_capacity
-from mountgauge.lab.scale.kept import Kept, Slopes, load_kept_results
+from mountgauge.lab.scale.kept import KeptResults, Slopes, load_kept_results
 from mountgauge.lab.scale.outage import RETURN_S
 from mountgauge.lab.scale.size import FleetSize, load_size
 
@@ -133,7 +133,7 @@
     return page(load_kept_results(results), load_size(path))
 
 
-def page(kept: Kept, size: FleetSize) -> str:
+def page(kept: KeptResults, size: FleetSize) -> str:
     """The page, from what was kept."""
     from jinja2 import Environment
 
--- a/mountgauge/lab/scale/kept.py
+++ b/mountgauge/lab/scale/kept.py
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class KeptResults:
     """All results of a folder."""
 
     slopes: Slopes | None
@@ -97,8 +97,8 @@
     scale: ScaleRun | None
 
 
-def load_kept_results(folder: Path) -> Kept:
-    return Kept(
+def load_kept_results(folder: Path) -> KeptResults:
+    return KeptResults(
         _slopes(folder / SLOPES), _slopes(folder / SLOPES_BEFORE), _outages(folder / OUTAGE),
         _scale(folder / SCALE),
     )  # fmt: skip
--- a/mountgauge/lab/scale/limits.py
+++ b/mountgauge/lab/scale/limits.py
@@ -8,7 +8,7 @@
 
 from mountgauge.lab.scale.figures import Term, Unit
 from mountgauge.lab.scale.fit import Fit
-from mountgauge.lab.scale.kept import Kept, Slopes
+from mountgauge.lab.scale.kept import KeptResults, Slopes
 from mountgauge.lab.scale.size import FleetSize
 from mountgauge.platform import list_exchange
 from mountgauge.recovery import bounds as recovery_bounds
@@ -69,7 +69,7 @@
     return sum(times * law.value(size) for law, times in laws)
 
 
-def break_point(kept: Kept, limit: Limit) -> BreakPoint:
+def break_point(kept: KeptResults, limit: Limit) -> BreakPoint:
     size = breaks_at(kept.slopes, limit.terms, limit.bound)
     before = breaks_at(kept.before, limit.terms, limit.bound)
     laws = [kept.slopes.law(term.probe) for term in limit.terms] if kept.slopes is not None else []
@@ -265,7 +265,7 @@
     )
 
 
-def worst_first(kept: Kept, size: FleetSize) -> tuple[BreakPoint, ...]:
+def worst_first(kept: KeptResults, size: FleetSize) -> tuple[BreakPoint, ...]:
     """By the factor that is missing; what was not measured comes last."""
     points = [break_point(kept, limit) for limit in limits(size)]
     return tuple(sorted(points, key=lambda one: -(one.factor or 0.0)))
--- a/mountgauge/lab/scale/roles.py
+++ b/mountgauge/lab/scale/roles.py
@@ -14,7 +14,7 @@
     summed,
     unknown,
 )
-from mountgauge.lab.scale.kept import Kept
+from mountgauge.lab.scale.kept import KeptResults
 from mountgauge.lab.scale.limits import (
     EXPORT_EVERY_S,
     FACTS_PER_S,
@@ -31,7 +31,7 @@
 TICK_S = 0.005  # between two turns of a sender, at least (`tick` of an operator's file)
 
 
-def sender_role(kept: Kept, size: FleetSize) -> Role:
+def sender_role(kept: KeptResults, size: FleetSize) -> Role:
     slopes, scale = kept.slopes, kept.scale
     whole, part = float(size.destinations), size.destinations_per_sender
     core, memory, kb_s = size.core_share, size.memory_mb * 1e6, size.kb_per_s * 1e3
@@ -120,7 +120,7 @@
     )
 
 
-def relay_role(kept: Kept, size: FleetSize) -> Role:
+def relay_role(kept: KeptResults, size: FleetSize) -> Role:
     scale, zones = kept.scale, size.zones
     carried, zone_relay, upper = (
         "mountgauge.relay.server, mountgauge.sharding.relay",
@@ -267,7 +267,7 @@
     )
 
 
-def discovery_role(kept: Kept, size: FleetSize) -> Role:
+def discovery_role(kept: KeptResults, size: FleetSize) -> Role:
     carried = "mountgauge.platform.discovery (discovery itself is not part of this project)"
     whole = (Term("discovery-list-bytes"),)
     restarts = (Term("discovery-list-bytes", size.restarts_per_day / 86_400),)
@@ -329,7 +329,7 @@
     )
 
 
-def budgets_role(kept: Kept, size: FleetSize) -> Role:
+def budgets_role(kept: KeptResults, size: FleetSize) -> Role:
     carried, members, kb_s = "mountgauge.budgets.member.Member", float(size.senders), size.kb_per_s * 1e3
     rows = []
     for who, probe in (
@@ -358,7 +358,7 @@
     return Role("Budget voters", tuple(rows), "Two budgets, leases of 4 s, demand above the whole.")
 
 
-def tenants_role(kept: Kept, size: FleetSize) -> Role:
+def tenants_role(kept: KeptResults, size: FleetSize) -> Role:
     carried, members = "mountgauge.tenants.gossip.node.Gossip", float(size.senders)
     sent, core = (Term("gossip-members-bytes"),), (Term("gossip-members-core"),)
     return Role(
@@ -383,7 +383,7 @@
     )
 
 
-def telemetry_role(kept: Kept, size: FleetSize) -> Role:
+def telemetry_role(kept: KeptResults, size: FleetSize) -> Role:
     carried, members = "mountgauge.otlp.Exporter", float(size.senders)
     export = (Term("telemetry-bytes", 1 / EXPORT_EVERY_S),)
     core = (Term("telemetry-export", 1 / EXPORT_EVERY_S),)
@@ -419,7 +419,7 @@
     )
 
 
-def data_rows(kept: Kept, size: FleetSize) -> tuple[Row, ...]:
+def data_rows(kept: KeptResults, size: FleetSize) -> tuple[Row, ...]:
     slopes, held = kept.slopes, size.backlog_per_sender
     journal, module = "mountgauge.core.journal.Journal", "rillspindle.policy.Policy._pump"
     turns = held / recovery_bounds.RESTORED_PER_TURN
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -14,7 +14,7 @@
 from mountgauge.lab.scale.capacity_tables import number, short
 from mountgauge.lab.scale.figures import Figure, Term, Unit, summed
 from mountgauge.lab.scale.fit import Estimate, Measurement, Unknown, fit
-from mountgauge.lab.scale.kept import Kept, KeptResultsError, Slope, Slopes, load_kept_results
+from mountgauge.lab.scale.kept import KeptResults, KeptResultsError, Slope, Slopes, load_kept_results
 from mountgauge.lab.scale.limits import Limit, break_point
 from mountgauge.lab.scale.outage import Outage, cold_budget, simulate
 from mountgauge.lab.scale.size import FleetSize, load_size
@@ -114,7 +114,7 @@
 def test_limit_breaks_where_its_cost_meets_the_bound() -> None:
     limit = Limit("x", "destinations", (Term("one"),), 0.25, Unit.CORE, 1e6, 100.0, "here")
     after, before = slopes(slope("one", 1e-6, 1.0)), slopes(slope("one", 1e-6, 2.0))
-    found = break_point(Kept(after, before, (), None), limit)
+    found = break_point(KeptResults(after, before, (), None), limit)
     assert found.size == pytest.approx(250_000) and not found.measured
     assert found.factor == pytest.approx(4.0) and found.before == pytest.approx(2000.0)
     assert found.with_shards == pytest.approx(100 / 250_000)
@@ -122,7 +122,7 @@
 
 def test_a_cost_that_does_not_grow_never_breaks() -> None:
     limit = Limit("x", "destinations", (Term("one"),), 0.25, Unit.CORE, 1e6, None, "here")
-    found = break_point(Kept(slopes(slope("one", 1e-6, 0.0)), None, (), None), limit)
+    found = break_point(KeptResults(slopes(slope("one", 1e-6, 0.0)), None, (), None), limit)
     assert found.size is None and found.factor is None and found.has_laws
 
 
