--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -13,7 +13,7 @@
 
 from mountgauge.core.config import ConfigError
 from mountgauge.lab.scale import capacity_page
-from mountgauge.lab.scale.kept import KeptResultsError
+from mountgauge.lab.scale.kept_results import KeptResultsError
 
 ROOT = Path(__file__).parents[1]
 RESULTS = ROOT / "benchmarks" / "results"
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -18,7 +18,7 @@
 from benchmarks.capacity import PAGE, RESULTS, ROOT
 from mountgauge.core.config import ConfigError
 from mountgauge.lab.scale import capacity_page, command, page
-from mountgauge.lab.scale.kept import SCALE, KeptResultsError
+from mountgauge.lab.scale.kept_results import SCALE, KeptResultsError
 from mountgauge.lab.scale.live import ComparisonError
 from mountgauge.lab.scale.runner import RunStoppedError
 from mountgauge.lab.scale.settings import load
--- a/mountgauge/lab/scale/capacity.py
+++ b/mountgauge/lab/scale/capacity.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from mountgauge.lab.scale.figures import Role, Row
-from mountgauge.lab.scale.kept import KeptResults, OutageRun
+from mountgauge.lab.scale.kept_results import KeptResults, OutageRun
 from mountgauge.lab.scale.limits import BreakPoint, worst_first
 from mountgauge.lab.scale.outage import RETURN_S, cold_budget
 from mountgauge.lab.scale.roles import (
--- a/mountgauge/lab/scale/capacity_page.py
+++ b/mountgauge/lab/scale/capacity_page.py
@@ -6,7 +6,7 @@
 
 from mountgauge.lab.scale import capacity_tables as tables
 from mountgauge.lab.scale.capacity import compute_capacity
-from mountgauge.lab.scale.kept import KeptResults, Slopes, load_kept_results
+from mountgauge.lab.scale.kept_results import KeptResults, Slopes, load_kept_results
 from mountgauge.lab.scale.outage import RETURN_S
 from mountgauge.lab.scale.size import FleetSize, load_size
 
--- a/mountgauge/lab/scale/capacity_tables.py
+++ b/mountgauge/lab/scale/capacity_tables.py
@@ -8,7 +8,7 @@
 from mountgauge.lab.scale.capacity import Capacity, FailureRow, OutageRow
 from mountgauge.lab.scale.figures import NOT_MEASURED, TOO_WIDE, Figure, Row, Unit
 from mountgauge.lab.scale.fit import Estimate, Fit, Unknown
-from mountgauge.lab.scale.kept import Slope, Slopes
+from mountgauge.lab.scale.kept_results import Slope, Slopes
 from mountgauge.lab.scale.limits import BreakPoint
 from mountgauge.lab.scale.size import FleetSize
 
--- a/mountgauge/lab/scale/figures.py
+++ b/mountgauge/lab/scale/figures.py
@@ -7,7 +7,7 @@
 from enum import StrEnum
 
 from mountgauge.lab.scale.fit import WIDEST_INTERVAL, Estimate, Prediction, Unknown
-from mountgauge.lab.scale.kept import ScaleRun, Slopes
+from mountgauge.lab.scale.kept_results import ScaleRun, Slopes
 
 NOT_MEASURED, TOO_WIDE = "not measured", "interval too wide"
 
--- a/mountgauge/lab/scale/limits.py
+++ b/mountgauge/lab/scale/limits.py
@@ -8,7 +8,7 @@
 
 from mountgauge.lab.scale.figures import Term, Unit
 from mountgauge.lab.scale.fit import Fit
-from mountgauge.lab.scale.kept import KeptResults, Slopes
+from mountgauge.lab.scale.kept_results import KeptResults, Slopes
 from mountgauge.lab.scale.size import FleetSize
 from mountgauge.platform import list_exchange
 from mountgauge.recovery import bounds as recovery_bounds
--- a/mountgauge/lab/scale/roles.py
+++ b/mountgauge/lab/scale/roles.py
@@ -14,7 +14,7 @@
     summed,
     unknown,
 )
-from mountgauge.lab.scale.kept import KeptResults
+from mountgauge.lab.scale.kept_results import KeptResults
 from mountgauge.lab.scale.limits import (
     EXPORT_EVERY_S,
     FACTS_PER_S,
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -14,7 +14,7 @@
 from mountgauge.lab.scale.capacity_tables import number, short
 from mountgauge.lab.scale.figures import Figure, Term, Unit, summed
 from mountgauge.lab.scale.fit import Estimate, Measurement, Unknown, fit
-from mountgauge.lab.scale.kept import KeptResults, KeptResultsError, Slope, Slopes, load_kept_results
+from mountgauge.lab.scale.kept_results import KeptResults, KeptResultsError, Slope, Slopes, load_kept_results
 from mountgauge.lab.scale.limits import Limit, break_point
 from mountgauge.lab.scale.outage import Outage, cold_budget, simulate
 from mountgauge.lab.scale.size import FleetSize, load_size
