--- a/mountgauge/lab/scale/capacity_page.py
+++ b/mountgauge/lab/scale/capacity_page.py
@@ -126,8 +126,8 @@
 def render(results: Path, size_file: Path | None = None) -> str:
     """The page, from the results of a folder (`benchmarks/results`) and the size's settings file.
 
-    KeptResultsError or ConfigError, in one line, where one of them cannot be read; results that are missing are
-    unknown on the page.
+    Raises KeptResultsError or ConfigError, with a message of one line, for a file that cannot be read.
+    Figures whose results are missing are unknown on the page.
     """
     path = size_file or results.resolve().parents[1] / SIZE_FILE
     return page(load_kept_results(results), load_size(path))
