--- a/mountgauge/lab/scale/capacity.py
+++ b/mountgauge/lab/scale/capacity.py
@@ -32,7 +32,7 @@
 class FailureRow:
     """What one kind of failure does. `per_day` at the full size."""
 
-    what: str
+    label: str
     per_day: float
     senders: float
     events_per_s: float  # that others take over
@@ -69,8 +69,10 @@
     zone, region = size.senders_per_zone, size.senders / size.regions
     missed = size.changes_per_s * size.region_cut_s
 
-    def row(what: str, per_day: float, senders: float, shards: float, stale: str, refused: str) -> FailureRow:
-        return FailureRow(what, per_day, senders, senders * each, senders * held, shards, stale, refused)
+    def row(
+        label: str, per_day: float, senders: float, shards: float, stale: str, refused: str
+    ) -> FailureRow:
+        return FailureRow(label, per_day, senders, senders * each, senders * held, shards, stale, refused)
 
     cut = FailureRow(
         "regions cut from each other",
--- a/mountgauge/lab/scale/capacity_page.py
+++ b/mountgauge/lab/scale/capacity_page.py
@@ -152,7 +152,7 @@
         loads=_loads(slopes),
         limits=tables.limits_table(found.limits),
         first_before=tables.first_before(found.limits),
-        not_measured=[one.limit.what for one in found.limits if not one.has_laws],
+        not_measured=[one.limit.label for one in found.limits if not one.has_laws],
         roles=found.roles,
         role_table=tables.role_table,
         failures=tables.failures_table(found.failures),
--- a/mountgauge/lab/scale/capacity_tables.py
+++ b/mountgauge/lab/scale/capacity_tables.py
@@ -83,7 +83,7 @@
         figure = row.figure
         bound = _NONE if figure.bound is None else number(figure.bound, figure.unit)
         share = _NONE if figure.share is None else per_cent(figure.share)
-        return [row.what, figure_text(figure), bound, share, row.mechanism, figure.origin]
+        return [row.label, figure_text(figure), bound, share, row.mechanism, figure.origin]
 
     return table(("what", "figure", "bound", "share", "mechanism", "from"), map(line, rows))
 
@@ -112,7 +112,7 @@
         [
             [
                 str(place),
-                one.limit.what,
+                one.limit.label,
                 number(one.limit.bound, one.limit.unit),
                 "never" if one.size is None else short(one.size),
                 f"{grouped(one.limit.size)} {one.limit.axis}",
@@ -131,7 +131,7 @@
     """What broke first by the slopes before, with its factor."""
     known = [(one.before, one.limit) for one in points if one.before is not None]
     known.sort(key=lambda pair: -pair[0])
-    return [f"{limit.what} ({short(factor)})" for factor, limit in known[:_FIRST_BEFORE]]
+    return [f"{limit.label} ({short(factor)})" for factor, limit in known[:_FIRST_BEFORE]]
 
 
 def failures_table(rows: Iterable[FailureRow]) -> str:
@@ -149,7 +149,7 @@
         columns,
         [
             [
-                one.what,
+                one.label,
                 *map(short, (one.per_day, one.senders, one.events_per_s, one.held, one.shards)),
                 one.stale,
                 one.refused,
@@ -255,7 +255,7 @@
     """Each unknown figure of the tables, with what would tell."""
     tables = [(role.name, role.rows) for role in found.roles] + [("Data", found.data)]
     return [
-        f"{name}, {row.what}: {_would_tell(row.figure, row.figure.value.why)}"
+        f"{name}, {row.label}: {_would_tell(row.figure, row.figure.value.why)}"
         for name, rows in tables
         for row in rows
         if isinstance(row.figure.value, Unknown)
--- a/mountgauge/lab/scale/figures.py
+++ b/mountgauge/lab/scale/figures.py
@@ -43,7 +43,7 @@
 class Row:
     """One line of a role's table."""
 
-    what: str
+    label: str
     figure: Figure
     mechanism: str
 
--- a/mountgauge/lab/scale/limits.py
+++ b/mountgauge/lab/scale/limits.py
@@ -27,7 +27,7 @@
 class Limit:
     """A cost that grows with something, and the bound that it must keep."""
 
-    what: str
+    label: str
     axis: str
     terms: tuple[Term, ...]
     bound: float
@@ -97,15 +97,15 @@
     backlog, kb_s = size.backlog_per_sender, size.kb_per_s * 1e3
 
     def of_destinations(
-        what: str, terms: tuple[Term, ...], bound: float, unit: Unit, mechanism: str
+        label: str, terms: tuple[Term, ...], bound: float, unit: Unit, mechanism: str
     ) -> Limit:
-        return Limit(what, "destinations", terms, bound, unit, float(size.destinations), part, mechanism)
+        return Limit(label, "destinations", terms, bound, unit, float(size.destinations), part, mechanism)
 
-    def of_messages(what: str, terms: tuple[Term, ...], bound: float, unit: Unit, mechanism: str) -> Limit:
-        return Limit(what, "messages held", terms, bound, unit, backlog, None, mechanism)
+    def of_messages(label: str, terms: tuple[Term, ...], bound: float, unit: Unit, mechanism: str) -> Limit:
+        return Limit(label, "messages held", terms, bound, unit, backlog, None, mechanism)
 
-    def of_members(what: str, terms: tuple[Term, ...], bound: float, unit: Unit, mechanism: str) -> Limit:
-        return Limit(what, "members", terms, bound, unit, float(size.senders), None, mechanism)
+    def of_members(label: str, terms: tuple[Term, ...], bound: float, unit: Unit, mechanism: str) -> Limit:
+        return Limit(label, "members", terms, bound, unit, float(size.senders), None, mechanism)
 
     return (
         of_destinations(
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -33,7 +33,7 @@
     assert len(known) == len(PROBES), "a name stands twice"
     for limit in limits(load_size(SIZE_FILE)):
         for term in limit.terms:
-            assert limit.axis.startswith(known[term.probe].axis.value), limit.what
+            assert limit.axis.startswith(known[term.probe].axis.value), limit.label
 
 
 def _counted(name: str, costs: list[int]) -> Probe:
