--- a/mountgauge/lab/scale/live.py
+++ b/mountgauge/lab/scale/live.py
@@ -30,7 +30,7 @@
 from mountgauge.lab.scale import live_files
 from mountgauge.lab.scale.discovery import DiscoveryList
 from mountgauge.lab.scale.live_files import RELAY_PORT, RESP_PORT, STATUS_PORT, Seat, Sharding
-from mountgauge.lab.scale.live_stands import Client, LiveDiscovery, Partner
+from mountgauge.lab.scale.live_stand_ins import Client, LiveDiscovery, Partner
 from mountgauge.lab.scale.results import FULL_SIZE, Comparison, SizeResult
 from mountgauge.lab.scale.schedule import ChangeKind, ListChange
 from mountgauge.lab.scale.settings import (
@@ -232,7 +232,7 @@
             "seed": self.seed,
         }
         path = self._write(f"{seat.name}.json", orjson.dumps(raw).decode())
-        return self._spawn(seat, ["-m", "mountgauge.lab.scale.live_hollow", str(path)])
+        return self._spawn(seat, ["-m", "mountgauge.lab.scale.live_simulated", str(path)])
 
     def _spawn(self, seat: Seat, words: list[str]) -> ChildProcess:
         env = {**os.environ, "PYTHONPATH": str(_ROOT)}
--- a/mountgauge/lab/scale/live_hollow.py
+++ b/mountgauge/lab/scale/live_simulated.py
@@ -1,4 +1,4 @@
-"""Hollow senders over real sockets: `python -m mountgauge.lab.scale.live_hollow FILE`.
+"""Hollow senders over real sockets: `python -m mountgauge.lab.scale.live_simulated FILE`.
 
 FILE is JSON: `senders` of this process (name and zone each), `relays` (name, zone and `at` each), `shards`,
 `fleet` (senders in all), `seed`, and `status` to listen at. Ends at SIGTERM. The status page has the form of
@@ -19,7 +19,7 @@
 import orjson
 
 from mountgauge.core.config import Address
-from mountgauge.lab.scale.hollow import HollowSender, policy_settings
+from mountgauge.lab.scale.simulated import SimulatedSender, policy_settings
 from mountgauge.relay.follower import Follower
 from mountgauge.sharding.picker import RelayName
 from mountgauge.sharding.timing import Timing
@@ -29,14 +29,14 @@
 _START_SPREAD_S = 1.0  # over which the senders of a process start: as long as an ask is held
 
 
-class LiveHollow:
+class LiveSimulatedSender:
     """A hollow sender in the running loop."""
 
     def __init__(self, raw: Mapping[str, Any], name: str, zone: str, seed: int) -> None:
         relays = [RelayName(one["name"], one["zone"]) for one in raw["relays"]]
         addresses = {one["name"]: Address.parse(one["at"], one["name"]) for one in raw["relays"]}
         shards, settings = raw["shards"], policy_settings(raw["fleet"])
-        self.machine = HollowSender(name, zone, relays, Timing(), shards, settings, seed)
+        self.machine = SimulatedSender(name, zone, relays, Timing(), shards, settings, seed)
         subscription = self.machine.subscription
         self.follower = Follower(subscription, addresses, None, shards, self._answered)
 
@@ -44,7 +44,7 @@
         self.machine.take(update, asyncio.get_running_loop().time())
 
 
-def report(hollow: Sequence[LiveHollow]) -> Mapping[str, Any]:
+def report(hollow: Sequence[LiveSimulatedSender]) -> Mapping[str, Any]:
     """The status page."""
     counts: Counter[str] = Counter()
     for one in hollow:
@@ -57,7 +57,7 @@
     ended = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
     hollow = [
-        LiveHollow(raw, one["name"], one["zone"], raw["seed"] + number)
+        LiveSimulatedSender(raw, one["name"], one["zone"], raw["seed"] + number)
         for number, one in enumerate(raw["senders"])
     ]
     status = StatusServer(lambda: report(hollow))
--- a/mountgauge/lab/scale/nodes.py
+++ b/mountgauge/lab/scale/nodes.py
@@ -14,7 +14,7 @@
 
 from mountgauge.http1 import response
 from mountgauge.lab.scale.discovery import DiscoveryList
-from mountgauge.lab.scale.hollow import HollowRelay, HollowSender, RecordPool
+from mountgauge.lab.scale.simulated import RecordPool, SimulatedRelay, SimulatedSender
 from mountgauge.lab.scale.simulation import EventLoop, Network, Party
 from mountgauge.sharding.relay import HeldAsk
 from mountgauge.sharding.upstream import ListCall, RelayCall, Update
@@ -119,7 +119,7 @@
     """One process of a sender. `on_update` hears what its answers have changed."""
 
     def __init__(
-        self, around: Surroundings, party: Party, number: int, machine: HollowSender,
+        self, around: Surroundings, party: Party, number: int, machine: SimulatedSender,
         on_update: Callable[[SenderNode, Update], None],
     ) -> None:  # fmt: skip
         super().__init__(around, party)
@@ -151,7 +151,7 @@
     """One process of a relay."""
 
     def __init__(
-        self, around: Surroundings, party: Party, machine: HollowRelay, load: Counter[int] | None = None
+        self, around: Surroundings, party: Party, machine: SimulatedRelay, load: Counter[int] | None = None
     ) -> None:
         super().__init__(around, party)
         self.machine = machine
--- a/mountgauge/lab/scale/settings.py
+++ b/mountgauge/lab/scale/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a scale run, read from TOML and checked: sizes, fleet, network, changes, faults and bounds.
+"""Settings of a scale run, read from TOML and validated: sizes, fleet, network, changes, faults and bounds.
 
-Times are in seconds of the run's own clock. `load` refuses what it does not know with one line
-(`ConfigError`).
+Times are in seconds of the run's own clock. `load` raises `ConfigError` with a message of one line for
+unknown, missing or invalid settings.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 _T = TypeVar("_T")
 
 DEFAULT_SHARDS = 65_536
-LEAST_REAL_SENDERS = 3  # one in each zone of a comparison
-MOST_SENDERS = 20_000
-MOST_DESTINATIONS = 2_000_000
+MIN_REAL_SENDERS = 3  # one in each zone of a comparison
+MAX_SENDERS = 20_000
+MAX_DESTINATIONS = 2_000_000
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -33,40 +33,40 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """Who there is and where."""
+    """Topology of the fleet."""
 
     regions: int = 2
-    zones: int = 4  # in all regions together
+    zones: int = 4  # total over all regions
     senders_per_rack: int = 20
-    replicas: int = 3  # senders on which each shard is placed
-    upper_relays: int = 3  # between discovery and the relays of the zones, of which each zone has one
+    replicas: int = 3  # senders that each shard is placed on
+    upper_relays: int = 3  # between discovery and the zone relays; each zone has one zone relay
 
 
 @dataclass(frozen=True, slots=True)
 class NetworkSettings:
-    """What the network does to each message."""
+    """Delays and losses of the network, applied to each message."""
 
     zone_delay_s: float = 0.002  # one way, inside a region
     region_delay_s: float = 0.1  # one way, between regions
     jitter_s: float = 0.005
-    loss: float = 0.01  # share of messages that must be sent again
-    retransmit_s: float = 0.2  # after which that happens; twice as long each time
+    loss: float = 0.01  # share of messages that have to be retransmitted
+    retransmit_s: float = 0.2  # delay of the first retransmission, doubled for each further one
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeSettings:
-    """Changes of configuration."""
+    """Rates of configuration changes."""
 
     per_s: float = 0.65
     bursts: int = 1
     burst_s: float = 1.0
     burst_factor: float = 100.0
-    membership: int = 2  # senders added or taken out for good in the run
+    membership: int = 2  # senders that are added or removed for good during the run
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSettings:
-    """The faults of a run: shares are of all senders, the others are counted."""
+    """The faults of a run: `..._share` is a share of all senders, the other settings are counts."""
 
     restart_share: float = 0.11
     restart_s: float = 3.0  # from the end of a process to the next one's start
@@ -87,21 +87,21 @@
 
 @dataclass(frozen=True, slots=True)
 class RealSettings:
-    """Real senders beside hollow ones of the same size; none where `senders` is 0."""
+    """The comparison of real senders with simulated ones of the same size; 0 senders: no comparison."""
 
     senders: int = 0
-    load_senders: int = 0  # further hollow ones that share a process, so that relays have a load
+    load_senders: int = 0  # further simulated senders, in one shared process, that put load on the relays
     destinations: int = 1700
-    duration_s: float = 12.0  # in which costs are measured
+    duration_s: float = 12.0  # during which costs are measured
     changes_per_s: float = 0.0
-    carry_s: float = 5.0  # after that, with messages
-    messages_per_s: float = 20.0  # carried by each real sender
-    tolerance: float = 0.15  # relative difference up to which hollow figures are used
+    carry_s: float = 5.0  # after the measurement, during which messages are sent
+    messages_per_s: float = 20.0  # submitted to each real sender
+    tolerance: float = 0.15  # relative difference up to which figures of simulated senders are used
 
 
 @dataclass(frozen=True, slots=True)
 class BoundSettings:
-    """What the run must hold: exit 1 where it does not. None: not bounded."""
+    """Upper bounds on the run's figures; the command exits with 1 if one is exceeded. None: no bound."""
 
     config_p99_s: float | None = 3.0
     config_worst_s: float | None = 9.0
@@ -115,14 +115,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleSettings:
-    """All of a scale run."""
+    """All settings of a scale run."""
 
     name: str
     seed: int
     duration_s: float
     warm_s: float  # before the first change
     settle_s: float  # after the last change
-    workers: int  # processes that run sizes side by side
+    workers: int  # processes that simulate sizes in parallel
     most_memory_gb: float
     sizes: tuple[Size, ...]
     fleet: FleetSettings = field(default_factory=FleetSettings)
@@ -138,7 +138,7 @@
         return self.warm_s + self.duration_s + self.settle_s
 
     def with_seed(self, seed: int) -> ScaleSettings:
-        """The same with another seed."""
+        """The same settings with another seed."""
         return replace(self, seed=seed)
 
 
@@ -164,15 +164,15 @@
 
 
 def _bound(table: Table, key: str, default: float | None) -> float | None:
-    """A bound; below 0 it is switched off."""
+    """Read a bound; a negative value switches it off."""
     value = float(table.get(key, int, float, default=-1.0 if default is None else default))
     return None if value < 0 else value
 
 
 def _size(table: Table) -> Size:
     size = Size(
-        _count(table, "senders", 0, 1, MOST_SENDERS),
-        _count(table, "destinations", 0, 1, MOST_DESTINATIONS),
+        _count(table, "senders", 0, 1, MAX_SENDERS),
+        _count(table, "destinations", 0, 1, MAX_DESTINATIONS),
         _count(table, "shards", DEFAULT_SHARDS, 1, 1 << 20),
     )
     table.done()
@@ -239,8 +239,8 @@
 def _real(table: Table) -> RealSettings:
     default = RealSettings()
     senders = _count(table, "senders", default.senders, 0, 40)
-    if 0 < senders < LEAST_REAL_SENDERS:
-        raise ConfigError(f"real.senders: at least {LEAST_REAL_SENDERS}, or 0 for none")
+    if 0 < senders < MIN_REAL_SENDERS:
+        raise ConfigError(f"real.senders: at least {MIN_REAL_SENDERS}, or 0 for none")
     return RealSettings(
         senders=senders,
         load_senders=_count(table, "load_senders", default.load_senders, 0, 2000),
@@ -269,15 +269,15 @@
     )
 
 
-def _part(top: Table, key: str, parse_part: Callable[[Table], _T]) -> _T:
+def _section(top: Table, key: str, parse_section: Callable[[Table], _T]) -> _T:
     table = top.table(key) or Table({}, key)
-    part = parse_part(table)
+    section = parse_section(table)
     table.done()
-    return part
+    return section
 
 
 def parse(raw: dict[str, Any]) -> ScaleSettings:
-    """Settings of a file's tables; ConfigError on anything unknown, missing or out of range."""
+    """Parse the tables of a file; raises ConfigError for unknown, missing and out-of-range settings."""
     top = Table(raw, "")
     sizes = tuple(_size(table) for table in top.tables("size"))
     if not sizes:
@@ -294,12 +294,12 @@
         workers=top.get("workers", int, default=2),
         most_memory_gb=top.positive("most_memory_gb", 4.0),
         sizes=sizes,
-        fleet=_part(top, "fleet", _fleet),
-        network=_part(top, "network", _network),
-        changes=_part(top, "changes", _changes),
-        faults=_part(top, "faults", _faults),
-        real=_part(top, "real", _real),
-        bounds=_part(top, "bounds", _bounds),
+        fleet=_section(top, "fleet", _fleet),
+        network=_section(top, "network", _network),
+        changes=_section(top, "changes", _changes),
+        faults=_section(top, "faults", _faults),
+        real=_section(top, "real", _real),
+        bounds=_section(top, "bounds", _bounds),
     )
     top.done()
     if not 1 <= settings.workers <= 8:
@@ -310,5 +310,5 @@
 
 
 def load(path: Path) -> ScaleSettings:
-    """Settings of a TOML file; ConfigError with one line where it cannot be used."""
+    """Read settings from a TOML file; raises ConfigError with a message of one line if it is not valid."""
     return parse(read(path))
--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/simulated.py
@@ -105,7 +105,7 @@
     confirmed_at: float
 
 
-class HollowSender:
+class SimulatedSender:
     """One sender's control part."""
 
     def __init__(
@@ -205,7 +205,7 @@
     return decode_reply(message.status, message.body, shard_count)
 
 
-class HollowRelay:
+class SimulatedRelay:
     """One relay with its encoding."""
 
     def __init__(self, relay: Relay, shard_count: int) -> None:
--- a/mountgauge/lab/scale/simulation.py
+++ b/mountgauge/lab/scale/simulation.py
@@ -1,7 +1,8 @@
-"""Virtual time: an event loop and a network between places, deterministic for a seed.
+"""Virtual time: an event loop and a network between parties, deterministic for a seed.
 
-The network carries messages as TCP does: none is lost for good between ends that hear each other, a lost
-packet comes late. What is sent while the way is cut does not arrive. Times in seconds, sizes in bytes.
+The network behaves like TCP: between connected parties no message is lost, and a lost packet delays its
+message. A message that is sent while the regions are cut off from each other never arrives. Times are in
+seconds, sizes in bytes.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 from mountgauge.lab.scale.settings import NetworkSettings
 
-_MOST_RETRANSMITS = 6
+_MAX_RETRANSMITS = 6
 
 
 class EventLoop:
-    """Events by time; those of one time in the order in which they were set."""
+    """Runs events in order of time; events of the same time run in the order in which they were scheduled."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -27,15 +28,15 @@
         self._order = count()
 
     def at(self, when: float, action: Callable[[], None]) -> None:
-        """Call `action` at a time; at once where that has passed."""
+        """Schedule `action` for a time; for now if that time has passed."""
         heapq.heappush(self._events, (max(when, self.now), next(self._order), action))
 
     def after(self, delay_s: float, action: Callable[[], None]) -> None:
-        """Call `action` so much later."""
+        """Schedule `action` for `delay_s` from now."""
         self.at(self.now + delay_s, action)
 
     def run_until(self, end: float) -> None:
-        """Play all events up to a time."""
+        """Run all events up to a time."""
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
             action()
@@ -44,7 +45,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """What one party has sent and received."""
+    """Counts of what one party has sent and received."""
 
     sent_messages: int = 0
     sent_bytes: int = 0
@@ -53,23 +54,23 @@
 
     @property
     def bytes(self) -> int:
-        """Both ways."""
+        """Bytes in both directions."""
         return self.sent_bytes + self.received_bytes
 
     @property
     def messages(self) -> int:
-        """Both ways."""
+        """Messages in both directions."""
         return self.sent_messages + self.received_messages
 
 
 @dataclass(slots=True, eq=False)
 class Party:
-    """One end of connections: where it is, whether it is up, what it has sent."""
+    """One participant of the network: its region, whether it is up, and its traffic."""
 
     name: str
     region: int
     up: bool = True
-    slow_by_s: float = 0.0  # added to each message that it sends
+    slow_by_s: float = 0.0  # extra delay of each message that it sends
     traffic: Traffic = field(default_factory=Traffic)
 
 
@@ -81,19 +82,19 @@
         self._cut_regions: Counter[int] = Counter()
 
     def cut(self, region: int) -> None:
-        """From now on nothing goes between this region and the others."""
+        """Cut this region off from the others."""
         self._cut_regions[region] += 1
 
     def heal(self, region: int) -> None:
-        """One cut of the region is over."""
+        """End one cut of this region."""
         self._cut_regions[region] -= 1
 
     def connected(self, one: int, other: int) -> bool:
-        """Whether two regions hear each other."""
+        """Whether messages pass between two regions."""
         return one == other or not (self._cut_regions[one] or self._cut_regions[other])
 
     def send(self, sender: Party, receiver: Party, size: int, arrive: Callable[[], None]) -> None:
-        """Carry one message: `arrive` is called if and when it gets there."""
+        """Send one message; `arrive` is called when it is received, and never if it is not."""
         sender.traffic.sent_messages += 1
         sender.traffic.sent_bytes += size
         if not self.connected(sender.region, receiver.region):
@@ -113,7 +114,7 @@
         delay = settings.zone_delay_s if same else settings.region_delay_s
         delay += self._rng.uniform(0.0, settings.jitter_s) + sender.slow_by_s
         again = settings.retransmit_s
-        for _ in range(_MOST_RETRANSMITS):
+        for _ in range(_MAX_RETRANSMITS):
             if self._rng.random() >= settings.loss:
                 break
             delay += again
--- a/mountgauge/lab/scale/world.py
+++ b/mountgauge/lab/scale/world.py
@@ -14,7 +14,6 @@
 
 from mountgauge.lab.scale.accounts import Accounts, Role, load_peak
 from mountgauge.lab.scale.discovery import DiscoveryList, Line
-from mountgauge.lab.scale.hollow import HollowRelay, HollowSender, KeptState, RecordPool, policy_settings
 from mountgauge.lab.scale.memory import deep_size
 from mountgauge.lab.scale.nodes import DiscoveryNode, RelayNode, SenderNode, Surroundings
 from mountgauge.lab.scale.placements import FleetPlacement
@@ -24,13 +23,20 @@
     Fault,
     FaultKind,
     ListChange,
+    Location,
     MembershipChange,
     MembershipKind,
-    Place,
     Schedule,
     region_of_zone,
 )
 from mountgauge.lab.scale.settings import ScaleSettings, Size
+from mountgauge.lab.scale.simulated import (
+    KeptState,
+    RecordPool,
+    SimulatedRelay,
+    SimulatedSender,
+    policy_settings,
+)
 from mountgauge.lab.scale.simulation import EventLoop, Network, Party
 from mountgauge.sharding.list_watch import ListWatch
 from mountgauge.sharding.members import Member
@@ -97,9 +103,9 @@
 
     # Places
 
-    def _place(self, sender: int) -> Place:
+    def _place(self, sender: int) -> Location:
         """One that is added stands where one of the first stands."""
-        return self.schedule.places[sender % len(self.schedule.places)]
+        return self.schedule.locations[sender % len(self.schedule.locations)]
 
     def _zone(self, sender: int) -> str:
         return self.zones[self._place(sender).zone]
@@ -139,7 +145,7 @@
             upstream = Subscription(name, store, picker, RELAY_TIMING, rng, all_shards=True)
             relay = Relay(name, upstream, RelaySettings(), self.placement.for_relay())
         load = self.relays[name].load if name in self.relays else None
-        node = RelayNode(self.around, Party(name, region), HollowRelay(relay, self.size.shards), load)
+        node = RelayNode(self.around, Party(name, region), SimulatedRelay(relay, self.size.shards), load)
         self.relays[name] = node
         self.accounts.started(role, node)
         if filled_from is not None:
@@ -154,7 +160,7 @@
         self.accounts.ended(role, name)
 
     def _start_sender(self, sender: int, kept: KeptState | None = None) -> None:
-        machine = HollowSender(
+        machine = SimulatedSender(
             sender_name(sender), self._zone(sender), self._zonal, self.timing, self.size.shards,
             self._policy_settings, self.rng.getrandbits(60),
         )  # fmt: skip
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -153,12 +153,17 @@
 
 def test_a_rack_lies_in_one_zone_and_a_zone_in_one_region() -> None:
     one = settings()
-    places = draw(one, one.sizes[0]).places
-    assert len({place.zone for place in places}) == 4 and len({place.region for place in places}) == 2
+    locations = draw(one, one.sizes[0]).locations
+    assert (
+        len({location.zone for location in locations}) == 4
+        and len({location.region for location in locations}) == 2
+    )
     for kind in ("rack", "zone"):
         zones_or_regions: dict[int, set[int]] = {}
-        for place in places:
-            inner, outer = (place.rack, place.zone) if kind == "rack" else (place.zone, place.region)
+        for location in locations:
+            inner, outer = (
+                (location.rack, location.zone) if kind == "rack" else (location.zone, location.region)
+            )
             zones_or_regions.setdefault(inner, set()).add(outer)
         assert all(len(outer) == 1 for outer in zones_or_regions.values())
 
@@ -269,8 +274,8 @@
 
 def test_histograms_keep_their_values_over_their_encoding() -> None:
     one, other = Histogram(), Histogram()
-    for place in range(1, 101):
-        one.record(place / 10)
+    for tenths in range(1, 101):
+        one.record(tenths / 10)
     other.add_encoded(one.encoded())
     assert other.count == 100
     assert other.quantile(0.5) == pytest.approx(5.0, rel=0.01)
