--- a/mountgauge/lab/scale/accounts.py
+++ b/mountgauge/lab/scale/accounts.py
@@ -1,4 +1,4 @@
-"""What processes of the virtual fleet have cost since a moment, by role and name."""
+"""Costs of the virtual fleet's processes over a period, by role and name."""
 
 from __future__ import annotations
 
@@ -12,6 +12,8 @@
 
 
 class Role(StrEnum):
+    """The roles of processes in the fleet."""
+
     SENDER = "sender"
     ZONE_RELAY = "zone-relay"
     UPPER_RELAY = "upper-relay"
@@ -19,14 +21,14 @@
 
 @dataclass(slots=True)
 class Costs:
-    """Of one name, over all its processes."""
+    """Costs under one name, over all processes that had it."""
 
     cpu_s: float = 0.0
     bytes: int = 0  # sent and received
     messages: int = 0
 
     def add(self, other: Costs, sign: int = 1) -> None:
-        """Add another's, or take them away."""
+        """Add the costs of another, or subtract them with `sign` -1."""
         self.cpu_s += sign * other.cpu_s
         self.bytes += sign * other.bytes
         self.messages += sign * other.messages
@@ -34,7 +36,7 @@
 
 @dataclass(slots=True)
 class MeanCosts:
-    """A second of the mean process of a role, and of the one with most processor time."""
+    """Costs per second: the mean over the names of a role, and the largest processor time of one."""
 
     count: int
     cpu_share: float
@@ -44,40 +46,40 @@
 
 
 def costs_of(node: SenderNode | RelayNode) -> Costs:
-    """What one process has cost since its start."""
+    """The costs of one process since its start."""
     traffic = node.party.traffic
     return Costs(node.machine.processor.spent_s, traffic.bytes, traffic.messages)
 
 
 @dataclass(slots=True)
 class Accounts:
-    """Costs by role and name; those from before `begin` don't count."""
+    """Costs by role and name, counted from `begin` on."""
 
     _running: dict[tuple[Role, str], SenderNode | RelayNode] = field(default_factory=dict)
     _ended: dict[tuple[Role, str], Costs] = field(default_factory=dict)
-    _begun_at: float = 0.0
+    _began_at: float = 0.0
 
     def started(self, role: Role, node: SenderNode | RelayNode) -> None:
-        """A process has started."""
+        """Record that a process has started."""
         self._running[role, node.party.name] = node
         self._ended.setdefault((role, node.party.name), Costs())
 
     def ended(self, role: Role, name: str) -> None:
-        """The process of that name has ended."""
+        """Record that the process of that name has ended."""
         if (node := self._running.pop((role, name), None)) is not None:
             self._ended[role, name].add(costs_of(node))
 
     def begin(self, now: float) -> None:
-        """Count from here on."""
-        self._begun_at = now
+        """Start counting: costs before `now` are left out."""
+        self._began_at = now
         for key in self._ended:
             self._ended[key] = Costs()
         for key, node in self._running.items():
             self._ended[key].add(costs_of(node), -1)
 
     def mean(self, role: Role, now: float) -> MeanCosts:
-        """Of all names of a role, from `begin` on."""
-        seconds = now - self._begun_at
+        """The mean costs over all names of a role, since `begin`."""
+        seconds = now - self._began_at
         found = []
         for key, ended in self._ended.items():
             if key[0] is not role:
@@ -96,9 +98,9 @@
 
 
 def load_peak(relays: Iterable[RelayNode], begin: float, end: float) -> float:
-    """The most asks that any of these relays got in a while, over what a relay mostly gets."""
+    """The largest number of asks in one bucket at any of these relays, relative to the median bucket."""
     first, last = int(begin / LOAD_BUCKET_S), int(end / LOAD_BUCKET_S)
     loads: list[Counter[int]] = [relay.load for relay in relays]
     counts = [load[bucket] for load in loads for bucket in range(first, last)]
-    usual = median(counts) if counts else 0.0
-    return max(counts) / usual if usual > 0 else 0.0
+    median_count = median(counts) if counts else 0.0
+    return max(counts) / median_count if median_count > 0 else 0.0
--- a/mountgauge/lab/scale/live_simulated.py
+++ b/mountgauge/lab/scale/live_simulated.py
@@ -41,7 +41,7 @@
         self.follower = Follower(subscription, addresses, None, shards, self._answered)
 
     def _answered(self, call: Call, update: Update) -> None:
-        self.machine.take(update, asyncio.get_running_loop().time())
+        self.machine.apply_update(update, asyncio.get_running_loop().time())
 
 
 def report(hollow: Sequence[LiveSimulatedSender]) -> Mapping[str, Any]:
--- a/mountgauge/lab/scale/memory.py
+++ b/mountgauge/lab/scale/memory.py
@@ -1,4 +1,4 @@
-"""Memory: of one object with all that it alone holds, of processes, and of the machine. Bytes."""
+"""Memory use of an object with everything that it refers to, of processes, and of the machine, in bytes."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from types import BuiltinFunctionType, CodeType, FrameType, FunctionType, MethodType, ModuleType
 from typing import Any
 
-_PAGE = os.sysconf("SC_PAGE_SIZE")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 _SHARED_TYPES = (
     type, ModuleType, FunctionType, BuiltinFunctionType, MethodType, CodeType, FrameType, Enum,
 )  # fmt: skip
 
 
 def deep_size(roots: Iterable[object], shared: Iterable[object] = ()) -> int:
-    """Bytes of these objects and of all that they refer to, without code, types and what is `shared`."""
+    """The size of these objects and all that they refer to, except code, types and all `shared` reaches."""
     seen = _reachable(shared)
     return sum(sys.getsizeof(one) for one in _walk(roots, seen))
 
@@ -43,9 +43,9 @@
 
 
 def resident_bytes(pid: int) -> int:
-    """Resident memory of a process; 0 where it has gone."""
+    """Resident memory of a process; 0 if it has ended."""
     try:
-        return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * _PAGE
+        return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * _PAGE_BYTES
     except (OSError, IndexError):
         return 0
 
@@ -55,16 +55,16 @@
     """Memory of the machine."""
 
     total: int
-    available: int  # without swapping
+    available: int  # to processes, without swapping
 
     @property
     def used_share(self) -> float:
-        """What is in use, by whomever."""
+        """The share of the memory that is in use, by any process."""
         return 1 - self.available / self.total
 
 
 def machine_memory(text: str | None = None) -> MachineMemory:
-    """As `/proc/meminfo` has it, or a text of its form."""
+    """The machine's memory from `/proc/meminfo`, or from a text of the same format."""
     lines = (Path("/proc/meminfo").read_text() if text is None else text).splitlines()
-    kilobytes = {name: int(rest.split()[0]) for name, _, rest in (line.partition(":") for line in lines)}
+    kilobytes = {name: int(value.split()[0]) for name, _, value in (line.partition(":") for line in lines)}
     return MachineMemory(kilobytes["MemTotal"] * 1024, kilobytes["MemAvailable"] * 1024)
--- a/mountgauge/lab/scale/nodes.py
+++ b/mountgauge/lab/scale/nodes.py
@@ -1,7 +1,7 @@
-"""Processes of the virtual fleet: a state machine with its place on the network, driven by its own timers.
+"""Processes of the virtual fleet: state machines that are connected to the network and driven by timers.
 
-A call and its answer are an `Exchange`. The caller gives it up by itself after the call's limit; a relay or
-discovery may hold it until there is news.
+A call and its answer are an `Exchange`. The caller times it out after the call's limit; a relay or discovery
+may hold it until there is a change.
 """
 
 from __future__ import annotations
@@ -22,57 +22,57 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
-_LEAST_SLEEP_S = 0.001  # between two wakings by timer
-LOAD_BUCKET_S = 2.0  # over which a relay's load is counted
+_MIN_SLEEP_S = 0.001  # before the next wake-up by timer
+LOAD_BUCKET_S = 2.0  # length of the intervals in which a relay's asks are counted
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One call on its way."""
+    """One call in flight."""
 
     caller: SenderNode | RelayNode
     call: RelayCall | ListCall
-    over: bool = False  # answered, or given up
-    on_given_up: Callable[[], None] | None = None  # whoever holds it forgets it
+    finished: bool = False  # answered or timed out
+    on_timeout: Callable[[], None] | None = None  # set by the relay or discovery that holds it
 
 
 @dataclass(slots=True)
-class Surroundings:
-    """What all processes share."""
+class FleetContext:
+    """What all processes of the fleet share."""
 
     loop: EventLoop
     network: Network
     pool: RecordPool
-    relays: Mapping[str, RelayNode]  # the processes that are there now, by name
+    relays: Mapping[str, RelayNode]  # the current processes, by name
     discovery: DiscoveryNode
 
 
 class Process:
-    """What senders and relays have in common: they make calls and wake by their own timers."""
+    """Base of senders and relays: makes calls, and wakes up by its own timer."""
 
-    def __init__(self, around: Surroundings, party: Party) -> None:
-        self.around, self.party = around, party
-        self.started_at = around.loop.now
+    def __init__(self, context: FleetContext, party: Party) -> None:
+        self.context, self.party = context, party
+        self.started_at = context.loop.now
         self._wakes_at = inf
 
     @property
     def now(self) -> float:
-        return self.around.loop.now
+        return self.context.loop.now
 
     def drive(self) -> None:
-        """Do what is due, and set the timer anew."""
+        """Do what is due, and set the timer for the next time."""
         raise NotImplementedError
 
     def end(self) -> None:
-        """The process is gone, without a word."""
+        """End the process without notifying its peers."""
         self.party.up = False
 
     def _sleep_until(self, when: float) -> None:
-        when = max(when, self.now + _LEAST_SLEEP_S)
+        when = max(when, self.now + _MIN_SLEEP_S)
         if when == inf or (self.now < self._wakes_at <= when):
             return
         self._wakes_at = when
-        self.around.loop.at(when, lambda: self._wake(when))
+        self.context.loop.at(when, lambda: self._wake(when))
 
     def _wake(self, when: float) -> None:
         if self.party.up and self._wakes_at == when:
@@ -80,51 +80,52 @@
             self.drive()
 
     def _make(self, exchange: Exchange, data: bytes) -> None:
-        """Send a call; it is given up after its limit."""
-        around, call = self.around, exchange.call
-        around.loop.after(call.limit_s, lambda: self._give_up(exchange))
+        """Send a call, which times out after its limit."""
+        context, call = self.context, exchange.call
+        context.loop.after(call.limit_s, lambda: self._time_out(exchange))
         if isinstance(call, ListCall):
-            target: RelayNode | DiscoveryNode = around.discovery
+            target: RelayNode | DiscoveryNode = context.discovery
         else:
-            target = around.relays[call.relay]
-        around.network.send(self.party, target.party, len(data), lambda: target.receive(exchange, data))
+            target = context.relays[call.relay]
+        context.network.send(self.party, target.party, len(data), lambda: target.receive(exchange, data))
 
-    def _give_up(self, exchange: Exchange) -> None:
-        if exchange.over or not self.party.up:
+    def _time_out(self, exchange: Exchange) -> None:
+        if exchange.finished or not self.party.up:
             return
-        given_up, exchange.on_given_up = exchange.on_given_up, None
-        exchange.over = True
-        if given_up is not None:
-            given_up()
+        on_timeout, exchange.on_timeout = exchange.on_timeout, None
+        exchange.finished = True
+        if on_timeout is not None:
+            on_timeout()
         self.call_failed(exchange.call)
         self.drive()
 
     def call_failed(self, call: RelayCall | ListCall) -> None:
-        """A call was given up."""
+        """Record that a call has timed out."""
         raise NotImplementedError
 
     def answer(self, exchange: Exchange, data: bytes) -> None:
-        """An answer has arrived."""
-        if not exchange.over:
-            exchange.over, exchange.on_given_up = True, None  # no cycle is left: the collector is off
+        """Process an answer that has arrived."""
+        if not exchange.finished:
+            # The callback is cleared so that no reference cycle remains: garbage collection is off
+            exchange.finished, exchange.on_timeout = True, None
             self.call_answered(exchange.call, data)
             self.drive()
 
     def call_answered(self, call: RelayCall | ListCall, data: bytes) -> None:
-        """A call was answered."""
+        """Apply the answer of a call."""
         raise NotImplementedError
 
 
 class SenderNode(Process):
-    """One process of a sender. `on_update` hears what its answers have changed."""
+    """One process of a sender. `on_update` is called with the changes of each answer."""
 
     def __init__(
-        self, around: Surroundings, party: Party, number: int, machine: SimulatedSender,
+        self, context: FleetContext, party: Party, number: int, machine: SimulatedSender,
         on_update: Callable[[SenderNode, Update], None],
     ) -> None:  # fmt: skip
-        super().__init__(around, party)
+        super().__init__(context, party)
         self.number, self.machine = number, machine
-        self.ready_at: float | None = None  # when it first held all that is placed on it
+        self.ready_at: float | None = None  # when it first had all shards that are placed on it
         self._on_update = on_update
 
     def drive(self) -> None:
@@ -134,14 +135,14 @@
         self._sleep_until(self.machine.wakes_at(self.now))
 
     def call_failed(self, call: RelayCall | ListCall) -> None:
-        """A call was given up."""
+        """Record that a call has timed out."""
         assert isinstance(call, RelayCall)
         self.machine.failed(call, self.now)
 
     def call_answered(self, call: RelayCall | ListCall, data: bytes) -> None:
-        """A call was answered."""
+        """Apply the answer of a call."""
         assert isinstance(call, RelayCall)
-        update = self.machine.answered(call, data, self.now, self.around.pool)
+        update = self.machine.answered(call, data, self.now, self.context.pool)
         if self.ready_at is None and self.machine.ready():
             self.ready_at = self.now
         self._on_update(self, update)
@@ -151,16 +152,16 @@
     """One process of a relay."""
 
     def __init__(
-        self, around: Surroundings, party: Party, machine: SimulatedRelay, load: Counter[int] | None = None
+        self, context: FleetContext, party: Party, machine: SimulatedRelay, load: Counter[int] | None = None
     ) -> None:
-        super().__init__(around, party)
+        super().__init__(context, party)
         self.machine = machine
-        # asks by bucket of time, with those of the relay's earlier processes
+        # Asks by time bucket, including those of previous processes of this relay
         self.load: Counter[int] = Counter() if load is None else load
         self._held: dict[int, Exchange] = {}
 
     def drive(self) -> None:
-        """Make the calls and give the answers that are due."""
+        """Make the calls and send the answers that are due."""
         for outgoing in self.machine.poll(self.now):
             self._make(Exchange(self, outgoing.call), outgoing.data)
         for number, data in self.machine.take_ready(self.now):
@@ -168,45 +169,45 @@
         self._sleep_until(self.machine.wakes_at(self.now))
 
     def receive(self, exchange: Exchange, data: bytes) -> None:
-        """An ask has arrived."""
+        """Process an ask that has arrived."""
         self.load[int(self.now / LOAD_BUCKET_S)] += 1
-        found = self.machine.ask(data, self.now)
-        if isinstance(found, HeldAsk):
-            number = found.number
+        answer = self.machine.ask(data, self.now)
+        if isinstance(answer, HeldAsk):
+            number = answer.number
             self._held[number] = exchange
-            exchange.on_given_up = lambda: self._forget(exchange, number)
+            exchange.on_timeout = lambda: self._forget(exchange, number)
         else:
-            self._answer(exchange, found)
+            self._answer(exchange, answer)
         self.drive()
 
-    def placed(self, step: Callable[[], frozenset[str]]) -> None:
-        """The relay's placement takes a step: those that it concerns are told."""
-        self.machine.placed(step)
+    def step_placement(self, step: Callable[[], frozenset[str]]) -> None:
+        """Take one step of the relay's placement, and answer the asks of the members that it concerns."""
+        self.machine.step_placement(step)
         self.drive()
 
     def _forget(self, exchange: Exchange, number: int) -> None:
-        """The caller has closed the connection: this is heard unless the way is cut."""
-        there, here = exchange.caller.party, self.party
-        if here.up and self.around.network.connected(there.region, here.region):
+        """Drop a held ask whose caller has closed the connection, unless a cut hides that from the relay."""
+        caller, relay = exchange.caller.party, self.party
+        if relay.up and self.context.network.connected(caller.region, relay.region):
             self._held.pop(number, None)
             self.machine.drop(number)
 
     def _answer(self, exchange: Exchange, data: bytes) -> None:
         caller = exchange.caller
-        self.around.network.send(self.party, caller.party, len(data), lambda: caller.answer(exchange, data))
+        self.context.network.send(self.party, caller.party, len(data), lambda: caller.answer(exchange, data))
 
     def call_failed(self, call: RelayCall | ListCall) -> None:
-        """A call was given up."""
+        """Record that a call has timed out."""
         self.machine.failed(call, self.now)
 
     def call_answered(self, call: RelayCall | ListCall, data: bytes) -> None:
-        """A call was answered."""
-        self.machine.answered(call, data, self.now, self.around.pool)
+        """Apply the answer of a call."""
+        self.machine.answered(call, data, self.now, self.context.pool)
 
 
 @dataclass(slots=True, eq=False)
 class DiscoveryNode:
-    """Discovery's stand-in: it answers at once, or when there is news or the wait is over."""
+    """Stand-in for discovery: it answers at once, or when the list changes or the call's wait is over."""
 
     loop: EventLoop
     network: Network
@@ -216,7 +217,7 @@
     _held: dict[int, Exchange] = field(default_factory=dict)
 
     def receive(self, exchange: Exchange, data: bytes) -> None:
-        """A call has arrived."""
+        """Process a call that has arrived."""
         call = exchange.call
         assert isinstance(call, ListCall)
         self.calls += 1
@@ -225,15 +226,15 @@
             return
         key = id(exchange)
         self._held[key] = exchange
-        exchange.on_given_up = lambda: self._held.pop(key, None)  # type: ignore[assignment]
-        self.loop.after(call.wait_s, lambda: self._over(key))
+        exchange.on_timeout = lambda: self._held.pop(key, None)  # type: ignore[assignment]
+        self.loop.after(call.wait_s, lambda: self._wait_over(key))
 
-    def _over(self, key: int) -> None:
+    def _wait_over(self, key: int) -> None:
         if (exchange := self._held.pop(key, None)) is not None:
             self._answer(exchange)
 
     def changed(self) -> None:
-        """The list has a new version."""
+        """Answer all held calls: the list has a new version."""
         held, self._held = self._held, {}
         for exchange in held.values():
             self._answer(exchange)
--- a/mountgauge/lab/scale/simulated.py
+++ b/mountgauge/lab/scale/simulated.py
@@ -1,8 +1,9 @@
-"""Hollow senders and relays: the control part of real ones, with no clients, journal, calls or sockets.
+"""Simulated senders and relays: the control plane of real ones, without clients, journal, calls or sockets.
 
-They have the real state machines (subscription, table of next hops, decision module, relay) and the real
-encoding, down to the HTTP head; what carries the bytes is their owner's matter. Processor time is counted
-for all that they do, and for nothing else. Times in seconds of the owner's clock.
+Settings, results and pages call them hollow. They run the real state machines (subscription, table of next
+hops, decision module, relay) and the real encoding, including the HTTP head; their owner transports the
+bytes. Only the processor time of these state machines and their encoding is counted. Times are in seconds of
+the owner's clock.
 """
 
 from __future__ import annotations
@@ -41,19 +42,19 @@
 from rillspindle import interface as io
 
 _HEADERS = {"Content-Type": "application/json"}
-_HOST = "127.0.0.1:7400"  # as long as the one of a real relay
-_RATE_PER_WEIGHT = 1.0  # calls/s
+_HOST = "127.0.0.1:7400"  # as long as the address of a real relay, so that requests have the same size
+_CALLS_PER_S_PER_WEIGHT = 1.0
 
 
 def policy_settings(senders: int) -> dict[str, Any]:
-    """What a sender's decision module is told: the shape of an operator's file."""
-    grade = {
+    """Settings of a sender's decision module, as an operator's file gives them."""
+    message_class = {
         "name": "note", "semantics": "idempotent", "deadline": 60.0, "aim": 5.0, "group": "all",
         "worth": 1.0, "lateWorth": 0.3, "repeatWindow": 120.0,
     }  # fmt: skip
     return {
         "balancers": senders, "zone": 0, "tick": 0.005, "discovery": "subscribe", "weights": "nominal",
-        "grades": [grade], "localities": [], "shapes": ["std"],
+        "grades": [message_class], "localities": [], "shapes": ["std"],
         "ceilings": {
             "attemptsCap": 8, "cancel": True, "connectTimeout": 1.5, "maxOpen": 400,
             "maxRetryAfter": 5.0, "mayDuplicate": False, "probes": False,
@@ -67,7 +68,7 @@
 
 
 class ProcessorTime:
-    """Processor time of this thread that was spent within `counted`, s."""
+    """Processor time that this thread has spent in `counted` blocks."""
 
     __slots__ = ("spent_ns",)
 
@@ -80,25 +81,25 @@
 
     @contextmanager
     def counted(self) -> Iterator[None]:
-        """Count what is spent in this block."""
-        begun = time.thread_time_ns()
+        """Count the processor time that is spent in this block."""
+        started_ns = time.thread_time_ns()
         try:
             yield
         finally:
-            self.spent_ns += time.thread_time_ns() - begun
+            self.spent_ns += time.thread_time_ns() - started_ns
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingCall:
-    """A call and its bytes."""
+    """A call and its encoded request."""
 
     call: RelayCall | ListCall
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class KeptState:
-    """What a sender has in its folder of the list."""
+class SavedState:
+    """The state that a sender saves in its folder for the next process run."""
 
     snapshots: tuple[ShardSnapshot, ...]
     placement: PlacementUpdate
@@ -106,7 +107,7 @@
 
 
 class SimulatedSender:
-    """One sender's control part."""
+    """The control plane of one sender."""
 
     def __init__(
         self, name: str, zone: str, relays: Sequence[RelayName], timing: Timing, shard_count: int,
@@ -125,19 +126,19 @@
 
     @property
     def state(self) -> tuple[object, ...]:
-        """What its memory is measured by."""
+        """The objects whose memory is measured."""
         return (self.subscription, self.hops, self.policy)
 
-    def keep(self) -> KeptState:
-        """What a process leaves to the next one of its name."""
+    def save(self) -> SavedState:
+        """The state that the next process of this name starts from."""
         snapshots = tuple(self.store.snapshot(shard) for shard in sorted(self.store.shards()))
-        return KeptState(snapshots, self.subscription.placement, self.store.confirmed_at)
+        return SavedState(snapshots, self.subscription.placement, self.store.confirmed_at)
 
-    def restore(self, kept: KeptState, now: float) -> None:
-        """Begin with what the process before left."""
+    def restore(self, saved: SavedState, now: float) -> None:
+        """Start from the state that the previous process saved."""
         with self.processor.counted():
-            news = self.subscription.restore(kept.snapshots, kept.placement, kept.confirmed_at)
-            self._tell_policy(news, now)
+            update = self.subscription.restore(saved.snapshots, saved.placement, saved.confirmed_at)
+            self._update_policy(update, now)
 
     def poll(self, now: float) -> list[OutgoingCall]:
         """The calls to be made now."""
@@ -147,40 +148,40 @@
             ]
 
     def wakes_at(self, now: float) -> float:
-        """When to poll next, if nothing comes in before."""
+        """The time of the next poll, if nothing arrives before."""
         return self.subscription.wakes_at(now)
 
     def answered(self, call: RelayCall, data: bytes, now: float, pool: RecordPool) -> Update:
-        """A relay's answer has come, with its HTTP head."""
+        """Apply a relay's answer, given with its HTTP head."""
         with self.processor.counted():
             reply = _read_reply(data, self._shard_count)
         reply = pool.share(reply)
         with self.processor.counted():
             update = self.subscription.answered(call, reply, now)
-            self.take(update, now)
+            self.apply_update(update, now)
         return update
 
-    def take(self, update: Update, now: float) -> None:
-        """What an answer has changed."""
+    def apply_update(self, update: Update, now: float) -> None:
+        """Pass the changes of an answer to the decision module."""
         self.rejections += len(update.rejections)
-        self._tell_policy(update, now)
+        self._update_policy(update, now)
 
     def failed(self, call: RelayCall, now: float) -> None:
-        """A call was given up after its limit."""
+        """Record that a call has timed out."""
         with self.processor.counted():
             self.subscription.failed(call, now, silent=True)
 
-    def _tell_policy(self, update: Update, now: float) -> None:
+    def _update_policy(self, update: Update, now: float) -> None:
         if not (update.put or update.gone):
             return
         self._revision += 1
         hops = [removed_hop(record) for record in removed_records(update)]
-        hops += [next_hop(record, _RATE_PER_WEIGHT) for record in update.put]
+        hops += [next_hop(record, _CALLS_PER_S_PER_WEIGHT) for record in update.put]
         change = self.hops.apply_update(MapUpdate(self._revision, False, tuple(hops)), False, now)
         self.policy.handle(io.Targets(io.ListKind.DELTA, self._revision, change.entries), now)
 
-    def shows(self, shard: int, destination: int, number: int) -> bool:
-        """Whether store and decision module have a destination as of this change, or a later one."""
+    def has_applied(self, shard: int, destination: int, number: int) -> bool:
+        """Whether store and decision module include this change of a destination, or a later one."""
         return any(
             record.destination == destination
             and record.started_ms >= number
@@ -189,7 +190,7 @@
         )
 
     def ready(self) -> bool:
-        """Whether all shards that are placed here are held."""
+        """Whether the store has all shards that are placed on this sender."""
         subscription = self.subscription
         return subscription.placement.revision != NO_VERSION and all(
             shard in self.store for shard in subscription.shards()
@@ -206,7 +207,7 @@
 
 
 class SimulatedRelay:
-    """One relay with its encoding."""
+    """One relay and its encoding."""
 
     def __init__(self, relay: Relay, shard_count: int) -> None:
         self.relay = relay
@@ -225,11 +226,11 @@
         return request("GET", f"/registry/instances{query}", _HOST, {})
 
     def wakes_at(self, now: float) -> float:
-        """When to poll, and to look for answers that are due, next."""
+        """The time of the next poll, and of the next check for answers that are due."""
         return self.relay.wakes_at(now)
 
     def answered(self, call: RelayCall | ListCall, data: bytes, now: float, pool: RecordPool) -> Update:
-        """What it follows has answered."""
+        """Apply an answer of the upstream relay or of discovery."""
         with self.processor.counted():
             if isinstance(call, ListCall):
                 return self.relay.answered(call, orjson.loads(_body(data)), now)
@@ -239,12 +240,12 @@
             return self.relay.answered(call, reply, now)
 
     def failed(self, call: RelayCall | ListCall, now: float) -> None:
-        """A call was given up after its limit."""
+        """Record that a call has timed out."""
         with self.processor.counted():
             self.relay.failed(call, now, silent=True)
 
     def fill(self, source: ShardStore, now: float) -> None:
-        """Begin with what another relay holds, as if it had been asked for all of it at no cost."""
+        """Fill the relay from another store, as if it had fetched everything at no cost."""
         while not self.relay.upstream.ready:
             for call in self.relay.poll(now):
                 assert isinstance(call, RelayCall)
@@ -252,24 +253,24 @@
                 self.relay.answered(call, Answer(source.as_of, 0.0, snapshots=snapshots), now)
 
     def ask(self, data: bytes, now: float) -> bytes | HeldAsk:
-        """An ask with its HTTP head: the answer, or that it is held."""
+        """Process an ask, given with its HTTP head; returns the answer, or that the ask is held."""
         with self.processor.counted():
             message = Parser(requests=True, most_body=MAX_ASK_BYTES).feed(data)[0]
             reply = self.relay.ask(decode_ask(message.body, self._shard_count), now)
             return reply if isinstance(reply, HeldAsk) else _response(reply)
 
     def take_ready(self, now: float) -> list[tuple[int, bytes]]:
-        """The answers to held asks that are due, by number."""
+        """The answers that are due for held asks, with the numbers of the asks."""
         with self.processor.counted():
             return [(number, _response(reply)) for number, reply in self.relay.take_ready(now)]
 
-    def placed(self, step: Callable[[], frozenset[str]]) -> None:
-        """The placement takes a step."""
+    def step_placement(self, step: Callable[[], frozenset[str]]) -> None:
+        """Take one step of the placement, and pass the affected members to the relay."""
         with self.processor.counted():
             self.relay.placement_changed(step())
 
     def drop(self, number: int) -> None:
-        """Nobody waits for a held ask any more."""
+        """Drop a held ask that its caller no longer waits for."""
         with self.processor.counted():
             self.relay.drop(number)
 
@@ -284,22 +285,22 @@
 
 
 class RecordPool:
-    """Records of the same content share memory between hollow parties, which real ones would each have.
+    """Shares equal records between simulated processes, to save memory; real processes have copies each.
 
-    Memory of a party is measured with all that it holds, shared or not, so its figure is not touched by this.
+    This does not affect measured memory: the figure of a process includes all records that it refers to.
     """
 
     def __init__(self) -> None:
         self._records: dict[EndpointRecord, EndpointRecord] = {}
 
     def share(self, reply: Reply) -> Reply:
-        """The same answer, with records that are known already."""
+        """The same answer, with its records replaced by equal ones of the pool."""
         if not isinstance(reply, Answer):
             return reply
-        snapshots = tuple(replace(one, records=self._known(one.records)) for one in reply.snapshots)
-        deltas = tuple(replace(one, put=self._known(one.put)) for one in reply.deltas)
+        snapshots = tuple(replace(one, records=self._pooled(one.records)) for one in reply.snapshots)
+        deltas = tuple(replace(one, put=self._pooled(one.put)) for one in reply.deltas)
         return replace(reply, snapshots=snapshots, deltas=deltas)
 
-    def _known(self, records: tuple[EndpointRecord, ...]) -> tuple[EndpointRecord, ...]:
-        known = self._records
-        return tuple(known.setdefault(record, record) for record in records)
+    def _pooled(self, records: tuple[EndpointRecord, ...]) -> tuple[EndpointRecord, ...]:
+        records_by_value = self._records
+        return tuple(records_by_value.setdefault(record, record) for record in records)
--- a/mountgauge/lab/scale/world.py
+++ b/mountgauge/lab/scale/world.py
@@ -1,8 +1,8 @@
-"""A fleet in virtual time: hollow senders, a tree of relays and discovery, under a schedule of changes and
+"""A fleet in virtual time: simulated senders, a tree of relays and discovery, with a schedule of changes and
 faults.
 
-One seed gives one course; only processor time differs. Discovery stands in region 0, the upper relays in
-regions of their own as far as there are, and each zone has one relay.
+Runs with the same seed are identical except for processor time. Discovery is in region 0, the upper relays
+are spread over the regions, and each zone has one relay.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from mountgauge.lab.scale.accounts import Accounts, Role, load_peak
 from mountgauge.lab.scale.discovery import DiscoveryList, Line
 from mountgauge.lab.scale.memory import deep_size
-from mountgauge.lab.scale.nodes import DiscoveryNode, RelayNode, SenderNode, Surroundings
+from mountgauge.lab.scale.nodes import DiscoveryNode, FleetContext, RelayNode, SenderNode
 from mountgauge.lab.scale.placements import FleetPlacement
 from mountgauge.lab.scale.propagation import Histogram, PropagationTracker
 from mountgauge.lab.scale.results import Propagation, RelayCosts, SenderCosts, SizeResult
@@ -31,8 +31,8 @@
 )
 from mountgauge.lab.scale.settings import ScaleSettings, Size
 from mountgauge.lab.scale.simulated import (
-    KeptState,
     RecordPool,
+    SavedState,
     SimulatedRelay,
     SimulatedSender,
     policy_settings,
@@ -49,22 +49,22 @@
 from mountgauge.sharding.timing import RELAY_TIMING, Timing
 from mountgauge.sharding.upstream import Update
 
-PLACEMENT_STEP_S = 1.0  # between two steps of moves at a relay
-MEMBER_FILE_SPREAD_S = 1.0  # over which a new members' file comes to the relays
-_ZONES_START_S = 3.0  # after the upper relays, which have the whole list then
-_START_SPREAD_S = 2.0  # over which senders start at the run's begin
+PLACEMENT_STEP_S = 1.0  # between two placement steps at a relay
+MEMBER_FILE_SPREAD_S = 1.0  # a new members file reaches the relays within this time
+_ZONE_RELAYS_START_S = 3.0  # after the upper relays, which have the full list by then
+_START_SPREAD_S = 2.0  # at the run's start all senders start within this time
 _DISCOVERY_REGION = 0
-_PLACEMENT = "placement"  # topic of membership changes; the others are shards
-_SAMPLED = 12  # senders whose memory is measured
+_PLACEMENT = "placement"  # tracker topic of membership changes; the other topics are shard numbers
+_SAMPLED_SENDERS = 12  # senders whose memory is measured
 
 
 def sender_name(sender: int) -> str:
-    """As long as a host name of a large fleet is."""
+    """The name of a sender, as long as the host names of a large fleet."""
     return f"sender-{sender:05d}"
 
 
 class World:
-    """All of one size."""
+    """The simulated fleet of one size."""
 
     def __init__(self, settings: ScaleSettings, size: Size, schedule: Schedule) -> None:
         self.settings, self.size, self.schedule = settings, size, schedule
@@ -76,39 +76,39 @@
         self.zones = tuple(f"zone-{zone}" for zone in range(settings.fleet.zones))
         self.list = DiscoveryList(size.destinations, self.zones)
         self.relays: dict[str, RelayNode] = {}
-        self.senders: dict[int, SenderNode] = {}  # processes that are there now
+        self.senders: dict[int, SenderNode] = {}  # running processes
         self.accounts = Accounts()
-        self.starts = Histogram()  # s from the start of a process until it holds its part
+        self.starts = Histogram()  # seconds from the start of a process until it has all its shards
         self.start_cpu_s: list[float] = []
         self.start_bytes: list[int] = []
         self.moved_share = 0.0
         party = Party("discovery", _DISCOVERY_REGION)
         discovery = DiscoveryNode(self.loop, self.network, self.list, party)
-        self.around = Surroundings(self.loop, self.network, RecordPool(), self.relays, discovery)
+        self.context = FleetContext(self.loop, self.network, RecordPool(), self.relays, discovery)
         self.placement = FleetPlacement(
             [Member(sender_name(one), self._zone(one)) for one in range(size.senders)],
             size.shards, settings.fleet.replicas,
         )  # fmt: skip
-        self._cut_regions: set[int] = set()  # without a way to discovery
+        self._cut_regions: set[int] = set()  # regions without a path to discovery
         self._down_until: dict[int, float] = {}
-        self._kept: dict[int, KeptState] = {}  # of those that are down
+        self._saved: dict[int, SavedState] = {}  # of senders that are down
         self._policy_settings = policy_settings(size.senders)
         self._discovery_calls = 0
         self._start_all()
-        self._set_events()
+        self._schedule_events()
 
     def run_until(self, end: float) -> None:
-        """Play up to a time."""
+        """Run the simulation up to a time."""
         self.loop.run_until(end)
 
-    # Places
+    # Locations
 
-    def _place(self, sender: int) -> Location:
-        """One that is added stands where one of the first stands."""
+    def _location(self, sender: int) -> Location:
+        """The location of a sender; an added sender shares the location of an initial one."""
         return self.schedule.locations[sender % len(self.schedule.locations)]
 
     def _zone(self, sender: int) -> str:
-        return self.zones[self._place(sender).zone]
+        return self.zones[self._location(sender).zone]
 
     # Starting and ending processes
 
@@ -118,19 +118,19 @@
         self._zonal = [RelayName(f"relay-{zone}", zone) for zone in self.zones]
         for number in range(len(self._upper)):
             self._start_relay(number)
-        self.loop.at(_ZONES_START_S, self._start_zones)
+        self.loop.at(_ZONE_RELAYS_START_S, self._start_zone_relays)
         for sender in range(self.size.senders):
-            at = self.rng.uniform(_ZONES_START_S, _ZONES_START_S + _START_SPREAD_S)
+            at = self.rng.uniform(_ZONE_RELAYS_START_S, _ZONE_RELAYS_START_S + _START_SPREAD_S)
             self.loop.at(at, partial(self._start_sender, sender))
 
-    def _start_zones(self) -> None:
-        """The first relays of the zones have the list at once; those that start anew ask for it."""
+    def _start_zone_relays(self) -> None:
+        """Start the zone relays with the list already filled in; restarted ones fetch it."""
         source = self.relays[self._upper[0].name].machine.relay.store
         for number in range(len(self._upper), len(self._upper) + len(self._zonal)):
             self._start_relay(number, source)
 
     def _start_relay(self, number: int, filled_from: ShardStore | None = None) -> None:
-        """The upper relays have the first numbers."""
+        """Start relay `number`; the upper relays have the first numbers."""
         fleet, upper = self.settings.fleet, len(self._upper)
         store, rng = ShardStore(self.size.shards), random.Random(self.rng.random())
         if number < upper:
@@ -145,53 +145,53 @@
             upstream = Subscription(name, store, picker, RELAY_TIMING, rng, all_shards=True)
             relay = Relay(name, upstream, RelaySettings(), self.placement.for_relay())
         load = self.relays[name].load if name in self.relays else None
-        node = RelayNode(self.around, Party(name, region), SimulatedRelay(relay, self.size.shards), load)
+        node = RelayNode(self.context, Party(name, region), SimulatedRelay(relay, self.size.shards), load)
         self.relays[name] = node
         self.accounts.started(role, node)
         if filled_from is not None:
             node.machine.fill(filled_from, self.loop.now)
         node.drive()
 
-    def _end_relay(self, number: int) -> None:
+    def _stop_relay(self, number: int) -> None:
         names = [*self._upper, *self._zonal]
         name = names[number].name
         role = Role.UPPER_RELAY if number < len(self._upper) else Role.ZONE_RELAY
         self.relays[name].end()
         self.accounts.ended(role, name)
 
-    def _start_sender(self, sender: int, kept: KeptState | None = None) -> None:
+    def _start_sender(self, sender: int, saved: SavedState | None = None) -> None:
         machine = SimulatedSender(
             sender_name(sender), self._zone(sender), self._zonal, self.timing, self.size.shards,
             self._policy_settings, self.rng.getrandbits(60),
         )  # fmt: skip
-        party = Party(sender_name(sender), self._place(sender).region)
-        node = SenderNode(self.around, party, sender, machine, self._updated)
+        party = Party(sender_name(sender), self._location(sender).region)
+        node = SenderNode(self.context, party, sender, machine, self._updated)
         self.senders[sender] = node
         self.accounts.started(Role.SENDER, node)
-        if kept is not None:
-            machine.restore(kept, self.loop.now)
+        if saved is not None:
+            machine.restore(saved, self.loop.now)
         node.drive()
 
-    def _end_sender(self, sender: int, until: float, keeps_folder: bool) -> None:
-        """Its process ends now; the next one starts at `until`, or later where another fault lasts longer."""
+    def _stop_sender(self, sender: int, until: float, keeps_folder: bool) -> None:
+        """End its process now; the next one starts at `until`, or later if another fault lasts longer."""
         self._down_until[sender] = max(until, self._down_until.get(sender, 0.0))
         node = self.senders.pop(sender, None)
         if not keeps_folder:
-            self._kept.pop(sender, None)
+            self._saved.pop(sender, None)
         elif node is not None and node.ready_at is not None:
-            self._kept[sender] = node.machine.keep()
+            self._saved[sender] = node.machine.save()
         if node is not None:
             node.end()
             self.accounts.ended(Role.SENDER, sender_name(sender))
-            self.tracker.gone(sender)
+            self.tracker.process_ended(sender)
 
     def _restart_sender(self, sender: int) -> None:
         if sender not in self.senders and self.loop.now >= self._down_until[sender]:
-            self._start_sender(sender, self._kept.pop(sender, None))
+            self._start_sender(sender, self._saved.pop(sender, None))
 
     # Events
 
-    def _set_events(self) -> None:
+    def _schedule_events(self) -> None:
         for change in self.schedule.changes:
             self.loop.at(change.at, partial(self._change_list, change))
         for membership in self.schedule.membership:
@@ -203,7 +203,7 @@
 
     def _begin_counting(self) -> None:
         self.accounts.begin(self.loop.now)
-        self._discovery_calls = self.around.discovery.calls
+        self._discovery_calls = self.context.discovery.calls
 
     def _change_list(self, change: ListChange) -> None:
         self.list.apply(change)
@@ -213,33 +213,33 @@
             if (number := sender_number(name)) in self.senders
             and self.senders[number].machine.subscription.follows(shard)
         ]  # fmt: skip
-        shows = partial(self._shows, shard, change)
-        self.tracker.changed(shard, change.destination, change.number, waiting, self.loop.now, shows)
-        self.around.discovery.changed()
+        has_applied = partial(self._has_applied, shard, change)
+        self.tracker.changed(shard, change.destination, change.number, waiting, self.loop.now, has_applied)
+        self.context.discovery.changed()
 
-    def _shows(self, shard: int, change: ListChange, sender: int) -> bool:
-        return self.senders[sender].machine.shows(shard, change.destination, change.number)
+    def _has_applied(self, shard: int, change: ListChange, sender: int) -> bool:
+        return self.senders[sender].machine.has_applied(shard, change.destination, change.number)
 
     def _change_members(self, change: MembershipChange) -> None:
         name = sender_name(change.sender)
         if change.kind is MembershipKind.REMOVED:
             moves = self.placement.remove(name)
-            self.moved_share = max(self.moved_share, moves.moved / max(1, moves.own_part))
+            self.moved_share = max(self.moved_share, moves.moved / max(1, moves.removed_replicas))
         else:
             moves = self.placement.add(name, self._zone(change.sender))
             self._start_sender(change.sender)
         waiting = [one for affected in moves.affected if (one := sender_number(affected)) in self.senders]
         self.tracker.changed(
-            _PLACEMENT, name, self.placement.file.epoch, waiting, self.loop.now, self._shows_placement
+            _PLACEMENT, name, self.placement.file.epoch, waiting, self.loop.now, self._has_applied_placement
         )
         for relay in self._zonal:
             delay_s = self.rng.uniform(0.0, MEMBER_FILE_SPREAD_S)
             self.loop.after(delay_s, partial(self._relay_adopts, relay.name))
 
-    def _shows_placement(self, sender: int) -> bool:
-        placed = self.placement.target.shards(sender_name(sender))
+    def _has_applied_placement(self, sender: int) -> bool:
+        assigned = self.placement.target.shards(sender_name(sender))
         subscription = self.senders[sender].machine.subscription
-        return subscription.shards() == placed and all(shard in subscription.store for shard in placed)
+        return subscription.shards() == assigned and all(shard in subscription.store for shard in assigned)
 
     def _relay_adopts(self, name: str) -> None:
         node = self.relays[name]
@@ -250,7 +250,7 @@
 
     def _step_placement(self, node: RelayNode, placement: Placement) -> None:
         if node.party.up and placement.pending:
-            node.placed(placement.step)
+            node.step_placement(placement.step)
             self.loop.after(PLACEMENT_STEP_S, partial(self._step_placement, node, placement))
 
     # Faults
@@ -260,22 +260,22 @@
             case FaultKind.REGION_CUT:
                 self.network.cut(fault.targets[0])
             case FaultKind.SLOW_RELAY:
-                self._slow(fault.targets[0], self.settings.faults.slow_by_s)
+                self._slow_relay_by(fault.targets[0], self.settings.faults.slow_by_s)
             case FaultKind.RELAY_LOST:
-                self._end_relay(fault.targets[0])
+                self._stop_relay(fault.targets[0])
             case _:
                 for sender in fault.targets:
-                    self._end_sender(sender, fault.until, fault.kind is FaultKind.RESTART)
+                    self._stop_sender(sender, fault.until, fault.kind is FaultKind.RESTART)
         if fault.kind is FaultKind.ZONE:
-            self._end_relay(self._relay_of(fault))
-        self._look_for_ways()
+            self._stop_relay(self._relay_of(fault))
+        self._update_reachability()
 
     def _end_fault(self, fault: Fault) -> None:
         match fault.kind:
             case FaultKind.REGION_CUT:
                 self.network.heal(fault.targets[0])
             case FaultKind.SLOW_RELAY:
-                self._slow(fault.targets[0], 0.0)
+                self._slow_relay_by(fault.targets[0], 0.0)
             case FaultKind.RELAY_LOST:
                 self._restart_relay(fault.targets[0])
             case _:
@@ -283,43 +283,45 @@
                     self._restart_sender(sender)
         if fault.kind is FaultKind.ZONE:
             self._restart_relay(self._relay_of(fault))
-        self._look_for_ways()
+        self._update_reachability()
 
     def _relay_of(self, fault: Fault) -> int:
-        return len(self._upper) + self._place(fault.targets[0]).zone
+        return len(self._upper) + self._location(fault.targets[0]).zone
 
     def _restart_relay(self, number: int) -> None:
         name = [*self._upper, *self._zonal][number].name
         if not self.relays[name].party.up:
             self._start_relay(number)
 
-    def _slow(self, number: int, by_s: float) -> None:
+    def _slow_relay_by(self, number: int, by_s: float) -> None:
         self.relays[[*self._upper, *self._zonal][number].name].party.slow_by_s = by_s
 
-    def _look_for_ways(self) -> None:
-        """Where a way to discovery is found again, what senders there lack counts from now on."""
+    def _update_reachability(self) -> None:
+        """Restart the clock of pending changes in regions that have a path to discovery again."""
         regions = range(self.settings.fleet.regions)
-        cut = {region for region in regions if not self._has_way(region)}
+        cut = {region for region in regions if not self._can_reach_discovery(region)}
         healed = self._cut_regions - cut
         self._cut_regions = cut
         if healed:
-            back = {one for one, node in self.senders.items() if node.party.region in healed}
-            self.tracker.restart_clock(back, self.loop.now)
+            senders = {one for one, node in self.senders.items() if node.party.region in healed}
+            self.tracker.restart_clock(senders, self.loop.now)
 
-    def _has_way(self, region: int) -> bool:
-        """Whether a zone's relay can be reached from a region, and discovery from there."""
-        heard = self.network.connected
-        upper = [
+    def _can_reach_discovery(self, region: int) -> bool:
+        """Whether a region reaches a zone relay that reaches discovery through an upper relay."""
+        connected = self.network.connected
+        upper_regions = [
             party.region for name in self._upper
-            if (party := self.relays[name.name].party).up and heard(party.region, _DISCOVERY_REGION)
+            if (party := self.relays[name.name].party).up and connected(party.region, _DISCOVERY_REGION)
         ]  # fmt: skip
         return any(
-            party.up and heard(region, party.region) and any(heard(party.region, above) for above in upper)
+            party.up
+            and connected(region, party.region)
+            and any(connected(party.region, one) for one in upper_regions)
             for name in self._zonal
             if (party := self.relays[name.name].party)
         )
 
-    # What senders say
+    # Updates of senders
 
     def _updated(self, node: SenderNode, update: Update) -> None:
         now = self.loop.now
@@ -336,12 +338,12 @@
     def _unfollow(self, node: SenderNode) -> None:
         for topic in self.tracker.topics():
             if isinstance(topic, int) and not node.machine.subscription.follows(topic):
-                self.tracker.left(node.number, topic)
+                self.tracker.unfollowed(node.number, topic)
 
     # Figures
 
     def result(self, wall_s: float, resident_mb: float) -> SizeResult:
-        """All figures, at the end."""
+        """All figures, at the end of the run."""
         now, size = self.loop.now, self.size
         return SizeResult(
             size=size,
@@ -351,7 +353,7 @@
             relay_load_peak=load_peak(
                 [self.relays[one.name] for one in self._zonal], self.settings.warm_s, now
             ),
-            discovery_calls_s=(self.around.discovery.calls - self._discovery_calls)
+            discovery_calls_s=(self.context.discovery.calls - self._discovery_calls)
             / (now - self.settings.warm_s),
             propagation=self._propagation(),
             moved_share=self.moved_share,
@@ -372,7 +374,7 @@
 
     def _sender_costs(self) -> SenderCosts:
         mean = self.accounts.mean(Role.SENDER, self.loop.now)
-        numbers = sorted(self.senders)[:: max(1, len(self.senders) // _SAMPLED)]
+        numbers = sorted(self.senders)[:: max(1, len(self.senders) // _SAMPLED_SENDERS)]
         shared: list[object] = [self._policy_settings, self.timing, self._zonal, sys.modules]
         sizes = [deep_size(self.senders[one].machine.state, shared) for one in numbers]
         return SenderCosts(
@@ -387,7 +389,7 @@
         return RelayCosts(mean.count, mean.cpu_share, mean.most_cpu_share, mean.kb_s, mean.messages_s, mb)
 
     def wrong_shards(self) -> int:
-        """Shards that a sender should hold and holds otherwise than discovery has them."""
+        """The number of shards whose copy at a sender differs from discovery's list."""
         listed: dict[int, dict[str, Line]] = {}
         for line in self.list.lines:
             listed.setdefault(shard_of(line.destination, self.size.shards), {})[line.id] = line
@@ -397,18 +399,18 @@
             for shard in self.placement.target.shards(sender_name(number)):
                 held = machine.store.records(shard)
                 wanted = listed.get(shard, {})
-                right = held.keys() == wanted.keys() and all(
-                    _same(record, wanted[name]) and name.encode() in machine.policy.endpoints
+                correct = held.keys() == wanted.keys() and all(
+                    _same_entry(record, wanted[name]) and name.encode() in machine.policy.endpoints
                     for name, record in held.items()
                 )
-                wrong += shard not in machine.store or not right
+                wrong += shard not in machine.store or not correct
         return wrong
 
 
-def _same(record: EndpointRecord, line: Line) -> bool:
+def _same_entry(record: EndpointRecord, line: Line) -> bool:
     return (record.state.value, record.weight, record.started_ms) == (line.state, line.weight, line.number)
 
 
 def sender_number(name: str) -> int:
-    """The number behind a sender's name."""
+    """The number in a sender's name."""
     return int(name.rpartition("-")[2])
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -267,7 +267,7 @@
     tracker.changed("shard", "e1", 1, [1, 2], 10.0, shown.__contains__)
     tracker.restart_clock({1}, 50.0)
     tracker.updated(1, "shard", 51.0)
-    tracker.gone(2)
+    tracker.process_ended(2)
     assert tracker.pending() == 0 and tracker.not_waited_for == 1
     assert tracker.steady.count == 0 and tracker.after_heal.worst == pytest.approx(1.0, rel=0.01)
 
