--- a/mountgauge/lab/scale/command.py
+++ b/mountgauge/lab/scale/command.py
@@ -1,4 +1,4 @@
-"""`mountgauge lab scale FILE`: a scale run, its table, its page and its last line of JSON."""
+"""`mountgauge lab scale FILE`: runs a scale run; prints a table and a summary line of JSON, writes a page."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 from mountgauge.lab.scale.live import ComparisonError, compare
 from mountgauge.lab.scale.results import ScaleResult, broken_bounds, slopes, with_io
-from mountgauge.lab.scale.runner import RunStoppedError, play_sizes
+from mountgauge.lab.scale.runner import RunStoppedError, run_sizes
 from mountgauge.lab.scale.settings import ScaleSettings, load
 
-EXIT_HELD, EXIT_BROKEN = 0, 1
+EXIT_BOUNDS_MET, EXIT_FAILED = 0, 1
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """What the command takes."""
+    """Add the arguments of the command."""
     parser.add_argument("file", type=Path)
     parser.add_argument("--out", type=Path, help="the run's folder; default: runs/NAME-SEED")
     parser.add_argument("--seed", type=int, help="in place of the file's")
@@ -29,8 +29,8 @@
 def measure(
     settings: ScaleSettings, file: Path, real: bool, show: Callable[[str], None] = print
 ) -> ScaleResult:
-    """Play all sizes of a file, and compare; RunStoppedError or ComparisonError where it cannot go on."""
-    sizes = tuple(play_sizes(settings, file, show))
+    """Run all sizes of a file and the comparison; raises RunStoppedError or ComparisonError."""
+    sizes = tuple(run_sizes(settings, file, show))
     compared = compare(settings.real, settings.seed, show) if real and settings.real.senders else None
     if compared is not None:
         sizes = tuple(with_io(one, compared) for one in sizes)
@@ -42,7 +42,10 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Exit 0: all bounds are held; 1: one is not; ConfigError: the file cannot be used."""
+    """Run the command and return its exit code: 0 if all bounds are met, else 1.
+
+    Raises ConfigError if the settings file is not valid.
+    """
     settings = load(args.file)
     if args.seed is not None:
         settings = settings.with_seed(args.seed)
@@ -55,7 +58,7 @@
         result = measure(settings, args.file, not args.no_real)
     except (RunStoppedError, ComparisonError) as error:
         print(f"mountgauge: {error}", file=sys.stderr)
-        return EXIT_BROKEN
+        return EXIT_FAILED
     folder.mkdir(parents=True, exist_ok=True)
     (folder / "scale.json").write_text(json.dumps(result.as_json(), indent=1) + "\n")
     if not args.no_page:
@@ -65,8 +68,8 @@
 
 
 def report(result: ScaleResult) -> int:
-    """Print what is not held and the last line; the exit code."""
+    """Print the bounds that are not met and the summary line; return the exit code."""
     for one in result.broken:
         print(f"broken: {one}")
     print(json.dumps(result.summary()))
-    return EXIT_BROKEN if result.broken else EXIT_HELD
+    return EXIT_FAILED if result.broken else EXIT_BOUNDS_MET
--- a/mountgauge/lab/scale/page.py
+++ b/mountgauge/lab/scale/page.py
@@ -1,6 +1,6 @@
-"""One HTML page of a scale run, without network: costs over sizes, times of changes, what is not held.
+"""Self-contained HTML page of a scale run: costs by size, propagation times, bounds that are not met.
 
-Charts are SVG by matplotlib, the page is Jinja2's; both are optional parts (`requirements-lab.txt`).
+matplotlib draws the charts as SVG, Jinja2 renders the page; both are optional (`requirements-lab.txt`).
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 {% for one in sizes %}<tr>{% for value in one.values() %}<td>{{ value }}{% endfor %}</tr>{% endfor %}
 </table></div></body></html>
 """
-_SHARES = (0.01, *(place / 100 for place in range(5, 100, 5)), 0.99, 0.995, 0.999, 0.9999, 1.0)
+_SHARES = (0.01, *(percent / 100 for percent in range(5, 100, 5)), 0.99, 0.995, 0.999, 0.9999, 1.0)
 
 
 class Chart(NamedTuple):
@@ -85,18 +85,24 @@
     return plot
 
 
-def _over_sizes(plot: Any, result: ScaleResult, costs: Sequence[str], unit: str) -> str:
-    """Measured costs over the number of senders, and where their laws lead."""
+def _costs_by_size(plot: Any, result: ScaleResult, costs: Sequence[str], unit: str) -> str:
+    """Chart measured costs by number of senders, with the estimates for the full size."""
     figure, axes = plot.subplots(figsize=(11, 3.4))
     for cost in costs:
-        of: Callable[[SizeResult], float] = COSTS[cost]
-        on_ray = [one for one in result.sizes if proportional(one.size)]
-        off_ray = [one for one in result.sizes if not proportional(one.size)]
+        cost_of: Callable[[SizeResult], float] = COSTS[cost]
+        fitted_sizes = [one for one in result.sizes if proportional(one.size)]
+        other_sizes = [one for one in result.sizes if not proportional(one.size)]
         (line,) = axes.plot(
-            [one.size.senders for one in on_ray], [of(one) for one in on_ray], "o-", label=cost
+            [one.size.senders for one in fitted_sizes],
+            [cost_of(one) for one in fitted_sizes],
+            "o-",
+            label=cost,
         )
         axes.plot(
-            [one.size.senders for one in off_ray], [of(one) for one in off_ray], "x", color=line.get_color()
+            [one.size.senders for one in other_sizes],
+            [cost_of(one) for one in other_sizes],
+            "x",
+            color=line.get_color(),
         )
         slope = result.slope(cost)
         if slope is not None and slope.at_size is not None:
@@ -109,8 +115,8 @@
     return text
 
 
-def _times(plot: Any, result: ScaleResult) -> str:
-    """The share of pairs of change and sender over the time that they took, for each size."""
+def _propagation_times(plot: Any, result: ScaleResult) -> str:
+    """Chart, for each size, the distribution of the times from a change to its being in force."""
     figure, axes = plot.subplots(figsize=(11, 3.4))
     for one in result.sizes:
         histogram = Histogram()
@@ -131,7 +137,7 @@
         "senders": one.size.senders,
         "destinations": one.size.destinations,
         "shards": one.size.shards,
-        **{cost: f"{of(one):.4g}" for cost, of in COSTS.items()},
+        **{cost: f"{cost_of(one):.4g}" for cost, cost_of in COSTS.items()},
         "p50, s": f"{times.p50_s:.3f}",
         "p99, s": f"{times.p99_s:.3f}",
         "worst, s": f"{times.worst_s:.3f}",
@@ -145,7 +151,7 @@
 
 
 def page_text(settings: ScaleSettings, result: ScaleResult, charts: Sequence[Chart]) -> str:
-    """The page of a run with these charts."""
+    """Render the page of a run with these charts."""
     from jinja2 import Environment
 
     page = Environment(autoescape=True).from_string(_PAGE)
@@ -156,23 +162,25 @@
 
 
 def draw_charts(result: ScaleResult) -> list[Chart]:
-    """All charts of a run."""
+    """Draw all charts of a run."""
     plot = _pyplot()
     return [
-        Chart("Times of changes", _times(plot, result)),
-        Chart("A sender's processor time", _over_sizes(plot, result, ["cpu_share"], "share of a core")),
-        Chart("A sender's bytes", _over_sizes(plot, result, ["kb_s"], "kB/s")),
-        Chart("A sender's memory", _over_sizes(plot, result, ["mb"], "MB")),
+        Chart("Times of changes", _propagation_times(plot, result)),
+        Chart("A sender's processor time", _costs_by_size(plot, result, ["cpu_share"], "share of a core")),
+        Chart("A sender's bytes", _costs_by_size(plot, result, ["kb_s"], "kB/s")),
+        Chart("A sender's memory", _costs_by_size(plot, result, ["mb"], "MB")),
         Chart(
             "Relays' processor time",
-            _over_sizes(plot, result, ["zone_relay_cpu_share", "upper_relay_cpu_share"], "share of a core"),
+            _costs_by_size(
+                plot, result, ["zone_relay_cpu_share", "upper_relay_cpu_share"], "share of a core"
+            ),
         ),
-        Chart("Relays' memory", _over_sizes(plot, result, ["zone_relay_mb", "upper_relay_mb"], "MB")),
+        Chart("Relays' memory", _costs_by_size(plot, result, ["zone_relay_mb", "upper_relay_mb"], "MB")),
     ]
 
 
 def check_libraries() -> None:
-    """ConfigError where what a page needs is not installed."""
+    """Raise ConfigError if a library that the page needs is not installed."""
     for name in ("jinja2", "matplotlib"):
         if find_spec(name) is None:
             raise ConfigError(f"lab: {name} is missing: see requirements-lab.txt, or use --no-page")
--- a/mountgauge/lab/scale/results.py
+++ b/mountgauge/lab/scale/results.py
@@ -1,4 +1,7 @@
-"""Figures of a scale run: of each size, fitted over sizes, and judged by the settings' bounds."""
+"""Results of a scale run: the figures of each size, growth laws over sizes, and the check of the bounds.
+
+"Hollow" in field names, keys and texts stands for simulated senders (`simulated`).
+"""
 
 from __future__ import annotations
 
@@ -11,27 +14,27 @@
 from mountgauge.lab.scale.settings import BoundSettings, Size
 
 FULL_SIZE = Size(18_000, 1_700_000, 65_536)
-ON_RAY = 0.1  # relative difference up to which a size has the full size's proportions
-NOT_RUN, UNKNOWN = "not run", "unknown"  # in the place of a figure
-RELAY_LOAD = 0.7  # share of a core up to which a relay is used
+PROPORTION_TOLERANCE = 0.1  # largest relative difference from the full size's proportions
+NOT_RUN, UNKNOWN = "not run", "unknown"  # in place of a figure
+MAX_RELAY_LOAD = 0.7  # share of a core that a relay may use
 
 
 @dataclass(frozen=True, slots=True)
 class SenderCosts:
-    """Of the control part of one sender, the mean over all of them."""
+    """Costs of a sender's control plane, as the mean over all senders."""
 
     cpu_share: float  # of a core, without sockets
-    kb_s: float  # thousands of bytes a second, sent and received
-    messages_s: float  # sent and received
+    kb_s: float  # thousands of bytes per second, sent and received
+    messages_s: float  # per second, sent and received
     mb: float  # millions of bytes
-    start_cpu_s: float  # processor time until the first lists are in force
+    start_cpu_s: float  # processor time from the start until the first lists are in force
     start_kb: float
-    io_share: float = 0.0  # of a core, for sockets: where it was measured
+    io_share: float = 0.0  # of a core, for sockets; 0 if it was not measured
 
 
 @dataclass(frozen=True, slots=True)
 class RelayCosts:
-    """Of the relays of one level: the mean of one, and of the one with most."""
+    """Costs of the relays of one level: the mean, and the largest processor time of one relay."""
 
     relays: int
     cpu_share: float
@@ -44,19 +47,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Propagation:
-    """Times from a change at discovery to its being in force at a sender, seconds."""
+    """Times in seconds from a change at discovery until it is in force at a sender."""
 
     count: int
     p50_s: float
     p99_s: float
     worst_s: float
-    after_heal: int  # pairs whose sender was cut off; counted from the healing on
+    after_heal: int  # pairs whose sender was cut off, timed from when it had a path again
     after_heal_worst_s: float
-    starts: int  # processes that started anew and came to hold their part
+    starts: int  # processes that started during the run and received all their shards
     start_worst_s: float
-    stale: int  # pairs never in force
+    stale: int  # pairs whose change was never in force
     not_waited_for: int  # pairs whose sender ended before
-    histogram: str  # HDR, compressed
+    histogram: str  # compressed encoding of an HDR histogram
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,11 +70,11 @@
     sender: SenderCosts
     zone_relay: RelayCosts
     upper_relay: RelayCosts
-    relay_load_peak: float  # most asks of a zone relay in 2 s, over what it mostly gets
+    relay_load_peak: float  # largest number of asks at a zone relay in 2 s, relative to the median
     discovery_calls_s: float
     propagation: Propagation
-    moved_share: float  # places moved by taking out members, over the places that these held
-    wrong: int  # shards that a sender holds otherwise than discovery, at the end
+    moved_share: float  # largest ratio of replicas moved by a removal to the removed member's
+    wrong: int  # shards whose copy at a sender differs from discovery's list at the end
     changes: int
     faults: int
     wall_s: float
@@ -80,30 +83,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Hollow senders against real ones of the same size: relative differences."""
+    """Relative differences of simulated senders from real ones in a fleet of the same size."""
 
-    senders: int  # real ones, and as many hollow ones
+    senders: int  # number of real senders, and of simulated ones
     destinations: int
     bytes: float
     messages: float
-    virtual_messages: float  # of hollow senders in virtual time
+    virtual_messages: float  # of simulated senders in virtual time
     cpu: float
     real_cpu_share: float
-    sender_io_s: float  # processor time a message that sockets and a process of its own add in a sender
-    relay_io_s: float  # and in a relay
-    lost: int  # messages of the real senders
-    doubled: int
+    sender_io_s: float  # processor time per message that sockets and a separate process add to a sender
+    relay_io_s: float  # the same for a relay
+    lost: int  # messages that real senders accepted and did not deliver
+    doubled: int  # messages that real senders delivered more than once
     delivered: int
 
     @property
     def error(self) -> float:
-        """The largest difference."""
+        """The largest absolute difference."""
         return max(map(abs, (self.bytes, self.messages, self.virtual_messages, self.cpu)))
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One cost as it grows with the fleet at the full size's proportions."""
+    """The growth of one cost with the number of senders, at the full size's proportions."""
 
     cost: str
     exponent: float
@@ -116,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleResult:
-    """A whole run."""
+    """The result of a run."""
 
     name: str
     seed: int
@@ -129,20 +132,20 @@
 
     @property
     def largest(self) -> SizeResult:
-        """The size with most senders."""
+        """The size with the most senders."""
         return max(self.sizes, key=lambda one: one.size)
 
     def slope(self, cost: str) -> Slope | None:
-        """The slope of a cost; None where there were too few sizes."""
+        """The slope of a cost; None if there were too few sizes to fit it."""
         return next((slope for slope in self.slopes if slope.cost == cost), None)
 
     @property
     def hollow_used(self) -> bool:
-        """Whether hollow figures stand for real ones: they were compared, and are near."""
+        """Whether figures of simulated senders are used for real ones: both were compared and agree."""
         return self.comparison is not None and self.comparison.error <= self.tolerance
 
     def summary(self) -> dict[str, Any]:
-        """The last line of a run."""
+        """The summary that a run prints as its last line."""
         largest = self.largest
         compared = self.comparison
         return {
@@ -178,9 +181,9 @@
         return UNKNOWN if slope is None or slope.at_size is None else _rounded(slope.at_size)
 
     def control_machines(self) -> int | None:
-        """Relays at the full size, one a machine, none used for more than `RELAY_LOAD` of a core.
+        """Relays at the full size, one per machine, each using at most `MAX_RELAY_LOAD` of a core.
 
-        None where the ends of an interval give different numbers: unknown.
+        None (unknown) if the ends of a cost's interval give different numbers.
         """
         if not self.hollow_used:
             return None
@@ -192,20 +195,22 @@
             slope = self.slope(f"{level}_cpu_share")
             if slope is None:
                 return None
-            least, most = (max(1, math.ceil(share / RELAY_LOAD)) for share in (slope.low, slope.high))
+            least, most = (max(1, math.ceil(share / MAX_RELAY_LOAD)) for share in (slope.low, slope.high))
             if least != most:
                 return None
             needed += relays.relays * most
         return needed
 
     def as_json(self) -> dict[str, Any]:
-        """All figures, as they are kept."""
-        used = self if self.hollow_used else replace(self, slopes=tuple(map(_not_used, self.slopes)))
-        return {**asdict(used), "summary": self.summary()}
+        """All figures in the form of the results file."""
+        reported = (
+            self if self.hollow_used else replace(self, slopes=tuple(map(_without_estimate, self.slopes)))
+        )
+        return {**asdict(reported), "summary": self.summary()}
 
 
-def _not_used(slope: Slope) -> Slope:
-    """A slope whose figure at the full size stands for no real sender."""
+def _without_estimate(slope: Slope) -> Slope:
+    """A slope without its estimate for the full size, which does not hold for real senders."""
     return replace(slope, at_size=None, why_unknown="hollow senders were not shown to be near real ones")
 
 
@@ -231,7 +236,7 @@
 
 
 def with_io(one: SizeResult, compared: Comparison) -> SizeResult:
-    """The same with what sockets cost, as the comparison with real senders showed it."""
+    """Add the processor time of sockets that the comparison with real senders measured."""
 
     def relays(costs: RelayCosts) -> RelayCosts:
         return replace(costs, io_share=costs.messages_s * compared.relay_io_s)
@@ -241,21 +246,21 @@
 
 
 def proportional(size: Size) -> bool:
-    """Whether destinations and shards stand to the senders as at the full size."""
+    """Whether destinations and shards are in the same proportion to senders as at the full size."""
     full, factor = FULL_SIZE, size.senders / FULL_SIZE.senders
     return (
-        abs(size.destinations / (full.destinations * factor) - 1) <= ON_RAY
-        and abs(size.shards / (full.shards * factor) - 1) <= ON_RAY
+        abs(size.destinations / (full.destinations * factor) - 1) <= PROPORTION_TOLERANCE
+        and abs(size.shards / (full.shards * factor) - 1) <= PROPORTION_TOLERANCE
     )
 
 
 def slopes(sizes: Sequence[SizeResult]) -> tuple[Slope, ...]:
-    """How each cost grows with the fleet, over the sizes that have the full size's proportions."""
-    on_ray = [one for one in sizes if proportional(one.size)]
+    """Fit the growth of each cost with the fleet, over the sizes with the full size's proportions."""
+    fitted_sizes = [one for one in sizes if proportional(one.size)]
     found = []
-    for cost, of in COSTS.items():
+    for cost, cost_of in COSTS.items():
         try:
-            law = fit([Measurement(one.size.senders, of(one)) for one in on_ray])
+            law = fit([Measurement(one.size.senders, cost_of(one)) for one in fitted_sizes])
         except FitError:
             continue
         found.append(_slope(cost, law))
@@ -263,8 +268,8 @@
 
 
 def _slope(cost: str, law: Fit) -> Slope:
-    there = law.at(FULL_SIZE.senders)
-    match there:
+    prediction = law.at(FULL_SIZE.senders)
+    match prediction:
         case Estimate(value, low, high):
             return Slope(cost, law.exponent, law.residual, value, low, high)
         case Unknown(why, low, high):
@@ -272,7 +277,7 @@
 
 
 def broken_bounds(result: ScaleResult, bounds: BoundSettings) -> tuple[str, ...]:
-    """What the run does not hold, a phrase each. What is unknown breaks no bound; the summary says so."""
+    """The bounds that the run does not meet, as a phrase each. Unknown figures are not checked."""
     summary = result.summary()
     at_size = summary["at_size"]
     figures = {
--- a/mountgauge/lab/scale/runner.py
+++ b/mountgauge/lab/scale/runner.py
@@ -1,4 +1,4 @@
-"""Plays the sizes of a scale run in processes of their own, shows progress, and bounds their memory."""
+"""Simulates the sizes of a scale run in worker processes, shows progress, and limits their memory."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from mountgauge.lab.scale.settings import ScaleSettings, Size
 from mountgauge.lab.scale.worker import Progress, result_from_json
 
-_LOOK_EVERY_S = 0.5
-_MACHINE_SHARE = 0.5  # of the machine's memory under which a run stays
+_MEMORY_CHECK_INTERVAL_S = 0.5
+_MAX_MACHINE_SHARE = 0.5  # of the machine's memory; above it a run stops
 
 
 class RunStoppedError(RuntimeError):
-    """The run cannot go on; the text is one line."""
+    """The run had to stop; the message is one line."""
 
 
 @dataclass(slots=True)
 class _Child:
-    """One size under way."""
+    """The worker process of one size."""
 
     size: Size
     process: subprocess.Popen[bytes]
@@ -40,12 +40,12 @@
 @dataclass(slots=True)
 class _Message:
     child: _Child
-    line: bytes  # empty: the process has closed its output
+    line: bytes  # empty: end of the process's output
 
 
 @dataclass(slots=True)
 class SizesRun:
-    """All sizes of a run, at most `workers` at a time."""
+    """Runs all sizes, at most `workers` at a time."""
 
     settings: ScaleSettings
     file: Path
@@ -53,28 +53,31 @@
     _children: list[_Child] = field(default_factory=list)
     _messages: queue.Queue[_Message] = field(default_factory=queue.Queue)
 
-    def play(self) -> list[SizeResult]:
-        """The results by size; RunStoppedError where memory runs out or a process fails."""
+    def run(self) -> list[SizeResult]:
+        """Run all sizes and return the results, ordered by size.
+
+        Raises RunStoppedError if a memory limit is exceeded or a process fails.
+        """
         self.show(TABLE_HEADER)
-        waiting = sorted(range(len(self.settings.sizes)), key=lambda place: self.settings.sizes[place])
+        pending = sorted(range(len(self.settings.sizes)), key=lambda index: self.settings.sizes[index])
         try:
-            while waiting or any(not child.ended for child in self._children):
+            while pending or any(not child.ended for child in self._children):
                 running = sum(not child.ended for child in self._children)
-                if waiting and running < self.settings.workers:
-                    self._start(waiting.pop())  # the largest first: it takes longest
+                if pending and running < self.settings.workers:
+                    self._start(pending.pop())  # the largest size first, because it takes longest
                     continue
                 self._wait()
         finally:
-            self._end_children()
+            self._stop_children()
         results = [child.result for child in self._children if child.result is not None]
         return sorted(results, key=lambda one: one.size)
 
-    def _start(self, place: int) -> None:
-        words = [str(self.file), str(self.settings.seed), str(place)]
+    def _start(self, index: int) -> None:
+        arguments = [str(self.file), str(self.settings.seed), str(index)]
         process = subprocess.Popen(
-            [sys.executable, "-m", "mountgauge.lab.scale.worker", *words], stdout=subprocess.PIPE
+            [sys.executable, "-m", "mountgauge.lab.scale.worker", *arguments], stdout=subprocess.PIPE
         )
-        child = _Child(self.settings.sizes[place], process)
+        child = _Child(self.settings.sizes[index], process)
         self._children.append(child)
         threading.Thread(target=self._read, args=(child,), daemon=True).start()
 
@@ -86,7 +89,7 @@
 
     def _wait(self) -> None:
         try:
-            message = self._messages.get(timeout=_LOOK_EVERY_S)
+            message = self._messages.get(timeout=_MEMORY_CHECK_INTERVAL_S)
         except queue.Empty:
             message = None
         self._check_memory()
@@ -94,14 +97,14 @@
             return
         child = message.child
         if message.line:
-            self._take(child, orjson.loads(message.line))
+            self._handle_line(child, orjson.loads(message.line))
             return
         child.ended = True
         if child.process.wait() != 0 or child.result is None:
             code = child.process.returncode
             raise RunStoppedError(f"{child.size.senders} senders: the process ended with {code}")
 
-    def _take(self, child: _Child, raw: dict[str, Any]) -> None:
+    def _handle_line(self, child: _Child, raw: dict[str, Any]) -> None:
         if "progress" in raw:
             self.show(progress_row(Progress(**raw["progress"])))
         else:
@@ -112,13 +115,13 @@
         pids = [os.getpid(), *(child.process.pid for child in self._children if not child.ended)]
         used = sum(map(resident_bytes, pids))
         machine = machine_memory()
-        most = min(self.settings.most_memory_gb * 1e9, _MACHINE_SHARE * machine.total)
-        if used > most:
-            raise RunStoppedError(f"stopped: {used / 1e9:.1f} GB in use, {most / 1e9:.1f} GB are allowed")
-        if machine.used_share > _MACHINE_SHARE:
+        limit = min(self.settings.most_memory_gb * 1e9, _MAX_MACHINE_SHARE * machine.total)
+        if used > limit:
+            raise RunStoppedError(f"stopped: {used / 1e9:.1f} GB in use, {limit / 1e9:.1f} GB are allowed")
+        if machine.used_share > _MAX_MACHINE_SHARE:
             raise RunStoppedError(f"stopped: {machine.used_share:.0%} of the machine's memory is in use")
 
-    def _end_children(self) -> None:
+    def _stop_children(self) -> None:
         for child in self._children:
             if child.process.poll() is None:
                 child.process.kill()
@@ -132,7 +135,7 @@
 
 
 def progress_row(progress: Progress) -> str:
-    """A line of the table while a size is under way."""
+    """The table row of a size that is running."""
     return (
         f"{progress.senders:>8} {progress.destinations:>9} {progress.at_s:>5.0f}/{progress.total_s:<6.0f}"
         f" {progress.pending:>8} {progress.resident_mb:>7.0f} {progress.wall_s:>8.1f}"
@@ -140,7 +143,7 @@
 
 
 def result_row(result: SizeResult) -> str:
-    """A line of the table for a size that is done."""
+    """The table row of a size that is finished."""
     size, times, sender = result.size, result.propagation, result.sender
     worst = max(times.worst_s, times.after_heal_worst_s)
     return (
@@ -150,8 +153,8 @@
     )
 
 
-def play_sizes(
+def run_sizes(
     settings: ScaleSettings, file: Path, show: Callable[[str], None] = print
 ) -> Sequence[SizeResult]:
-    """Play all sizes of the settings, which stand in `file`."""
-    return SizesRun(settings, file, show).play()
+    """Run all sizes of the settings, which were loaded from `file`."""
+    return SizesRun(settings, file, show).run()
--- a/mountgauge/lab/scale/worker.py
+++ b/mountgauge/lab/scale/worker.py
@@ -1,4 +1,4 @@
-"""One size of a scale run in a process of its own: progress and result as JSON lines on standard output."""
+"""Simulates one size of a scale run in its own process; writes JSON lines (progress, result) to stdout."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from mountgauge.lab.scale.schedule import draw
 from mountgauge.lab.scale.settings import ScaleSettings, Size, load
 
-_REPORT_EVERY_S = 1.0  # of real time
-_STEP_S = 0.5  # of virtual time between two looks at the clock
+_REPORT_INTERVAL_S = 1.0  # of real time
+_STEP_S = 0.5  # of virtual time between two checks of the real clock
 
 
 @dataclass(frozen=True, slots=True)
 class Progress:
-    """How far a size has come."""
+    """Progress of the simulation of one size."""
 
     senders: int
     destinations: int
-    at_s: float  # of the run's own clock
+    at_s: float  # on the run's own clock
     total_s: float
-    pending: int  # pairs of change and sender that are open
+    pending: int  # pairs of a change and a sender that has not applied it
     resident_mb: float
     wall_s: float
 
@@ -38,18 +38,18 @@
 def run_size(
     settings: ScaleSettings, size: Size, report: Callable[[Progress], None] = lambda progress: None
 ) -> SizeResult:
-    """Play one size in virtual time. Everything but processor time and memory follows from the seed."""
+    """Simulate one size in virtual time. Everything but processor time and memory follows from the seed."""
     from mountgauge.lab.scale.world import World
 
-    begun = time.monotonic()
+    started_at = time.monotonic()
     world = World(settings, size, draw(settings, size))
-    reported = -_REPORT_EVERY_S
+    reported_s = -_REPORT_INTERVAL_S
     steps = round(settings.total_s / _STEP_S)
     for step in range(1, steps + 1):
         world.run_until(step * _STEP_S)
-        wall_s = time.monotonic() - begun
-        if wall_s - reported >= _REPORT_EVERY_S:
-            reported = wall_s
+        wall_s = time.monotonic() - started_at
+        if wall_s - reported_s >= _REPORT_INTERVAL_S:
+            reported_s = wall_s
             resident_mb = resident_bytes(os.getpid()) / 1e6
             report(
                 Progress(
@@ -57,11 +57,11 @@
                     world.tracker.pending(), resident_mb, wall_s,
                 )
             )  # fmt: skip
-    return world.result(time.monotonic() - begun, resident_bytes(os.getpid()) / 1e6)
+    return world.result(time.monotonic() - started_at, resident_bytes(os.getpid()) / 1e6)
 
 
 def result_from_json(raw: dict[str, Any]) -> SizeResult:
-    """A result as `orjson` gave it."""
+    """Build a result from its decoded JSON."""
     return SizeResult(
         **raw
         | {
@@ -74,17 +74,17 @@
     )
 
 
-def _write(kind: str, what: Any) -> None:
-    sys.stdout.buffer.write(orjson.dumps({kind: asdict(what)}) + b"\n")
+def _write(kind: str, value: Any) -> None:
+    sys.stdout.buffer.write(orjson.dumps({kind: asdict(value)}) + b"\n")
     sys.stdout.buffer.flush()
 
 
 def main() -> int:
-    """`python -m mountgauge.lab.scale.worker FILE SEED PLACE`: the settings' size at that place."""
-    file, seed, place = Path(sys.argv[1]), int(sys.argv[2]), int(sys.argv[3])
+    """`python -m mountgauge.lab.scale.worker FILE SEED INDEX`: simulate the size at INDEX of the settings."""
+    file, seed, index = Path(sys.argv[1]), int(sys.argv[2]), int(sys.argv[3])
     settings = load(file).with_seed(seed)
-    gc.disable()  # one collection would look at what all hollow senders hold, and be charged to one of them
-    _write("result", run_size(settings, settings.sizes[place], lambda progress: _write("progress", progress)))
+    gc.disable()  # a collection traverses the objects of all senders, but would be charged to one of them
+    _write("result", run_size(settings, settings.sizes[index], lambda progress: _write("progress", progress)))
     return 0
 
 
