--- a/mountgauge/lab/scale/live_files.py
+++ b/mountgauge/lab/scale/live_files.py
@@ -1,4 +1,4 @@
-"""Files of the processes of a live comparison: relays, real senders, their members' file. Text out."""
+"""Renders the settings files of a live comparison: relays, real senders and the members file."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
-    """Who stands where: a sender or a relay with a loopback address of its own."""
+class LiveNode:
+    """A sender or a relay, with its zone and its own loopback address."""
 
     name: str
     zone: str
@@ -21,30 +21,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Sharding:
-    """What is the same in all files."""
+    """Sharding settings, identical in all files."""
 
     shards: int
     replicas: int
 
 
-def members_file(members: Iterable[Seat]) -> str:
-    """All members, in their first epoch."""
+def members_file(members: Iterable[LiveNode]) -> str:
+    """The members file with all members, at epoch 1."""
     lines = ["epoch = 1"]
     for one in members:
         lines += ["[[members]]", f'name = "{one.name}"', f'zone = "{one.zone}"']
     return "\n".join(lines) + "\n"
 
 
-def relay_file(seat: Seat, sharding: Sharding, discovery: str, upper: Sequence[Seat]) -> str:
-    """Of a relay that follows discovery, or relays above it; the latter knows the members."""
+def relay_file(node: LiveNode, sharding: Sharding, discovery: str, upper: Sequence[LiveNode]) -> str:
+    """The settings of a relay that follows discovery, or `upper` relays; only the latter has the members."""
     lines = [
-        f'name = "{seat.name}"',
-        f'zone = "{seat.zone}"',
-        f'listen = "{seat.host}:{RELAY_PORT}"',
+        f'name = "{node.name}"',
+        f'zone = "{node.zone}"',
+        f'listen = "{node.host}:{RELAY_PORT}"',
         f"wait_s = {RELAY_TIMING.wait_s}",
         f"silence_s = {RELAY_TIMING.silence_s}",
         f"shards = {{ count = {sharding.shards}, replicas = {sharding.replicas} }}",
-        f'status = {{ listen = "{seat.host}:{STATUS_PORT}" }}',
+        f'status = {{ listen = "{node.host}:{STATUS_PORT}" }}',
     ]
     if upper:
         lines += ['members = "members.toml"', f"upstream = {{ relay = [{_relays(upper)}] }}"]
@@ -53,22 +53,24 @@
     return "\n".join(lines) + "\n"
 
 
-def _relays(relays: Sequence[Seat]) -> str:
+def _relays(relays: Sequence[LiveNode]) -> str:
     return ", ".join(
         f'{{ name = "{one.name}", zone = "{one.zone}", at = "{one.host}:{RELAY_PORT}" }}' for one in relays
     )
 
 
-def sender_file(seat: Seat, sharding: Sharding, relays: Sequence[Seat], senders: int, wait_s: float) -> str:
-    """Of a real sender, whose asks are held for `wait_s`."""
+def sender_file(
+    node: LiveNode, sharding: Sharding, relays: Sequence[LiveNode], senders: int, wait_s: float
+) -> str:
+    """The settings of a real sender, whose asks relays hold for `wait_s`."""
     lines = [
-        f'name = "{seat.name}"',
-        f'state = "state-{seat.name}"',
-        f'resp = {{ listen = "{seat.host}:{RESP_PORT}" }}',
-        f'status = {{ listen = "{seat.host}:{STATUS_PORT}" }}',
+        f'name = "{node.name}"',
+        f'state = "state-{node.name}"',
+        f'resp = {{ listen = "{node.host}:{RESP_PORT}" }}',
+        f'status = {{ listen = "{node.host}:{STATUS_PORT}" }}',
         f"rules = {{ senders = {senders} }}",
         'class = [{ name = "note", semantics = "idempotent", deadline = 60 }]',
-        f'sharding.zone = "{seat.zone}"',
+        f'sharding.zone = "{node.zone}"',
         f"sharding.shards = {sharding.shards}",
         f"sharding.replicas = {sharding.replicas}",
         f"sharding.wait_s = {wait_s}",
--- a/mountgauge/lab/scale/live_simulated.py
+++ b/mountgauge/lab/scale/live_simulated.py
@@ -1,8 +1,8 @@
-"""Hollow senders over real sockets: `python -m mountgauge.lab.scale.live_simulated FILE`.
+"""Simulated senders over real sockets: `python -m mountgauge.lab.scale.live_simulated FILE`.
 
-FILE is JSON: `senders` of this process (name and zone each), `relays` (name, zone and `at` each), `shards`,
-`fleet` (senders in all), `seed`, and `status` to listen at. Ends at SIGTERM. The status page has the form of
-a real sender's, with sums over all senders of the process.
+FILE is JSON with the keys `senders` (of this process, with name and zone each), `relays` (name, zone and
+address `at` each), `shards`, `fleet` (total number of senders), `seed` and `status` (address to listen on).
+Exits on SIGTERM. The status page has the form of a real sender's, with sums over all senders of the process.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 from mountgauge.sharding.upstream import Call, Update
 from mountgauge.status import StatusServer
 
-_START_SPREAD_S = 1.0  # over which the senders of a process start: as long as an ask is held
+_START_SPREAD_S = 1.0  # the senders of a process start within this time, which is as long as an ask is held
 
 
 class LiveSimulatedSender:
-    """A hollow sender in the running loop."""
+    """A simulated sender that runs in the current event loop."""
 
     def __init__(self, raw: Mapping[str, Any], name: str, zone: str, seed: int) -> None:
         relays = [RelayName(one["name"], one["zone"]) for one in raw["relays"]]
@@ -44,30 +44,30 @@
         self.machine.apply_update(update, asyncio.get_running_loop().time())
 
 
-def report(hollow: Sequence[LiveSimulatedSender]) -> Mapping[str, Any]:
-    """The status page."""
+def status_report(senders: Sequence[LiveSimulatedSender]) -> Mapping[str, Any]:
+    """The content of the status page."""
     counts: Counter[str] = Counter()
-    for one in hollow:
+    for one in senders:
         counts.update(one.follower.counts)
-    return {"sharding": {"upstream": dict(counts)}, "ready": all(one.machine.ready() for one in hollow)}
+    return {"sharding": {"upstream": dict(counts)}, "ready": all(one.machine.ready() for one in senders)}
 
 
 async def serve(raw: Mapping[str, Any]) -> None:
-    """Follow until SIGTERM."""
-    ended = asyncio.Event()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
-    hollow = [
+    """Run the senders until SIGTERM."""
+    terminated = asyncio.Event()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, terminated.set)
+    senders = [
         LiveSimulatedSender(raw, one["name"], one["zone"], raw["seed"] + number)
         for number, one in enumerate(raw["senders"])
     ]
-    status = StatusServer(lambda: report(hollow))
+    status = StatusServer(lambda: status_report(senders))
     await status.listen(Address.parse(raw["status"], "status"))
-    for place, one in enumerate(hollow):
-        asyncio.get_running_loop().call_later(_START_SPREAD_S * place / len(hollow), one.follower.start)
+    for index, one in enumerate(senders):
+        asyncio.get_running_loop().call_later(_START_SPREAD_S * index / len(senders), one.follower.start)
     gc.collect()
     gc.freeze()
-    await ended.wait()
-    for one in hollow:
+    await terminated.wait()
+    for one in senders:
         one.follower.close()
     status.close()
 
--- a/mountgauge/lab/scale/live_stand_ins.py
+++ b/mountgauge/lab/scale/live_stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins of a live comparison, on loopback: discovery, a partner that counts what it gets, clients."""
+"""Loopback stand-ins of a live comparison: discovery, a partner that counts messages, and clients."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 from mountgauge.lab.scale.schedule import ListChange
 from mountgauge.relay.server import Exchange, PollServer, ServerLimits
 
-_ANSWER_S = 5.0  # in which a sender answers a client
-_MOST_ANSWER = 512 << 20  # bytes of a whole list
+_ANSWER_TIMEOUT_S = 5.0  # of a sender to a client
+_MAX_ANSWER_BYTES = 512 << 20  # of a full list
 
 
 class LiveDiscovery:
-    """Serves a `DiscoveryList` by index and wait."""
+    """Serves a `DiscoveryList` to calls with index and wait."""
 
     def __init__(self, listed: DiscoveryList) -> None:
-        self.list = listed
-        self.server = PollServer(self._handle, ServerLimits(unread_bytes=_MOST_ANSWER))
+        self.listed = listed
+        self.server = PollServer(self._handle, ServerLimits(unread_bytes=_MAX_ANSWER_BYTES))
         self._held: dict[Exchange, tuple[int, asyncio.TimerHandle]] = {}
 
     def _handle(self, exchange: Exchange) -> None:
         query = parse_qs(urlsplit(exchange.target).query)
         index = int(query["index"][0]) if "index" in query else None
         wait_s = int(query.get("wait", ["0"])[0]) / 1000
-        if index is None or index != self.list.version or wait_s <= 0:
-            exchange.answer(200, self.list.answer(index))
+        if index is None or index != self.listed.version or wait_s <= 0:
+            exchange.answer(200, self.listed.answer(index))
             return
         timer = asyncio.get_running_loop().call_later(wait_s, self._answer, exchange)
         self._held[exchange] = index, timer
@@ -46,17 +46,17 @@
 
     def _answer(self, exchange: Exchange) -> None:
         index = self._forget(exchange)
-        exchange.answer(200, self.list.answer(index))
+        exchange.answer(200, self.listed.answer(index))
 
     def change(self, change: ListChange) -> None:
-        """The list changes: those who wait hear of it."""
-        self.list.apply(change)
+        """Change the list and answer all held calls."""
+        self.listed.apply(change)
         for exchange in list(self._held):
             self._answer(exchange)
 
 
 class Partner:
-    """Delivers what it is handed, and counts it by message."""
+    """Accepts every message and counts deliveries by message id."""
 
     def __init__(self) -> None:
         self.delivered: Counter[str] = Counter()
@@ -68,25 +68,28 @@
 
 
 class Client:
-    """Hands messages to one sender, one after another on one connection."""
+    """Submits messages to one sender, one after the other on one connection."""
 
     def __init__(self, address: Address) -> None:
-        self.taken: list[str] = []
+        self.accepted: list[str] = []
         self._address = address
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def hand_in(self, message_id: str, destination: int, deadline_s: float) -> None:
-        """One message; `taken` has it where it was taken on. OSError where the sender does not answer."""
+    async def submit(self, message_id: str, destination: int, deadline_s: float) -> None:
+        """Submit one message and add it to `accepted` if the sender accepts it.
+
+        Raises OSError if the sender does not answer.
+        """
         if self._streams is None:
             self._streams = await asyncio.open_connection(self._address.host, self._address.port)
         reader, writer = self._streams
         pairs = f"c=note,d={round(deadline_s * 1000)},k={message_id},dest={destination}"
-        words = (b"ENQUEUE", b"0" * 16, message_id.encode(), pairs.encode(), b"hello")
-        writer.write(b"*5\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(one), one) for one in words))
-        async with asyncio.timeout(_ANSWER_S):
+        arguments = (b"ENQUEUE", b"0" * 16, message_id.encode(), pairs.encode(), b"hello")
+        writer.write(b"*5\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(one), one) for one in arguments))
+        async with asyncio.timeout(_ANSWER_TIMEOUT_S):
             answer = await reader.readline()
         if answer.startswith(b"+"):
-            self.taken.append(message_id)
+            self.accepted.append(message_id)
 
     def close(self) -> None:
         """Close the connection."""
