--- a/mountgauge/lab/scale/capacity.py
+++ b/mountgauge/lab/scale/capacity.py
@@ -1,8 +1,8 @@
-"""Capacity at a fleet's size, worked out from kept measurements. Pure: no I/O, no clock.
+"""Capacity of a fleet of a given size, computed from kept measurements. No I/O, no clock.
 
-A `Figure` (`figures`) is a value with its 95 % interval or `Unknown`, and says where it comes from. Sums add
-intervals end by end, which is wider than chance alone would make them. A `Limit` (`limits`) is a cost with a
-bound; the factor from where it is reached to the full size orders what breaks next.
+A `Figure` (`figures`) is a value with its 95 % interval, or `Unknown`, together with its origin. Sums add the
+lower and the upper ends of intervals, which gives wider intervals than independent errors would. A `Limit`
+(`limits`) is a cost with a bound; limits are ordered by the full size over the size that reaches the bound.
 """
 
 from __future__ import annotations
@@ -30,31 +30,33 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureRow:
-    """What one kind of failure does. `per_day` at the full size."""
+    """The effects of one kind of failure; `per_day` is its frequency at the full size."""
 
     label: str
     per_day: float
     senders: float
-    events_per_s: float  # that others take over
-    held: float  # messages that wait until their sender is back
-    shards: float  # places that move where it is taken out for good
+    events_per_s: float  # that other senders take over
+    waiting: float  # messages that wait until their sender has restarted
+    moved_replicas: float  # if the failed senders are removed for good
     stale: str
     refused: str
 
 
 @dataclass(frozen=True, slots=True)
 class OutageRow:
-    """One way and length of an outage, at one destination and over the fleet."""
+    """One way of sending and one length of an outage, at one destination and over the fleet."""
 
     run: OutageRun
-    trials_fleet: float  # a second, all destinations that are down
-    trials_sender: float
-    budget: float  # calls that a cold destination bears in the first seconds
-    allowed: float  # with what is put down to chance
+    trials_fleet: float  # per second, at all destinations that are down
+    trials_sender: float  # per second, of one sender
+    budget: float  # capacity in calls of a cold destination in the first `RETURN_S`
+    allowed: float  # the budget with an allowance for random variation
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
+    """All figures of the capacity page."""
+
     size: FleetSize
     roles: tuple[Role, ...]
     data: tuple[Row, ...]
@@ -64,20 +66,23 @@
 
 
 def failure_rows(size: FleetSize) -> tuple[FailureRow, ...]:
-    each, held = size.events_per_sender_s, size.backlog_per_sender
-    own = size.shards * size.places / size.senders
-    zone, region = size.senders_per_zone, size.senders / size.regions
+    """The effects of the failures that the size lists."""
+    events_per_s, backlog = size.events_per_sender_s, size.backlog_per_sender
+    replicas_per_sender = size.shards * size.places / size.senders
+    senders_per_zone, senders_per_region = size.senders_per_zone, size.senders / size.regions
     missed = size.changes_per_s * size.region_cut_s
 
     def row(
-        label: str, per_day: float, senders: float, shards: float, stale: str, refused: str
+        label: str, per_day: float, senders: float, moved_replicas: float, stale: str, refused: str
     ) -> FailureRow:
-        return FailureRow(label, per_day, senders, senders * each, senders * held, shards, stale, refused)
+        return FailureRow(
+            label, per_day, senders, senders * events_per_s, senders * backlog, moved_replicas, stale, refused
+        )
 
     cut = FailureRow(
         "regions cut from each other",
         size.region_cuts_per_year / 365,
-        region,
+        senders_per_region,
         0.0,
         0.0,
         0.0,
@@ -98,7 +103,7 @@
             "a machine",
             size.machines_failed_per_day,
             1,
-            own,
+            replicas_per_sender,
             "nothing elsewhere",
             "nothing elsewhere; what it holds waits for its disk",
         ),
@@ -106,15 +111,15 @@
             "a rack or switch",
             size.racks_per_year / 365,
             size.rack_senders,
-            own * size.rack_senders,
+            replicas_per_sender * size.rack_senders,
             "nothing elsewhere",
             "nothing elsewhere; what they hold waits",
         ),
         row(
             "a zone",
             size.zones_per_year / 365,
-            zone,
-            own * zone,
+            senders_per_zone,
+            replicas_per_sender * senders_per_zone,
             "its relay's senders, until they ask another",
             "nothing elsewhere; no shard is without a place",
         ),
@@ -123,16 +128,21 @@
 
 
 def outage_rows(kept: KeptResults, size: FleetSize) -> tuple[OutageRow, ...]:
+    """The kept runs of outages, scaled to the fleet."""
     rows = []
     for run in kept.outages:
-        fleet = run.seen.trials_per_s * size.destinations_down
+        trials_per_s = run.seen.trials_per_s * size.destinations_down
         budget = cold_budget(run.listed_rate, RETURN_S)
-        rows.append(OutageRow(run, fleet, fleet / size.senders, budget, budget + 2 * math.sqrt(budget) + 2))
+        rows.append(
+            OutageRow(
+                run, trials_per_s, trials_per_s / size.senders, budget, budget + 2 * math.sqrt(budget) + 2
+            )
+        )
     return tuple(rows)
 
 
 def compute_capacity(kept: KeptResults, size: FleetSize) -> Capacity:
-    """All of the page's figures."""
+    """Compute all figures of the page."""
     roles = (
         sender_role(kept, size),
         relay_role(kept, size),
--- a/mountgauge/lab/scale/capacity_page.py
+++ b/mountgauge/lab/scale/capacity_page.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md, written from kept results: `render(folder)` gives the whole page as text (Jinja2)."""
+"""Renders docs/CAPACITY.md from kept results: `render(folder)` returns the full page as text (Jinja2)."""
 
 from __future__ import annotations
 
@@ -124,7 +124,7 @@
 
 
 def render(results: Path, size_file: Path | None = None) -> str:
-    """The page, from the results of a folder (`benchmarks/results`) and the size's settings file.
+    """Render the page from the results of a folder (`benchmarks/results`) and the settings file of the size.
 
     Raises KeptResultsError or ConfigError, with a message of one line, for a file that cannot be read.
     Figures whose results are missing are unknown on the page.
@@ -134,12 +134,12 @@
 
 
 def page(kept: KeptResults, size: FleetSize) -> str:
-    """The page, from what was kept."""
+    """Render the page from kept results."""
     from jinja2 import Environment
 
-    found = compute_capacity(kept, size)
+    capacity = compute_capacity(kept, size)
     slopes = kept.slopes
-    # Markdown, of the project's own texts: nothing is to be escaped
+    # The output is Markdown from the project's own texts: nothing has to be escaped
     template = Environment(autoescape=False, keep_trailing_newline=True, trim_blocks=True).from_string(
         _TEMPLATE
     )
@@ -150,18 +150,18 @@
         processor=slopes.processor if slopes is not None else "unknown",
         python=slopes.python if slopes is not None else "unknown",
         loads=_loads(slopes),
-        limits=tables.limits_table(found.limits),
-        first_before=tables.first_before(found.limits),
-        not_measured=[one.limit.label for one in found.limits if not one.has_laws],
-        roles=found.roles,
+        limits=tables.limits_table(capacity.limits),
+        first_before=tables.first_before(capacity.limits),
+        not_measured=[one.limit.label for one in capacity.limits if not one.has_laws],
+        roles=capacity.roles,
         role_table=tables.role_table,
-        failures=tables.failures_table(found.failures),
+        failures=tables.failures_table(capacity.failures),
         starting=size.restarts_per_day * size.ready_s / 86_400,
-        data=tables.role_table(found.data),
+        data=tables.role_table(capacity.data),
         demand=size.events_per_s / size.destinations,
-        outages=tables.outages_table(found.outages, RETURN_S) if found.outages else "",
+        outages=tables.outages_table(capacity.outages, RETURN_S) if capacity.outages else "",
         slopes=tables.slopes_table(slopes, kept.before, size) if slopes is not None else "Nothing measured.",
-        unknowns=tables.unknowns(found),
+        unknowns=tables.unknowns(capacity),
         short=tables.short,
         count=tables.grouped,
         share=tables.per_cent,
--- a/mountgauge/lab/scale/capacity_tables.py
+++ b/mountgauge/lab/scale/capacity_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the capacity page as Markdown: numbers in the unit that suits them, a line a row. Pure."""
+"""Markdown tables of the capacity page, with numbers in readable units. Pure functions, no I/O."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 _BYTES = ((1e9, "GB"), (1e6, "MB"), (1e3, "KB"), (1.0, "bytes"))
 _SECONDS = ((86_400.0, "days"), (3_600.0, "h"), (1.0, "s"), (1e-3, "ms"), (1e-6, "us"))
-_DIGITS = 3
-_NONE = "-"
-_FIRST_BEFORE = 4
+_SIGNIFICANT_DIGITS = 3
+_NO_VALUE = "-"
+_MAX_FIRST_BEFORE = 4
 
 
 def short(value: float) -> str:
-    """Three digits that count, thousands grouped."""
+    """A number with three significant digits and grouped thousands."""
     if value == 0 or not math.isfinite(value):
         return f"{value:g}"
-    digits = _DIGITS - 1 - math.floor(math.log10(abs(value)))
+    digits = _SIGNIFICANT_DIGITS - 1 - math.floor(math.log10(abs(value)))
     if digits > 9:
         return f"{value:.2g}"
     rounded = round(value, digits)
@@ -31,16 +31,17 @@
 
 
 def grouped(value: float) -> str:
-    """A count in full."""
+    """A number without decimals and with grouped thousands."""
     return f"{value:,.0f}"
 
 
 def per_cent(value: float) -> str:
+    """A share as a percentage."""
     return f"{short(100 * value)} %"
 
 
 def number(value: float, unit: Unit) -> str:
-    """A value in the unit that suits its size."""
+    """A value, scaled to a unit that suits its magnitude."""
     match unit:
         case Unit.BYTES | Unit.BYTES_PER_S:
             factor, name = next((one for one in _BYTES if value >= one[0]), _BYTES[-1])
@@ -59,7 +60,7 @@
 
 
 def figure_text(figure: Figure) -> str:
-    """Value and interval, or unknown with the interval that is too wide."""
+    """The value with its interval, or "unknown" with the interval that is too wide."""
     unit = figure.unit
     match figure.value:
         case Estimate(value, low, high) if low == high:
@@ -73,27 +74,29 @@
 
 
 def table(columns: Sequence[str], lines: Iterable[Sequence[str]]) -> str:
-    """A Markdown table without its last line feed."""
+    """A Markdown table without a final newline."""
     rows = [columns, ["---"] * len(columns), *lines]
     return "\n".join("| " + " | ".join(row) + " |" for row in rows)
 
 
 def role_table(rows: Iterable[Row]) -> str:
+    """The table of a role's figures."""
+
     def line(row: Row) -> list[str]:
         figure = row.figure
-        bound = _NONE if figure.bound is None else number(figure.bound, figure.unit)
-        share = _NONE if figure.share is None else per_cent(figure.share)
+        bound = _NO_VALUE if figure.bound is None else number(figure.bound, figure.unit)
+        share = _NO_VALUE if figure.share is None else per_cent(figure.share)
         return [row.label, figure_text(figure), bound, share, row.mechanism, figure.origin]
 
     return table(("what", "figure", "bound", "share", "mechanism", "from"), map(line, rows))
 
 
 def _factor(value: float | None) -> str:
-    return _NONE if value is None else short(value)
+    return _NO_VALUE if value is None else short(value)
 
 
 def limits_table(points: Sequence[BreakPoint]) -> str:
-    """What breaks next; those that were not measured are left out."""
+    """The table of the limits that were measured, in the given order."""
     columns = (
         "#",
         "what",
@@ -111,7 +114,7 @@
         columns,
         [
             [
-                str(place),
+                str(rank),
                 one.limit.label,
                 number(one.limit.bound, one.limit.unit),
                 "never" if one.size is None else short(one.size),
@@ -122,19 +125,20 @@
                 "measured" if one.measured else "fitted",
                 f"`{one.limit.mechanism}`",
             ]
-            for place, one in enumerate(known, 1)
+            for rank, one in enumerate(known, 1)
         ],
     )
 
 
 def first_before(points: Sequence[BreakPoint]) -> list[str]:
-    """What broke first by the slopes before, with its factor."""
+    """The limits with the largest factors by the previous slopes."""
     known = [(one.before, one.limit) for one in points if one.before is not None]
     known.sort(key=lambda pair: -pair[0])
-    return [f"{limit.label} ({short(factor)})" for factor, limit in known[:_FIRST_BEFORE]]
+    return [f"{limit.label} ({short(factor)})" for factor, limit in known[:_MAX_FIRST_BEFORE]]
 
 
 def failures_table(rows: Iterable[FailureRow]) -> str:
+    """The table of failures and their effects."""
     columns = (
         "what",
         "a day",
@@ -150,7 +154,7 @@
         [
             [
                 one.label,
-                *map(short, (one.per_day, one.senders, one.events_per_s, one.held, one.shards)),
+                *map(short, (one.per_day, one.senders, one.events_per_s, one.waiting, one.moved_replicas)),
                 one.stale,
                 one.refused,
             ]
@@ -160,6 +164,7 @@
 
 
 def outages_table(rows: Iterable[OutageRow], return_s: float) -> str:
+    """The table of outages of destinations."""
     columns = (
         "way",
         "down for",
@@ -192,6 +197,7 @@
 
 
 def slopes_table(slopes: Slopes, before: Slopes | None, size: FleetSize) -> str:
+    """The table of the fitted laws of all probes, beside those of the previous slopes."""
     columns = (
         "probe",
         "against",
@@ -219,22 +225,22 @@
         span,
         law.model.value if law is not None else "too few sizes",
         _exponent(law),
-        f"{law.residual:.3f}" if law is not None else _NONE,
+        f"{law.residual:.3f}" if law is not None else _NO_VALUE,
         _largest(one),
         _at_size(one, size),
         f"{one.load_average:g}",
         _exponent(old.law if old is not None else None),
-        _largest(old) if old is not None else _NONE,
+        _largest(old) if old is not None else _NO_VALUE,
         f"`{one.source}`",
     ]
 
 
 def _exponent(law: Fit | None) -> str:
-    return _NONE if law is None else f"{law.exponent:.2f}"
+    return _NO_VALUE if law is None else f"{law.exponent:.2f}"
 
 
 def _largest(one: Slope) -> str:
-    """What was measured at the largest size."""
+    """The measurement at the largest size."""
     last = one.measurements[-1]
     return f"{number(last.cost, Unit(one.unit))} at {short(last.size)}"
 
@@ -247,22 +253,22 @@
     }
     target = targets.get(one.axis)
     if target is None or one.law is None:
-        return _NONE
+        return _NO_VALUE
     return figure_text(Figure(one.law.at(target), Unit(one.unit), ""))
 
 
 def unknowns(found: Capacity) -> list[str]:
-    """Each unknown figure of the tables, with what would tell."""
+    """Each unknown figure of the tables, with the measurement that would give it."""
     tables = [(role.name, role.rows) for role in found.roles] + [("Data", found.data)]
     return [
-        f"{name}, {row.label}: {_would_tell(row.figure, row.figure.value.why)}"
+        f"{name}, {row.label}: {_needed_measurement(row.figure, row.figure.value.why)}"
         for name, rows in tables
         for row in rows
         if isinstance(row.figure.value, Unknown)
     ]
 
 
-def _would_tell(figure: Figure, why: str) -> str:
+def _needed_measurement(figure: Figure, why: str) -> str:
     if why == NOT_MEASURED:
         return figure.origin
     if why.startswith("interval"):
--- a/mountgauge/lab/scale/figures.py
+++ b/mountgauge/lab/scale/figures.py
@@ -1,4 +1,4 @@
-"""Figures of the capacity page: values with intervals, where they come from, and their bounds. Pure."""
+"""Figures of the capacity page: values with intervals, origins and bounds. Pure functions, no I/O."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from mountgauge.lab.scale.fit import WIDEST_INTERVAL, Estimate, Prediction, Unknown
+from mountgauge.lab.scale.fit import MAX_INTERVAL_RATIO, Estimate, Prediction, Unknown
 from mountgauge.lab.scale.kept_results import ScaleRun, Slopes
 
 NOT_MEASURED, TOO_WIDE = "not measured", "interval too wide"
 
 
 class Unit(StrEnum):
+    """The unit of a figure."""
+
     SECONDS = "s"
     BYTES = "bytes"
     BYTES_PER_S = "bytes/s"
@@ -24,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One figure of the page; `bound` in the same unit, where there is one."""
+    """One figure of the page; `bound`, if there is one, has the same unit."""
 
     value: Prediction
     unit: Unit
@@ -33,7 +35,7 @@
 
     @property
     def share(self) -> float | None:
-        """Of the bound."""
+        """The value as a share of the bound; None if the value is unknown or there is no bound."""
         if self.bound is None or isinstance(self.value, Unknown):
             return None
         return self.value.value / self.bound
@@ -41,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One line of a role's table."""
+    """One row of a role's table."""
 
     label: str
     figure: Figure
@@ -50,6 +52,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Role:
+    """One role of the fleet and the rows of its table."""
+
     name: str
     rows: tuple[Row, ...]
     note: str = ""
@@ -57,29 +61,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """A probe's cost, so many times (a second, or in all)."""
+    """The cost of a probe, `times` times (per second, or in total)."""
 
     probe: str
     times: float = 1.0
 
 
-def exactly(value: float) -> Estimate:
+def exact(value: float) -> Estimate:
+    """An estimate without an interval."""
     return Estimate(value, value, value)
 
 
-def plain(value: float, unit: Unit, how: str, bound: float | None = None) -> Figure:
-    """A figure of arithmetic on the size alone."""
-    return Figure(exactly(value), unit, how, bound)
+def derived(value: float, unit: Unit, formula: str, bound: float | None = None) -> Figure:
+    """A figure that is computed from the size alone."""
+    return Figure(exact(value), unit, formula, bound)
 
 
-def unknown(unit: Unit, would_tell: str, bound: float | None = None) -> Figure:
-    return Figure(Unknown(NOT_MEASURED), unit, would_tell, bound)
+def unknown(unit: Unit, needed_measurement: str, bound: float | None = None) -> Figure:
+    """A figure that was not measured, with the measurement that would give it."""
+    return Figure(Unknown(NOT_MEASURED), unit, needed_measurement, bound)
 
 
 def summed(
-    slopes: Slopes | None, terms: Sequence[Term], at: float, unit: Unit, bound: float | None = None
+    slopes: Slopes | None, terms: Sequence[Term], size: float, unit: Unit, bound: float | None = None
 ) -> Figure:
-    """The terms' costs at a size, added up; unknown where the sum's interval is too wide."""
+    """The sum of the terms' costs at a size; unknown if the sum's interval is too wide."""
     low = middle = high = 0.0
     origins = []
     for term in terms:
@@ -87,16 +93,18 @@
         if law is None:
             return unknown(unit, f"`benchmarks.slopes --only {term.probe}`", bound)
         origins.append(f"{term.probe} (exponent {law.exponent:.2f})")
-        there = law.at(at)
-        low, high = low + term.times * there.low, high + term.times * there.high
-        middle += term.times * law.value(at)
-    wide = high > WIDEST_INTERVAL * low
+        prediction = law.at(size)
+        low, high = low + term.times * prediction.low, high + term.times * prediction.high
+        middle += term.times * law.value(size)
+    wide = high > MAX_INTERVAL_RATIO * low
     value = Unknown(TOO_WIDE, low, high) if wide else Estimate(middle, low, high)
     return Figure(value, unit, "slopes: " + ", ".join(origins), bound)
 
 
-def of_scale_run(scale: ScaleRun | None, cost: str, unit: Unit, times: float, bound: float | None) -> Figure:
-    """A cost of the scale run, in this page's unit."""
+def from_scale_run(
+    scale: ScaleRun | None, cost: str, unit: Unit, times: float, bound: float | None
+) -> Figure:
+    """A cost of the scale run at the full size, times `times` to convert it to the unit."""
     found = scale.costs.get(cost) if scale is not None else None
     if found is None:
         return unknown(unit, f"`benchmarks.scale`: {cost}", bound)
@@ -108,13 +116,13 @@
     return Figure(value, unit, origin, bound)
 
 
-def of_summary(scale: ScaleRun | None, name: str, unit: Unit, bound: float | None) -> Figure:
-    """A figure of the scale run's last line."""
+def from_summary(scale: ScaleRun | None, name: str, unit: Unit, bound: float | None) -> Figure:
+    """A figure of the scale run's summary."""
     found = scale.number(name) if scale is not None else None
     if found is None and scale is not None and isinstance(at_size := scale.summary.get("at_size"), dict):
         value = at_size.get(name)
         found = float(value) if isinstance(value, int | float) else None
     if scale is None or found is None:
         return unknown(unit, f"`benchmarks.scale`: {name}", bound)
-    at = f"scale run, {scale.senders} senders, {scale.destinations} destinations"
-    return Figure(exactly(found), unit, at, bound)
+    origin = f"scale run, {scale.senders} senders, {scale.destinations} destinations"
+    return Figure(exact(found), unit, origin, bound)
--- a/mountgauge/lab/scale/fit.py
+++ b/mountgauge/lab/scale/fit.py
@@ -1,17 +1,19 @@
 """Growth laws fitted to measured costs: exponent, coefficient, residual and the interval at another size.
 
-Costs are fitted on logarithms, so that each size weighs the same whatever its cost. Two models are known:
+Costs are fitted on logarithms, so that each size has the same weight regardless of its cost. Two models are
+available:
 
 - `power`: cost = b * size^k, by least squares of ln(cost) on ln(size);
 - `offset-power`: cost = a + b * size^k with a > 0, by Gauss-Newton steps with damping (Levenberg, 1944).
 
-Rule of choice (`fit`): the plain power law, unless there are `OFFSET_LEAST_SIZES` sizes or more, the constant
-part is at least `OFFSET_LEAST_SHARE` of the smallest cost, the exponent beside it at most `OFFSET_STEEPEST`
-(a steeper one is made of one odd point), and the residual with it is under `OFFSET_RESIDUAL_SHARE` of the
-plain law's. The constant part then has earned its parameter.
+Model selection (`fit`): the plain power law, unless there are at least `OFFSET_MIN_SIZES` sizes, the constant
+term is at least `OFFSET_MIN_SHARE` of the smallest cost, the exponent beside it is at most
+`OFFSET_MAX_EXPONENT` (a steeper one results from a single outlier), and the residual with it is below
+`OFFSET_RESIDUAL_SHARE` of the plain law's. Only then is the additional parameter justified.
 
-`Fit.at` gives the 95 % prediction interval (Student's t; for `offset-power` by the delta method). One that is
-wider than a factor of `WIDEST_INTERVAL` says too little to build on: the result is `Unknown`.
+`Fit.at` gives the 95 % prediction interval (Student's t; for `offset-power` by the delta method). The result
+is `Unknown` if the interval is too wide to be useful: the upper end is more than `MAX_INTERVAL_RATIO` times
+the lower one.
 """
 
 from __future__ import annotations
@@ -28,17 +30,18 @@
 
     Vector = NDArray[np.float64]
 
-LEAST_SIZES = 3  # of a plain power law: two parameters, and one size that may contradict them
-OFFSET_LEAST_SIZES = 5
-OFFSET_LEAST_SHARE = 0.05
+MIN_SIZES = 3  # of a plain power law: two parameters and one degree of freedom
+OFFSET_MIN_SIZES = 5
+OFFSET_MIN_SHARE = 0.05
 OFFSET_RESIDUAL_SHARE = 0.5
-OFFSET_STEEPEST = 3.0
-WIDEST_INTERVAL = 2.0  # upper over lower end
-_EXACT = 1e-9  # residual below which a law fits all that was measured
-_STEPS = 200
-_FLAT_EXPONENT = 0.05
-
-# Quantiles 0.975 of Student's t distribution by degrees of freedom, from 1; past the table the normal one's.
+OFFSET_MAX_EXPONENT = 3.0
+MAX_INTERVAL_RATIO = 2.0  # upper over lower end
+_EXACT_RESIDUAL = 1e-9  # residual below which a law fits all measurements exactly
+_MAX_STEPS = 200
+_MAX_FLAT_EXPONENT = 0.05
+
+# 0.975 quantiles of Student's t distribution for 1, 2, ... degrees of freedom; beyond the table, the normal
+# distribution's.
 _STUDENT_T = (
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042,
@@ -47,17 +50,19 @@
 
 
 class FitError(ValueError):
-    """The measurements cannot be fitted; the text is one line."""
+    """The measurements cannot be fitted; the message is one line."""
 
 
 class Model(StrEnum):
+    """The form of a growth law."""
+
     POWER = "power"
     OFFSET_POWER = "offset-power"
 
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """One measured cost, in whatever unit, at one size."""
+    """One measured cost at one size, in any unit."""
 
     size: float
     cost: float
@@ -74,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """No figure: the interval is too wide, or nothing was measured. `why` is one phrase."""
+    """No figure: the interval is too wide, or nothing was measured. `why` is a short phrase."""
 
     why: str
     low: float = math.nan
@@ -93,24 +98,25 @@
     coefficient: float
     constant: float  # 0 for `power`
     residual: float  # standard error of ln(cost), by degrees of freedom
-    smallest: float  # sizes that were measured
-    largest: float
+    smallest: float  # measured size
+    largest: float  # measured size
     degrees: int  # of freedom
     covariance: tuple[tuple[float, ...], ...]  # of the parameters per unit of squared residual
 
     @property
     def flat(self) -> bool:
-        """Whether the cost hardly depends on the size."""
-        return abs(self.exponent) < _FLAT_EXPONENT
+        """Whether the cost is nearly independent of the size."""
+        return abs(self.exponent) < _MAX_FLAT_EXPONENT
 
     def value(self, size: float) -> float:
+        """The cost at a size."""
         return self.constant + self.coefficient * math.pow(size, self.exponent)
 
     def at(self, size: float) -> Prediction:
-        """The cost at a size, or Unknown where its interval is wider than a factor of two."""
+        """The cost at a size with its interval, or Unknown if the interval is too wide."""
         middle = self.value(size)
         spread = student_t(self.degrees) * self.residual * math.sqrt(1 + self._leverage(size))
-        if spread > math.log(WIDEST_INTERVAL) / 2:
+        if spread > math.log(MAX_INTERVAL_RATIO) / 2:
             low, high = _bounds(middle, spread)
             return Unknown(f"interval {low:.3g} to {high:.3g}", low, high)
         low, high = _bounds(middle, spread)
@@ -131,32 +137,32 @@
 
 
 def _gradient(found: Fit, size: float) -> tuple[float, ...]:
-    """Of ln(cost) by the parameters: (ln b, k), with the constant part also ln a, in front."""
+    """The gradient of ln(cost) by the parameters: (ln b, k), or (ln a, ln b, k) with a constant term."""
     if found.model is Model.POWER:
         return (1.0, math.log(size))
     grown = found.coefficient * size**found.exponent
-    part = grown / (found.constant + grown)
-    return (1 - part, part, part * math.log(size))
+    grown_share = grown / (found.constant + grown)
+    return (1 - grown_share, grown_share, grown_share * math.log(size))
 
 
 def student_t(degrees: int) -> float:
-    """The factor of a 95 % interval with so many degrees of freedom."""
+    """The factor of a 95 % interval for a number of degrees of freedom."""
     return _STUDENT_T[degrees - 1] if degrees <= len(_STUDENT_T) else _NORMAL
 
 
 def fit(measurements: Sequence[Measurement]) -> Fit:
-    """The growth law of these costs, by the rule of the module; FitError where they are too few."""
+    """Fit a growth law, selected by the module's rule; raises FitError if there are too few measurements."""
     plain = fit_power(measurements)
-    if len({one.size for one in measurements}) < OFFSET_LEAST_SIZES or plain.residual < _EXACT:
+    if len({one.size for one in measurements}) < OFFSET_MIN_SIZES or plain.residual < _EXACT_RESIDUAL:
         return plain
     with_offset = fit_offset_power(measurements)
     smallest_cost = min(one.cost for one in measurements)
-    earned = (
-        with_offset.constant >= OFFSET_LEAST_SHARE * smallest_cost
-        and 0 < with_offset.exponent <= OFFSET_STEEPEST
+    offset_justified = (
+        with_offset.constant >= OFFSET_MIN_SHARE * smallest_cost
+        and 0 < with_offset.exponent <= OFFSET_MAX_EXPONENT
         and with_offset.residual < OFFSET_RESIDUAL_SHARE * plain.residual
     )
-    return with_offset if earned else plain
+    return with_offset if offset_justified else plain
 
 
 def _logarithms(measurements: Sequence[Measurement], least: int) -> tuple[Vector, Vector]:
@@ -175,10 +181,10 @@
 
 
 def fit_power(measurements: Sequence[Measurement]) -> Fit:
-    """cost = b * size^k."""
+    """Fit cost = b * size^k."""
     import numpy as np
 
-    size_logs, cost_logs = _logarithms(measurements, LEAST_SIZES)
+    size_logs, cost_logs = _logarithms(measurements, MIN_SIZES)
     design = np.column_stack([np.ones_like(size_logs), size_logs])
     parameters = np.linalg.lstsq(design, cost_logs, rcond=None)[0]
     errors = cost_logs - design @ parameters
@@ -198,14 +204,14 @@
 
 
 def fit_offset_power(measurements: Sequence[Measurement]) -> Fit:
-    """cost = a + b * size^k, with a above 0."""
+    """Fit cost = a + b * size^k, with a above 0."""
     import numpy as np
 
-    size_logs, cost_logs = _logarithms(measurements, OFFSET_LEAST_SIZES)
-    parameters = _best_start(measurements, size_logs, cost_logs)
+    size_logs, cost_logs = _logarithms(measurements, OFFSET_MIN_SIZES)
+    parameters = _initial_parameters(measurements, size_logs, cost_logs)
     damping = 1e-3
     errors, slopes = _offset_errors(parameters, size_logs, cost_logs)
-    for _ in range(_STEPS):
+    for _ in range(_MAX_STEPS):
         normal = slopes.T @ slopes
         step = np.linalg.solve(normal + damping * np.eye(3), slopes.T @ errors)
         tried = parameters + np.clip(step, -2.0, 2.0)
@@ -232,8 +238,8 @@
     )
 
 
-def _best_start(measurements: Sequence[Measurement], size_logs: Vector, cost_logs: Vector) -> Vector:
-    """ln a, ln b and k, from the constant parts under the smallest cost that leave the straightest rest."""
+def _initial_parameters(measurements: Sequence[Measurement], size_logs: Vector, cost_logs: Vector) -> Vector:
+    """Initial ln a, ln b and k: the best fit over several constant terms below the smallest cost."""
     import numpy as np
 
     smallest = min(one.cost for one in measurements)
@@ -251,12 +257,12 @@
 
 
 def _offset_errors(parameters: Vector, size_logs: Vector, cost_logs: Vector) -> tuple[Vector, Vector]:
-    """What the law leaves of ln(cost), and its slopes by ln a, ln b and k."""
+    """The residuals of ln(cost), and the derivatives of the law by ln a, ln b and k."""
     import numpy as np
 
     constant = np.exp(parameters[0])
     grown = np.exp(np.clip(parameters[1] + parameters[2] * size_logs, -700.0, 700.0))
-    whole = constant + grown
-    part = grown / whole
-    slopes = np.column_stack([1 - part, part, part * size_logs])
-    return cost_logs - np.log(whole), slopes
+    costs = constant + grown
+    grown_share = grown / costs
+    slopes = np.column_stack([1 - grown_share, grown_share, grown_share * size_logs])
+    return cost_logs - np.log(costs), slopes
--- a/mountgauge/lab/scale/kept_results.py
+++ b/mountgauge/lab/scale/kept_results.py
@@ -1,6 +1,6 @@
-"""Kept results of measurements, read into typed values: slopes, outages and the scale run.
+"""Loads kept results of measurements into typed values: slopes, outages and the scale run.
 
-What is missing is None or empty, never made up; what cannot be read is a `KeptResultsError` in one line.
+Missing results are None or empty; a file that cannot be read raises `KeptResultsError`.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 class KeptResultsError(ValueError):
-    """A results file that cannot be read; the text is one line."""
+    """A results file cannot be read; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One probe of `benchmarks.slopes`."""
+    """The result of one probe of `benchmarks.slopes`."""
 
     name: str
     axis: str
@@ -38,20 +38,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Slopes:
-    """One run of `benchmarks.slopes`."""
+    """The results of a run of `benchmarks.slopes`."""
 
     processor: str
     python: str
     by_name: Mapping[str, Slope]
 
     def law(self, name: str) -> Fit | None:
+        """The fitted law of a probe; None if it has none."""
         slope = self.by_name.get(name)
         return slope.law if slope is not None else None
 
 
 @dataclass(frozen=True, slots=True)
 class OutageRun:
-    """One line of `benchmarks.outage`."""
+    """One result of `benchmarks.outage`."""
 
     way: str
     senders: int
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleCost:
-    """One cost of the scale run, at the full size; None: unknown."""
+    """One cost of the scale run; `at_size` is the estimate for the full size, None if unknown."""
 
     exponent: float
     residual: float
@@ -75,21 +76,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleRun:
-    """What the scale run (`benchmarks.scale`) says last."""
+    """The costs and the summary of a scale run (`benchmarks.scale`)."""
 
     senders: int
     destinations: int
     costs: Mapping[str, ScaleCost]
-    summary: Mapping[str, Any]  # times in s, counts and shares; a text where a figure is not there
+    summary: Mapping[str, Any]  # numbers, or a text in place of a missing figure
 
     def number(self, name: str) -> float | None:
+        """A number of the summary; None if it is not a number."""
         value = self.summary.get(name)
         return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
 
 
 @dataclass(frozen=True, slots=True)
 class KeptResults:
-    """All results of a folder."""
+    """All results of a folder; `before` has the slopes of a previous version of the program."""
 
     slopes: Slopes | None
     before: Slopes | None
@@ -98,6 +100,7 @@
 
 
 def load_kept_results(folder: Path) -> KeptResults:
+    """Load all results of a folder; raises KeptResultsError if a file cannot be read."""
     return KeptResults(
         _slopes(folder / SLOPES), _slopes(folder / SLOPES_BEFORE), _outages(folder / OUTAGE),
         _scale(folder / SCALE),
--- a/mountgauge/lab/scale/limits.py
+++ b/mountgauge/lab/scale/limits.py
@@ -1,4 +1,4 @@
-"""Costs with a bound: where each is reached, and by which factor the full size is past it. Pure."""
+"""Costs with a bound: the size at which each bound is reached, relative to the full size. No I/O."""
 
 from __future__ import annotations
 
@@ -13,52 +13,55 @@
 from mountgauge.platform import list_exchange
 from mountgauge.recovery import bounds as recovery_bounds
 
-FACTS_PER_S = 1.0  # writes of what is to be remembered (`run.recovery`)
-LOOKS_PER_S = 1 / recovery_bounds.CHECK_INTERVAL_S
-BUDGET_TICKS_PER_S = 20.0  # asks of the core what waits (`budgets.service.TICK_S`)
+FACTS_PER_S = 1.0  # writes of the facts to restore after a restart (`run.recovery`)
+CHECKS_PER_S = 1 / recovery_bounds.CHECK_INTERVAL_S
+BUDGET_TICKS_PER_S = 20.0  # queries of the core for waiting messages (`budgets.service.TICK_S`)
 ONE_CORE = 1.0
-LONGEST_PAUSE_S = recovery_bounds.pause_threshold(0.25)  # of the loop, after which what is known is too old
-MOST_LIST_BYTES = float(list_exchange.MOST_LIST_BYTES)  # of one answer of discovery
+LONGEST_PAUSE_S = recovery_bounds.pause_threshold(0.25)  # a longer pause of the loop outdates its state
+MOST_LIST_BYTES = float(list_exchange.MOST_LIST_BYTES)  # in one answer of discovery
 EXPORT_EVERY_S = 10.0  # default of `[otlp]`
-LIMIT_SEARCH_MOST = 1e15
+MAX_SEARCHED_SIZE = 1e15
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """A cost that grows with something, and the bound that it must keep."""
+    """A cost that grows along an axis, and its bound."""
 
     label: str
     axis: str
     terms: tuple[Term, ...]
     bound: float
     unit: Unit
-    size: float  # to be reached
-    part: float | None  # to be reached where each sender holds its shards alone; None: no different
+    size: float  # required size
+    size_with_shards: float | None  # required if each sender has only its shards; None: the same
     mechanism: str
 
 
 @dataclass(frozen=True, slots=True)
 class BreakPoint:
-    """Where a limit is reached today, and before. A factor above 1 is missing."""
+    """The size at which a limit is reached. Factors are the required size over it; above 1 it is missed."""
 
     limit: Limit
-    size: float | None  # None: not below any size that was looked at
+    size: float | None  # None: not reached, or not known
     factor: float | None
-    before: float | None  # the factor with the slopes before
+    before: float | None  # the factor with the previous slopes
     with_shards: float | None
-    measured: bool  # the size lies among those that were measured
+    measured: bool  # the size is within the measured range
     has_laws: bool  # there is a law for each of its terms
 
 
 def breaks_at(slopes: Slopes | None, terms: Sequence[Term], bound: float) -> float | None:
-    """The largest size whose cost is within the bound; None where none was found above it."""
+    """The largest size whose cost is within the bound.
+
+    None if a law is missing, or if no size up to `MAX_SEARCHED_SIZE` exceeds the bound.
+    """
     laws = [(slopes.law(term.probe) if slopes is not None else None, term.times) for term in terms]
     known = [(law, times) for law, times in laws if law is not None]
     if len(known) < len(terms):
         return None
-    if _cost(known, LIMIT_SEARCH_MOST) <= bound:
+    if _cost(known, MAX_SEARCHED_SIZE) <= bound:
         return None
-    low, high = 0.0, math.log(LIMIT_SEARCH_MOST)
+    low, high = 0.0, math.log(MAX_SEARCHED_SIZE)
     for _ in range(100):
         middle = (low + high) / 2
         low, high = (middle, high) if _cost(known, math.exp(middle)) <= bound else (low, middle)
@@ -70,6 +73,7 @@
 
 
 def break_point(kept: KeptResults, limit: Limit) -> BreakPoint:
+    """Where a limit is reached, with the current and with the previous slopes."""
     size = breaks_at(kept.slopes, limit.terms, limit.bound)
     before = breaks_at(kept.before, limit.terms, limit.bound)
     laws = [kept.slopes.law(term.probe) for term in limit.terms] if kept.slopes is not None else []
@@ -78,28 +82,30 @@
         size,
         limit.size / size if size else None,
         limit.size / before if before else None,
-        limit.part / size if size and limit.part is not None else None,
+        limit.size_with_shards / size if size and limit.size_with_shards is not None else None,
         size is not None and all(law is not None and size <= law.largest for law in laws),
         bool(laws) and all(law is not None for law in laws),
     )
 
 
 def limits(size: FleetSize) -> tuple[Limit, ...]:
-    """Every cost that has a bound, whatever its size today."""
-    part, each = size.destinations_per_sender, size.events_per_sender_s
+    """All costs that have a bound."""
+    own_destinations, events_per_s = size.destinations_per_sender, size.events_per_sender_s
     memory, core = size.memory_mb * 1e6, size.core_share
     one_change = (
         Term("policy-one-change", size.changes_per_s),
         Term("sender-one-change", size.changes_per_s),
     )
-    whole = (Term("discovery-parse"), Term("sender-whole-list"), Term("policy-whole-list"))
-    looks = (Term("recovery-look", LOOKS_PER_S), Term("recovery-facts", FACTS_PER_S))
-    backlog, kb_s = size.backlog_per_sender, size.kb_per_s * 1e3
+    full_list = (Term("discovery-parse"), Term("sender-whole-list"), Term("policy-whole-list"))
+    recovery_checks = (Term("recovery-look", CHECKS_PER_S), Term("recovery-facts", FACTS_PER_S))
+    backlog, bytes_per_s = size.backlog_per_sender, size.kb_per_s * 1e3
 
     def of_destinations(
         label: str, terms: tuple[Term, ...], bound: float, unit: Unit, mechanism: str
     ) -> Limit:
-        return Limit(label, "destinations", terms, bound, unit, float(size.destinations), part, mechanism)
+        return Limit(
+            label, "destinations", terms, bound, unit, float(size.destinations), own_destinations, mechanism
+        )
 
     def of_messages(label: str, terms: tuple[Term, ...], bound: float, unit: Unit, mechanism: str) -> Limit:
         return Limit(label, "messages held", terms, bound, unit, backlog, None, mechanism)
@@ -124,7 +130,7 @@
         ),
         of_destinations(
             "the whole list at a start: processor time",
-            whole,
+            full_list,
             size.ready_s,
             Unit.SECONDS,
             "mountgauge.core.config.Names.update, HopTable.learn, Policy._list",
@@ -138,7 +144,7 @@
         ),
         of_destinations(
             "recovery's looks: processor time",
-            looks,
+            recovery_checks,
             core,
             Unit.CORE,
             "mountgauge.recovery.destinations, mountgauge.run.recovery.RecoverySubsystem.facts",
@@ -152,14 +158,14 @@
         ),
         of_destinations(
             "an event while the room for messages is full, by what is listed: processor time",
-            (Term("policy-full-room", each),),
+            (Term("policy-full-room", events_per_s),),
             ONE_CORE,
             Unit.CORE,
             "rillspindle.policy.Policy._hold",
         ),
         of_destinations(
             "an answer while all slots are taken, by what is listed: processor time",
-            (Term("policy-starved-slot", each),),
+            (Term("policy-starved-slot", events_per_s),),
             ONE_CORE,
             Unit.CORE,
             "rillspindle.policy.Policy._outcome, _slot_worth",
@@ -187,21 +193,21 @@
         ),
         of_messages(
             "an event while the room for messages is full, by what is held: processor time",
-            (Term("policy-full-room-held", each),),
+            (Term("policy-full-room-held", events_per_s),),
             ONE_CORE,
             Unit.CORE,
             "rillspindle.policy.Policy._hold",
         ),
         of_messages(
             "an event for a destination with all the backlog: processor time",
-            (Term("policy-backlog-arrival", each),),
+            (Term("policy-backlog-arrival", events_per_s),),
             ONE_CORE,
             Unit.CORE,
             "rillspindle.policy.Policy._pump",
         ),
         of_messages(
             "an answer while all slots are taken, by what is held: processor time",
-            (Term("policy-backlog-answer", each),),
+            (Term("policy-backlog-answer", events_per_s),),
             ONE_CORE,
             Unit.CORE,
             "rillspindle.policy.Policy._slot_worth, _pump",
@@ -209,7 +215,7 @@
         of_members(
             "tenants' counts: bytes",
             (Term("gossip-members-bytes"),),
-            kb_s,
+            bytes_per_s,
             Unit.BYTES_PER_S,
             "mountgauge.tenants.gossip.node.Gossip",
         ),
@@ -223,7 +229,7 @@
         of_members(
             "telemetry: bytes",
             (Term("telemetry-bytes", 1 / EXPORT_EVERY_S),),
-            kb_s,
+            bytes_per_s,
             Unit.BYTES_PER_S,
             "mountgauge.otlp.tenant_metrics",
         ),
@@ -237,7 +243,7 @@
         of_members(
             "budgets, all members vote: bytes",
             (Term("leases-all-vote-bytes"),),
-            kb_s,
+            bytes_per_s,
             Unit.BYTES_PER_S,
             "mountgauge.budgets.member.Member",
         ),
@@ -251,7 +257,7 @@
         of_members(
             "budgets, a member beside five voters: bytes",
             (Term("leases-member-bytes"),),
-            kb_s,
+            bytes_per_s,
             Unit.BYTES_PER_S,
             "mountgauge.budgets.membership.Membership.places",
         ),
@@ -266,6 +272,6 @@
 
 
 def worst_first(kept: KeptResults, size: FleetSize) -> tuple[BreakPoint, ...]:
-    """By the factor that is missing; what was not measured comes last."""
-    points = [break_point(kept, limit) for limit in limits(size)]
-    return tuple(sorted(points, key=lambda one: -(one.factor or 0.0)))
+    """The break points by falling factor; those that are unknown or never reached come last."""
+    break_points = [break_point(kept, limit) for limit in limits(size)]
+    return tuple(sorted(break_points, key=lambda one: -(one.factor or 0.0)))
--- a/mountgauge/lab/scale/size.py
+++ b/mountgauge/lab/scale/size.py
@@ -1,4 +1,4 @@
-"""The size that capacity is worked out for, read from a settings file (TOML). Units stand in the names."""
+"""The fleet size for which capacity is computed, read from a TOML file. Names include their units."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSize:
-    """Senders, their work, their destinations and what may fail."""
+    """Senders, their load, their destinations and the failures to expect."""
 
     senders: int
     regions: int
@@ -24,9 +24,9 @@
     destinations: int
     down_share: float
     changes_per_day: float
-    burst: float  # times the mean rate of changes
+    burst: float  # factor on the mean rate of changes
     in_force_s: float
-    core_share: float  # of one core, of each sender, for control
+    core_share: float  # of one core, for the control plane of a sender
     memory_mb: float
     kb_per_s: float
     control_machines: int
@@ -40,10 +40,10 @@
     ready_s: float
     ready_share: float
     delay_s: float  # of a message between members
-    losses: int  # messages of one change that are lost, one after the other
+    losses: int  # consecutive lost messages of one change
     shards: int
-    places: int  # senders that hold a shard
-    upper_relays: int  # above those of the zones
+    places: int  # senders that each shard is placed on
+    upper_relays: int  # above the zone relays
 
     @property
     def changes_per_s(self) -> float:
@@ -59,7 +59,7 @@
 
     @property
     def destinations_per_sender(self) -> float:
-        """Destinations that one sender holds where each shard has its places."""
+        """Destinations of one sender if each shard is placed on `places` senders."""
         return self.destinations * self.places / self.senders
 
     @property
@@ -72,7 +72,7 @@
 
 
 def load_size(path: Path) -> FleetSize:
-    """ConfigError, in one line, where the file is not such a size."""
+    """Read a size from a file; raises ConfigError with a message of one line if it is not valid."""
     with faults_of(path):
         return _size(Table(read(path), ""))
 
