--- a/mountgauge/lab/scale/nodes.py
+++ b/mountgauge/lab/scale/nodes.py
@@ -57,6 +57,7 @@
 
     @property
     def now(self) -> float:
+        """The current virtual time."""
         return self.context.loop.now
 
     def drive(self) -> None:
--- a/mountgauge/lab/scale/roles.py
+++ b/mountgauge/lab/scale/roles.py
@@ -32,6 +32,7 @@
 
 
 def sender_role(kept: KeptResults, size: FleetSize) -> Role:
+    """The state, messages and costs of a sender."""
     slopes, scale = kept.slopes, kept.scale
     all_destinations, own_destinations = float(size.destinations), size.destinations_per_sender
     core, memory, bytes_per_s = size.core_share, size.memory_mb * 1e6, size.kb_per_s * 1e3
@@ -161,6 +162,7 @@
 
 
 def relay_role(kept: KeptResults, size: FleetSize) -> Role:
+    """The configuration relays, from the size and the scale run."""
     scale, zones = kept.scale, size.zones
     mechanism, zone_relay, upper = (
         "mountgauge.relay.server, mountgauge.sharding.relay",
@@ -291,6 +293,7 @@
 
 
 def front_role(size: FleetSize) -> Role:
+    """A layer in front of the senders, which does not exist: its costs are unknown."""
     mechanism = "none: clients choose a sender (mountgauge.clients, mountgauge.amqp.clients)"
     needed_measurement = "a front layer, and a run with it"
     return Role(
@@ -314,6 +317,7 @@
 
 
 def discovery_role(kept: KeptResults, size: FleetSize) -> Role:
+    """The load on discovery, with and without relays."""
     mechanism = "mountgauge.platform.discovery (discovery itself is not part of this project)"
     full_list = (Term("discovery-list-bytes"),)
     restarts = (Term("discovery-list-bytes", size.restarts_per_day / 86_400),)
@@ -354,6 +358,7 @@
 
 
 def agent_role(size: FleetSize) -> Role:
+    """The agent on each sender's machine."""
     mechanism, needed_measurement = "mountgauge.agent.Instance", "a probe of one agent with its instances"
     return Role(
         "Agent",
@@ -376,6 +381,7 @@
 
 
 def budgets_role(kept: KeptResults, size: FleetSize) -> Role:
+    """The members that vote on leases of budgets."""
     mechanism, members, bytes_per_s = (
         "mountgauge.budgets.member.Member",
         float(size.senders),
@@ -417,6 +423,7 @@
 
 
 def tenants_role(kept: KeptResults, size: FleetSize) -> Role:
+    """The exchange of tenants' counts between members."""
     mechanism, members = "mountgauge.tenants.gossip.node.Gossip", float(size.senders)
     sent, core = (Term("gossip-members-bytes"),), (Term("gossip-members-core"),)
     return Role(
@@ -442,6 +449,7 @@
 
 
 def telemetry_role(kept: KeptResults, size: FleetSize) -> Role:
+    """The export of telemetry."""
     mechanism, members = "mountgauge.otlp.Exporter", float(size.senders)
     export = (Term("telemetry-bytes", 1 / EXPORT_EVERY_S),)
     core = (Term("telemetry-export", 1 / EXPORT_EVERY_S),)
@@ -480,6 +488,7 @@
 
 
 def data_rows(kept: KeptResults, size: FleetSize) -> tuple[Row, ...]:
+    """Messages and journal of one sender."""
     slopes, backlog = kept.slopes, size.backlog_per_sender
     journal, module = "mountgauge.core.journal.Journal", "rillspindle.policy.Policy._pump"
     turns = backlog / recovery_bounds.RESTORED_PER_TURN
--- a/mountgauge/lab/scale/simulated.py
+++ b/mountgauge/lab/scale/simulated.py
@@ -77,6 +77,7 @@
 
     @property
     def spent_s(self) -> float:
+        """The counted processor time in seconds."""
         return self.spent_ns / 1e9
 
     @contextmanager
--- a/mountgauge/lab/scale/size.py
+++ b/mountgauge/lab/scale/size.py
@@ -47,14 +47,17 @@
 
     @property
     def changes_per_s(self) -> float:
+        """Mean rate of configuration changes."""
         return self.changes_per_day / _DAY_S
 
     @property
     def events_per_sender_s(self) -> float:
+        """Mean rate of events at one sender."""
         return self.events_per_s / self.senders
 
     @property
     def backlog_per_sender(self) -> float:
+        """Mean number of waiting events at one sender."""
         return self.backlog_events / self.senders
 
     @property
@@ -64,10 +67,12 @@
 
     @property
     def senders_per_zone(self) -> float:
+        """Mean number of senders in a zone."""
         return self.senders / self.zones
 
     @property
     def destinations_down(self) -> float:
+        """Number of destinations that are down at any time."""
         return self.destinations * self.down_share
 
 
--- a/tests/lab/test_scale.py
+++ b/tests/lab/test_scale.py
@@ -1,5 +1,4 @@
-"""The scale run: settings, schedules, the network in virtual time, times of changes, results and exit
-codes."""
+"""Tests of the scale run: settings, schedules, the simulated network and fleet, results and exit codes."""
 
 from __future__ import annotations
 
@@ -113,14 +112,14 @@
         ("[[size]]\nsenders = 5\n", "size[0].destinations: must be 1 to 2000000"),
     ],
 )
-def test_bad_settings_get_one_line(line: str, why: str) -> None:
+def test_invalid_settings_raise_an_error_of_one_line(line: str, why: str) -> None:
     raw = {"name": "x", "seed": 1, "duration_s": 40, "size": [{"senders": 3, "destinations": 9}]}
     with pytest.raises(ConfigError) as error:
         parse(raw | tomllib.loads(line))
     assert why in str(error.value) and "\n" not in str(error.value)
 
 
-def test_no_size_and_the_same_size_twice_are_refused() -> None:
+def test_a_missing_size_and_a_repeated_size_are_rejected() -> None:
     with pytest.raises(ConfigError, match="size: missing"):
         parse({"name": "x", "seed": 1, "duration_s": 40})
     size = {"senders": 3, "destinations": 9}
@@ -131,13 +130,13 @@
 # Schedules
 
 
-def test_one_seed_gives_one_schedule_and_another_another() -> None:
+def test_schedules_are_equal_for_equal_seeds_only() -> None:
     one = settings()
     assert draw(one, one.sizes[0]) == draw(one, one.sizes[0])
     assert draw(one, one.sizes[0]) != draw(one.with_seed(2), one.sizes[0])
 
 
-def test_a_schedule_has_what_the_settings_ask_for() -> None:
+def test_a_schedule_has_the_changes_and_faults_of_the_settings() -> None:
     one = settings()
     schedule = draw(one, one.sizes[0])
     kinds = [fault.kind for fault in schedule.faults]
@@ -151,7 +150,7 @@
     assert [change.number for change in schedule.changes] == list(range(1, len(schedule.changes) + 1))
 
 
-def test_a_rack_lies_in_one_zone_and_a_zone_in_one_region() -> None:
+def test_a_rack_is_in_one_zone_and_a_zone_in_one_region() -> None:
     one = settings()
     locations = draw(one, one.sizes[0]).locations
     assert (
@@ -168,12 +167,12 @@
         assert all(len(outer) == 1 for outer in zones_or_regions.values())
 
 
-def test_bursts_come_on_top_of_the_steady_rate() -> None:
-    calm = settings(SMALL.replace("bursts = 1", "bursts = 0"))
-    size = calm.sizes[0]
-    steady, burst = len(draw(calm, size).changes), len(draw(settings(), size).changes)
-    assert 20 <= steady <= 60  # 40 are meant
-    assert burst - steady > 5  # 20 are meant
+def test_bursts_add_to_the_steady_rate() -> None:
+    without_bursts = settings(SMALL.replace("bursts = 1", "bursts = 0"))
+    size = without_bursts.sizes[0]
+    steady, burst = len(draw(without_bursts, size).changes), len(draw(settings(), size).changes)
+    assert 20 <= steady <= 60  # 40 expected
+    assert burst - steady > 5  # 20 expected
 
 
 # The network
@@ -184,7 +183,7 @@
     return loop, Network(loop, NetworkSettings(**change), random.Random(1)), Party("a", 0), Party("b", 1)
 
 
-def test_messages_between_regions_take_the_longer_way() -> None:
+def test_messages_between_regions_have_the_longer_delay() -> None:
     loop, net, near, far = network(jitter_s=0.0, loss=0.0)
     arrived: list[float] = []
     net.send(near, Party("c", 0), 10, lambda: arrived.append(loop.now))
@@ -194,17 +193,17 @@
     assert near.traffic.sent_bytes == 20 and far.traffic.received_bytes == 10
 
 
-def test_a_lost_packet_comes_late_not_never() -> None:
+def test_a_lost_packet_delays_its_message() -> None:
     loop, net, near, far = network(jitter_s=0.0, loss=0.3)
     arrived: list[float] = []
     for _ in range(200):
         net.send(near, far, 1, lambda: arrived.append(loop.now))
     loop.run_until(60.0)
     assert len(arrived) == 200
-    assert 40 <= sum(at > 0.25 for at in arrived) <= 80  # 60 are meant
+    assert 40 <= sum(at > 0.25 for at in arrived) <= 80  # 60 expected
 
 
-def test_nothing_crosses_a_cut_until_it_is_healed() -> None:
+def test_no_message_crosses_a_cut_until_it_is_healed() -> None:
     loop, net, near, far = network()
     arrived: list[str] = []
     net.cut(1)
@@ -216,7 +215,7 @@
     assert arrived == ["healed"]
 
 
-def test_a_party_that_is_down_hears_nothing_and_a_slow_one_is_late() -> None:
+def test_a_party_that_is_down_receives_nothing_and_a_slow_one_sends_late() -> None:
     loop, net, near, far = network(jitter_s=0.0, loss=0.0)
     arrived: list[float] = []
     far.up = False
@@ -228,16 +227,16 @@
     assert arrived == [pytest.approx(1.6)]
 
 
-# Discovery's stand-in
+# The stand-in for discovery
 
 
 def test_discovery_answers_by_version() -> None:
     found = DiscoveryList(4, ("z0", "z1"))
-    whole = orjson.loads(found.answer(None))
-    assert whole["full"] and len(whole["servers"]) == 4
+    full_list = orjson.loads(found.answer(None))
+    assert full_list["full"] and len(full_list["servers"]) == 4
     found.apply(ListChange(1.0, 1, 2, ChangeKind.REPLACED))
     found.apply(ListChange(2.0, 2, 3, ChangeKind.LEAVING))
-    delta = orjson.loads(found.answer(whole["version"]))
+    delta = orjson.loads(found.answer(full_list["version"]))
     assert not delta["full"] and delta["version"] == found.version
     assert {(one["id"], one["state"], one["started_ms"]) for one in delta["servers"]} == {
         (endpoint_id(2, 0), "left", 1),
@@ -245,26 +244,26 @@
         (endpoint_id(3, 0), "leaving", 2),
     }
     assert orjson.loads(found.answer(found.version))["servers"] == []
-    assert orjson.loads(found.answer(found.version + 1))["full"]  # it knows of no such version
+    assert orjson.loads(found.answer(found.version + 1))["full"]  # a version that it does not have
 
 
-# Times of changes
+# Propagation times
 
 
-def test_a_change_counts_until_the_senders_own_state_shows_it() -> None:
-    tracker, shown = PropagationTracker(), set[int]()
-    tracker.changed("shard", "e1", 1, [1, 2], 10.0, shown.__contains__)
-    tracker.updated(1, "shard", 11.0)  # an update that did not bring it
+def test_a_change_is_pending_until_the_senders_own_state_includes_it() -> None:
+    tracker, applied = PropagationTracker(), set[int]()
+    tracker.changed("shard", "e1", 1, [1, 2], 10.0, applied.__contains__)
+    tracker.updated(1, "shard", 11.0)  # an update without the change
     assert tracker.pending() == 2
-    shown.add(1)
+    applied.add(1)
     tracker.updated(1, "shard", 12.0)
     assert tracker.pending() == 1
     assert tracker.steady.worst == pytest.approx(2.0, rel=0.01)
 
 
-def test_time_behind_a_cut_does_not_count_and_those_gone_are_not_waited_for() -> None:
-    tracker, shown = PropagationTracker(), {1}
-    tracker.changed("shard", "e1", 1, [1, 2], 10.0, shown.__contains__)
+def test_time_behind_a_cut_does_not_count_and_ended_senders_are_not_waited_for() -> None:
+    tracker, applied = PropagationTracker(), {1}
+    tracker.changed("shard", "e1", 1, [1, 2], 10.0, applied.__contains__)
     tracker.restart_clock({1}, 50.0)
     tracker.updated(1, "shard", 51.0)
     tracker.process_ended(2)
@@ -272,7 +271,7 @@
     assert tracker.steady.count == 0 and tracker.after_heal.worst == pytest.approx(1.0, rel=0.01)
 
 
-def test_histograms_keep_their_values_over_their_encoding() -> None:
+def test_encoded_histograms_keep_their_values() -> None:
     one, other = Histogram(), Histogram()
     for tenths in range(1, 101):
         one.record(tenths / 10)
@@ -282,7 +281,7 @@
     assert other.quantile(0.99) == pytest.approx(9.9, rel=0.01)
 
 
-def test_the_size_of_an_object_counts_what_it_alone_holds() -> None:
+def test_the_size_of_an_object_excludes_shared_objects() -> None:
     shared = list(range(1000, 2000))
     small, large = {"shared": shared}, {"shared": shared, "own": bytes(5000)}
     assert 5000 <= deep_size([large], [shared]) - deep_size([small], [shared]) < 5200
@@ -291,22 +290,27 @@
 
 # A fleet in virtual time
 
-TIMED = ("cpu_share", "most_cpu_share", "start_cpu_s", "wall_s", "resident_mb")  # differ from run to run
+# Figures that differ between runs of the same seed
+MACHINE_DEPENDENT = ("cpu_share", "most_cpu_share", "start_cpu_s", "wall_s", "resident_mb")
 
 
 def figures(one: ScaleSettings) -> dict[str, Any]:
-    """All figures of the first size but those of the machine."""
+    """All figures of the first size except those that depend on the machine."""
 
-    def without_timed(value: Any) -> Any:
+    def without_machine_dependent(value: Any) -> Any:
         if not isinstance(value, dict):
             return value
-        return {key: without_timed(inner) for key, inner in value.items() if key not in TIMED}
+        return {
+            key: without_machine_dependent(inner)
+            for key, inner in value.items()
+            if key not in MACHINE_DEPENDENT
+        }
 
-    found: dict[str, Any] = without_timed(asdict(run_size(one, one.sizes[0])))
+    found: dict[str, Any] = without_machine_dependent(asdict(run_size(one, one.sizes[0])))
     return found
 
 
-def test_one_seed_gives_the_same_figures_and_all_senders_end_right() -> None:
+def test_equal_seeds_give_equal_figures_and_all_senders_converge() -> None:
     one, again = figures(settings()), figures(settings())
     assert one == again
     assert one["propagation"]["stale"] == 0 and one["wrong"] == 0
@@ -315,8 +319,8 @@
     assert figures(settings().with_seed(2)) != one
 
 
-def calm(**faults: Any) -> ScaleSettings:
-    """No changes of members and only these faults."""
+def with_faults_only(**faults: Any) -> ScaleSettings:
+    """The settings without membership changes and bursts, and with only these faults."""
     none = FaultSettings(
         restart_share=0, machine_share=0, racks=0, zones=0, region_cuts=0, slow_relays=0, relays_lost=0
     )
@@ -325,30 +329,30 @@
     return replace(one, changes=changes, faults=replace(none, **faults))
 
 
-def played(one: ScaleSettings) -> tuple[World, SizeResult]:
+def run_world(one: ScaleSettings) -> tuple[World, SizeResult]:
     size = one.sizes[0]
     world = World(one, size, draw(one, size))
     world.run_until(one.total_s)
     return world, world.result(0.0, 0.0)
 
 
-def test_without_faults_changes_come_within_a_few_round_trips() -> None:
-    _, result = played(calm())
+def test_without_faults_changes_arrive_within_a_few_round_trips() -> None:
+    _, result = run_world(with_faults_only())
     times = result.propagation
     assert times.stale == 0 and times.after_heal == 0 and times.starts == 0
-    assert times.p50_s < 0.5 and times.worst_s < 3.0  # virtual time, no machine's
+    assert times.p50_s < 0.5 and times.worst_s < 3.0  # virtual time: independent of the machine
 
 
 def test_a_cut_region_is_current_soon_after_it_is_healed() -> None:
-    one = calm(region_cuts=1, region_cut_s=20.0)
-    _, result = played(one)
+    one = with_faults_only(region_cuts=1, region_cut_s=20.0)
+    _, result = run_world(one)
     times = result.propagation
     assert times.after_heal > 0 and times.after_heal_worst_s < 9.0
     assert times.stale == 0 and result.wrong == 0
 
 
-def test_a_cut_that_is_not_healed_leaves_changes_open() -> None:
-    one = calm(region_cuts=1, region_cut_s=30.0)
+def test_a_cut_that_is_not_healed_leaves_changes_pending() -> None:
+    one = with_faults_only(region_cuts=1, region_cut_s=30.0)
     size = one.sizes[0]
     world = World(one, size, draw(one, size))
     cut = next(fault for fault in world.schedule.faults if fault.kind is FaultKind.REGION_CUT)
@@ -357,18 +361,19 @@
     assert world.wrong_shards() > 0
 
 
-def test_time_counts_again_only_when_there_is_a_way_to_discovery() -> None:
-    """Both relays of a region are lost behind a cut: its senders reach none until the first one is back.
+def test_the_clock_restarts_only_when_there_is_a_path_to_discovery() -> None:
+    """Both relays of a region fail during a cut, so its senders reach no relay until the first one restarts.
 
-    They try the other three in vain before they come to it again.
+    The senders try the other three relays in vain before they retry it.
     """
-    one = calm()
+    one = with_faults_only()
     size = one.sizes[0]
     begin = one.warm_s + 5.0
     faults = (
         Fault(begin, begin + 25.0, FaultKind.REGION_CUT, (1,)),
-        Fault(begin, begin + 20.0, FaultKind.RELAY_LOST, (2,)),  # of zone 0, after the two upper ones
-        Fault(begin, begin + 25.0, FaultKind.RELAY_LOST, (3,)),  # of zone 1
+        # The relay of zone 0: numbers 0 and 1 are the upper relays
+        Fault(begin, begin + 20.0, FaultKind.RELAY_LOST, (2,)),
+        Fault(begin, begin + 25.0, FaultKind.RELAY_LOST, (3,)),  # the relay of zone 1
     )
     world = World(one, size, replace(draw(one, size), faults=faults))
     world.run_until(begin + 19.0)
@@ -383,24 +388,27 @@
 
 
 @pytest.mark.parametrize("fault", ["relays_lost", "slow_relays", "zones", "racks"])
-def test_a_fault_leaves_no_sender_behind(fault: str) -> None:
-    _, result = played(calm(**{fault: 1}))
+def test_all_senders_converge_after_a_fault(fault: str) -> None:
+    _, result = run_world(with_faults_only(**{fault: 1}))
     assert result.propagation.stale == 0 and result.wrong == 0
     assert max(result.propagation.worst_s, result.propagation.after_heal_worst_s) < 9.0
 
 
-def test_a_restarted_sender_comes_back_with_what_it_kept() -> None:
-    _, result = played(calm(restart_share=0.2))
+def test_a_restarted_sender_starts_from_its_saved_state() -> None:
+    _, result = run_world(with_faults_only(restart_share=0.2))
     assert result.propagation.starts > 0 and result.wrong == 0
-    _, afresh = played(calm(machine_share=0.2, machine_s=3.0))
-    assert 0 < result.sender.start_kb < afresh.sender.start_kb
+    _, without_state = run_world(with_faults_only(machine_share=0.2, machine_s=3.0))
+    assert 0 < result.sender.start_kb < without_state.sender.start_kb
 
 
 # Results
 
 
 def size_result(senders: int, **change: Any) -> SizeResult:
-    """A size on the ray whose costs are a power of the senders: memory flat, relays linear."""
+    """A size with the full size's proportions and costs that are powers of the number of senders.
+
+    A sender's memory grows with the square root and its other costs are constant; relay costs grow linearly.
+    """
     share = senders / 18_000
     relay = RelayCosts(3, 0.4 * share, 0.5 * share, 10.0, 100.0 * share, 900.0 * share)
     times = Propagation(100, 0.1, 1.0, 2.0, 0, 0.0, 0, 0.0, 0, 0, "")
@@ -412,14 +420,14 @@
     return replace(one, **change)
 
 
-COMPARED = Comparison(6, 1700, 0.01, -0.01, 0.0, 0.1, 0.001, 0.0002, 0.0001, 0, 0, 500)
+COMPARISON = Comparison(6, 1700, 0.01, -0.01, 0.0, 0.1, 0.001, 0.0002, 0.0001, 0, 0, 500)
 
 
-def scale_result(compared: Comparison | None = COMPARED, **change: Any) -> ScaleResult:
+def scale_result(comparison: Comparison | None = COMPARISON, **change: Any) -> ScaleResult:
     sizes = tuple(size_result(senders, **change) for senders in (100, 300, 1000, 3000))
-    if compared is not None:
-        sizes = tuple(with_io(one, compared) for one in sizes)
-    return ScaleResult("x", 1, sizes, slopes(sizes), compared)
+    if comparison is not None:
+        sizes = tuple(with_io(one, comparison) for one in sizes)
+    return ScaleResult("x", 1, sizes, slopes(sizes), comparison)
 
 
 def test_slopes_give_the_law_and_the_figure_at_the_full_size() -> None:
@@ -428,12 +436,12 @@
     assert found["mb"].exponent == pytest.approx(0.5) and found["mb"].at_size == pytest.approx(0.4)
     assert found["zone_relay_mb"].at_size == pytest.approx(900.0)
     summary = result.summary()
-    assert summary["at_size"]["cpu_share"] == pytest.approx(0.001 + 2.0 * 0.0002)  # with its sockets
+    assert summary["at_size"]["cpu_share"] == pytest.approx(0.001 + 2.0 * 0.0002)  # with the cost of sockets
     assert summary["at_size"]["control_machines"] == 6
     assert summary["hollow_error"] == 0.1 and summary["lost"] == 0
 
 
-def test_machines_are_known_where_both_ends_of_an_interval_give_the_same_number() -> None:
+def test_machines_are_known_if_both_ends_of_an_interval_give_the_same_number() -> None:
     def machines(low: float, high: float) -> int | None:
         result = scale_result()
         wide = [
@@ -447,9 +455,9 @@
     assert machines(0.03, 0.75) is None
 
 
-def test_figures_of_hollow_senders_that_differ_from_real_ones_are_not_used() -> None:
-    for compared in (None, replace(COMPARED, cpu=0.3), replace(COMPARED, virtual_messages=-0.2)):
-        summary = scale_result(compared).summary()
+def test_figures_of_simulated_senders_that_differ_from_real_ones_are_not_used() -> None:
+    for comparison in (None, replace(COMPARISON, cpu=0.3), replace(COMPARISON, virtual_messages=-0.2)):
+        summary = scale_result(comparison).summary()
         assert set(summary["at_size"].values()) == {"unknown"}
         assert not summary["hollow_used"]
     assert scale_result(None).summary()["hollow_error"] == "not run"
@@ -462,26 +470,26 @@
     assert slope.at_size is None and slope.high / slope.low > 2 and slope.why_unknown
 
 
-def test_only_sizes_of_the_full_sizes_proportions_are_fitted() -> None:
+def test_only_sizes_with_the_full_sizes_proportions_are_fitted() -> None:
     sizes = [size_result(senders) for senders in (100, 300, 1000)]
     off = replace(size_result(300), size=Size(300, 300_000, 1092))
     assert slopes([*sizes, off]) == slopes(sizes)
     assert slopes(sizes[:2]) == ()
 
 
-def test_bounds_that_are_not_held_are_named() -> None:
+def test_bounds_that_are_not_met_are_named() -> None:
     bounds = settings().bounds
     assert broken_bounds(scale_result(), bounds) == ()
     late = replace(size_result(100).propagation, p99_s=4.0, stale=2)
     broken = broken_bounds(scale_result(propagation=late), bounds)
     assert broken == ("config_p99_s 4, bound 3", "stale 8, bound 0")
-    lost = scale_result(replace(COMPARED, lost=1))
+    lost = scale_result(replace(COMPARISON, lost=1))
     assert broken_bounds(lost, bounds) == ("lost 1, bound 0",)
     assert broken_bounds(scale_result(), replace(bounds, mb=0.1)) == ("mb 0.4, bound 0.1",)
 
 
-def test_the_page_has_what_the_last_line_has() -> None:
-    result = scale_result(replace(COMPARED, cpu=0.3))
+def test_the_page_contains_charts_and_summary() -> None:
+    result = scale_result(replace(COMPARISON, cpu=0.3))
     text = page_text(settings(), result, [Chart("Times & more", "<svg>1</svg>")])
     assert "<svg>1</svg>" in text and "Times &amp; more" in text
     assert "hollow_error" in text and "unknown" in text and "zone_relay_mb" in text
@@ -492,18 +500,18 @@
 TINY = SMALL.replace("duration_s = 40", "duration_s = 20").replace("region_cut_s = 15", "region_cut_s = 8")
 
 
-def lab_scale(file: Path, *words: str) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "mountgauge", "lab", "scale", str(file), *words]
+def run_command(file: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "mountgauge", "lab", "scale", str(file), *arguments]
     command += ["--out", str(file.parent / "out")]
     return subprocess.run(command, capture_output=True, text=True, timeout=120)
 
 
-def test_the_command_plays_a_file_and_ends_with_one_line_of_json(tmp_path: Path) -> None:
+def test_the_command_runs_a_file_and_prints_a_summary_line_of_json(tmp_path: Path) -> None:
     file = tmp_path / "tiny.toml"
     file.write_text(TINY)
-    done = lab_scale(file, "--no-real", "--no-page")
-    assert done.returncode == 0, done.stderr
-    last = json.loads(done.stdout.splitlines()[-1])
+    completed = run_command(file, "--no-real", "--no-page")
+    assert completed.returncode == 0, completed.stderr
+    last = json.loads(completed.stdout.splitlines()[-1])
     assert {
         "senders", "destinations", "exponents", "at_size", "config_p99_s", "config_worst_s", "stale",
         "moved_share", "hollow_error", "lost", "doubled",
@@ -515,24 +523,24 @@
     assert kept["summary"] == last
 
 
-def test_a_bound_that_is_missed_gives_exit_1_and_a_bad_file_2(tmp_path: Path) -> None:
+def test_a_missed_bound_exits_with_1_and_an_invalid_file_with_2(tmp_path: Path) -> None:
     file = tmp_path / "tiny.toml"
     file.write_text(TINY + "[bounds]\nconfig_p99_s = 0.0001\n")
-    done = lab_scale(file, "--no-real", "--no-page")
-    assert done.returncode == 1
-    assert "broken: config_p99_s" in done.stdout
+    completed = run_command(file, "--no-real", "--no-page")
+    assert completed.returncode == 1
+    assert "broken: config_p99_s" in completed.stdout
     file.write_text(TINY + "[bounds]\nconfig_p98_s = 1\n")
-    done = lab_scale(file)
-    assert done.returncode == 2
-    assert done.stderr == "mountgauge: bounds.config_p98_s: unknown setting\n"
+    completed = run_command(file)
+    assert completed.returncode == 2
+    assert completed.stderr == "mountgauge: bounds.config_p98_s: unknown setting\n"
 
 
-def test_a_run_stops_before_it_takes_more_memory_than_allowed(tmp_path: Path) -> None:
+def test_a_run_that_exceeds_its_memory_limit_stops(tmp_path: Path) -> None:
     file = tmp_path / "tiny.toml"
     file.write_text(TINY.replace('name = "small"', 'name = "small"\nmost_memory_gb = 0.01'))
-    done = lab_scale(file, "--no-real", "--no-page")
-    assert done.returncode == 1
-    assert done.stderr.startswith("mountgauge: stopped: ") and "0.0 GB are allowed" in done.stderr
+    completed = run_command(file, "--no-real", "--no-page")
+    assert completed.returncode == 1
+    assert completed.stderr.startswith("mountgauge: stopped: ") and "0.0 GB are allowed" in completed.stderr
 
 
 def test_the_machines_memory_is_read() -> None:
@@ -541,11 +549,11 @@
     assert 0 < machine_memory().used_share < 1
 
 
-def test_real_senders_lose_nothing_beside_hollow_ones() -> None:
-    compared = compare(RealSettings(senders=3, destinations=120, duration_s=2.0, load_senders=6), 1)
-    assert compared.delivered > 0
-    assert (compared.lost, compared.doubled) == (0, 0)
-    assert -1 < compared.bytes < math.inf and compared.senders == 3
+def test_real_senders_beside_simulated_ones_lose_no_message() -> None:
+    comparison = compare(RealSettings(senders=3, destinations=120, duration_s=2.0, load_senders=6), 1)
+    assert comparison.delivered > 0
+    assert (comparison.lost, comparison.doubled) == (0, 0)
+    assert -1 < comparison.bytes < math.inf and comparison.senders == 3
     assert not children()
 
 
