--- a/mountgauge/lab/scale/__init__.py
+++ b/mountgauge/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale of a fleet: growth laws fitted to measured costs, and the capacity page worked out from them."""
+"""Scale runs: simulates fleets of several sizes, fits growth laws to costs, renders the capacity page."""
--- a/mountgauge/lab/scale/live_files.py
+++ b/mountgauge/lab/scale/live_files.py
@@ -36,7 +36,10 @@
 
 
 def relay_file(node: LiveNode, sharding: Sharding, discovery: str, upper: Sequence[LiveNode]) -> str:
-    """The settings of a relay that follows discovery, or `upper` relays; only the latter has the members."""
+    """The settings of a relay that follows discovery, or `upper` relays.
+
+    Only a relay that follows other relays has the members file.
+    """
     lines = [
         f'name = "{node.name}"',
         f'zone = "{node.zone}"',
--- a/mountgauge/lab/scale/live_simulated.py
+++ b/mountgauge/lab/scale/live_simulated.py
@@ -41,7 +41,7 @@
         self.follower = Follower(subscription, addresses, None, shards, self._answered)
 
     def _answered(self, call: Call, update: Update) -> None:
-        self.machine.apply_update(update, asyncio.get_running_loop().time())
+        self.machine.process_update(update, asyncio.get_running_loop().time())
 
 
 def status_report(senders: Sequence[LiveSimulatedSender]) -> Mapping[str, Any]:
--- a/mountgauge/lab/scale/simulated.py
+++ b/mountgauge/lab/scale/simulated.py
@@ -159,10 +159,10 @@
         reply = pool.share(reply)
         with self.processor.counted():
             update = self.subscription.answered(call, reply, now)
-            self.apply_update(update, now)
+            self.process_update(update, now)
         return update
 
-    def apply_update(self, update: Update, now: float) -> None:
+    def process_update(self, update: Update, now: float) -> None:
         """Pass the changes of an answer to the decision module."""
         self.rejections += len(update.rejections)
         self._update_policy(update, now)
