--- a/mountgauge/lab/scale/kept.py
+++ b/mountgauge/lab/scale/kept_results.py
@@ -1,6 +1,6 @@
-"""Kept results of measurements, read into typed values: slopes, outages and the scale run.
+"""Loads kept results of measurements into typed values: slopes, outages and the scale run.
 
-What is missing is None or empty, never made up; what cannot be read is a `KeptError` in one line.
+Missing results are None or empty; a file that cannot be read raises `KeptResultsError`.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 import orjson
 
 from mountgauge.lab.scale.fit import Fit, FitError, Measurement, fit
-from mountgauge.lab.scale.outage import Seen
+from mountgauge.lab.scale.outage import OutageObservations
 
 SLOPES, SLOPES_BEFORE, OUTAGE, SCALE = "slopes.json", "slopes-before.json", "outage.json", "scale.json"
 
 
-class KeptError(ValueError):
-    """A results file that cannot be read; the text is one line."""
+class KeptResultsError(ValueError):
+    """A results file cannot be read; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """One probe of `benchmarks.slopes`."""
+    """The result of one probe of `benchmarks.slopes`."""
 
     name: str
     axis: str
@@ -38,32 +38,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Slopes:
-    """One run of `benchmarks.slopes`."""
+    """The results of a run of `benchmarks.slopes`."""
 
     processor: str
     python: str
     by_name: Mapping[str, Slope]
 
     def law(self, name: str) -> Fit | None:
+        """The fitted law of a probe; None if it has none."""
         slope = self.by_name.get(name)
         return slope.law if slope is not None else None
 
 
 @dataclass(frozen=True, slots=True)
 class OutageRun:
-    """One line of `benchmarks.outage`."""
+    """One result of `benchmarks.outage`."""
 
     way: str
     senders: int
     down_s: float
     listed_rate: float
     seeds: int
-    seen: Seen
+    seen: OutageObservations
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleCost:
-    """One cost of the scale run, at the full size; None: unknown."""
+    """One cost of the scale run; `at_size` is the estimate for the full size, None if unknown."""
 
     exponent: float
     residual: float
@@ -75,21 +76,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ScaleRun:
-    """What the scale run (`benchmarks.scale`) says last."""
+    """The costs and the summary of a scale run (`benchmarks.scale`)."""
 
     senders: int
     destinations: int
     costs: Mapping[str, ScaleCost]
-    summary: Mapping[str, Any]  # times in s, counts and shares; a text where a figure is not there
+    summary: Mapping[str, Any]  # numbers, or a text in place of a missing figure
 
     def number(self, name: str) -> float | None:
+        """A number of the summary; None if it is not a number."""
         value = self.summary.get(name)
         return float(value) if isinstance(value, int | float) and not isinstance(value, bool) else None
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
-    """All results of a folder."""
+class KeptResults:
+    """All results of a folder; `before` has the slopes of a previous version of the program."""
 
     slopes: Slopes | None
     before: Slopes | None
@@ -97,8 +99,9 @@
     scale: ScaleRun | None
 
 
-def load_kept(folder: Path) -> Kept:
-    return Kept(
+def load_kept_results(folder: Path) -> KeptResults:
+    """Load all results of a folder; raises KeptResultsError if a file cannot be read."""
+    return KeptResults(
         _slopes(folder / SLOPES), _slopes(folder / SLOPES_BEFORE), _outages(folder / OUTAGE),
         _scale(folder / SCALE),
     )  # fmt: skip
@@ -110,7 +113,7 @@
     except FileNotFoundError:
         return None
     except (OSError, orjson.JSONDecodeError) as error:
-        raise KeptError(f"{path}: {error}") from None
+        raise KeptResultsError(f"{path}: {error}") from None
 
 
 def _slopes(path: Path) -> Slopes | None:
@@ -121,7 +124,7 @@
         probes = {one["name"]: _slope(one) for one in raw["probes"]}
         return Slopes(str(raw["processor"]), str(raw["python"]), probes)
     except (KeyError, TypeError, ValueError) as error:
-        raise KeptError(f"{path}: not a result of benchmarks.slopes: {error!r}") from None
+        raise KeptResultsError(f"{path}: not a result of benchmarks.slopes: {error!r}") from None
 
 
 def _slope(raw: Mapping[str, Any]) -> Slope:
@@ -146,12 +149,12 @@
         return tuple(
             OutageRun(
                 one["way"], int(one["senders"]), float(one["down_s"]), float(one["listed_rate"]),
-                int(one["seeds"]), Seen(**one["seen"]),
+                int(one["seeds"]), OutageObservations(**one["seen"]),
             )
             for one in raw["outages"]
         )  # fmt: skip
     except (KeyError, TypeError, ValueError) as error:
-        raise KeptError(f"{path}: not a result of benchmarks.outage: {error!r}") from None
+        raise KeptResultsError(f"{path}: not a result of benchmarks.outage: {error!r}") from None
 
 
 def _scale(path: Path) -> ScaleRun | None:
@@ -169,7 +172,7 @@
         }  # fmt: skip
         return ScaleRun(int(summary["senders"]), int(summary["destinations"]), costs, summary)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise KeptError(f"{path}: not a result of benchmarks.scale: {error!r}") from None
+        raise KeptResultsError(f"{path}: not a result of benchmarks.scale: {error!r}") from None
 
 
 def _number(value: Any) -> float | None:
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -10,13 +10,13 @@
 from benchmarks.capacity import PAGE, RESULTS, ROOT
 from mountgauge.core.config import ConfigError
 from mountgauge.lab.scale import capacity_page
-from mountgauge.lab.scale.capacity import work_out
+from mountgauge.lab.scale.capacity import compute_capacity
 from mountgauge.lab.scale.capacity_tables import number, short
 from mountgauge.lab.scale.figures import Figure, Term, Unit, summed
 from mountgauge.lab.scale.fit import Estimate, Measurement, Unknown, fit
-from mountgauge.lab.scale.kept import Kept, KeptError, Slope, Slopes, load_kept
+from mountgauge.lab.scale.kept_results import KeptResults, KeptResultsError, Slope, Slopes, load_kept_results
 from mountgauge.lab.scale.limits import Limit, break_point
-from mountgauge.lab.scale.outage import Outage, cold_budget, play
+from mountgauge.lab.scale.outage import Outage, cold_budget, simulate
 from mountgauge.lab.scale.size import FleetSize, load_size
 
 SIZE_FILE = ROOT / capacity_page.SIZE_FILE
@@ -65,12 +65,12 @@
 def test_without_results_all_measured_figures_are_unknown(tmp_path: Path, size: FleetSize) -> None:
     text = capacity_page.render(tmp_path, SIZE_FILE)
     assert "The scale run is not among the results" in text and "Nothing measured." in text
-    found = work_out(load_kept(tmp_path), size)
+    found = compute_capacity(load_kept_results(tmp_path), size)
     figures = [row.figure for role in found.roles for row in role.rows]
     assert all(
         isinstance(one.value, Unknown) for one in figures if "slopes" in one.origin or "scale" in one.origin
     )
-    assert all(one.factor is None and not one.measured_at_all for one in found.limits)
+    assert all(one.factor is None and not one.has_laws for one in found.limits)
 
 
 def test_a_scale_run_fills_the_rows_of_the_relays(tmp_path: Path) -> None:
@@ -98,8 +98,8 @@
 @pytest.mark.parametrize("content", [b"{", b"[]", b'{"probes": [{}]}', b"3"])
 def test_a_damaged_result_is_reported_in_one_line(tmp_path: Path, name: str, content: bytes) -> None:
     (tmp_path / name).write_bytes(content)
-    with pytest.raises(KeptError, match=name) as raised:
-        load_kept(tmp_path)
+    with pytest.raises(KeptResultsError, match=name) as raised:
+        load_kept_results(tmp_path)
     assert "\n" not in str(raised.value)
 
 
@@ -114,7 +114,7 @@
 def test_a_limit_is_reached_where_its_cost_equals_the_bound() -> None:
     limit = Limit("x", "destinations", (Term("one"),), 0.25, Unit.CORE, 1e6, 100.0, "here")
     after, before = slopes(slope("one", 1e-6, 1.0)), slopes(slope("one", 1e-6, 2.0))
-    found = break_point(Kept(after, before, (), None), limit)
+    found = break_point(KeptResults(after, before, (), None), limit)
     assert found.size == pytest.approx(250_000) and not found.measured
     assert found.factor == pytest.approx(4.0) and found.before == pytest.approx(2000.0)
     assert found.with_shards == pytest.approx(100 / 250_000)
@@ -122,8 +122,8 @@
 
 def test_a_constant_cost_never_reaches_its_limit() -> None:
     limit = Limit("x", "destinations", (Term("one"),), 0.25, Unit.CORE, 1e6, None, "here")
-    found = break_point(Kept(slopes(slope("one", 1e-6, 0.0)), None, (), None), limit)
-    assert found.size is None and found.factor is None and found.measured_at_all
+    found = break_point(KeptResults(slopes(slope("one", 1e-6, 0.0)), None, (), None), limit)
+    assert found.size is None and found.factor is None and found.has_laws
 
 
 def test_the_derived_figures_of_the_size(size: FleetSize) -> None:
@@ -131,7 +131,7 @@
     assert size.backlog_per_sender == pytest.approx(3_333_333, abs=1)
     assert size.destinations_down == pytest.approx(30_600)
     assert size.changes_per_s == pytest.approx(0.648, abs=0.001)
-    assert size.part_of_destinations == pytest.approx(283.3, abs=0.1)
+    assert size.destinations_per_sender == pytest.approx(283.3, abs=0.1)
 
 
 @pytest.mark.parametrize(
@@ -167,10 +167,10 @@
 
 def test_an_outage_causes_trials_and_its_end_a_limited_number_of_calls() -> None:
     """The real module: only trials during the outage, then at most the capacity of a cold destination."""
-    found = play(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1)
+    found = simulate(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1)
     assert found.learned == 3
     assert 0 < found.trials_per_s < 9.0
     assert 0 < found.calls_after <= cold_budget(18.0) + 2 * cold_budget(18.0) ** 0.5 + 2
-    assert play(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1) == found, (
+    assert simulate(Outage(3, 9.0, 30.0, 60.0, 20.0, 600.0, 18.0, 3), 1) == found, (
         "a seed always yields the same outage"
     )
