--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -13,7 +13,7 @@
 from itertools import count
 
 from mountgauge.tenants.admission import QuotaAdmission
-from mountgauge.tenants.counts import Counts, Entry, Life, Mark
+from mountgauge.tenants.counts import Counts, Entry, Incarnation, Mark
 from mountgauge.tenants.gossip import Gossip, Identity, Out, Place, Plan
 from mountgauge.tenants.members import Timing
 from mountgauge.tenants.quota import Quota
@@ -143,7 +143,7 @@
         self.up = False
 
 
-def _lines(counts: Counts, life: Life) -> list[Entry]:
+def _lines(counts: Counts, life: Incarnation) -> list[Entry]:
     return counts.delta(life, 0, 1 << 40)[1]
 
 
--- a/mountgauge/tenants/admission.py
+++ b/mountgauge/tenants/admission.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from mountgauge.access import DEFAULT
-from mountgauge.tenants.counts import Counts, Entry, Life
+from mountgauge.tenants.counts import Counts, Entry, Incarnation
 from mountgauge.tenants.gossip import Gossip
 from mountgauge.tenants.members import Member, Members
 from mountgauge.tenants.quota import IDLE, Bucket, Demand, Quota, View
@@ -150,7 +150,7 @@
         start = before[place] if place < len(before) else 0
         return max(0, after[place] - start) / (now - then) if place < len(after) else 0.0
 
-    def _ages(self, now: float) -> list[tuple[Life, float]]:
+    def _ages(self, now: float) -> list[tuple[Incarnation, float]]:
         """The other members' lives, and how old their word is."""
         if self.fleet is None:
             return []
@@ -161,7 +161,9 @@
                 found.append((life, self.fleet.age(member, now)))
         return found
 
-    def bounds(self, place: int, now: float, ages: list[tuple[Life, float]] | None = None) -> tuple[int, int]:
+    def bounds(
+        self, place: int, now: float, ages: list[tuple[Incarnation, float]] | None = None
+    ) -> tuple[int, int]:
         """The fleet's use since it began: what is surely counted, and what it may be by now.
 
         Above the low bound stands what each other member may have taken on since its last word, at the rate
--- a/mountgauge/tenants/counts.py
+++ b/mountgauge/tenants/counts.py
@@ -46,7 +46,7 @@
     check: int
 
 
-class Life:
+class Incarnation:
     """One member's counts, as far as this replica knows them."""
 
     __slots__ = (
@@ -111,7 +111,7 @@
         self.keys = list(keys)
         self.place = {key: place for place, key in enumerate(self.keys)}
         self.most = max(most, len(self.keys))
-        self.lives: dict[int, Life] = {}
+        self.lives: dict[int, Incarnation] = {}
         self.past = [0] * len(self.keys)
         self.folded: OrderedDict[int, Mark] = OrderedDict()
         self.past_id = 0  # the exclusive or of the lives in it
@@ -143,7 +143,7 @@
                 life.grow(room)
         return place
 
-    def life(self, id: int, name: str = "") -> Life | None:
+    def life(self, id: int, name: str = "") -> Incarnation | None:
         """A life, made if there is room; None where it has been folded or there is none."""
         if (found := self.lives.get(id)) is not None:
             found.name = found.name or name
@@ -153,7 +153,7 @@
         if len(self.lives) >= MOST_LIVES:
             self.overfull += 1
             return None
-        found = self.lives[id] = Life(id, name, max(8, len(self.keys)))
+        found = self.lives[id] = Incarnation(id, name, max(8, len(self.keys)))
         return found
 
     # Counting
@@ -205,7 +205,9 @@
             del life.ahead[_AHEAD:]
         return new
 
-    def delta(self, life: Life, after: int, room: int, last: int | None = None) -> tuple[int, list[Entry]]:
+    def delta(
+        self, life: Incarnation, after: int, room: int, last: int | None = None
+    ) -> tuple[int, list[Entry]]:
         """What changed in a life after this version, as much as fits into so many bytes, and up to where.
 
         `last`: not beyond this version.
@@ -223,7 +225,7 @@
             found.append(entry)
         return upto, found
 
-    def reset_mine(self, id: int, name: str) -> Life:
+    def reset_mine(self, id: int, name: str) -> Incarnation:
         """Count on under a new life; the old one stays as it is known."""
         life = self.life(id, name)
         assert life is not None
--- a/mountgauge/tenants/gossip/deltas.py
+++ b/mountgauge/tenants/gossip/deltas.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable, Iterator
 
-from mountgauge.tenants.counts import Entry, Life, Mark, line_size
+from mountgauge.tenants.counts import Entry, Incarnation, Mark, line_size
 from mountgauge.tenants.gossip.state import Contact, Span, State
 from mountgauge.tenants.wire import MOST, Delta, Line, Word
 
@@ -58,7 +58,7 @@
         if deltas and sent < most:
             yield deltas
 
-    def _next_span(self, contact: Contact, life: Life, now: float) -> Span | None:
+    def _next_span(self, contact: Contact, life: Incarnation, now: float) -> Span | None:
         """What of this life is to be sent to the contact next: what was lost on the way, or what is new."""
         mark = contact.marks.get(life.id, Mark(0, 0))
         again = max(2 * self._state.plan.interval, 0.6 * contact.rtt)
@@ -76,7 +76,7 @@
         return Span(start, upto, now) if start < upto and len(flight) < _FLIGHT else None
 
     def _mending_span(
-        self, contact: Contact, life: Life, mark: Mark, again: float, now: float
+        self, contact: Contact, life: Incarnation, mark: Mark, again: float, now: float
     ) -> Span | None:
         """The contact is at the same version: where its counts differ all else it has is sent, span by span.
 
@@ -92,7 +92,7 @@
             return None
         return Span(upto if upto < life.version else 0, life.version, now)
 
-    def _under_way(self, contact: Contact, life: Life, span: Span, upto: int, now: float) -> None:
+    def _under_way(self, contact: Contact, life: Incarnation, span: Span, upto: int, now: float) -> None:
         mark = contact.marks.get(life.id, Mark(0, 0))
         if mark.version >= life.version:
             contact.mending[life.id] = (upto, now)
@@ -102,7 +102,7 @@
         if upto < span.upto and span.upto <= max(one.upto for one in flight):  # the rest of what was lost
             flight.append(Span(upto, span.upto, _NEVER))
 
-    def told_up_to(self, life: Life, now: float) -> int:
+    def told_up_to(self, life: Incarnation, now: float) -> int:
         """Up to which version others are told of a life: its owner tells them itself what is new."""
         state = self._state
         member = state.members.all.get(life.id)
--- a/mountgauge/tenants/store.py
+++ b/mountgauge/tenants/store.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from mountgauge.tenants.counts import Counts, Entry, Life, Mark
+from mountgauge.tenants.counts import Counts, Entry, Incarnation, Mark
 
 _VERSION = 1
 _PAGE = 4096
@@ -128,7 +128,9 @@
             return Saved()
         return saved
 
-    def save(self, life: Life, entries: Iterable[Entry], pending: Mapping[int, int] | None = None) -> bool:
+    def save(
+        self, life: Incarnation, entries: Iterable[Entry], pending: Mapping[int, int] | None = None
+    ) -> bool:
         """Own counts that have changed, and what is counted but belongs to no life yet."""
 
         def write() -> None:
@@ -151,7 +153,7 @@
 
         return self._write(write)
 
-    def save_rest(self, counts: Counts, lives: Iterable[Life]) -> bool:
+    def save_rest(self, counts: Counts, lives: Iterable[Incarnation]) -> bool:
         """The past, and lives of others that only replicas hold; others that stood here go."""
 
         def write() -> None:
