--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -103,7 +103,7 @@
             here = {m.id for m in self.fleet.members.present}
             disk.others = [
                 (life.id, life.name, life.version, _lines(counts, life))
-                for life in counts.lives.values() if life is not counts.mine and life.id not in here
+                for life in counts.incarnations.values() if life is not counts.mine and life.id not in here
             ]  # fmt: skip
             disk.past = {k: n for k, n in zip(counts.keys, counts.past, strict=True) if n}
             disk.folded = list(counts.folded.items())
--- a/mountgauge/tenants/admission.py
+++ b/mountgauge/tenants/admission.py
@@ -101,7 +101,7 @@
         here = members.present
         others = 0
         for member in here:
-            if member is not members.me and (life := self.counts.lives.get(member.id)) is not None:
+            if member is not members.me and (life := self.counts.incarnations.get(member.id)) is not None:
                 others += life.demand[place]
         return View(len(here), len(members.known), mine, others / 10, total, self.fleet.settle)
 
@@ -156,7 +156,7 @@
             return []
         found = []
         for member in self.fleet.members.known:
-            life = self.counts.lives.get(member.id)
+            life = self.counts.incarnations.get(member.id)
             if member is not self.fleet.members.me and life is not None:
                 found.append((life, self.fleet.age(member, now)))
         return found
@@ -236,7 +236,7 @@
         me = member is self.fleet.members.me
         contact = self.fleet.contacts.get(member.id)
         place = None if contact is None else contact.listed or contact.source
-        life = self.counts.lives.get(member.id)
+        life = self.counts.incarnations.get(member.id)
         return {
             "name": member.name, "life": f"{member.id:016x}", "self": me,
             "presence": member.presence.value, "boot": member.boot,
--- a/mountgauge/tenants/counts.py
+++ b/mountgauge/tenants/counts.py
@@ -111,7 +111,7 @@
         self.keys = list(keys)
         self.place = {key: place for place, key in enumerate(self.keys)}
         self.most = max(most, len(self.keys))
-        self.lives: dict[int, Incarnation] = {}
+        self.incarnations: dict[int, Incarnation] = {}
         self.past = [0] * len(self.keys)
         self.folded: OrderedDict[int, Mark] = OrderedDict()
         self.past_id = 0  # the exclusive or of the lives in it
@@ -138,22 +138,22 @@
         for numbers in (self.past, self.total, self.fresh):
             numbers.append(0)
         room = max(8, len(self.keys) * 5 // 4)
-        for life in self.lives.values():
+        for life in self.incarnations.values():
             if len(life.count) < len(self.keys):
                 life.grow(room)
         return place
 
     def life(self, id: int, name: str = "") -> Incarnation | None:
         """A life, made if there is room; None where it has been folded or there is none."""
-        if (found := self.lives.get(id)) is not None:
+        if (found := self.incarnations.get(id)) is not None:
             found.name = found.name or name
             return found
         if id in self.folded:
             return None
-        if len(self.lives) >= MOST_LIVES:
+        if len(self.incarnations) >= MOST_LIVES:
             self.overfull += 1
             return None
-        found = self.lives[id] = Incarnation(id, name, max(8, len(self.keys)))
+        found = self.incarnations[id] = Incarnation(id, name, max(8, len(self.keys)))
         return found
 
     # Counting
@@ -235,7 +235,7 @@
 
     def clear(self) -> None:
         """Forget everything but the tenants: to begin anew under a new life."""
-        self.lives.clear()
+        self.incarnations.clear()
         self.folded.clear()
         self.past = [0] * len(self.keys)
         self.total = [0] * len(self.keys)
@@ -245,7 +245,7 @@
 
     def fold(self, id: int) -> None:
         """Add an ended life to the past. Once each, and only when nothing of it is missing."""
-        life = self.lives.pop(id)
+        life = self.incarnations.pop(id)
         assert life is not self.mine
         for place, count in enumerate(life.count[: len(self.keys)]):
             self.past[place] += count
@@ -266,10 +266,10 @@
         names = {one for one, _ in folded}
         if not set(self.folded) <= names or lives < self.past_lives:
             return False
-        for one in names & set(self.lives):
+        for one in names & set(self.incarnations):
             if one == self.mine.id:
                 return False
-            del self.lives[one]
+            del self.incarnations[one]
         places = [(self.tenant(key), count) for key, count in past.items()]
         self.past = [0] * len(self.keys)
         for place, count in places:
@@ -278,7 +278,8 @@
         self.folded = OrderedDict(folded)
         self.past_lives, self.past_id = lives, id
         self.total = [
-            self.past[p] + sum(life.count[p] for life in self.lives.values()) for p in range(len(self.keys))
+            self.past[p] + sum(life.count[p] for life in self.incarnations.values())
+            for p in range(len(self.keys))
         ]
         return True
 
--- a/mountgauge/tenants/gossip/deltas.py
+++ b/mountgauge/tenants/gossip/deltas.py
@@ -35,7 +35,7 @@
         sent = 0
         deltas: list[Delta] = []
         left = room = MOST - FEW_WORDS - _HEAD
-        queue = [life for one in lives if (life := state.counts.lives.get(one)) is not None]
+        queue = [life for one in lives if (life := state.counts.incarnations.get(one)) is not None]
         while queue and sent < most and state.left_this_round > 0:
             life = queue[0]
             span = self._next_span(contact, life, now)
@@ -122,7 +122,7 @@
                 state.want_new_life("peers know of more than the file has", outdated=True)
             entries = [Entry(*line) for line in delta.lines]
             state.counts.join(delta.life, delta.name, delta.after, delta.upto, entries)
-            known = state.counts.lives.get(delta.life)
+            known = state.counts.incarnations.get(delta.life)
             if known is not None and (not known.learned or known.learned[-1][1] < known.version):
                 known.learned.append((now, known.version))
 
@@ -141,7 +141,7 @@
             state.members.hear(word.life, word.name, word.boot, word.beat, word.left, now)
         contact.marks[word.life] = mark = Mark(word.version, word.check)
         contact.said[word.life] = now
-        life = state.counts.lives[word.life]
+        life = state.counts.incarnations[word.life]
         if mark.version == life.version and mark.check != life.check:
             if contact.odd.get(life.id, (mark, now))[0] != mark or life.id not in contact.odd:
                 contact.odd[life.id] = (mark, now)
--- a/mountgauge/tenants/gossip/folding.py
+++ b/mountgauge/tenants/gossip/folding.py
@@ -28,7 +28,7 @@
     def _fold(self, now: float) -> None:
         state = self._state
         for member in list(state.members.may_fold(now)):
-            life = state.counts.lives.get(member.id)
+            life = state.counts.incarnations.get(member.id)
             if life is None:
                 state.members.drop(member.id)
                 continue
@@ -65,7 +65,7 @@
         if life == state.me.life:
             state.retired(exact=mark == state.counts.mine.mark)
             return
-        if life in state.counts.lives:
+        if life in state.counts.incarnations:
             contact.marks[life] = mark
             member = state.members.all.get(life)
             if member is not None and not Members.here(member):
--- a/mountgauge/tenants/gossip/membership.py
+++ b/mountgauge/tenants/gossip/membership.py
@@ -24,7 +24,9 @@
         self._first_word: float | None = None
         self._turn: list[Place] = []  # addresses that are still to come in this turn
         self._self_at: set[Place] = set()  # listed addresses behind which is this member itself
-        for life in state.counts.lives.values():  # known from an earlier process, not heard of by this one
+        for (
+            life
+        ) in state.counts.incarnations.values():  # known from an earlier process, not heard of by this one
             if life.id != state.me.life:
                 member = state.members.hear(life.id, life.name or "?", 0, 0, False, now)
                 if member is not None:
@@ -37,13 +39,13 @@
         state = self._state
         state.members.beat(now)
         for member, before in state.members.tick(now):
-            life = state.counts.lives.get(member.id)
+            life = state.counts.incarnations.get(member.id)
             if life is not None and not Members.here(member):
                 life.settled = False
             was_here = before in (Presence.PRESENT, Presence.SUSPECTED)
             state.changed_rest |= was_here and not Members.here(member)
         for member in state.members.present:
-            if (life := state.counts.lives.get(member.id)) is not None and not life.settled:
+            if (life := state.counts.incarnations.get(member.id)) is not None and not life.settled:
                 life.settled = now - member.back >= 2 * state.settle
         if not state.open:
             heard = self._first_word is not None and now - self._first_word >= _OPEN_AFTER
@@ -175,7 +177,7 @@
         others.sort(key=lambda m: (m.id != there, m.ended is None))  # those that ended have no other voice
         found: list[Word] = []
         for member in (state.members.me, *others):
-            life = state.counts.lives.get(member.id)
+            life = state.counts.incarnations.get(member.id)
             if life is None:
                 continue
             left = state.leaving if member is state.members.me else member.left
@@ -222,7 +224,7 @@
     def _unjoined(self, member: Member, other: Member) -> str:
         """What `other` may hold of a life that ended or is gone, `member`, and that is not held here."""
         state = self._state
-        life = state.counts.lives.get(member.id)
+        life = state.counts.incarnations.get(member.id)
         since = member.ended if member.ended is not None else member.heard
         contact = state.contacts.get(other.id)
         if contact is None or contact.said.get(member.id, -1.0) < since:
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -116,8 +116,8 @@
         self.me = Identity(self.me.name, life, 1, run)
         self.members.become(life, self.me.name, now)
         self.members.me.boot = 1
-        if not old.version and old.id in self.counts.lives:  # nothing was ever counted under it
-            del self.counts.lives[old.id]
+        if not old.version and old.id in self.counts.incarnations:  # nothing was ever counted under it
+            del self.counts.incarnations[old.id]
             self.members.drop(old.id)
         self.reborn = ""
         self.sent_log.clear()
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -73,10 +73,10 @@
         life, boot = saved.life or _draw(), saved.boot + 1
         counts = Counts(keys, len(keys) + 1 + _SPARE_TENANTS, life, name)
         counts.adopt(saved.past, saved.folded, saved.past_name[1], saved.past_name[0])
-        for id, named, version, entries in saved.lives:
+        for id, named, version, entries in saved.incarnations:
             counts.join(id, named, 0, version, entries)
             for place in range(len(counts.keys)):  # what was asked for then is not asked for now
-                counts.lives[id].demand[place] = 0
+                counts.incarnations[id].demand[place] = 0
         if self.store.error:
             log.error("tenants-file-damaged", extra=kv(error=self.store.error, kept=str(self.store.path)))
         self.store.save_me(name, life, boot)
@@ -189,7 +189,11 @@
         here = {m.id for m in members.present}
         self.fleet.changed_rest = not self.store.save_rest(
             counts,
-            [life for life in counts.lives.values() if life is not counts.mine and life.id not in here],
+            [
+                life
+                for life in counts.incarnations.values()
+                if life is not counts.mine and life.id not in here
+            ],
         )
         self._rest_at = now
 
--- a/mountgauge/tenants/store.py
+++ b/mountgauge/tenants/store.py
@@ -43,7 +43,7 @@
 
     life: int | None = None
     boot: int = 0
-    lives: list[tuple[int, str, int, list[Entry]]] = field(default_factory=list)
+    incarnations: list[tuple[int, str, int, list[Entry]]] = field(default_factory=list)
     pending: dict[int, int] = field(default_factory=dict)
     past: dict[int, int] = field(default_factory=dict)
     folded: list[tuple[int, Mark]] = field(default_factory=list)
@@ -113,7 +113,7 @@
             ):
                 counted.setdefault(life, []).append(Entry(*line))
             for life, named, version in self._db.execute("select life, name, version from lives"):
-                saved.lives.append((life, named, version, counted.get(life, [])))
+                saved.incarnations.append((life, named, version, counted.get(life, [])))
             saved.pending = dict(self._db.execute("select key, count from pending"))
             saved.past = dict(self._db.execute("select key, count from past"))
             saved.folded = [
--- a/tests/tenants/test_counts.py
+++ b/tests/tenants/test_counts.py
@@ -24,7 +24,7 @@
     """What a replica's state is: how much it knows of each life and tenant."""
     return {
         (life.id, replica.keys[place]): n
-        for life in replica.lives.values() for place, n in enumerate(life.count) if n
+        for life in replica.incarnations.values() for place, n in enumerate(life.count) if n
     }  # fmt: skip
 
 
@@ -57,14 +57,18 @@
         replica = counts(9)
         for one in order:
             replica.join(*one)
-        results.append((seen(replica), list(replica.total), {i: x.check for i, x in replica.lives.items()}))
-        assert replica.total == [sum(x.count[p] for x in replica.lives.values()) for p in range(len(KEYS))]
+        results.append(
+            (seen(replica), list(replica.total), {i: x.check for i, x in replica.incarnations.items()})
+        )
+        assert replica.total == [
+            sum(x.count[p] for x in replica.incarnations.values()) for p in range(len(KEYS))
+        ]
     assert results[0] == results[1] == results[2]
     # (a + b) + c = a + (b + c): two replicas that each heard a half make what one makes that heard all.
     halves = [counts(9), counts(9)]
     for number, one in enumerate(told):
         halves[number % 2].join(*one)
-    for life in list(halves[1].lives.values()):
+    for life in list(halves[1].incarnations.values()):
         halves[0].join(life.id, life.name, 0, life.version, [
             Entry(KEYS[p], n, life.versions[p], 0) for p, n in enumerate(life.count[: len(KEYS)]) if n
         ])  # fmt: skip
@@ -80,7 +84,7 @@
     for room, arrives in sendings:
         if rest:
             owner.add(*rest.pop(0))
-        life = replica.lives.get(1)
+        life = replica.incarnations.get(1)
         after = life.version if life is not None else 0
         (one,) = deltas(owner, [(after, room)])
         if arrives:
@@ -88,11 +92,11 @@
         for key, n in seen(replica).items():
             assert n <= seen(owner)[key]
         if one[3] == owner.mine.version and arrives:
-            assert replica.lives[1].mark == owner.mine.mark and seen(replica) == seen(owner)
+            assert replica.incarnations[1].mark == owner.mine.mark and seen(replica) == seen(owner)
     for step in rest:
         owner.add(*step)
     for _ in range(40):
-        life = replica.lives.get(1)
+        life = replica.incarnations.get(1)
         replica.join(*deltas(owner, [(life.version if life else 0, 40)])[0])
     assert seen(replica) == seen(owner) and replica.total == owner.total
 
@@ -107,11 +111,11 @@
     owner.add(0, 5, 0)
     late.join(owner.mine.id, "m1", 0, 2, deltas(owner, [(0, 99)])[0][4][:1])  # its tail was cut off
     early.join(*first)
-    assert early.lives[1].version == late.lives[1].version == 2
-    assert early.lives[1].mark != late.lives[1].mark
-    upto, entries = early.delta(early.lives[1], 0, 999)
+    assert early.incarnations[1].version == late.incarnations[1].version == 2
+    assert early.incarnations[1].mark != late.incarnations[1].mark
+    upto, entries = early.delta(early.incarnations[1], 0, 999)
     late.join(1, "m1", 0, upto, entries)
-    assert early.lives[1].mark == late.lives[1].mark and early.total == late.total
+    assert early.incarnations[1].mark == late.incarnations[1].mark and early.total == late.total
 
 
 def test_changes_far_back_are_found_though_only_the_newest_are_at_hand() -> None:
@@ -130,10 +134,10 @@
             for n in range(4):
                 owner.add(n % 3, owner.mine.id * 10 + n, 0)
             replica.join(*deltas(owner, [(0, 999)])[0])
-        total, marks = list(replica.total), {i: life.mark for i, life in replica.lives.items()}
+        total, marks = list(replica.total), {i: life.mark for i, life in replica.incarnations.items()}
         for life in order:
             replica.fold(life)
-        assert replica.total == total and set(replica.lives) == {9}
+        assert replica.total == total and set(replica.incarnations) == {9}
         assert dict(replica.folded) == {i: marks[i] for i in order}
         whole.append((replica.past_id, replica.past_lives, replica.past))
         newcomer = counts(10)
@@ -155,9 +159,9 @@
     assert len(replica.keys) == 8 and replica.overfull == 995
     for life in range(100, 2000):
         replica.life(life, "x")
-    assert len(replica.lives) == 512
+    assert len(replica.incarnations) == 512
     replica.join(100, "x", 0, 1, [])
-    assert Mark(1, 0) == replica.lives[100].mark
+    assert Mark(1, 0) == replica.incarnations[100].mark
 
 
 @given(st.integers(0, (1 << 63) - 1))
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -221,7 +221,7 @@
     # 8 were killed for good, with what had gone to nobody.
     assert len(used) == 1 and 0 <= world.taken["b"] - max(used) <= 8 * (30 / 6 * 1.5 + 3)
     for node in world.up:
-        assert len(node.admission.counts.lives) <= 4 + 2 + 1 and len(node.fleet.contacts) <= 8
+        assert len(node.admission.counts.incarnations) <= 4 + 2 + 1 and len(node.fleet.contacts) <= 8
         assert node.admission.counts.past_lives >= 20 and not node.fleet.diverged
     newcomer = world.start("late", ("10.0.2.0", 1))
     world.until(270)
--- a/tests/tenants/test_model.py
+++ b/tests/tenants/test_model.py
@@ -85,8 +85,8 @@
             cut = not cut
         else:
             heard = max(
-                [m.fleet.counts.lives[members[0].disk[0]].count[0] for m in members[1:]
-                 if members[0].disk[0] in m.fleet.counts.lives], default=0)  # fmt: skip
+                [m.fleet.counts.incarnations[members[0].disk[0]].count[0] for m in members[1:]
+                 if members[0].disk[0] in m.fleet.counts.incarnations], default=0)  # fmt: skip
             if what == "empty":
                 lost += members[0].fleet.counts.mine.count[0] - heard
                 lives += 1
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -361,8 +361,8 @@
             raise AssertionError(cut) from error
         saved = again.load("n")
         again.close()
-        if saved.life is not None and saved.lives:
-            ((_, _, version, lines),) = saved.lives
+        if saved.life is not None and saved.incarnations:
+            ((_, _, version, lines),) = saved.incarnations
             assert (version, sum(line.taken for line in lines)) in states and not again.error
             seen.add(version)
     assert len(seen) >= 5
@@ -396,7 +396,7 @@
     assert not store.save(big.mine, [big.add(p, 1, 0) for p in range(5000)]) and store.failed == 1
     store._db.execute("pragma max_page_count=1000")  # room has come back
     assert store.save(big.mine, big.delta(big.mine, 0, 1 << 30)[1])
-    assert len(store.load("n").lives[0][3]) == 5000
+    assert len(store.load("n").incarnations[0][3]) == 5000
     store.close()
 
 
--- a/tests/tenants/test_wire.py
+++ b/tests/tenants/test_wire.py
@@ -51,7 +51,7 @@
         before = fleet.dropped[reason]
         assert fleet.receive(data, PEER, 1.0) == []
         assert fleet.dropped[reason] == before + 1, reason
-    assert set(fleet.counts.lives) == {1} and len(fleet.members.all) == 1 and not fleet.contacts
+    assert set(fleet.counts.incarnations) == {1} and len(fleet.members.all) == 1 and not fleet.contacts
     fleet.receive(good, PEER, 1.0)
     assert len(fleet.members.all) == 2
     fleet.receive(good, PEER, 1.1)
