--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -97,13 +97,13 @@
         counts, disk = self.admission.counts, self.disk
         self.admission.step(self.now)
         disk.pending = self.admission.pending_by_key()
-        disk.life = counts.mine.id
-        disk.own = (counts.mine.version, _lines(counts, counts.mine))
+        disk.life = counts.own.id
+        disk.own = (counts.own.version, _lines(counts, counts.own))
         if self.fleet.changed_rest:
             here = {m.id for m in self.fleet.members.present}
             disk.others = [
                 (life.id, life.name, life.version, _lines(counts, life))
-                for life in counts.incarnations.values() if life is not counts.mine and life.id not in here
+                for life in counts.incarnations.values() if life is not counts.own and life.id not in here
             ]  # fmt: skip
             disk.past = {k: n for k, n in zip(counts.keys, counts.past, strict=True) if n}
             disk.folded = list(counts.folded.items())
--- a/mountgauge/tenants/counts.py
+++ b/mountgauge/tenants/counts.py
@@ -121,7 +121,7 @@
         self.overfull = 0
         life = self.life(mine, name)
         assert life is not None
-        self.mine = life
+        self.own = life
         life.settled = True
 
     # Tenants and lives
@@ -160,7 +160,7 @@
 
     def add(self, place: int, taken: int, demand: int) -> Entry:
         """This member took on so many more: the life's next version. OverflowError past 2**63 - 1."""
-        life = self.mine
+        life = self.own
         version = life.version + 1
         life.count[place] += taken
         life.demand[place] = demand
@@ -230,7 +230,7 @@
         life = self.life(id, name)
         assert life is not None
         life.settled = True
-        self.mine = life
+        self.own = life
         return life
 
     def clear(self) -> None:
@@ -246,7 +246,7 @@
     def fold(self, id: int) -> None:
         """Add an ended life to the past. Once each, and only when nothing of it is missing."""
         life = self.incarnations.pop(id)
-        assert life is not self.mine
+        assert life is not self.own
         for place, count in enumerate(life.count[: len(self.keys)]):
             self.past[place] += count
         self._remember(id, life.mark)
@@ -267,7 +267,7 @@
         if not set(self.folded) <= names or lives < self.past_lives:
             return False
         for one in names & set(self.incarnations):
-            if one == self.mine.id:
+            if one == self.own.id:
                 return False
             del self.incarnations[one]
         places = [(self.tenant(key), count) for key, count in past.items()]
--- a/mountgauge/tenants/gossip/deltas.py
+++ b/mountgauge/tenants/gossip/deltas.py
@@ -107,7 +107,7 @@
         state = self._state
         member = state.members.all.get(life.id)
         ended = member is not None and member.ended is not None
-        if life is state.counts.mine or not life.learned or ended:
+        if life is state.counts.own or not life.learned or ended:
             return life.version
         ripe = now - max(2 * state.plan.interval, state.settle / 2)
         return max((version for at, version in life.learned if at <= ripe), default=0)
@@ -118,7 +118,7 @@
         """Take in the changes that a datagram brought."""
         state = self._state
         for delta in deltas:
-            if delta.life == state.me.life and delta.upto > state.counts.mine.version:
+            if delta.life == state.me.life and delta.upto > state.counts.own.version:
                 state.want_new_life("peers know of more than the file has", outdated=True)
             entries = [Entry(*line) for line in delta.lines]
             state.counts.join(delta.life, delta.name, delta.after, delta.upto, entries)
@@ -130,7 +130,7 @@
         """Take in what the contact says of a member. Whether it lacks some of that member's counts."""
         state = self._state
         if word.life == state.me.life:
-            if word.version > state.counts.mine.version or word.boot > state.me.boot:
+            if word.version > state.counts.own.version or word.boot > state.me.boot:
                 state.want_new_life("peers know of more than the file has", outdated=True)
         elif word.life in state.counts.folded:
             contact.tombs.add(word.life)
--- a/mountgauge/tenants/gossip/folding.py
+++ b/mountgauge/tenants/gossip/folding.py
@@ -63,7 +63,7 @@
         """The contact has folded this life."""
         state = self._state
         if life == state.me.life:
-            state.retired(exact=mark == state.counts.mine.mark)
+            state.retired(exact=mark == state.counts.own.mark)
             return
         if life in state.counts.incarnations:
             contact.marks[life] = mark
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -104,7 +104,7 @@
 
     def renew(self, life: int, run: int, now: float) -> None:
         """Count on under a new life: the owner has drawn it. The old one stays as it is known."""
-        old = self.counts.mine
+        old = self.counts.own
         if self.anew:
             self.counts.clear()
             self.members.all.clear()
@@ -147,7 +147,7 @@
         contact = self._membership.contact_at(place)
         if contact is None:
             return [self._datagram(None, place, now)]
-        life, mark = self.counts.mine, contact.marks.get(self.me.life, Mark(0, 0))
+        life, mark = self.counts.own, contact.marks.get(self.me.life, Mark(0, 0))
         lacking = [life.id] if mark.version < life.version else []
         out = self._send_deltas(contact, place, lacking, now, _PUSHED)
         return out or [self._datagram(contact, place, now)]
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -122,7 +122,7 @@
             self._every("gossip", fleet.plan.interval, self._gossip)
         self._every("flush", FLUSH, self.flush)
         log.info("tenants", extra=kv(tenants=len(self.settings.tenants), fleet=fleet and fleet.name,
-                                     life=f"{self.admission.counts.mine.id:016x}"))  # fmt: skip
+                                     life=f"{self.admission.counts.own.id:016x}"))  # fmt: skip
 
     def _every(self, name: str, interval: float, then: Any) -> None:
         def again() -> None:
@@ -142,9 +142,9 @@
         now = self._loop.time()
         if self.fleet.reborn:
             why = self.fleet.reborn
-            old = self.admission.counts.mine.id
+            old = self.admission.counts.own.id
             self.fleet.renew(_draw(), _draw(), now)
-            new = self.admission.counts.mine
+            new = self.admission.counts.own
             self.store.save_me(self.name, new.id, 1)
             self.fleet.changed_rest = True
             log.error("tenants-new-life", extra=kv(why=why, old=f"{old:016x}", new=f"{new.id:016x}",
@@ -176,7 +176,7 @@
         entries = self.admission.step(self._loop.time())
         pending = self.admission.pending_by_key()
         if entries or pending or self._saved_pending:
-            ok = self.store.save(self.admission.counts.mine, entries, pending)
+            ok = self.store.save(self.admission.counts.own, entries, pending)
             self._saved_pending = bool(pending) or not ok
         if self.store.failed != self._store_failed:
             if not self._store_failed:
@@ -189,11 +189,7 @@
         here = {m.id for m in members.present}
         self.fleet.changed_rest = not self.store.save_rest(
             counts,
-            [
-                life
-                for life in counts.incarnations.values()
-                if life is not counts.mine and life.id not in here
-            ],
+            [life for life in counts.incarnations.values() if life is not counts.own and life.id not in here],
         )
         self._rest_at = now
 
--- a/mountgauge/tenants/store.py
+++ b/mountgauge/tenants/store.py
@@ -157,8 +157,8 @@
         """The past, and lives of others that only replicas hold; others that stood here go."""
 
         def write() -> None:
-            self._db.execute("delete from counted where life != ?", (counts.mine.id,))
-            self._db.execute("delete from lives where life != ?", (counts.mine.id,))
+            self._db.execute("delete from counted where life != ?", (counts.own.id,))
+            self._db.execute("delete from lives where life != ?", (counts.own.id,))
             for life in lives:
                 self._db.execute(
                     "insert or replace into lives values (?, ?, ?)", (life.id, life.name, life.version)
--- a/tests/tenants/test_counts.py
+++ b/tests/tenants/test_counts.py
@@ -32,8 +32,8 @@
     """Deltas of the owner's life from any version on, cut off after so many bytes."""
     found = []
     for after, room in cuts:
-        upto, entries = owner.delta(owner.mine, after, room)
-        found.append((owner.mine.id, owner.mine.name, after, upto, entries))
+        upto, entries = owner.delta(owner.own, after, room)
+        found.append((owner.own.id, owner.own.name, after, upto, entries))
     return found
 
 
@@ -91,8 +91,8 @@
             replica.join(*one)
         for key, n in seen(replica).items():
             assert n <= seen(owner)[key]
-        if one[3] == owner.mine.version and arrives:
-            assert replica.incarnations[1].mark == owner.mine.mark and seen(replica) == seen(owner)
+        if one[3] == owner.own.version and arrives:
+            assert replica.incarnations[1].mark == owner.own.mark and seen(replica) == seen(owner)
     for step in rest:
         owner.add(*step)
     for _ in range(40):
@@ -109,7 +109,7 @@
     owner.add(1, 4, 0)
     first = deltas(owner, [(1, 99)])[0]
     owner.add(0, 5, 0)
-    late.join(owner.mine.id, "m1", 0, 2, deltas(owner, [(0, 99)])[0][4][:1])  # its tail was cut off
+    late.join(owner.own.id, "m1", 0, 2, deltas(owner, [(0, 99)])[0][4][:1])  # its tail was cut off
     early.join(*first)
     assert early.incarnations[1].version == late.incarnations[1].version == 2
     assert early.incarnations[1].mark != late.incarnations[1].mark
@@ -123,7 +123,7 @@
     for place in range(3 * _RECENT):
         owner.add(place, 1, 0)
     for after in (0, 1, _RECENT, 2 * _RECENT - 1, 3 * _RECENT - 2, 3 * _RECENT):
-        assert owner.mine.since(after) == list(range(after, 3 * _RECENT))
+        assert owner.own.since(after) == list(range(after, 3 * _RECENT))
 
 
 def test_folding_keeps_the_counts_in_any_order_and_a_newcomer_takes_it_over() -> None:
@@ -132,7 +132,7 @@
         replica = counts(9)
         for owner in (counts(1), counts(2), counts(3)):
             for n in range(4):
-                owner.add(n % 3, owner.mine.id * 10 + n, 0)
+                owner.add(n % 3, owner.own.id * 10 + n, 0)
             replica.join(*deltas(owner, [(0, 999)])[0])
         total, marks = list(replica.total), {i: life.mark for i, life in replica.incarnations.items()}
         for life in order:
--- a/tests/tenants/test_model.py
+++ b/tests/tenants/test_model.py
@@ -38,7 +38,7 @@
     def count(self) -> None:
         counts = self.fleet.counts
         entry = counts.add(0, 1, 0)
-        self.disk = (counts.mine.id, entry.version, [entry])
+        self.disk = (counts.own.id, entry.version, [entry])
 
 
 def gossip(members: list[Member], at: int, now: float, cut: bool) -> None:
@@ -88,7 +88,7 @@
                 [m.fleet.counts.incarnations[members[0].disk[0]].count[0] for m in members[1:]
                  if members[0].disk[0] in m.fleet.counts.incarnations], default=0)  # fmt: skip
             if what == "empty":
-                lost += members[0].fleet.counts.mine.count[0] - heard
+                lost += members[0].fleet.counts.own.count[0] - heard
                 lives += 1
                 members[0].disk = (lives, 0, [])
                 members[0].boot = 0
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -344,8 +344,8 @@
     states = [(0, 0)]
     for number in range(6):
         entries = [counts.add(number % 3, 1 + number, 0), counts.add(0, 1, 0)]
-        assert store.save(counts.mine, entries, {22: number})
-        states.append((counts.mine.version, sum(counts.mine.count)))
+        assert store.save(counts.own, entries, {22: number})
+        states.append((counts.own.version, sum(counts.own.count)))
     files = {f.name: f.read_bytes() for f in (tmp_path / "live").iterdir() if not f.name.endswith("-shm")}
     log = files["tenants.db-wal"]
     seen = set()
@@ -373,10 +373,10 @@
     store = Store(tmp_path, 3)
     store.save_me("n", 7, 4)
     counts = small()
-    store.save(counts.mine, [counts.add(0, 5, 0)], {})
+    store.save(counts.own, [counts.add(0, 5, 0)], {})
     other = small(9)
     other.add(1, 6, 0)
-    counts.join(9, "gone", 0, 1, other.delta(other.mine, 0, 999)[1])
+    counts.join(9, "gone", 0, 1, other.delta(other.own, 0, 999)[1])
     counts.fold(9)
     assert store.save_rest(counts, [])
     store.close()
@@ -393,9 +393,9 @@
     assert store.error and store.load("n").life is None and (tmp_path / "tenants.damaged").exists()
     store._db.execute("pragma max_page_count=1")
     big = Counts(range(5000), 5000, 7, "n")
-    assert not store.save(big.mine, [big.add(p, 1, 0) for p in range(5000)]) and store.failed == 1
+    assert not store.save(big.own, [big.add(p, 1, 0) for p in range(5000)]) and store.failed == 1
     store._db.execute("pragma max_page_count=1000")  # room has come back
-    assert store.save(big.mine, big.delta(big.mine, 0, 1 << 30)[1])
+    assert store.save(big.own, big.delta(big.own, 0, 1 << 30)[1])
     assert len(store.load("n").incarnations[0][3]) == 5000
     store.close()
 
