--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -14,7 +14,7 @@
 
 from mountgauge.tenants.admission import QuotaAdmission
 from mountgauge.tenants.counts import Counts, Entry, Incarnation, Mark
-from mountgauge.tenants.gossip import Gossip, Identity, Out, Place, Plan
+from mountgauge.tenants.gossip import Gossip, Identity, OutgoingDatagrams, Place, Plan
 from mountgauge.tenants.members import Timing
 from mountgauge.tenants.quota import Quota
 from mountgauge.tenants.wire import Seal, tenant_key
@@ -224,7 +224,7 @@
 
         self.at(when, hand_in)
 
-    def send(self, node: Node, out: Out) -> None:
+    def send(self, node: Node, out: OutgoingDatagrams) -> None:
         for data, place in out:
             self.datagrams += 1
             self.bytes += len(data)
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -22,7 +22,7 @@
 from mountgauge.core.config import ConfigError
 from mountgauge.core.ports import Call
 from mountgauge.log import kv
-from mountgauge.tenants.gossip import Out, Place
+from mountgauge.tenants.gossip import OutgoingDatagrams, Place
 from mountgauge.tenants.wire import RefusedDatagramError, Seal
 
 log = logging.getLogger("mountgauge.budgets")
@@ -44,7 +44,7 @@
         self.waiting: Callable[[], Mapping[tuple[int, str], int]] = dict
         self.release: Callable[[], None] = lambda: None
         self.tell: Callable[[Mapping[int, float]], None] = lambda parts: None
-        self.send: Callable[[Out], None] = lambda out: None
+        self.send: Callable[[OutgoingDatagrams], None] = lambda out: None
         self.refused: dict[str, int] = {}  # datagrams, by reason
         self.sent_bytes = 0
         self.busy_s = 0.0  # that asks, answers and looks at parts have taken
@@ -159,7 +159,7 @@
 
     def _send(self, messages: Iterable[tuple[str, Ask | Answer]]) -> None:
         places, seal = self.member.membership.places(), self._seal()
-        out: Out = []
+        out: OutgoingDatagrams = []
         for target, message in messages:
             if target == self.name:
                 self._heard(message, None)
@@ -168,7 +168,7 @@
         self.sent_bytes += sum(len(data) for data, _ in out)
         self.send(out)
 
-    def received(self, data: bytes, source: Place) -> Out:
+    def received(self, data: bytes, source: Place) -> OutgoingDatagrams:
         """A datagram; the answer goes back to where it came from."""
         began = time.perf_counter()
         try:
@@ -179,7 +179,7 @@
         finally:
             self.busy_s += time.perf_counter() - began
 
-    def _heard(self, message: Ask | Answer, source: Place | None) -> Out:
+    def _heard(self, message: Ask | Answer, source: Place | None) -> OutgoingDatagrams:
         now = self._loop.time()
         self.gate.settle(now)  # up to here by the part that held
         if isinstance(message, Answer):
--- a/mountgauge/tenants/gossip/deltas.py
+++ b/mountgauge/tenants/gossip/deltas.py
@@ -24,7 +24,7 @@
     def __init__(self, state: State) -> None:
         self._state = state
 
-    # Out
+    # Sending
 
     def batches(self, contact: Contact, lives: Iterable[int], now: float, most: int) -> Iterator[list[Delta]]:
         """What the contact lacks of these lives, as far as it is not on its way already.
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -23,7 +23,7 @@
     Contact,
     FoldedLifeError,
     Identity,
-    Out,
+    OutgoingDatagrams,
     Place,
     Plan,
     State,
@@ -62,18 +62,18 @@
         self._folding = Folding(self, now)
         self._pages = Pages(self)
 
-    def tick(self, now: float) -> Out:
+    def tick(self, now: float) -> OutgoingDatagrams:
         """Once an interval."""
         self._membership.step(now)
         self._folding.step(now)
         self.diverged = self._pages.diverged(now)
         self.left_this_round = DATAGRAMS_A_ROUND
-        out: Out = []
+        out: OutgoingDatagrams = []
         for place in self._membership.targets(len(self.plan.peers) if self.leaving else self.plan.fanout):
             out += self._to(place, now)
         return out
 
-    def receive(self, data: bytes, source: Place, now: float) -> Out:
+    def receive(self, data: bytes, source: Place, now: float) -> OutgoingDatagrams:
         """One datagram; what is to be sent for it. What is refused is counted in `dropped`."""
         self.received += 1
         self.received_bytes += len(data)
@@ -140,9 +140,9 @@
         """How old this member's word is, s."""
         return self._membership.age(member, now)
 
-    # Out
+    # Sending
 
-    def _to(self, place: Place, now: float) -> Out:
+    def _to(self, place: Place, now: float) -> OutgoingDatagrams:
         """What one round sends to an address: own counts that are new there, else words alone."""
         contact = self._membership.contact_at(place)
         if contact is None:
@@ -152,7 +152,9 @@
         out = self._send_deltas(contact, place, lacking, now, _PUSHED)
         return out or [self._datagram(contact, place, now)]
 
-    def _send_deltas(self, contact: Contact, place: Place, lives: list[int], now: float, most: int) -> Out:
+    def _send_deltas(
+        self, contact: Contact, place: Place, lives: list[int], now: float, most: int
+    ) -> OutgoingDatagrams:
         """`most` datagrams at most with what the contact lacks of these lives."""
         return [
             self._datagram(contact, place, now, deltas, room=FEW_WORDS)
--- a/mountgauge/tenants/gossip/state.py
+++ b/mountgauge/tenants/gossip/state.py
@@ -15,7 +15,7 @@
 from mountgauge.tenants.wire import RefusedDatagramError, Window
 
 Place = tuple[str, int]  # an address
-Out = list[tuple[bytes, Place]]
+OutgoingDatagrams = list[tuple[bytes, Place]]
 
 DATAGRAMS_A_ROUND = 64  # that one interval may send in all
 STARTING = "starting"  # why a member's counts are not joined yet: it has not heard the others
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -14,7 +14,7 @@
 from mountgauge.recovery.peers import Peers
 from mountgauge.tenants.admission import QuotaAdmission
 from mountgauge.tenants.counts import Counts
-from mountgauge.tenants.gossip import STARTING, Gossip, Identity, Out, Place
+from mountgauge.tenants.gossip import STARTING, Gossip, Identity, OutgoingDatagrams, Place
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.settings import FLUSH, TenantFile
 from mountgauge.tenants.store import Store, room_for
@@ -88,7 +88,9 @@
             self.fleet.doubtful = bool(self.store.error)
         self.admission = QuotaAdmission(self._quotas(), counts, self.fleet, now, saved.pending)
         self.udp: Udp | None = None
-        self.heads: dict[bytes, Callable[[bytes, Place], Out]] = {}  # other kinds of datagrams, by their head
+        self.heads: dict[
+            bytes, Callable[[bytes, Place], OutgoingDatagrams]
+        ] = {}  # other kinds of datagrams, by their head
         self._timers: dict[str, asyncio.TimerHandle] = {}
         self._rest_at = now
         self._conflicts: set[str] = set()
@@ -131,7 +133,7 @@
 
         self._timers[name] = self._loop.call_later(interval, again)
 
-    def _received(self, data: bytes, source: Place) -> Out:
+    def _received(self, data: bytes, source: Place) -> OutgoingDatagrams:
         if (other := self.heads.get(data[:2])) is not None:
             return other(data, source)
         assert self.fleet is not None
--- a/tests/tenants/test_model.py
+++ b/tests/tenants/test_model.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 
 from mountgauge.tenants.counts import Counts, Entry
-from mountgauge.tenants.gossip import Gossip, Identity, Out, Plan
+from mountgauge.tenants.gossip import Gossip, Identity, OutgoingDatagrams, Plan
 from mountgauge.tenants.members import Timing
 from mountgauge.tenants.wire import Seal
 
@@ -43,7 +43,7 @@
 
 def gossip(members: list[Member], at: int, now: float, cut: bool) -> None:
     """One round of one member and all that it sets off; over the cut nothing arrives."""
-    waiting: list[tuple[Member, Out]] = [(members[at], members[at].fleet.tick(now))]
+    waiting: list[tuple[Member, OutgoingDatagrams]] = [(members[at], members[at].fleet.tick(now))]
     for _ in range(40):
         if not waiting:
             return
