--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -14,7 +14,7 @@
 
 from mountgauge.tenants.admission import QuotaAdmission
 from mountgauge.tenants.counts import Counts, Entry, Incarnation, Mark
-from mountgauge.tenants.gossip import Gossip, Identity, OutgoingDatagrams, Place, Plan
+from mountgauge.tenants.gossip import Gossip, Identity, OutgoingDatagrams, Plan, UdpAddress
 from mountgauge.tenants.members import Timing
 from mountgauge.tenants.quota import Quota
 from mountgauge.tenants.wire import Seal, tenant_key
@@ -50,7 +50,7 @@
 class Node:
     """One member, started with what its disk holds."""
 
-    def __init__(self, world: World, name: str, place: Place, disk: Disk, clock: float = 0.0) -> None:
+    def __init__(self, world: World, name: str, place: UdpAddress, disk: Disk, clock: float = 0.0) -> None:
         self.world, self.name, self.place, self.disk = world, name, place, disk
         self.ahead = clock  # s that its clock is ahead of the world's
         self.up = True
@@ -162,8 +162,8 @@
         self.seal = Seal("virtual", [KEY])
         self.time = 0.0
         self.nodes: dict[str, Node] = {}
-        self.at_place: dict[Place, Node] = {}
-        self.places: list[Place] = []
+        self.at_place: dict[UdpAddress, Node] = {}
+        self.places: list[UdpAddress] = []
         self.sides: Callable[[str], int] | None = None  # a split: who is on which side
         self.taken: Counter[str] = Counter()  # the truth
         self.uncounted: Counter[str] = Counter()  # what kills have lost of it
@@ -174,7 +174,7 @@
     def draw(self) -> int:
         return self.rng.getrandbits(62) + 1
 
-    def plan_for(self, place: Place) -> Plan:
+    def plan_for(self, place: UdpAddress) -> Plan:
         return Plan(
             tuple(p for p in self.places if p != place), self.interval, self.fanout, self.timing, FLUSH
         )
@@ -186,7 +186,7 @@
         for name, place in fresh:
             self.start(name, place)
 
-    def start(self, name: str, place: Place, disk: Disk | None = None, clock: float = 0.0) -> Node:
+    def start(self, name: str, place: UdpAddress, disk: Disk | None = None, clock: float = 0.0) -> Node:
         node = Node(self, name, place, disk or Disk(), clock)
         self.nodes[name] = self.at_place[place] = node
         return node
@@ -235,7 +235,7 @@
                     late = weather.delay + self.rng.uniform(0, weather.jitter)
                     self.at(self.time + late, lambda d=data, p=place: self._arrive(d, node, p))  # type: ignore[misc]
 
-    def _arrive(self, data: bytes, source: Node, place: Place) -> None:
+    def _arrive(self, data: bytes, source: Node, place: UdpAddress) -> None:
         node = self.at_place.get(place)
         if node is None or not node.up:
             return
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -22,7 +22,7 @@
 from mountgauge.core.config import ConfigError
 from mountgauge.core.ports import Call
 from mountgauge.log import kv
-from mountgauge.tenants.gossip import OutgoingDatagrams, Place
+from mountgauge.tenants.gossip import OutgoingDatagrams, UdpAddress
 from mountgauge.tenants.wire import RefusedDatagramError, Seal
 
 log = logging.getLogger("mountgauge.budgets")
@@ -168,7 +168,7 @@
         self.sent_bytes += sum(len(data) for data, _ in out)
         self.send(out)
 
-    def received(self, data: bytes, source: Place) -> OutgoingDatagrams:
+    def received(self, data: bytes, source: UdpAddress) -> OutgoingDatagrams:
         """A datagram; the answer goes back to where it came from."""
         began = time.perf_counter()
         try:
@@ -179,7 +179,7 @@
         finally:
             self.busy_s += time.perf_counter() - began
 
-    def _heard(self, message: Ask | Answer, source: Place | None) -> OutgoingDatagrams:
+    def _heard(self, message: Ask | Answer, source: UdpAddress | None) -> OutgoingDatagrams:
         now = self._loop.time()
         self.gate.settle(now)  # up to here by the part that held
         if isinstance(message, Answer):
--- a/mountgauge/tenants/gossip/__init__.py
+++ b/mountgauge/tenants/gossip/__init__.py
@@ -6,6 +6,6 @@
 """
 
 from mountgauge.tenants.gossip.node import Gossip
-from mountgauge.tenants.gossip.state import FULL, STARTING, Identity, OutgoingDatagrams, Place, Plan
+from mountgauge.tenants.gossip.state import FULL, STARTING, Identity, OutgoingDatagrams, Plan, UdpAddress
 
-__all__ = ["FULL", "STARTING", "Gossip", "Identity", "OutgoingDatagrams", "Place", "Plan"]
+__all__ = ["FULL", "STARTING", "Gossip", "Identity", "OutgoingDatagrams", "Plan", "UdpAddress"]
--- a/mountgauge/tenants/gossip/membership.py
+++ b/mountgauge/tenants/gossip/membership.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from mountgauge.tenants.counts import size
-from mountgauge.tenants.gossip.state import FULL, STARTING, Contact, FoldedLifeError, Place, State
+from mountgauge.tenants.gossip.state import FULL, STARTING, Contact, FoldedLifeError, State, UdpAddress
 from mountgauge.tenants.members import Member, Members, Presence
 from mountgauge.tenants.wire import Datagram, RefusedDatagramError, Window, Word
 
@@ -22,8 +22,8 @@
     def __init__(self, state: State, now: float) -> None:
         self._state = state
         self._first_word: float | None = None
-        self._turn: list[Place] = []  # addresses that are still to come in this turn
-        self._self_at: set[Place] = set()  # listed addresses behind which is this member itself
+        self._turn: list[UdpAddress] = []  # addresses that are still to come in this turn
+        self._self_at: set[UdpAddress] = set()  # listed addresses behind which is this member itself
         for (
             life
         ) in state.counts.incarnations.values():  # known from an earlier process, not heard of by this one
@@ -53,10 +53,10 @@
 
     # Addresses
 
-    def targets(self, most: int) -> list[Place]:
+    def targets(self, most: int) -> list[UdpAddress]:
         """Each address in turn, in an order drawn anew for each turn."""
         state = self._state
-        found: list[Place] = []
+        found: list[UdpAddress] = []
         places = [p for p in state.plan.peers if p not in self._self_at]
         listed = {c.listed for c in state.contacts.values()}
         for member in state.members.known:
@@ -74,12 +74,12 @@
                 found.append(place)
         return found
 
-    def contact_at(self, place: Place) -> Contact | None:
+    def contact_at(self, place: UdpAddress) -> Contact | None:
         return next((c for c in self._state.contacts.values() if place in (c.listed, c.source)), None)
 
     # Datagrams that came
 
-    def contact_of(self, told: Datagram, source: Place, now: float) -> Contact:
+    def contact_of(self, told: Datagram, source: UdpAddress, now: float) -> Contact:
         """The contact behind a datagram that is new; RefusedDatagramError else."""
         state = self._state
         if told.life == state.me.life:
@@ -134,7 +134,7 @@
             contact.listed = None  # it may have moved
         return window
 
-    def _heir(self, told: Datagram, source: Place, now: float) -> None:
+    def _heir(self, told: Datagram, source: UdpAddress, now: float) -> None:
         """A life that was lost with its folder counts on under another: nobody waits for it to be gone.
 
         Only one process at a time has an address, so who speaks under the same name from there has replaced
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -24,9 +24,9 @@
     FoldedLifeError,
     Identity,
     OutgoingDatagrams,
-    Place,
     Plan,
     State,
+    UdpAddress,
 )
 from mountgauge.tenants.members import Member
 from mountgauge.tenants.wire import MOST, Datagram, Delta, Page, RefusedDatagramError, Seal
@@ -73,7 +73,7 @@
             out += self._to(place, now)
         return out
 
-    def receive(self, data: bytes, source: Place, now: float) -> OutgoingDatagrams:
+    def receive(self, data: bytes, source: UdpAddress, now: float) -> OutgoingDatagrams:
         """One datagram; what is to be sent for it. What is refused is counted in `dropped`."""
         self.received += 1
         self.received_bytes += len(data)
@@ -142,7 +142,7 @@
 
     # Sending
 
-    def _to(self, place: Place, now: float) -> OutgoingDatagrams:
+    def _to(self, place: UdpAddress, now: float) -> OutgoingDatagrams:
         """What one round sends to an address: own counts that are new there, else words alone."""
         contact = self._membership.contact_at(place)
         if contact is None:
@@ -153,7 +153,7 @@
         return out or [self._datagram(contact, place, now)]
 
     def _send_deltas(
-        self, contact: Contact, place: Place, lives: list[int], now: float, most: int
+        self, contact: Contact, place: UdpAddress, lives: list[int], now: float, most: int
     ) -> OutgoingDatagrams:
         """`most` datagrams at most with what the contact lacks of these lives."""
         return [
@@ -162,9 +162,9 @@
         ]
 
     def _datagram(
-        self, contact: Contact | None, place: Place, now: float, deltas: list[Delta] | None = None,
+        self, contact: Contact | None, place: UdpAddress, now: float, deltas: list[Delta] | None = None,
         page: Page | None = None, room: int = _WORDS,
-    ) -> tuple[bytes, Place]:  # fmt: skip
+    ) -> tuple[bytes, UdpAddress]:  # fmt: skip
         """A sealed datagram to an address; `room` is what words may take of it, in bytes."""
         self._seq += 1
         self.left_this_round -= 1
--- a/mountgauge/tenants/gossip/state.py
+++ b/mountgauge/tenants/gossip/state.py
@@ -14,8 +14,8 @@
 from mountgauge.tenants.members import Members, Timing
 from mountgauge.tenants.wire import RefusedDatagramError, Window
 
-Place = tuple[str, int]  # an address
-OutgoingDatagrams = list[tuple[bytes, Place]]
+UdpAddress = tuple[str, int]  # an address
+OutgoingDatagrams = list[tuple[bytes, UdpAddress]]
 
 DATAGRAMS_A_ROUND = 64  # that one interval may send in all
 STARTING = "starting"  # why a member's counts are not joined yet: it has not heard the others
@@ -27,7 +27,7 @@
 class Plan:
     """What an operator's file says of the fleet. Times in seconds."""
 
-    peers: tuple[Place, ...]
+    peers: tuple[UdpAddress, ...]
     interval: float
     fanout: int
     timing: Timing
@@ -57,8 +57,8 @@
 
     life: int = 0
     windows: list[Window] = field(default_factory=list)
-    source: Place | None = None  # where its datagrams come from
-    listed: Place | None = None  # the file's address behind which it was found
+    source: UdpAddress | None = None  # where its datagrams come from
+    listed: UdpAddress | None = None  # the file's address behind which it was found
     rtt: float = 0.0  # s, smoothed; 0 before the first echo
     newest: tuple[int, int, float] = (0, 0, 0.0)  # its run, its seq, when
     marks: dict[int, Mark] = field(default_factory=dict)  # how far it has come with each life
@@ -84,14 +84,14 @@
     """Where and when the last datagrams were sent, by number."""
 
     def __init__(self) -> None:
-        self._sent: OrderedDict[int, tuple[Place, float]] = OrderedDict()
+        self._sent: OrderedDict[int, tuple[UdpAddress, float]] = OrderedDict()
 
-    def add(self, seq: int, place: Place, now: float) -> None:
+    def add(self, seq: int, place: UdpAddress, now: float) -> None:
         self._sent[seq] = place, now
         if len(self._sent) > _ASKED:
             self._sent.popitem(last=False)
 
-    def get(self, seq: int) -> tuple[Place, float] | None:
+    def get(self, seq: int) -> tuple[UdpAddress, float] | None:
         return self._sent.get(seq)
 
     def clear(self) -> None:
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -14,7 +14,7 @@
 from mountgauge.recovery.peers import Peers
 from mountgauge.tenants.admission import QuotaAdmission
 from mountgauge.tenants.counts import Counts
-from mountgauge.tenants.gossip import STARTING, Gossip, Identity, OutgoingDatagrams, Place
+from mountgauge.tenants.gossip import STARTING, Gossip, Identity, OutgoingDatagrams, UdpAddress
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.settings import FLUSH, TenantFile
 from mountgauge.tenants.store import Store, room_for
@@ -89,7 +89,7 @@
         self.admission = QuotaAdmission(self._quotas(), counts, self.fleet, now, saved.pending)
         self.udp: Udp | None = None
         self.heads: dict[
-            bytes, Callable[[bytes, Place], OutgoingDatagrams]
+            bytes, Callable[[bytes, UdpAddress], OutgoingDatagrams]
         ] = {}  # other kinds of datagrams, by their head
         self._timers: dict[str, asyncio.TimerHandle] = {}
         self._rest_at = now
@@ -133,7 +133,7 @@
 
         self._timers[name] = self._loop.call_later(interval, again)
 
-    def _received(self, data: bytes, source: Place) -> OutgoingDatagrams:
+    def _received(self, data: bytes, source: UdpAddress) -> OutgoingDatagrams:
         if (other := self.heads.get(data[:2])) is not None:
             return other(data, source)
         assert self.fleet is not None
--- a/mountgauge/tenants/udp.py
+++ b/mountgauge/tenants/udp.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from mountgauge.core.config import Address
-from mountgauge.tenants.gossip import OutgoingDatagrams, Place
+from mountgauge.tenants.gossip import OutgoingDatagrams, UdpAddress
 from mountgauge.tenants.wire import MOST
 
 _BUFFER = 1 << 20  # bytes that the kernel may hold
@@ -20,7 +20,7 @@
 class Udp:
     """OSError where the address cannot be bound."""
 
-    def __init__(self, address: Address, receive: Callable[[bytes, Place], OutgoingDatagrams]) -> None:
+    def __init__(self, address: Address, receive: Callable[[bytes, UdpAddress], OutgoingDatagrams]) -> None:
         self.counts: Counter[str] = Counter()
         self._receive = receive
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
