--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -12,7 +12,7 @@
 from mountgauge.core.config import ConfigError
 from mountgauge.settings_table import Table
 from mountgauge.tenants.settings import TenantSettings
-from mountgauge.tenants.wire import MOST_NAME
+from mountgauge.tenants.wire import MAX_NAME_LENGTH
 
 MOST_BUDGETS = 200
 MOST_MEMBERS = 64
@@ -75,8 +75,8 @@
 
 def _name(table: Table) -> str:
     name: str = table.get("name", str)
-    if not name or len(name) > MOST_NAME or not all(33 <= ord(c) < 127 for c in name):
-        raise ConfigError(f"{table.name}.name: 1 to {MOST_NAME} printable characters without spaces")
+    if not name or len(name) > MAX_NAME_LENGTH or not all(33 <= ord(c) < 127 for c in name):
+        raise ConfigError(f"{table.name}.name: 1 to {MAX_NAME_LENGTH} printable characters without spaces")
     return name
 
 
@@ -104,8 +104,10 @@
     """The budget by which a strict tenant's quota is met."""
     assert one.strict is not None
     name = f"tenant:{one.name}"
-    if len(name) > MOST_NAME:
-        raise ConfigError(f"tenant '{one.name}': strict is for names of {MOST_NAME - 7} characters at most")
+    if len(name) > MAX_NAME_LENGTH:
+        raise ConfigError(
+            f"tenant '{one.name}': strict is for names of {MAX_NAME_LENGTH - 7} characters at most"
+        )
     return Budget(name, Kind.RATE, one.strict.rate, one.strict.burst, Of(tenant=one.name))
 
 
--- a/mountgauge/budgets/wire.py
+++ b/mountgauge/budgets/wire.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from mountgauge.budgets.messages import Answer, AnswerLine, Ask, AskLine
-from mountgauge.tenants.wire import MOST_NAME, RefusedDatagramError, Seal
+from mountgauge.tenants.wire import MAX_NAME_LENGTH, RefusedDatagramError, Seal
 
 HEAD = b"B1"
 LINES = 10  # of a datagram, so that it stays under 1,200 bytes
 _MOST_ENDED = 16
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Mask = Annotated[bytes, msgspec.Meta(max_length=32)]
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
 
--- a/mountgauge/tenants/settings.py
+++ b/mountgauge/tenants/settings.py
@@ -12,7 +12,7 @@
 from mountgauge.tenants.gossip import Plan
 from mountgauge.tenants.members import Timing
 from mountgauge.tenants.quota import Quota, Split
-from mountgauge.tenants.wire import MOST_NAME, tenant_key
+from mountgauge.tenants.wire import MAX_NAME_LENGTH, tenant_key
 
 MOST_TENANTS = 20_000
 FLUSH = 0.1  # s between two times that new counts are written down
@@ -76,8 +76,8 @@
 
 def _name(table: Table) -> str:
     name: str = table.get("name", str)
-    if not name or len(name) > MOST_NAME or not all(33 <= ord(c) < 127 for c in name):
-        raise ConfigError(f"{table.name}.name: 1 to {MOST_NAME} printable characters without spaces")
+    if not name or len(name) > MAX_NAME_LENGTH or not all(33 <= ord(c) < 127 for c in name):
+        raise ConfigError(f"{table.name}.name: 1 to {MAX_NAME_LENGTH} printable characters without spaces")
     return name
 
 
--- a/mountgauge/tenants/wire.py
+++ b/mountgauge/tenants/wire.py
@@ -17,14 +17,14 @@
 from blake3 import blake3
 
 MOST = 1200  # bytes of a datagram
-MOST_NAME = 32  # characters of a fleet's, member's or tenant's name on the wire
+MAX_NAME_LENGTH = 32  # characters of a fleet's, member's or tenant's name on the wire
 _HEAD = b"M1"
 _SEAL = 16
 _CONTEXT = "mountgauge 2026-12 fleet datagrams "
 _WINDOW = 512  # datagrams behind the newest of a sender that may still come
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Line = tuple[Number, Number, Number, Number]  # key, count, version, demand
 Tomb = tuple[Number, Number, Number]  # life, version, check
 
