--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -27,7 +27,7 @@
 from mountgauge.lab.rig.metrics import RunMetrics, summary
 from mountgauge.lab.rig.oracle import judge
 from mountgauge.lab.rig.schedule import load
-from mountgauge.tenants.bounds import joined_after, word_age
+from mountgauge.tenants.bounds import joined_after, report_age_bound
 from mountgauge.tenants.quota import Quota
 
 SCENES = Path(__file__).parent.parent / "experiments" / "comeback"
@@ -110,7 +110,7 @@
     world.until(15)
     for place in range(2, 8):
         world.restart(f"n{place}", keep=False)
-    world.until(35 + word_age(0.25, 0.3, 0.7, 8, 4, FLUSH))
+    world.until(35 + report_age_bound(0.25, 0.3, 0.7, 8, 4, FLUSH))
     looks: list[tuple[int, bool]] = []
     end = world.time + joined_after(0.25, 0.3, 0.7, 8, 4, FLUSH, 5.0, 6)
     while world.time < end:
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -30,7 +30,7 @@
 from mountgauge.lab.ports import reserve_ports
 from mountgauge.lab.rig.proxies import HOST, DatagramProxy
 from mountgauge.status import ask
-from mountgauge.tenants.bounds import count_error, overshoot, overshoot_split, word_age
+from mountgauge.tenants.bounds import count_error, overshoot, overshoot_split, report_age_bound
 
 MEMBERS = 8
 TENANTS = 1000
@@ -382,7 +382,7 @@
     parser.add_argument("--json", type=Path)
     args = parser.parse_args()
     found = asyncio.run(measure(args.quick, args.seed))
-    age = word_age(INTERVAL, LOSS, DELAY, MEMBERS, FANOUT, FLUSH)
+    age = report_age_bound(INTERVAL, LOSS, DELAY, MEMBERS, FANOUT, FLUSH)
     allowed = QUOTA * found["seconds"] + BURST
     split_allowed = QUOTA * found["split_seconds"] + BURST
     gone = 20 * INTERVAL
--- a/mountgauge/tenants/bounds.py
+++ b/mountgauge/tenants/bounds.py
@@ -14,7 +14,7 @@
     return max(1, math.ceil((members - 1) / fanout))
 
 
-def word_age(
+def report_age_bound(
     interval: float, loss: float, delay: float, members: int, fanout: int, flush: float, doubt: float = 1e-4
 ) -> float:
     """How old a member's word of another may be, but for a share `doubt` of all looks.
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -10,7 +10,7 @@
     lost_on_kill,
     overshoot,
     overshoot_split,
-    word_age,
+    report_age_bound,
 )
 from mountgauge.tenants.members import Presence, Timing
 from mountgauge.tenants.quota import Quota, Split
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_counts_converge_through_loss_delay_doubles_and_reordering(seed: int) -> None:
     world = fleet(seed, FOUL)
-    age = word_age(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
+    age = report_age_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
     truth: list[tuple[float, int]] = []
     world.load({"a": 60, "b": 40}, 25)
     most = 0.0
@@ -71,7 +71,7 @@
     assert all(n.fleet.members.split for n in world.up)
     assert all(world.taken["b"] <= n.high("b") for n in world.up)  # the bound grows with the silence
     world.until(45)
-    age = word_age(0.25, 0.1, 0.05, 8, 4, FLUSH)
+    age = report_age_bound(0.25, 0.1, 0.05, 8, 4, FLUSH)
     bound = overshoot_split(20, 20, 8, age, world.timing.gone)
     taken = world.taken["a"] - before
     if split is Split.SHARE:
@@ -108,7 +108,7 @@
     if keep:  # exact but for what no flush has seen
         assert lost == world.uncounted["b"] <= 4 * (lost_on_kill(40 / 8, FLUSH) + 3)
     else:  # and for what had gone to nobody
-        age = word_age(0.25, 0.3, 0.4, 8, 4, FLUSH)
+        age = report_age_bound(0.25, 0.3, 0.4, 8, 4, FLUSH)
         assert 0 <= lost <= 4 * (count_error(40 / 8, age) + 3)
     assert all(not n.fleet.doubtful and not n.fleet.members.conflicts() for n in world.up)
     world.until(60)  # lives that were given up are folded, and their counts stay
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.fleet_model import FLUSH, Weather, World
-from mountgauge.tenants.bounds import joined_after, overshoot, word_age
+from mountgauge.tenants.bounds import joined_after, overshoot, report_age_bound
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.quota import Quota
 
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_the_whole_quota_is_in_use_again_five_seconds_after_the_last_start(seed: int) -> None:
     world, start, before = lost(seed)
-    age = word_age(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
+    age = report_age_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
     world.until(start + 5)
     at_five = world.taken["a"]
     while world.time < 35:
@@ -42,7 +42,7 @@
 def test_a_number_that_is_not_joined_does_not_call_itself_exact(seed: int) -> None:
     world, _, _ = lost(seed)
     world.until(35)
-    quiet = word_age(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
+    quiet = report_age_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
     bound = joined_after(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH, 5.0, ended=6)
     seen: list[tuple[float, str, int, bool]] = []
     while world.time < 35 + quiet + bound:
