--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -27,7 +27,7 @@
 from mountgauge.lab.rig.metrics import RunMetrics, summary
 from mountgauge.lab.rig.oracle import judge
 from mountgauge.lab.rig.schedule import load
-from mountgauge.tenants.bounds import joined_after, report_age_bound
+from mountgauge.tenants.bounds import convergence_bound, report_age_bound
 from mountgauge.tenants.quota import Quota
 
 SCENES = Path(__file__).parent.parent / "experiments" / "comeback"
@@ -112,7 +112,7 @@
         world.restart(f"n{place}", keep=False)
     world.until(35 + report_age_bound(0.25, 0.3, 0.7, 8, 4, FLUSH))
     looks: list[tuple[int, bool]] = []
-    end = world.time + joined_after(0.25, 0.3, 0.7, 8, 4, FLUSH, 5.0, 6)
+    end = world.time + convergence_bound(0.25, 0.3, 0.7, 8, 4, FLUSH, 5.0, 6)
     while world.time < end:
         world.until(world.time + 0.25)
         looks += [(node.used("b"), not node.fleet.unjoined(node.now)) for node in world.up]
--- a/mountgauge/tenants/bounds.py
+++ b/mountgauge/tenants/bounds.py
@@ -27,7 +27,7 @@
     return flush + tries * rounds(members, fanout) * interval + delay
 
 
-def joined_after(
+def convergence_bound(
     interval: float, loss: float, delay: float, members: int, fanout: int, flush: float, gone: float,
     ended: int, doubt: float = 1e-4,
 ) -> float:  # fmt: skip
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -5,7 +5,7 @@
 import pytest
 
 from benchmarks.fleet_model import FLUSH, Weather, World
-from mountgauge.tenants.bounds import joined_after, overshoot, report_age_bound
+from mountgauge.tenants.bounds import convergence_bound, overshoot, report_age_bound
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.quota import Quota
 
@@ -43,7 +43,7 @@
     world, _, _ = lost(seed)
     world.until(35)
     quiet = report_age_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
-    bound = joined_after(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH, 5.0, ended=6)
+    bound = convergence_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH, 5.0, ended=6)
     seen: list[tuple[float, str, int, bool]] = []
     while world.time < 35 + quiet + bound:
         world.until(world.time + 0.25)
