--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -99,7 +99,7 @@
         disk.pending = self.admission.pending_by_key()
         disk.life = counts.own.id
         disk.own = (counts.own.version, _lines(counts, counts.own))
-        if self.fleet.changed_rest:
+        if self.fleet.replicas_changed:
             here = {m.id for m in self.fleet.members.present}
             disk.others = [
                 (life.id, life.name, life.version, _lines(counts, life))
@@ -108,7 +108,7 @@
             disk.past = {k: n for k, n in zip(counts.keys, counts.past, strict=True) if n}
             disk.folded = list(counts.folded.items())
             disk.past_name = (counts.past_id, counts.past_lives)
-            self.fleet.changed_rest = False
+            self.fleet.replicas_changed = False
 
     def _flush(self) -> None:
         if self.up:
--- a/mountgauge/tenants/gossip/folding.py
+++ b/mountgauge/tenants/gossip/folding.py
@@ -37,7 +37,7 @@
             if all(mark == life.mark for mark in held):
                 state.counts.fold(life.id)
                 self._forget(life.id)
-                state.changed_rest = True
+                state.replicas_changed = True
 
     def _forget(self, life: int) -> None:
         """Nothing of a folded life is kept but its mark."""
--- a/mountgauge/tenants/gossip/membership.py
+++ b/mountgauge/tenants/gossip/membership.py
@@ -43,7 +43,7 @@
             if life is not None and not Members.here(member):
                 life.settled = False
             was_here = before in (Presence.PRESENT, Presence.SUSPECTED)
-            state.changed_rest |= was_here and not Members.here(member)
+            state.replicas_changed |= was_here and not Members.here(member)
         for member in state.members.present:
             if (life := state.counts.incarnations.get(member.id)) is not None and not life.settled:
                 life.settled = now - member.back >= 2 * state.settle
@@ -147,7 +147,7 @@
                 continue
             if contact.source == source and Members.here(member):
                 state.members.succeeded(contact.life, now)
-                state.changed_rest = True
+                state.replicas_changed = True
 
     def echo(self, contact: Contact, told: Datagram, now: float) -> None:
         """A datagram of this member came back with word of when: the way there, and who is behind it."""
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -111,7 +111,7 @@
             self.contacts.clear()
             self._pages.clear()
             self.anew = False
-            self.changed_rest = True
+            self.replicas_changed = True
         self.counts.reset_mine(life, self.me.name)
         self.me = Identity(self.me.name, life, 1, run)
         self.members.become(life, self.me.name, now)
--- a/mountgauge/tenants/gossip/pages.py
+++ b/mountgauge/tenants/gossip/pages.py
@@ -92,4 +92,4 @@
             if life != state.me.life:
                 state.members.drop(life)
                 state.contacts.pop(life, None)
-        state.changed_rest = True
+        state.replicas_changed = True
--- a/mountgauge/tenants/gossip/state.py
+++ b/mountgauge/tenants/gossip/state.py
@@ -114,7 +114,9 @@
         self.anew = False  # when it is reborn, it also lets go of all that it knew
         self.reborn = ""
         self.doubtful = False  # what was counted under this name may be in part counted once for twice
-        self.changed_rest = False  # something of other lives or the past that only replicas hold has changed
+        self.replicas_changed = (
+            False  # something of other lives or the past that only replicas hold has changed
+        )
         self.leaving = False
         self.left_this_round = DATAGRAMS_A_ROUND  # datagrams that may still be sent
 
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -148,13 +148,13 @@
             self.fleet.renew(_draw(), _draw(), now)
             new = self.admission.counts.own
             self.store.save_me(self.name, new.id, 1)
-            self.fleet.changed_rest = True
+            self.fleet.replicas_changed = True
             log.error("tenants-new-life", extra=kv(why=why, old=f"{old:016x}", new=f"{new.id:016x}",
                                                    exact=not self.fleet.doubtful))  # fmt: skip
         self.flush()
         self.udp.send(self.fleet.tick(now))
         self._look()
-        if self.fleet.changed_rest and now - self._rest_at >= _REST_EVERY:
+        if self.fleet.replicas_changed and now - self._rest_at >= _REST_EVERY:
             self._save_rest(now)
 
     def _look(self) -> None:
@@ -189,7 +189,7 @@
         assert self.fleet is not None
         counts, members = self.admission.counts, self.fleet.members
         here = {m.id for m in members.present}
-        self.fleet.changed_rest = not self.store.save_rest(
+        self.fleet.replicas_changed = not self.store.save_rest(
             counts,
             [life for life in counts.incarnations.values() if life is not counts.own and life.id not in here],
         )
