--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -115,7 +115,7 @@
     end = world.time + convergence_bound(0.25, 0.3, 0.7, 8, 4, FLUSH, 5.0, 6)
     while world.time < end:
         world.until(world.time + 0.25)
-        looks += [(node.used("b"), not node.fleet.unjoined(node.now)) for node in world.up]
+        looks += [(node.used("b"), not node.fleet.sync_gap(node.now)) for node in world.up]
     return sum(exact and count != looks[-1][0] for count, exact in looks)
 
 
--- a/mountgauge/tenants/admission.py
+++ b/mountgauge/tenants/admission.py
@@ -217,7 +217,7 @@
         fleet = self.fleet
         if fleet is None:
             return {"split": False, "exact": True, "unjoined": "", "conflicts": [], "members": []}
-        unjoined = fleet.unjoined(now)
+        unjoined = fleet.sync_gap(now)
         return {
             "split": fleet.members.split,
             "exact": not (fleet.doubtful or fleet.diverged or unjoined),
--- a/mountgauge/tenants/gossip/membership.py
+++ b/mountgauge/tenants/gossip/membership.py
@@ -202,7 +202,7 @@
         me = members.me
         return any(m.name == me.name and m is not me and not Members.here(m) for m in members.all.values())
 
-    def unjoined(self, now: float) -> str:
+    def sync_gap(self, now: float) -> str:
         """Why the counts held here may lack something that others hold; empty: they are joined.
 
         A member that lives tells its own counts, and word of it is as old as `age` says. What a life that
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -132,9 +132,9 @@
         """Whether the others know an ended life of this member's name that this one knows only from them."""
         return self._membership.earlier_life()
 
-    def unjoined(self, now: float) -> str:
+    def sync_gap(self, now: float) -> str:
         """Why the counts held here may lack something that others hold; empty: they are joined."""
-        return self._membership.unjoined(now)
+        return self._membership.sync_gap(now)
 
     def age(self, member: Member, now: float) -> float:
         """How old this member's word is, s."""
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -45,7 +45,7 @@
         self.fleet, self._loop = fleet, loop
 
     def joined(self) -> bool:
-        return self.fleet.unjoined(self._loop.time()) != STARTING
+        return self.fleet.sync_gap(self._loop.time()) != STARTING
 
     def say(self, phase: int) -> None:
         self.fleet.phase = phase
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -48,7 +48,7 @@
     while world.time < 35 + quiet + bound:
         world.until(world.time + 0.25)
         for node in world.up:
-            exact = not node.fleet.unjoined(node.now)
+            exact = not node.fleet.sync_gap(node.now)
             seen.append((world.time, node.name, node.used("b"), exact))
     final = {count for at, _, count, _ in seen if at >= world.time}
     assert len(final) == 1 and all(exact for at, _, _, exact in seen if at >= world.time)
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -190,7 +190,7 @@
                 await until(partial(_has, admission, places, [20, 1]))
             member = first.runtime.tenants.fleet  # type: ignore[union-attr]
             assert member is not None
-            await until(lambda: not member.unjoined(asyncio.get_running_loop().time()))
+            await until(lambda: not member.sync_gap(asyncio.get_running_loop().time()))
             page = StatusServer(first.runtime.report, {"/tenants": first.runtime.tenants.report})  # type: ignore[union-attr]
             await page.listen(Address(HOST, 0))
             found = await ask(Address(HOST, page.port), page="/tenants")
