--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -250,9 +250,9 @@
 
 
 def _disk_for(tenants: TenantFile) -> int:
-    from mountgauge.tenants.store import room_for
+    from mountgauge.tenants.store import max_file_bytes
 
-    return room_for(len(tenants.tenants) + 1)
+    return max_file_bytes(len(tenants.tenants) + 1)
 
 
 def _access(users: Mapping[str, str], vhost: str, tenants: TenantFile | None, resp: Table | None) -> Access:
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -17,7 +17,7 @@
 from mountgauge.tenants.gossip import STARTING, Gossip, Identity, OutgoingDatagrams, UdpAddress
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.settings import FLUSH, TenantFile
-from mountgauge.tenants.store import Store, room_for
+from mountgauge.tenants.store import Store, max_file_bytes
 from mountgauge.tenants.udp import Udp
 from mountgauge.tenants.wire import Seal, tenant_key
 
@@ -31,7 +31,7 @@
 
 def disk_for(settings: TenantFile) -> int:
     """Bytes of the state folder's limit that the counts take."""
-    return room_for(len(settings.tenants) + 1)
+    return max_file_bytes(len(settings.tenants) + 1)
 
 
 def _draw() -> int:
--- a/mountgauge/tenants/store.py
+++ b/mountgauge/tenants/store.py
@@ -50,7 +50,7 @@
     past_name: tuple[int, int] = (0, 0)
 
 
-def room_for(tenants: int) -> int:
+def max_file_bytes(tenants: int) -> int:
     """Bytes that the file and its log may take; SQLite turns away what would pass it."""
     return _FIRST_ROOM + _A_TENANT * tenants + (_WAL_PAGES + 8) * _PAGE
 
@@ -81,7 +81,7 @@
         if version > _VERSION:
             self._db.close()
             raise StoreError(f"{self.path}: written by a newer version ({version})")
-        pages = (room_for(tenants) - (_WAL_PAGES + 8) * _PAGE) // _PAGE
+        pages = (max_file_bytes(tenants) - (_WAL_PAGES + 8) * _PAGE) // _PAGE
         self._db.execute(f"pragma max_page_count={pages}")
         if not version:
             with self._db:
