--- a/mountgauge/run/budgets.py
+++ b/mountgauge/run/budgets.py
@@ -30,7 +30,7 @@
         self.budgets.release = sender.release
         self.budgets.tell = sender.divide
         sender.call_gate = self.budgets
-        tenants.heads[wire.HEAD] = self.budgets.received
+        tenants.prefix_handlers[wire.HEAD] = self.budgets.received
 
     async def start(self) -> None:
         assert self.tenants.udp is not None
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -88,7 +88,7 @@
             self.fleet.doubtful = bool(self.store.error)
         self.admission = QuotaAdmission(self._quotas(), counts, self.fleet, now, saved.pending)
         self.udp: Udp | None = None
-        self.heads: dict[
+        self.prefix_handlers: dict[
             bytes, Callable[[bytes, UdpAddress], OutgoingDatagrams]
         ] = {}  # other kinds of datagrams, by their head
         self._timers: dict[str, asyncio.TimerHandle] = {}
@@ -134,7 +134,7 @@
         self._timers[name] = self._loop.call_later(interval, again)
 
     def _received(self, data: bytes, source: UdpAddress) -> OutgoingDatagrams:
-        if (other := self.heads.get(data[:2])) is not None:
+        if (other := self.prefix_handlers.get(data[:2])) is not None:
             return other(data, source)
         assert self.fleet is not None
         return self.fleet.receive(data, source, self._loop.time())
