--- a/mountgauge/budgets/wire.py
+++ b/mountgauge/budgets/wire.py
@@ -97,13 +97,13 @@
                 message.name, message.to, message.to_run, message.file_epoch, message.lists, said,
                 list(message.ended[:_MOST_ENDED]), message.refused,
             )  # fmt: skip
-        yield seal.lock(_ENCODER.encode(found), HEAD)
+        yield seal.sign(_ENCODER.encode(found), HEAD)
 
 
 def open_(seal: Seal, data: bytes) -> Ask | Answer:
     """RefusedDatagramError where it is no datagram of this fleet."""
     try:
-        raw = _DECODER.decode(seal.unlock(data, HEAD))
+        raw = _DECODER.decode(seal.verify(data, HEAD))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         raise RefusedDatagramError("malformed") from None
 
--- a/mountgauge/tenants/wire.py
+++ b/mountgauge/tenants/wire.py
@@ -106,21 +106,21 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     def close(self, datagram: Datagram) -> bytes:
-        return self.lock(self._encoder.encode(datagram))
+        return self.sign(self._encoder.encode(datagram))
 
     def open(self, data: bytes) -> Datagram:
         """RefusedDatagramError where it is not a datagram of this fleet under a key that holds now."""
         try:
-            return self._decoder.decode(self.unlock(data))
+            return self._decoder.decode(self.verify(data))
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
             raise RefusedDatagramError("malformed") from None
 
-    def lock(self, content: bytes, head: bytes = _HEAD) -> bytes:
+    def sign(self, content: bytes, head: bytes = _HEAD) -> bytes:
         """`head` tells the kinds of datagrams of one fleet apart; it is sealed with the rest."""
         body = head + self._first + content
         return body + blake3(body, key=self._keys[self._first]).digest(_SEAL)
 
-    def unlock(self, data: bytes, head: bytes = _HEAD) -> bytes:
+    def verify(self, data: bytes, head: bytes = _HEAD) -> bytes:
         """What was sealed; RefusedDatagramError where it was not, or not by this fleet."""
         if len(data) > MOST:
             raise RefusedDatagramError("oversized")
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -280,7 +280,7 @@
     with pytest.raises(RefusedDatagramError, match="forged"):
         wire.open_(seal, data[:-1] + bytes([data[-1] ^ 1]))
     with pytest.raises(RefusedDatagramError, match="malformed"):
-        wire.open_(seal, seal.lock(b"\x93\x01", wire.HEAD))
+        wire.open_(seal, seal.sign(b"\x93\x01", wire.HEAD))
 
 
 FILE = """
