--- a/mountgauge/tenants/gossip/deltas.py
+++ b/mountgauge/tenants/gossip/deltas.py
@@ -10,7 +10,7 @@
 
 from mountgauge.tenants.counts import Entry, Incarnation, Mark, line_size
 from mountgauge.tenants.gossip.state import Contact, Span, State
-from mountgauge.tenants.wire import MOST, Delta, Line, Word
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES, Delta, Line, Word
 
 FEW_WORDS = 120  # bytes for words beside deltas: of the sender and the receiver
 _HEAD = 240  # bytes of a datagram for all but words and deltas
@@ -34,7 +34,7 @@
         state = self._state
         sent = 0
         deltas: list[Delta] = []
-        left = room = MOST - FEW_WORDS - _HEAD
+        left = room = MAX_DATAGRAM_BYTES - FEW_WORDS - _HEAD
         queue = [life for one in lives if (life := state.counts.incarnations.get(one)) is not None]
         while queue and sent < most and state.left_this_round > 0:
             life = queue[0]
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -29,7 +29,7 @@
     UdpAddress,
 )
 from mountgauge.tenants.members import Member
-from mountgauge.tenants.wire import MOST, Datagram, Delta, Page, RefusedDatagramError, Seal
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES, Datagram, Delta, Page, RefusedDatagramError, Seal
 
 _WORDS = 420  # bytes of a datagram for words, where deltas want the rest
 _PUSHED = 3  # datagrams with own counts that one round may send to one address
@@ -181,7 +181,7 @@
                 want=self._pages.want(contact, now), words=words, deltas=deltas or [], tombs=tombs,
                 page=page, phase=self.phase,
             ))  # fmt: skip
-            if len(data) <= MOST or not words:
+            if len(data) <= MAX_DATAGRAM_BYTES or not words:
                 break
             words = words[: len(words) * 2 // 3]
         self.sent += 1
--- a/mountgauge/tenants/udp.py
+++ b/mountgauge/tenants/udp.py
@@ -9,7 +9,7 @@
 
 from mountgauge.core.config import Address
 from mountgauge.tenants.gossip import OutgoingDatagrams, UdpAddress
-from mountgauge.tenants.wire import MOST
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES
 
 _BUFFER = 1 << 20  # bytes that the kernel may hold
 _AT_ONCE = 8  # datagrams in one turn of the loop
@@ -41,7 +41,7 @@
     def _ready(self) -> None:
         for _ in range(_AT_ONCE):
             try:
-                data, source = self._socket.recvfrom(MOST + 1)
+                data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
             except OSError as error:  # an ICMP answer to something sent earlier
--- a/mountgauge/tenants/wire.py
+++ b/mountgauge/tenants/wire.py
@@ -1,7 +1,7 @@
 """Datagrams between members: MessagePack by msgspec, sealed with a keyed BLAKE3 hash.
 
 A datagram is `M1`, two bytes that name the key, the body, and 16 bytes of BLAKE3 over all before, keyed. It
-is `MOST` bytes at most, so that it travels whole over any path of 1,280 (RFC 8200, section 5). Bodies can be
+is at most `MAX_DATAGRAM_BYTES` long, which fits the IPv6 minimum MTU (RFC 8200, section 5). Bodies can be
 read by who sees them: tenants travel as hashes of their names, counts as they are. What cannot be opened is
 dropped for one of the reasons in `RefusedDatagramError`; nothing of it is decoded before its seal has been
 found good.
@@ -16,7 +16,7 @@
 import msgspec
 from blake3 import blake3
 
-MOST = 1200  # bytes of a datagram
+MAX_DATAGRAM_BYTES = 1200  # bytes of a datagram
 MAX_NAME_LENGTH = 32  # characters of a fleet's, member's or tenant's name on the wire
 _HEAD = b"M1"
 _SEAL = 16
@@ -122,7 +122,7 @@
 
     def verify(self, data: bytes, head: bytes = _HEAD) -> bytes:
         """What was sealed; RefusedDatagramError where it was not, or not by this fleet."""
-        if len(data) > MOST:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise RefusedDatagramError("oversized")
         if len(data) < len(head) + 2 + _SEAL or data[: len(head)] != head:
             raise RefusedDatagramError("malformed")
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -25,7 +25,7 @@
 from mountgauge.cli import main
 from mountgauge.core.config import ConfigError
 from mountgauge.operator_file import load
-from mountgauge.tenants.wire import MOST, RefusedDatagramError, Seal
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES, RefusedDatagramError, Seal
 from tests.helper import run
 from tests.visits import watch
 
@@ -269,14 +269,14 @@
     lines = tuple(AskLine(f"{n:032d}", n, every, 4.0, 100.0, 128.0, 1.0) for n in range(25))
     ask = Ask("m" * 32, (1 << 62) + 1, 2, 3, 1 << 31, lines, ("x",), True)
     parts = list(wire.close(seal, ask))
-    assert len(parts) == 3 and max(map(len, parts)) <= MOST
+    assert len(parts) == 3 and max(map(len, parts)) <= MAX_DATAGRAM_BYTES
     read = [wire.open_(seal, one) for one in parts]
     assert tuple(line for one in read for line in one.lines) == lines
     assert all(isinstance(one, Ask) and one.ended == ("x",) and one.run == ask.run for one in read)
     said = tuple(AnswerLine(f"{n:032d}", n, every, every, 100.0, 64, (1, 2), 0.5) for n in range(10))
     answer = Answer("m2", "m1", 7, 3, 9, said, (), "behind")
     (data,) = wire.close(seal, answer)
-    assert len(data) <= MOST and wire.open_(seal, data) == answer
+    assert len(data) <= MAX_DATAGRAM_BYTES and wire.open_(seal, data) == answer
     with pytest.raises(RefusedDatagramError, match="forged"):
         wire.open_(seal, data[:-1] + bytes([data[-1] ^ 1]))
     with pytest.raises(RefusedDatagramError, match="malformed"):
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -14,7 +14,7 @@
 )
 from mountgauge.tenants.members import Presence, Timing
 from mountgauge.tenants.quota import Quota, Split
-from mountgauge.tenants.wire import MOST
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES
 
 FOUL = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)  # jitter reorders: sends are 0.25 s apart
 EIGHT = [f"n{i}" for i in range(8)]
@@ -53,7 +53,7 @@
         assert over(world, 0) <= overshoot(20, 40, 8, age)
     assert most <= 0.02
     assert world.until_exact(10) < 10
-    assert sum(n.fleet.dropped["replayed"] for n in world.up) > 20 and world.largest <= MOST
+    assert sum(n.fleet.dropped["replayed"] for n in world.up) > 20 and world.largest <= MAX_DATAGRAM_BYTES
     assert world.taken["a"] >= 0.85 * (20 * 20 + 40)  # the quota is there to be used
 
 
@@ -259,7 +259,7 @@
         assert world.time - began < 30
     assert all(n.admission.counts.total == world.up[0].admission.counts.total for n in world.up)
     spent = (world.bytes - busy_from) / 32
-    assert world.largest <= MOST
+    assert world.largest <= MAX_DATAGRAM_BYTES
     # By what changes: 10,000 lines of some 15 bytes reach each of 32 members, a few times over.
     assert spent <= 10_000 * 15 * 6 + quiet * (world.time - began) * 2
     world.until(world.time + 5)
--- a/tests/tenants/test_wire.py
+++ b/tests/tenants/test_wire.py
@@ -14,7 +14,7 @@
 from mountgauge.tenants.counts import Counts
 from mountgauge.tenants.gossip import Gossip, Identity, Plan
 from mountgauge.tenants.members import Timing
-from mountgauge.tenants.wire import MOST, Datagram, RefusedDatagramError, Seal, Window
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES, Datagram, RefusedDatagramError, Seal, Window
 
 settings.register_profile("fleet", derandomize=True, deadline=None, max_examples=150)
 settings.load_profile("fleet")
@@ -45,7 +45,7 @@
     for data, reason in (
         (forged, "forged"), (good[:-20], "forged"), (good[:8], "malformed"), (b"", "malformed"),
         (empty, "malformed"), (sealed_rubbish, "malformed"), (one(other), "unknown-key"),
-        (one(Seal("another fleet", [NEW])), "unknown-key"), (good + b"\0" * MOST, "oversized"),
+        (one(Seal("another fleet", [NEW])), "unknown-key"), (good + b"\0" * MAX_DATAGRAM_BYTES, "oversized"),
         (one(seal, life=1, run=7), "own"),
     ):  # fmt: skip
         before = fleet.dropped[reason]
@@ -128,11 +128,11 @@
         ordered = [msgspec.msgpack.decode(data).get(f, d) for f, d in _FIELDS]
         head = b"M1" + seal._first + msgspec.msgpack.encode(ordered)
         out = fleet.receive(head + blake3(head, key=seal._keys[seal._first]).digest(16), PEER, 1.0 + seq)
-        assert len(out) <= 10 and all(len(one) <= MOST for one, _ in out)
+        assert len(out) <= 10 and all(len(one) <= MAX_DATAGRAM_BYTES for one, _ in out)
         if fleet.reborn:
             fleet.renew(100 + seq, 200 + seq, 1.0 + seq)
         for data, _ in fleet.tick(1.5 + seq):
-            assert len(data) <= MOST
+            assert len(data) <= MAX_DATAGRAM_BYTES
     assert len(fleet.counts.keys) <= 8
 
 
