--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -118,7 +118,7 @@
     def _gossip(self) -> None:
         if not self.up:
             return
-        if self.fleet.reborn:
+        if self.fleet.new_incarnation_reason:
             self.fleet.renew(self.world.draw(), self.world.draw(), self.now)
             self.disk.boot = 1
             self.renewed += 1
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -45,7 +45,7 @@
 
 
 class Gossip(State):
-    """One member: `tick` once an interval, `receive` for each datagram, `renew` when `reborn` is set."""
+    """One member. Call `tick` once an interval, `receive` for each datagram, `renew` when asked to."""
 
     def __init__(
         self, me: Identity, plan: Plan, counts: Counts, seal: Seal, now: float, rng: random.Random
@@ -119,7 +119,7 @@
         if not old.version and old.id in self.counts.incarnations:  # nothing was ever counted under it
             del self.counts.incarnations[old.id]
             self.members.drop(old.id)
-        self.reborn = ""
+        self.new_incarnation_reason = ""
         self.sent_log.clear()
 
     # What its owner asks
--- a/mountgauge/tenants/gossip/state.py
+++ b/mountgauge/tenants/gossip/state.py
@@ -99,7 +99,7 @@
 
 
 class State:
-    """What one member knows. `reborn` is set when it must count on under a new life, with the reason."""
+    """What one member knows. `new_incarnation_reason` says why it needs a new incarnation, if it does."""
 
     def __init__(self, me: Identity, plan: Plan, counts: Counts, now: float, rng: random.Random) -> None:
         self.me, self.plan, self.counts, self.rng = me, plan, counts, rng
@@ -111,8 +111,8 @@
         # Whether own counts may be published: a life from a file must first hear what others know of it.
         self.open = me.boot <= 1
         self.outdated = False  # others knew of more than the file had: an old copy
-        self.anew = False  # when it is reborn, it also lets go of all that it knew
-        self.reborn = ""
+        self.anew = False  # a new incarnation also lets go of all that it knew
+        self.new_incarnation_reason = ""
         self.doubtful = False  # what was counted under this name may be in part counted once for twice
         self.replicas_changed = (
             False  # something of other lives or the past that only replicas hold has changed
@@ -130,13 +130,13 @@
 
     def want_new_life(self, why: str, outdated: bool = False) -> None:
         """This life can't be counted on under: the owner has to draw another."""
-        if not self.reborn:
-            self.reborn, self.outdated = why, self.outdated or outdated
+        if not self.new_incarnation_reason:
+            self.new_incarnation_reason, self.outdated = why, self.outdated or outdated
             self.doubtful |= self.open
 
     def retired(self, exact: bool) -> None:
         """The others have folded this member's life: it comes back as a newcomer."""
-        if not self.reborn:
-            self.reborn = "the fleet has folded this life"
+        if not self.new_incarnation_reason:
+            self.new_incarnation_reason = "the fleet has folded this life"
             self.doubtful |= not exact
             self.anew = True
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -142,8 +142,8 @@
     def _gossip(self) -> None:
         assert self.fleet is not None and self.udp is not None
         now = self._loop.time()
-        if self.fleet.reborn:
-            why = self.fleet.reborn
+        if self.fleet.new_incarnation_reason:
+            why = self.fleet.new_incarnation_reason
             old = self.admission.counts.own.id
             self.fleet.renew(_draw(), _draw(), now)
             new = self.admission.counts.own
