--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -88,10 +88,10 @@
         return again
 
     def used(self, tenant: str) -> int:
-        return self.admission.bounds(self.admission.names[tenant], self.now)[0]
+        return self.admission.bounds(self.admission.index_by_name[tenant], self.now)[0]
 
     def high(self, tenant: str) -> int:
-        return self.admission.bounds(self.admission.names[tenant], self.now)[1]
+        return self.admission.bounds(self.admission.index_by_name[tenant], self.now)[1]
 
     def flush(self) -> None:
         counts, disk = self.admission.counts, self.disk
@@ -138,7 +138,7 @@
         """As SIGKILL does: what was counted since the last flush is counted nowhere."""
         for place, taken in self.admission.pending.items():
             if (known := self.disk.pending.get(self.admission.counts.keys[place], 0)) < taken:
-                name = next(n for n, p in self.admission.names.items() if p == place)
+                name = next(n for n, p in self.admission.index_by_name.items() if p == place)
                 self.world.uncounted[name] += taken - known
         self.up = False
 
--- a/mountgauge/tenants/admission.py
+++ b/mountgauge/tenants/admission.py
@@ -26,7 +26,7 @@
         pending: Mapping[int, int] | None = None,
     ) -> None:  # fmt: skip
         self.counts, self.fleet = counts, fleet
-        self.names: dict[str, int] = {}
+        self.index_by_name: dict[str, int] = {}
         self.quotas: dict[int, Quota] = {}
         self.buckets: dict[int, Bucket] = {}
         self.demands: dict[int, Demand] = {}
@@ -44,13 +44,13 @@
     def learn(self, quotas: Mapping[str, Quota | None]) -> None:
         """The tenants as the file has them now. Counts of those that no longer stand there stay."""
         names = {DEFAULT, *quotas}
-        self.counts.most = max(self.counts.most, len(self.counts.keys) + len(names - set(self.names)))
-        self.names = {}
+        self.counts.most = max(self.counts.most, len(self.counts.keys) + len(names - set(self.index_by_name)))
+        self.index_by_name = {}
         self.quotas = {}
         for name in sorted(names):
             place = self.counts.tenant(tenant_key(name))
             assert place is not None
-            self.names[name] = place
+            self.index_by_name[name] = place
             if (quota := quotas.get(name)) is not None:
                 self.quotas[place] = quota
         for place, bucket in list(self.buckets.items()):
@@ -60,7 +60,7 @@
                 bucket.quota = new
 
     def _place(self, tenant: str) -> int:
-        return self.names.get(tenant, self.names[DEFAULT])
+        return self.index_by_name.get(tenant, self.index_by_name[DEFAULT])
 
     # Each message
 
@@ -193,7 +193,7 @@
 
     def report(self, now: float, most: int = 100_000) -> dict[str, Any]:
         """What `mountgauge tenants` shows; the most used first where not all are wanted."""
-        by_place = {place: name for name, place in self.names.items()}
+        by_place = {place: name for name, place in self.index_by_name.items()}
         places = list(range(len(self.counts.keys)))
         if len(places) > most:
             places = sorted(places, key=self.counts.total.__getitem__, reverse=True)[:most]
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -255,7 +255,7 @@
         found = self.admission.fleet_report(self._loop.time())
         members = found["members"]
         return {
-            "tenants": len(self.admission.names), "taken": sum(self.admission.counts.total),
+            "tenants": len(self.admission.index_by_name), "taken": sum(self.admission.counts.total),
             "refused": sum(self.admission.refused.values()), "split": found["split"], "exact": found["exact"],
             "unjoined": found["unjoined"],
             "conflicts": found["conflicts"],
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -106,7 +106,10 @@
             assert await client.command(*enqueue) == b"+OK\r\n"
             assert world.runtime.tenants is not None
             admission = world.runtime.tenants.admission
-            assert admission.taken_here == 1 and admission.bounds(admission.names["rossi"], 0.0) == (1, 1)
+            assert admission.taken_here == 1 and admission.bounds(admission.index_by_name["rossi"], 0.0) == (
+                1,
+                1,
+            )
             for _ in range(11):  # guessing ends with the connection
                 answer = await client.command(b"AUTH", b"u", b"guess")
             assert answer.startswith(b"-WRONGPASS ") and await client.reader.read() == b""
@@ -186,7 +189,7 @@
             assert await second.client.take("n0") is None
             admissions = [world.runtime.tenants.admission for world in (first, second)]  # type: ignore[union-attr]
             for admission in admissions:
-                places = [admission.names["verdi"], admission.names["rossi"]]
+                places = [admission.index_by_name["verdi"], admission.index_by_name["rossi"]]
                 await until(partial(_has, admission, places, [20, 1]))
             member = first.runtime.tenants.fleet  # type: ignore[union-attr]
             assert member is not None
@@ -229,18 +232,20 @@
             ) + '[[tenant]]\nname = "bianchi"\n'
             world.write()
             world.runtime.reload()
-            assert tenants.admission.quotas[tenants.admission.names["rossi"]].rate == 7
-            assert "bianchi" in tenants.admission.names and tenants.fleet.plan.peers == ((HOST, peer + 1),)
+            assert tenants.admission.quotas[tenants.admission.index_by_name["rossi"]].rate == 7
+            assert "bianchi" in tenants.admission.index_by_name and tenants.fleet.plan.peers == (
+                (HOST, peer + 1),
+            )
             assert tenants.fleet.seal._first != old._first and set(old._keys) < set(tenants.fleet.seal._keys)
             kept = world.extra
             world.extra = kept.replace("rate = 7", 'rate = "x"')
             world.write()
             world.runtime.reload()  # changes nothing
-            assert tenants.admission.quotas[tenants.admission.names["rossi"]].rate == 7
+            assert tenants.admission.quotas[tenants.admission.index_by_name["rossi"]].rate == 7
             world.extra = ""
             world.write()
             world.runtime.reload()
-            assert "rossi" in tenants.admission.names  # tenants go with a restart only
+            assert "rossi" in tenants.admission.index_by_name  # tenants go with a restart only
 
     run(main())
 
