--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -119,7 +119,7 @@
         if not self.up:
             return
         if self.fleet.new_incarnation_reason:
-            self.fleet.renew(self.world.draw(), self.world.draw(), self.now)
+            self.fleet.start_incarnation(self.world.draw(), self.world.draw(), self.now)
             self.disk.boot = 1
             self.renewed += 1
         self.flush()
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -45,7 +45,7 @@
 
 
 class Gossip(State):
-    """One member. Call `tick` once an interval, `receive` for each datagram, `renew` when asked to."""
+    """One member. Call `tick` once an interval, `receive` for each datagram."""
 
     def __init__(
         self, me: Identity, plan: Plan, counts: Counts, seal: Seal, now: float, rng: random.Random
@@ -102,7 +102,7 @@
         out = [self._datagram(contact, place, now, page=page) for page in pages]
         return out + self._send_deltas(contact, place, lacking, now, _REPLIES)
 
-    def renew(self, life: int, run: int, now: float) -> None:
+    def start_incarnation(self, life: int, run: int, now: float) -> None:
         """Count on under a new life: the owner has drawn it. The old one stays as it is known."""
         old = self.counts.own
         if self.anew:
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -145,7 +145,7 @@
         if self.fleet.new_incarnation_reason:
             why = self.fleet.new_incarnation_reason
             old = self.admission.counts.own.id
-            self.fleet.renew(_draw(), _draw(), now)
+            self.fleet.start_incarnation(_draw(), _draw(), now)
             new = self.admission.counts.own
             self.store.save_me(self.name, new.id, 1)
             self.fleet.replicas_changed = True
--- a/tests/tenants/test_wire.py
+++ b/tests/tenants/test_wire.py
@@ -130,7 +130,7 @@
         out = fleet.receive(head + blake3(head, key=seal._keys[seal._first]).digest(16), PEER, 1.0 + seq)
         assert len(out) <= 10 and all(len(one) <= MAX_DATAGRAM_BYTES for one, _ in out)
         if fleet.new_incarnation_reason:
-            fleet.renew(100 + seq, 200 + seq, 1.0 + seq)
+            fleet.start_incarnation(100 + seq, 200 + seq, 1.0 + seq)
         for data, _ in fleet.tick(1.5 + seq):
             assert len(data) <= MAX_DATAGRAM_BYTES
     assert len(fleet.counts.keys) <= 8
