--- a/mountgauge/tenants/__init__.py
+++ b/mountgauge/tenants/__init__.py
@@ -1,6 +1,7 @@
-"""Tenants: who a message belongs to, what each has used across the fleet, and whether it may use more.
+"""Tenants: the tenant of each message, the use of each tenant across the fleet, and the quotas on it.
 
-`counts`, `members`, `quota`, `gossip` and `bounds` decide without I/O or clock; `wire` knows datagrams;
-`store`, `udp` and `service` touch files, sockets and the loop. See `docs/tenants.md`. Nothing here is
-imported by a sender whose file names neither a fleet nor a tenant, nor ever on the platform.
+`admission`, `counts`, `members`, `quota`, `gossip` and `bounds` decide without I/O or a clock; `wire` defines
+the datagrams; `store`, `udp` and `service` use files, sockets and the event loop. See `docs/tenants.md`. A
+sender imports nothing of this package if its file names neither a fleet nor a tenant, and the platform never
+does.
 """
--- a/mountgauge/tenants/gossip/__init__.py
+++ b/mountgauge/tenants/gossip/__init__.py
@@ -1,8 +1,8 @@
 """The gossip protocol between members: a state machine without sockets or a clock.
 
-`Gossip` is one member of it. Its work is divided into `membership` (who is there, and where), `deltas` (the
-counts of lives that change), `folding` (lives that ended go into the past) and `pages` (a past that is asked
-for as a whole); `state` is what these share.
+`Gossip` is one member. Its modules are `membership` (members and their addresses), `deltas` (changes of
+counts), `folding` (incarnations that ended are added to the past) and `pages` (transfer of a whole past);
+`state` holds what these share.
 """
 
 from mountgauge.tenants.gossip.node import Gossip
--- a/mountgauge/tenants/gossip/deltas.py
+++ b/mountgauge/tenants/gossip/deltas.py
@@ -1,150 +1,162 @@
-"""The counts of lives that change: what a contact lacks is sent to it, what it tells is joined.
+"""Replication of counts: sends each contact the changes that it lacks, and merges the ones it sends.
 
-Each datagram says how far its sender is with every life (`Word`), so whoever knows more answers with what is
-missing (`Delta`). Nothing waits for an answer: a span that no later word confirms is sent again.
+Each datagram carries digests of what its sender holds (`MemberDigest`); a receiver that holds more answers
+with the missing changes (`Delta`). Nothing waits for an answer: a span that no later digest confirms is sent
+again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
 
-from mountgauge.tenants.counts import Entry, Incarnation, Mark, line_size
+from mountgauge.tenants.counts import Entry, Incarnation, Mark, max_entry_bytes
 from mountgauge.tenants.gossip.state import Contact, Span, State
-from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES, Delta, Line, Word
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES, Delta, Line, MemberDigest
 
-FEW_WORDS = 120  # bytes for words beside deltas: of the sender and the receiver
-_HEAD = 240  # bytes of a datagram for all but words and deltas
-_FLIGHT = 32  # spans of one life that may be under way to one contact
-_NEVER = -1e9  # s: when a span that is to be sent at once was sent last
+DIGEST_BYTES_WITH_DELTAS = 120  # enough for the digests of the sender and the receiver
+_OVERHEAD_BYTES = 240  # of a datagram, without digests and deltas
+_MAX_SPANS_IN_FLIGHT = 32  # of one incarnation to one contact
+_NEVER = -1e9  # s: the time of sending of a span that is to be sent at once
 
 
 class Deltas:
-    """Which changes go to whom, and what comes of those that came."""
+    """Chooses the changes for each contact and merges the changes received."""
 
     def __init__(self, state: State) -> None:
         self._state = state
 
     # Sending
 
-    def batches(self, contact: Contact, lives: Iterable[int], now: float, most: int) -> Iterator[list[Delta]]:
-        """What the contact lacks of these lives, as far as it is not on its way already.
+    def batches(
+        self, contact: Contact, incarnations: Iterable[int], now: float, max_batches: int
+    ) -> Iterator[list[Delta]]:
+        """The changes of these incarnations that the contact lacks and that are not in flight to it.
 
-        Each batch fills a datagram, `most` of them at most; the caller sends one before it asks for the next.
+        Each batch fills one datagram; the caller sends it before it asks for the next one.
         """
         state = self._state
         sent = 0
         deltas: list[Delta] = []
-        left = room = MAX_DATAGRAM_BYTES - FEW_WORDS - _HEAD
-        queue = [life for one in lives if (life := state.counts.incarnations.get(one)) is not None]
-        while queue and sent < most and state.left_this_round > 0:
-            life = queue[0]
-            span = self._next_span(contact, life, now)
+        left = capacity = MAX_DATAGRAM_BYTES - DIGEST_BYTES_WITH_DELTAS - _OVERHEAD_BYTES
+        queue = [found for one in incarnations if (found := state.counts.incarnations.get(one)) is not None]
+        while queue and sent < max_batches and state.datagram_allowance > 0:
+            incarnation = queue[0]
+            span = self._next_span(contact, incarnation, now)
             if span is None:
                 queue.pop(0)
                 continue
-            left -= 24 + len(life.name.encode())
-            upto, entries = state.counts.delta(life, span.after, max(0, left), span.upto)
+            left -= 24 + len(incarnation.name.encode())
+            upto, entries = state.counts.delta(incarnation, span.after, max(0, left), span.upto)
             if upto > span.after:
-                lines: list[Line] = [(e.key, e.taken, e.version, e.demand) for e in entries]
-                deltas.append(Delta(life.id, life.name or "?", span.after, upto, lines))
-                left -= sum(map(line_size, entries))
-                self._under_way(contact, life, span, upto, now)
-            elif life.id in contact.flight:  # no room left in this datagram
-                contact.flight[life.id].append(Span(span.after, span.upto, _NEVER))
+                lines: list[Line] = [(e.key, e.accepted, e.version, e.demand) for e in entries]
+                deltas.append(Delta(incarnation.id, incarnation.name or "?", span.after, upto, lines))
+                left -= sum(map(max_entry_bytes, entries))
+                self._record_in_flight(contact, incarnation, span, upto, now)
+            elif incarnation.id in contact.in_flight:  # this datagram has no capacity left
+                contact.in_flight[incarnation.id].append(Span(span.after, span.upto, _NEVER))
             if upto < span.upto:  # the datagram is full
                 yield deltas
                 sent += 1
-                deltas, left = [], room
-        if deltas and sent < most:
+                deltas, left = [], capacity
+        if deltas and sent < max_batches:
             yield deltas
 
-    def _next_span(self, contact: Contact, life: Incarnation, now: float) -> Span | None:
-        """What of this life is to be sent to the contact next: what was lost on the way, or what is new."""
-        mark = contact.marks.get(life.id, Mark(0, 0))
-        again = max(2 * self._state.plan.interval, 0.6 * contact.rtt)
-        if mark.version >= life.version:
-            return self._mending_span(contact, life, mark, again, now)
-        contact.mending.pop(life.id, None)
-        flight = [span for span in contact.flight.get(life.id, []) if span.upto > mark.version]
-        contact.flight[life.id] = flight
-        for number, span in enumerate(flight):
-            if now - span.at >= again:
-                del flight[number]
+    def _next_span(self, contact: Contact, incarnation: Incarnation, now: float) -> Span | None:
+        """The span to send next to the contact: one that was probably lost, or new changes."""
+        mark = contact.marks.get(incarnation.id, Mark(0, 0))
+        resend_after = max(2 * self._state.plan.interval, 0.6 * contact.rtt)
+        if mark.version >= incarnation.version:
+            return self._repair_span(contact, incarnation, mark, resend_after, now)
+        contact.repairs.pop(incarnation.id, None)
+        in_flight = [span for span in contact.in_flight.get(incarnation.id, []) if span.upto > mark.version]
+        contact.in_flight[incarnation.id] = in_flight
+        for number, span in enumerate(in_flight):
+            if now - span.at >= resend_after:
+                del in_flight[number]
                 return Span(max(span.after, mark.version), span.upto, now)
-        start = max((span.upto for span in flight), default=mark.version)
-        upto = self.told_up_to(life, now)
-        return Span(start, upto, now) if start < upto and len(flight) < _FLIGHT else None
+        start = max((span.upto for span in in_flight), default=mark.version)
+        upto = self.reportable_version(incarnation, now)
+        return Span(start, upto, now) if start < upto and len(in_flight) < _MAX_SPANS_IN_FLIGHT else None
 
-    def _mending_span(
-        self, contact: Contact, life: Incarnation, mark: Mark, again: float, now: float
+    def _repair_span(
+        self, contact: Contact, incarnation: Incarnation, mark: Mark, resend_after: float, now: float
     ) -> Span | None:
-        """The contact is at the same version: where its counts differ all else it has is sent, span by span.
+        """The span to send next to a contact with the same version and another checksum.
 
-        Something in between is missing, it is not known where.
+        Some change below that version is missing there, and it is not known which one: all are sent again,
+        span by span.
         """
-        if mark.check == life.check or mark.version > life.version:
-            contact.flight.pop(life.id, None)
+        if mark.check == incarnation.check or mark.version > incarnation.version:
+            contact.in_flight.pop(incarnation.id, None)
             return None
-        upto, at = contact.mending.get(life.id, (0, _NEVER))
-        if now - contact.odd.get(life.id, (mark, now))[1] < 2 * self._state.settle:
-            return None  # most often it is only on its way
-        if upto >= life.version and now - at < again:
+        upto, at = contact.repairs.get(incarnation.id, (0, _NEVER))
+        if now - contact.mismatches.get(incarnation.id, (mark, now))[1] < 2 * self._state.propagation_time:
+            return None  # the missing change is most often still in flight
+        if upto >= incarnation.version and now - at < resend_after:
             return None
-        return Span(upto if upto < life.version else 0, life.version, now)
-
-    def _under_way(self, contact: Contact, life: Incarnation, span: Span, upto: int, now: float) -> None:
-        mark = contact.marks.get(life.id, Mark(0, 0))
-        if mark.version >= life.version:
-            contact.mending[life.id] = (upto, now)
+        return Span(upto if upto < incarnation.version else 0, incarnation.version, now)
+
+    def _record_in_flight(
+        self, contact: Contact, incarnation: Incarnation, span: Span, upto: int, now: float
+    ) -> None:
+        mark = contact.marks.get(incarnation.id, Mark(0, 0))
+        if mark.version >= incarnation.version:
+            contact.repairs[incarnation.id] = (upto, now)
             return
-        flight = contact.flight[life.id]
-        flight.append(Span(span.after, upto, now))
-        if upto < span.upto and span.upto <= max(one.upto for one in flight):  # the rest of what was lost
-            flight.append(Span(upto, span.upto, _NEVER))
+        in_flight = contact.in_flight[incarnation.id]
+        in_flight.append(Span(span.after, upto, now))
+        if upto < span.upto and span.upto <= max(one.upto for one in in_flight):  # remainder of a lost span
+            in_flight.append(Span(upto, span.upto, _NEVER))
+
+    def reportable_version(self, incarnation: Incarnation, now: float) -> int:
+        """The version up to which this member sends changes of an incarnation to others.
 
-    def told_up_to(self, life: Incarnation, now: float) -> int:
-        """Up to which version others are told of a life: its owner tells them itself what is new."""
+        Recent changes of another member are left to that member, which sends them itself.
+        """
         state = self._state
-        member = state.members.all.get(life.id)
-        ended = member is not None and member.ended is not None
-        if life is state.counts.own or not life.learned or ended:
-            return life.version
-        ripe = now - max(2 * state.plan.interval, state.settle / 2)
-        return max((version for at, version in life.learned if at <= ripe), default=0)
+        member = state.members.all.get(incarnation.id)
+        ended = member is not None and member.ended_at is not None
+        if incarnation is state.counts.own or not incarnation.version_times or ended:
+            return incarnation.version
+        latest = now - max(2 * state.plan.interval, state.propagation_time / 2)
+        return max((version for at, version in incarnation.version_times if at <= latest), default=0)
 
-    # In
+    # Receiving
 
     def join(self, deltas: Iterable[Delta], now: float) -> None:
-        """Take in the changes that a datagram brought."""
+        """Merge the changes of a datagram."""
         state = self._state
         for delta in deltas:
             if delta.life == state.me.life and delta.upto > state.counts.own.version:
-                state.want_new_life("peers know of more than the file has", outdated=True)
+                state.request_new_incarnation("peers hold more counts than the file", outdated=True)
             entries = [Entry(*line) for line in delta.lines]
             state.counts.join(delta.life, delta.name, delta.after, delta.upto, entries)
             known = state.counts.incarnations.get(delta.life)
-            if known is not None and (not known.learned or known.learned[-1][1] < known.version):
-                known.learned.append((now, known.version))
+            if known is not None and (not known.version_times or known.version_times[-1][1] < known.version):
+                known.version_times.append((now, known.version))
 
-    def hear(self, contact: Contact, word: Word, now: float) -> bool:
-        """Take in what the contact says of a member. Whether it lacks some of that member's counts."""
+    def observe(self, contact: Contact, digest: MemberDigest, now: float) -> bool:
+        """Apply the contact's digest of a member. Returns whether it lacks counts that may be sent to it."""
         state = self._state
-        if word.life == state.me.life:
-            if word.version > state.counts.own.version or word.boot > state.me.boot:
-                state.want_new_life("peers know of more than the file has", outdated=True)
-        elif word.life in state.counts.folded:
-            contact.tombs.add(word.life)
+        if digest.life == state.me.life:
+            if digest.version > state.counts.own.version or digest.boot > state.me.boot:
+                state.request_new_incarnation("peers hold more counts than the file", outdated=True)
+        elif digest.life in state.counts.folded:
+            contact.tombs.add(digest.life)
             return False
-        elif state.counts.life(word.life, word.name) is None:
+        elif state.counts.incarnation(digest.life, digest.name) is None:
             return False
         else:
-            state.members.hear(word.life, word.name, word.boot, word.beat, word.left, now)
-        contact.marks[word.life] = mark = Mark(word.version, word.check)
-        contact.said[word.life] = now
-        life = state.counts.incarnations[word.life]
-        if mark.version == life.version and mark.check != life.check:
-            if contact.odd.get(life.id, (mark, now))[0] != mark or life.id not in contact.odd:
-                contact.odd[life.id] = (mark, now)
+            state.members.observe(digest.life, digest.name, digest.boot, digest.beat, digest.left, now)
+        contact.marks[digest.life] = mark = Mark(digest.version, digest.check)
+        contact.reported_at[digest.life] = now
+        incarnation = state.counts.incarnations[digest.life]
+        if mark.version == incarnation.version and mark.check != incarnation.check:
+            if (
+                contact.mismatches.get(incarnation.id, (mark, now))[0] != mark
+                or incarnation.id not in contact.mismatches
+            ):
+                contact.mismatches[incarnation.id] = (mark, now)
             return True
-        contact.odd.pop(life.id, None)
-        return mark.version < self.told_up_to(life, now)
+        contact.mismatches.pop(incarnation.id, None)
+        return mark.version < self.reportable_version(incarnation, now)
--- a/mountgauge/tenants/gossip/folding.py
+++ b/mountgauge/tenants/gossip/folding.py
@@ -1,6 +1,7 @@
-"""Lives that ended are folded into the past, once every other member is known to hold the same of them.
+"""Folding: adds an incarnation that ended to the past once every member reports the same counts of it.
 
-A folded life leaves its mark: whoever still speaks of it is told that it is folded (`tombs`).
+The mark of a folded incarnation is kept, and a contact that still reports the incarnation is notified that it
+is folded (`tombs`).
 """
 
 from __future__ import annotations
@@ -9,65 +10,65 @@
 from mountgauge.tenants.gossip.state import Contact, State
 from mountgauge.tenants.members import Members, Presence
 
-_FOLD_EVERY = 1.0  # s
-_TOMBS = 4  # that one datagram carries
+_FOLD_INTERVAL_S = 1.0
+_MAX_TOMBS_PER_DATAGRAM = 4
 
 
 class Folding:
-    """Folds what has ended, and tells and hears of what is folded."""
+    """Folds incarnations that ended, and exchanges which ones are folded."""
 
     def __init__(self, state: State, now: float) -> None:
         self._state = state
         self._folded_at = now
 
     def step(self, now: float) -> None:
-        if now - self._folded_at >= _FOLD_EVERY:
+        if now - self._folded_at >= _FOLD_INTERVAL_S:
             self._folded_at = now
             self._fold(now)
 
     def _fold(self, now: float) -> None:
         state = self._state
-        for member in list(state.members.may_fold(now)):
-            life = state.counts.incarnations.get(member.id)
-            if life is None:
-                state.members.drop(member.id)
+        for member in list(state.members.foldable(now)):
+            incarnation = state.counts.incarnations.get(member.id)
+            if incarnation is None:
+                state.members.remove(member.id)
                 continue
             others = [m for m in state.members.known if m is not state.members.me and m is not member]
-            held = (state.contacts.get(m.id, Contact()).marks.get(life.id) for m in others)
-            if all(mark == life.mark for mark in held):
-                state.counts.fold(life.id)
-                self._forget(life.id)
+            marks = (state.contacts.get(m.id, Contact()).marks.get(incarnation.id) for m in others)
+            if all(mark == incarnation.mark for mark in marks):
+                state.counts.fold(incarnation.id)
+                self._forget(incarnation.id)
                 state.replicas_changed = True
 
-    def _forget(self, life: int) -> None:
-        """Nothing of a folded life is kept but its mark."""
+    def _forget(self, incarnation: int) -> None:
+        """Remove all state of a folded incarnation; its mark stays in the counts."""
         state = self._state
-        state.members.drop(life)
-        state.contacts.pop(life, None)
+        state.members.remove(incarnation)
+        state.contacts.pop(incarnation, None)
         for contact in state.contacts.values():
-            contact.marks.pop(life, None)
-            contact.flight.pop(life, None)
-            contact.mending.pop(life, None)
-            contact.odd.pop(life, None)
+            contact.marks.pop(incarnation, None)
+            contact.in_flight.pop(incarnation, None)
+            contact.repairs.pop(incarnation, None)
+            contact.mismatches.pop(incarnation, None)
 
     def tombs(self, contact: Contact) -> list[tuple[int, int, int]]:
-        """Folded lives that the contact still speaks of, with their marks: told once each time it does."""
+        """Folded incarnations that the contact still reports, with their marks; one notice per report."""
         found = []
-        for life in list(contact.tombs)[:_TOMBS]:
-            contact.tombs.discard(life)
-            if (mark := self._state.counts.folded.get(life)) is not None:
-                found.append((life, *mark))
+        for incarnation in list(contact.tombs)[:_MAX_TOMBS_PER_DATAGRAM]:
+            contact.tombs.discard(incarnation)
+            if (mark := self._state.counts.folded.get(incarnation)) is not None:
+                found.append((incarnation, *mark))
         return found
 
-    def hear(self, contact: Contact, life: int, mark: Mark, now: float) -> None:
-        """The contact has folded this life."""
+    def observe(self, contact: Contact, incarnation: int, mark: Mark, now: float) -> None:
+        """Apply the contact's notice that it has folded an incarnation."""
         state = self._state
-        if life == state.me.life:
-            state.retired(exact=mark == state.counts.own.mark)
+        if incarnation == state.me.life:
+            state.handle_folded_self(exact=mark == state.counts.own.mark)
             return
-        if life in state.counts.incarnations:
-            contact.marks[life] = mark
-            member = state.members.all.get(life)
-            if member is not None and not Members.here(member):
-                member.ended = now - state.plan.timing.linger
+        if incarnation in state.counts.incarnations:
+            contact.marks[incarnation] = mark
+            member = state.members.all.get(incarnation)
+            if member is not None and not Members.is_present(member):
+                member.ended_at = now - state.plan.timing.linger
                 member.presence = Presence.ENDED
--- a/mountgauge/tenants/gossip/state.py
+++ b/mountgauge/tenants/gossip/state.py
@@ -1,6 +1,4 @@
-"""What the modules of the gossip protocol share: who this member is, what it knows of the others, and what
-its owner reads of it. No I/O, no clock: times in seconds are handed in.
-"""
+"""State shared by the modules of the gossip protocol. No I/O, no clock: callers pass times in seconds."""
 
 from __future__ import annotations
 
@@ -9,23 +7,23 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from mountgauge.tenants.bounds import rounds
+from mountgauge.tenants.bounds import rounds_per_peer
 from mountgauge.tenants.counts import Counts, Mark
 from mountgauge.tenants.members import Members, Timing
 from mountgauge.tenants.wire import RefusedDatagramError, Window
 
-UdpAddress = tuple[str, int]  # an address
+UdpAddress = tuple[str, int]  # IP address and port
 OutgoingDatagrams = list[tuple[bytes, UdpAddress]]
 
-DATAGRAMS_A_ROUND = 64  # that one interval may send in all
-STARTING = "starting"  # why a member's counts are not joined yet: it has not heard the others
-FULL = 4  # the phase of a member at full service
-_ASKED = 1024  # datagrams of which it is remembered where they went
+MAX_DATAGRAMS_PER_ROUND = 64
+STARTING = "starting"  # reason of a sync gap: the other members have not reported yet
+FULL = 4  # recovery phase of a member at full service
+_MAX_SENT_RECORDS = 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What an operator's file says of the fleet. Times in seconds."""
+    """The gossip settings of an operator's file. Times in seconds."""
 
     peers: tuple[UdpAddress, ...]
     interval: float
@@ -35,7 +33,7 @@
 
 
 class Identity(NamedTuple):
-    """Who a member is: its name, and the life, start and process that it counts under."""
+    """A member's name, and its incarnation, the number of starts of it, and the process run."""
 
     name: str
     life: int
@@ -44,7 +42,7 @@
 
 
 class Span(NamedTuple):
-    """Changes of a life after one version, up to another; and when they were sent."""
+    """Changes of an incarnation after one version, up to another, and when they were sent."""
 
     after: int
     upto: int
@@ -53,27 +51,28 @@
 
 @dataclass(slots=True, eq=False)
 class Contact:
-    """What a member knows of its exchange with another."""
+    """The state of the exchange with one incarnation of another member."""
 
     life: int = 0
     windows: list[Window] = field(default_factory=list)
-    source: UdpAddress | None = None  # where its datagrams come from
-    listed: UdpAddress | None = None  # the file's address behind which it was found
+    source_address: UdpAddress | None = None  # where its datagrams come from
+    listed_address: UdpAddress | None = None  # the address of the file that reaches it
     rtt: float = 0.0  # s, smoothed; 0 before the first echo
-    newest: tuple[int, int, float] = (0, 0, 0.0)  # its run, its seq, when
-    marks: dict[int, Mark] = field(default_factory=dict)  # how far it has come with each life
-    phase: int = FULL  # of its recovery, as it last said
-    said: dict[int, float] = field(default_factory=dict)  # when it last spoke of each life
-    flight: dict[int, list[Span]] = field(default_factory=dict)  # spans of lives that are under way
-    mending: dict[int, tuple[int, float]] = field(default_factory=dict)  # up to where, and when
-    odd: dict[int, tuple[Mark, float]] = field(default_factory=dict)  # at one version, but not the same
-    tombs: set[int] = field(default_factory=set)  # folded lives that it still speaks of
+    last_received: tuple[int, int, float] = (0, 0, 0.0)  # run and sequence number, and when
+    marks: dict[int, Mark] = field(default_factory=dict)  # what it holds of each incarnation
+    phase: int = FULL  # of its recovery, by its last datagram
+    reported_at: dict[int, float] = field(default_factory=dict)  # its last report on each incarnation
+    in_flight: dict[int, list[Span]] = field(default_factory=dict)  # by incarnation
+    repairs: dict[int, tuple[int, float]] = field(default_factory=dict)  # version sent up to, and when
+    # Incarnations with the same version as here and another checksum: its mark, and since when.
+    mismatches: dict[int, tuple[Mark, float]] = field(default_factory=dict)
+    tombs: set[int] = field(default_factory=set)  # incarnations folded here that it still reports
     past: tuple[int, int] = (0, 0)
-    past_since: float = 0.0  # since when its past is ahead of one's own
+    past_ahead_since: float = 0.0  # since when its past is ahead of the one held here
 
 
-class FoldedLifeError(RefusedDatagramError):
-    """A datagram of a life that is folded here: its sender has to be told so."""
+class FoldedIncarnationError(RefusedDatagramError):
+    """A datagram of an incarnation that is folded here: its sender has to be notified."""
 
     def __init__(self, contact: Contact) -> None:
         super().__init__("folded")
@@ -81,14 +80,14 @@
 
 
 class SentLog:
-    """Where and when the last datagrams were sent, by number."""
+    """Address and time of the last datagrams sent, by sequence number."""
 
     def __init__(self) -> None:
         self._sent: OrderedDict[int, tuple[UdpAddress, float]] = OrderedDict()
 
-    def add(self, seq: int, place: UdpAddress, now: float) -> None:
-        self._sent[seq] = place, now
-        if len(self._sent) > _ASKED:
+    def add(self, seq: int, address: UdpAddress, now: float) -> None:
+        self._sent[seq] = address, now
+        if len(self._sent) > _MAX_SENT_RECORDS:
             self._sent.popitem(last=False)
 
     def get(self, seq: int) -> tuple[UdpAddress, float] | None:
@@ -99,7 +98,7 @@
 
 
 class State:
-    """What one member knows. `new_incarnation_reason` says why it needs a new incarnation, if it does."""
+    """What one member holds. `new_incarnation_reason` is not empty if the owner must start a new one."""
 
     def __init__(self, me: Identity, plan: Plan, counts: Counts, now: float, rng: random.Random) -> None:
         self.me, self.plan, self.counts, self.rng = me, plan, counts, rng
@@ -108,35 +107,34 @@
         self.contacts: dict[int, Contact] = {}
         self.sent_log = SentLog()
         self.started = now
-        # Whether own counts may be published: a life from a file must first hear what others know of it.
-        self.open = me.boot <= 1
-        self.outdated = False  # others knew of more than the file had: an old copy
-        self.anew = False  # a new incarnation also lets go of all that it knew
+        # Whether own counts may be published. An incarnation restored from a file must first receive what
+        # the other members hold of it.
+        self.publishing = me.boot <= 1
+        self.outdated = False  # the file was an old copy: other members held more of its counts
+        self.reset_on_new_incarnation = False  # a new incarnation starts without anything held before
         self.new_incarnation_reason = ""
-        self.doubtful = False  # what was counted under this name may be in part counted once for twice
-        self.replicas_changed = (
-            False  # something of other lives or the past that only replicas hold has changed
-        )
+        self.counts_uncertain = False  # counts of this member may be lost, or two messages counted as one
+        self.replicas_changed = False  # the past, or counts of others that only replicas hold, have changed
         self.leaving = False
-        self.left_this_round = DATAGRAMS_A_ROUND  # datagrams that may still be sent
+        self.datagram_allowance = MAX_DATAGRAMS_PER_ROUND  # datagrams that this round may still send
 
     @property
-    def settle(self) -> float:
-        """Seconds in which the others surely hear of a change: three tries, and the way."""
+    def propagation_time(self) -> float:
+        """Seconds within which the other members receive a change: three attempts, and the one-way delay."""
         members = len(self.members.present)
-        way = max((c.rtt for c in self.contacts.values()), default=0.0) / 2
-        tries = 3 * rounds(members, self.plan.fanout) * self.plan.interval
-        return min(self.plan.timing.gone, self.plan.flush + tries + way)
+        one_way = max((c.rtt for c in self.contacts.values()), default=0.0) / 2
+        attempts = 3 * rounds_per_peer(members, self.plan.fanout) * self.plan.interval
+        return min(self.plan.timing.gone, self.plan.flush + attempts + one_way)
 
-    def want_new_life(self, why: str, outdated: bool = False) -> None:
-        """This life can't be counted on under: the owner has to draw another."""
+    def request_new_incarnation(self, why: str, outdated: bool = False) -> None:
+        """This incarnation must not be added to any more: the owner has to start a new one."""
         if not self.new_incarnation_reason:
             self.new_incarnation_reason, self.outdated = why, self.outdated or outdated
-            self.doubtful |= self.open
+            self.counts_uncertain |= self.publishing
 
-    def retired(self, exact: bool) -> None:
-        """The others have folded this member's life: it comes back as a newcomer."""
+    def handle_folded_self(self, exact: bool) -> None:
+        """The other members have folded this member's incarnation: it rejoins as a new member."""
         if not self.new_incarnation_reason:
-            self.new_incarnation_reason = "the fleet has folded this life"
-            self.doubtful |= not exact
-            self.anew = True
+            self.new_incarnation_reason = "the fleet has folded this incarnation"
+            self.counts_uncertain |= not exact
+            self.reset_on_new_incarnation = True
--- a/mountgauge/tenants/members.py
+++ b/mountgauge/tenants/members.py
@@ -1,12 +1,12 @@
-"""Who is there: present, suspected, gone, left or superseded, by the heartbeats that gossip carries.
+"""Failure detection: the presence of each member, from the heartbeats that gossip carries.
 
-Each member counts its own heartbeats; anyone's word of a higher one makes it present anew, so one that
-cannot be heard directly is still known to live (van Renesse, Minsky, Hayden, "A Gossip-Style Failure
-Detection Service", Middleware 1998). Only how long ago something was heard counts, by the hearer's own
-clock: nothing depends on clocks that agree.
+Each member counts its own heartbeats. A report of a higher count, from any member, shows that the member is
+alive, so one that cannot be reached directly is still known to be alive (van Renesse, Minsky, Hayden, "A
+Gossip-Style Failure Detection Service", Middleware 1998). Only the time since the last new heartbeat counts,
+on the observer's own clock: clocks need not agree.
 
-A member that is gone is still a member: it may be on the other side of a split. It ceases to be one when it
-has said that it leaves, when another life has taken its name, or after `forget` seconds.
+A member that is gone is still a member, because it may be on the other side of a split. It stops being one
+when it reports that it leaves, when another incarnation has taken its name, or after `forget` seconds.
 """
 
 from __future__ import annotations
@@ -18,19 +18,21 @@
 
 
 class Presence(StrEnum):
-    """What a member knows of another's life."""
+    """The presence of one incarnation of a member, as another member sees it."""
 
     PRESENT = "present"
-    SUSPECTED = "suspected"  # late; still counted on
-    GONE = "gone"  # silent for long: dead, or beyond a split
-    LEFT = "left"  # it said so
-    ENDED = "ended"  # its name goes on under another life, or it was forgotten
+    SUSPECTED = "suspected"  # silent for a short time; still counted as present
+    GONE = "gone"  # silent for long: stopped, or on the other side of a split
+    LEFT = "left"  # reported that it leaves, or was replaced at its address
+    ENDED = "ended"  # another incarnation has its name, or it was forgotten
 
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Seconds of silence after which a member is suspected, gone and forgotten; and how long one that ended
-    is kept as it is before it may be folded."""
+    """Seconds of silence after which a member is suspected, gone and forgotten.
+
+    `linger` is the number of seconds for which an incarnation that ended is kept before it may be folded.
+    """
 
     suspect: float
     gone: float
@@ -40,22 +42,22 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """One member as the table has it; times in s of the own clock."""
+    """One incarnation of a member; times in seconds of this process's clock."""
 
     id: int
     name: str
     boot: int = 0
     beat: int = 0
-    heard: float = -math.inf  # when this beat was first heard of
-    first: float = -math.inf  # when it was first heard of at all
-    back: float = -math.inf  # when it was last heard again after having been gone
+    beat_seen_at: float = -math.inf  # when this heartbeat count was first reported
+    first_seen_at: float = -math.inf  # when the incarnation was first reported
+    returned_at: float = -math.inf  # when it last became present again
     left: bool = False
-    ended: float | None = None  # when it left or ended
+    ended_at: float | None = None  # when it left or ended
     presence: Presence = Presence.PRESENT
 
 
 class Members:
-    """The table of one member, itself among them."""
+    """All incarnations that one member is notified of, its own among them."""
 
     def __init__(self, me: int, name: str, timing: Timing, now: float) -> None:
         self.timing = timing
@@ -63,21 +65,22 @@
         self.me = self._new(me, name, now)
 
     def _new(self, id: int, name: str, now: float) -> Member:
-        member = self.all[id] = Member(id, name, first=now, back=now, heard=now)
+        member = self.all[id] = Member(id, name, first_seen_at=now, returned_at=now, beat_seen_at=now)
         return member
 
-    def become(self, id: int, name: str, now: float) -> None:
-        """This process counts on under another life."""
+    def change_incarnation(self, id: int, name: str, now: float) -> None:
+        """Make another incarnation this process's own."""
         boot, beat = self.me.boot, self.me.beat
         self.me = self._new(id, name, now)
         self.me.boot, self.me.beat = boot, beat
 
     def beat(self, now: float) -> None:
+        """Count one heartbeat of this member."""
         self.me.beat += 1
-        self.me.heard = now
+        self.me.beat_seen_at = now
 
-    def hear(self, id: int, name: str, boot: int, beat: int, left: bool, now: float) -> Member | None:
-        """Somebody's word of a member. The member if this is new of it."""
+    def observe(self, id: int, name: str, boot: int, beat: int, left: bool, now: float) -> Member | None:
+        """Apply a report about a member. Returns the member if the report is newer than what is known."""
         member = self.all.get(id)
         if member is None:
             member = self._new(id, name, now)
@@ -86,39 +89,41 @@
             return None
         else:
             if member.presence not in (Presence.PRESENT, Presence.SUSPECTED):
-                member.back = now
+                member.returned_at = now
             member.boot, member.beat, member.left = boot, beat, left
-            member.heard = now
-        member.ended = now if left else None
+            member.beat_seen_at = now
+        member.ended_at = now if left else None
         member.presence = Presence.LEFT if left else Presence.PRESENT
         return member
 
-    def succeeded(self, id: int, now: float) -> None:
-        """Its process has surely ended: another life of its name speaks from its address. It leaves at
-        once, and word of that goes round as if it had said so itself; a beat of its own would take it back.
+    def mark_replaced(self, id: int, now: float) -> None:
+        """Treat an incarnation as left because another one of its name sends from its address.
+
+        Its process must have ended. The change spreads as if the incarnation had reported it; a new heartbeat
+        of its own would revoke it.
         """
         member = self.all.get(id)
-        if member is not None and member is not self.me and self.here(member):
-            member.left, member.ended, member.presence = True, now, Presence.LEFT
+        if member is not None and member is not self.me and self.is_present(member):
+            member.left, member.ended_at, member.presence = True, now, Presence.LEFT
 
     def tick(self, now: float) -> list[tuple[Member, Presence]]:
-        """Who changed, and from what, as time went by."""
+        """Update presence by the time that has passed. Returns what changed, with the previous presence."""
         changed: list[tuple[Member, Presence]] = []
         newest: dict[str, Member] = {}
         for member in self.all.values():
-            if self.here(member):
-                held = newest.get(member.name)
-                if held is None or member.first > held.first:
+            if self.is_present(member):
+                latest = newest.get(member.name)
+                if latest is None or member.first_seen_at > latest.first_seen_at:
                     newest[member.name] = member
         for member in self.all.values():
             before = member.presence
             if member is self.me or before in (Presence.LEFT, Presence.ENDED):
                 continue
-            silent = now - member.heard
-            heir = newest.get(member.name)
-            replaced = silent >= self.timing.gone and heir is not None and heir is not member
+            silent = now - member.beat_seen_at
+            successor = newest.get(member.name)
+            replaced = silent >= self.timing.gone and successor is not None and successor is not member
             if replaced or silent >= self.timing.forget:
-                member.presence, member.ended = Presence.ENDED, now
+                member.presence, member.ended_at = Presence.ENDED, now
             elif silent >= self.timing.gone:
                 member.presence = Presence.GONE
             else:
@@ -128,43 +133,43 @@
         return changed
 
     @staticmethod
-    def here(member: Member) -> bool:
+    def is_present(member: Member) -> bool:
         return member.presence in (Presence.PRESENT, Presence.SUSPECTED)
 
     @property
     def present(self) -> list[Member]:
-        return [m for m in self.all.values() if self.here(m)]
+        return [m for m in self.all.values() if self.is_present(m)]
 
     @property
     def known(self) -> list[Member]:
-        """All that have a part in the quota: those present, and those gone that may be beyond a split."""
+        """All members that have a share of the quotas: present ones, and gone ones that may be split off."""
         return [m for m in self.all.values() if m.presence not in (Presence.LEFT, Presence.ENDED)]
 
     @property
     def split(self) -> bool:
         return any(m.presence is Presence.GONE for m in self.all.values())
 
-    def may_fold(self, now: float) -> Iterable[Member]:
-        """Those whose counts may go into the past, as far as time is concerned."""
+    def foldable(self, now: float) -> Iterable[Member]:
+        """The incarnations that ended long enough ago for their counts to be folded into the past."""
         return [
             m for m in self.all.values()
-            if m is not self.me and m.ended is not None and now - m.ended >= self.timing.linger
+            if m is not self.me and m.ended_at is not None and now - m.ended_at >= self.timing.linger
         ]  # fmt: skip
 
     def conflicts(self) -> set[str]:
-        """Names under which two lives are at work at once.
+        """The names that two incarnations use at the same time.
 
-        One that a new life has replaced may be spoken of for a while; it is a conflict when the older one
-        beats on longer than it takes to become gone after the newer one was first heard of.
+        Reports about an incarnation that was replaced may circulate for a while. It is a conflict when the
+        older incarnation still sends heartbeats `gone` seconds after the newer one was first reported.
         """
-        here: dict[str, list[Member]] = {}
+        present: dict[str, list[Member]] = {}
         for member in self.present:
-            here.setdefault(member.name, []).append(member)
+            present.setdefault(member.name, []).append(member)
         return {
-            name for name, lives in here.items()
-            if len(lives) > 1
-            and min(m.heard for m in lives) - max(m.first for m in lives) >= self.timing.gone
+            name for name, group in present.items()
+            if len(group) > 1
+            and min(m.beat_seen_at for m in group) - max(m.first_seen_at for m in group) >= self.timing.gone
         }  # fmt: skip
 
-    def drop(self, id: int) -> None:
+    def remove(self, id: int) -> None:
         self.all.pop(id, None)
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -1,4 +1,4 @@
-"""Puts the store, the socket and the loop's timers round the admission and the fleet."""
+"""The tenants of a running sender: connects admission and gossip to the store, the socket and timers."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 from mountgauge.tenants.counts import Counts
 from mountgauge.tenants.gossip import STARTING, Gossip, Identity, OutgoingDatagrams, UdpAddress
 from mountgauge.tenants.members import Members
-from mountgauge.tenants.settings import FLUSH, TenantFile
+from mountgauge.tenants.settings import FLUSH_INTERVAL_S, TenantFile
 from mountgauge.tenants.store import Store, max_file_bytes
-from mountgauge.tenants.udp import Udp
+from mountgauge.tenants.udp import UdpTransport
 from mountgauge.tenants.wire import Seal, tenant_key
 
 log = logging.getLogger("mountgauge.tenants")
 
-_SPARE_TENANTS = 1024  # that only other members' files name: those of a reload that has not come here yet
-_REST_EVERY = 10.0  # s between two times that the rest is written down, if it has changed
-_LEAVES = 3  # rounds in which one that leaves says so
-_METRICS = 1000  # tenants that are exported, the most used ones
+_SPARE_TENANTS = 1024  # for tenants that only other members' files name, until this one is reloaded
+_REPLICA_SAVE_INTERVAL_S = 10.0  # between writes of counts of other members, if they have changed
+_LEAVE_ROUNDS = 3  # rounds in which a member reports that it leaves
+_MAX_EXPORTED_TENANTS = 1000  # the most used ones
 
 
 def disk_for(settings: TenantFile) -> int:
-    """Bytes of the state folder's limit that the counts take."""
+    """The bytes that the counts may use of the state folder's limit."""
     return max_file_bytes(len(settings.tenants) + 1)
 
 
-def _draw() -> int:
+def _random_id() -> int:
     return secrets.randbits(62) + 1
 
 
 class FleetPeers(Peers):
-    """What the gossip tells the recovery."""
+    """The other members, as the recovery needs them."""
 
     def __init__(self, fleet: Gossip, loop: asyncio.AbstractEventLoop) -> None:
         self.fleet, self._loop = fleet, loop
@@ -51,17 +51,17 @@
         self.fleet.phase = phase
 
     def back(self) -> int:
-        return self.fleet.coming_back()
+        return self.fleet.recovering_members()
 
     def outdated(self) -> bool:
         return self.fleet.outdated
 
     def earlier_lives(self) -> int:
-        return int(self.fleet.earlier_life())
+        return int(self.fleet.has_previous_incarnation())
 
 
 class Tenants:
-    """The core's admission, and all that belongs to it. Times are of the loop's clock, s."""
+    """The tenant gate of the core's admission, with its store and gossip. Times: the event loop's, s."""
 
     def __init__(self, settings: TenantFile, name: str, folder: Path) -> None:
         self.settings, self.name = settings, name
@@ -70,29 +70,28 @@
         keys = [tenant_key(one.name) for one in settings.tenants]
         self.store = Store(folder, len(keys) + 1)
         saved = self.store.load(name)
-        life, boot = saved.life or _draw(), saved.boot + 1
-        counts = Counts(keys, len(keys) + 1 + _SPARE_TENANTS, life, name)
+        incarnation, boot = saved.life or _random_id(), saved.boot + 1
+        counts = Counts(keys, len(keys) + 1 + _SPARE_TENANTS, incarnation, name)
         counts.adopt(saved.past, saved.folded, saved.past_name[1], saved.past_name[0])
-        for id, named, version, entries in saved.incarnations:
-            counts.join(id, named, 0, version, entries)
-            for place in range(len(counts.keys)):  # what was asked for then is not asked for now
-                counts.incarnations[id].demand[place] = 0
+        for id, member, version, entries in saved.incarnations:
+            counts.join(id, member, 0, version, entries)
+            for index in range(len(counts.keys)):  # the demand of the previous run is not the present one
+                counts.incarnations[id].demand[index] = 0
         if self.store.error:
             log.error("tenants-file-damaged", extra=kv(error=self.store.error, kept=str(self.store.path)))
-        self.store.save_me(name, life, boot)
+        self.store.save_identity(name, incarnation, boot)
         self.fleet: Gossip | None = None
         if (fleet := settings.fleet) is not None:
-            me = Identity(name, life, boot, _draw())
+            me = Identity(name, incarnation, boot, _random_id())
             seal = Seal(fleet.name, fleet.keys)
-            self.fleet = Gossip(me, fleet.plan, counts, seal, now, random.Random(_draw()))
-            self.fleet.doubtful = bool(self.store.error)
+            self.fleet = Gossip(me, fleet.plan, counts, seal, now, random.Random(_random_id()))
+            self.fleet.counts_uncertain = bool(self.store.error)
         self.admission = QuotaAdmission(self._quotas(), counts, self.fleet, now, saved.pending)
-        self.udp: Udp | None = None
-        self.prefix_handlers: dict[
-            bytes, Callable[[bytes, UdpAddress], OutgoingDatagrams]
-        ] = {}  # other kinds of datagrams, by their head
+        self.udp: UdpTransport | None = None
+        # Handlers of other kinds of datagrams, by their first bytes.
+        self.prefix_handlers: dict[bytes, Callable[[bytes, UdpAddress], OutgoingDatagrams]] = {}
         self._timers: dict[str, asyncio.TimerHandle] = {}
-        self._rest_at = now
+        self._replicas_saved_at = now
         self._conflicts: set[str] = set()
         self._split = False
         self._saved_pending = bool(saved.pending)
@@ -113,29 +112,29 @@
         self.admission.taken(tenant)
 
     def peers(self) -> Peers | None:
-        """What the gossip tells of the others, for a member that comes back."""
+        """The other members, for the recovery of this one; None without a fleet."""
         return None if self.fleet is None else FleetPeers(self.fleet, self._loop)
 
     # Running
 
     def start(self) -> None:
         if (fleet := self.settings.fleet) is not None:
-            self.udp = Udp(fleet.listen, self._received)
+            self.udp = UdpTransport(fleet.listen, self._received)
             self._every("gossip", fleet.plan.interval, self._gossip)
-        self._every("flush", FLUSH, self.flush)
+        self._every("flush", FLUSH_INTERVAL_S, self.flush)
         log.info("tenants", extra=kv(tenants=len(self.settings.tenants), fleet=fleet and fleet.name,
                                      life=f"{self.admission.counts.own.id:016x}"))  # fmt: skip
 
     def _every(self, name: str, interval: float, then: Any) -> None:
-        def again() -> None:
-            self._timers[name] = self._loop.call_later(interval, again)
+        def run() -> None:
+            self._timers[name] = self._loop.call_later(interval, run)
             then()
 
-        self._timers[name] = self._loop.call_later(interval, again)
+        self._timers[name] = self._loop.call_later(interval, run)
 
     def _received(self, data: bytes, source: UdpAddress) -> OutgoingDatagrams:
-        if (other := self.prefix_handlers.get(data[:2])) is not None:
-            return other(data, source)
+        if (handler := self.prefix_handlers.get(data[:2])) is not None:
+            return handler(data, source)
         assert self.fleet is not None
         return self.fleet.receive(data, source, self._loop.time())
 
@@ -145,36 +144,36 @@
         if self.fleet.new_incarnation_reason:
             why = self.fleet.new_incarnation_reason
             old = self.admission.counts.own.id
-            self.fleet.start_incarnation(_draw(), _draw(), now)
+            self.fleet.start_incarnation(_random_id(), _random_id(), now)
             new = self.admission.counts.own
-            self.store.save_me(self.name, new.id, 1)
+            self.store.save_identity(self.name, new.id, 1)
             self.fleet.replicas_changed = True
             log.error("tenants-new-life", extra=kv(why=why, old=f"{old:016x}", new=f"{new.id:016x}",
-                                                   exact=not self.fleet.doubtful))  # fmt: skip
+                                                   exact=not self.fleet.counts_uncertain))  # fmt: skip
         self.flush()
         self.udp.send(self.fleet.tick(now))
-        self._look()
-        if self.fleet.replicas_changed and now - self._rest_at >= _REST_EVERY:
-            self._save_rest(now)
+        self._log_changes()
+        if self.fleet.replicas_changed and now - self._replicas_saved_at >= _REPLICA_SAVE_INTERVAL_S:
+            self._save_replicas(now)
 
-    def _look(self) -> None:
-        """Say once what an operator must know."""
+    def _log_changes(self) -> None:
+        """Log name conflicts and splits when they begin and when they end."""
         assert self.fleet is not None
         members = self.fleet.members
         conflicts = members.conflicts()
         for name in conflicts - self._conflicts:
-            log.error("tenants-conflict", extra=kv(name=name, why="two members at work under one name"))
+            log.error("tenants-conflict", extra=kv(name=name, why="two members use one name"))
         for name in self._conflicts - conflicts:
             log.info("tenants-conflict-over", extra=kv(name=name))
         self._conflicts = conflicts
         if members.split != self._split:
             self._split = members.split
-            gone = ",".join(sorted(m.name for m in members.known if not Members.here(m)))
+            gone = ",".join(sorted(m.name for m in members.known if not Members.is_present(m)))
             seen = kv(present=len(members.present), known=len(members.known), gone=gone)
             log.warning("tenants-split" if self._split else "tenants-whole", extra=seen)
 
     def flush(self) -> None:
-        """New counts are written down before anyone can hear of them."""
+        """Write new counts, before any other member can receive them."""
         entries = self.admission.step(self._loop.time())
         pending = self.admission.pending_by_key()
         if entries or pending or self._saved_pending:
@@ -185,44 +184,44 @@
                 log.error("tenants-not-written", extra=kv(error=self.store.error))
             self._store_failed = self.store.failed
 
-    def _save_rest(self, now: float) -> None:
+    def _save_replicas(self, now: float) -> None:
         assert self.fleet is not None
         counts, members = self.admission.counts, self.fleet.members
-        here = {m.id for m in members.present}
-        self.fleet.replicas_changed = not self.store.save_rest(
+        present = {m.id for m in members.present}
+        self.fleet.replicas_changed = not self.store.save_replicas(
             counts,
-            [life for life in counts.incarnations.values() if life is not counts.own and life.id not in here],
+            [one for one in counts.incarnations.values() if one is not counts.own and one.id not in present],
         )
-        self._rest_at = now
+        self._replicas_saved_at = now
 
     def reload(self, settings: TenantFile) -> list[str]:
-        """Quotas, users, peers and keys move; the settings that need a restart are named."""
+        """Apply new quotas, users, peers and keys. Returns the changed settings that need a restart."""
         old, self.settings = self.settings, settings
-        self.admission.learn(self._quotas())
+        self.admission.configure(self._quotas())
         if (old.fleet is None) != (settings.fleet is None):
             return ["fleet"]
         if settings.fleet is None or old.fleet is None or self.fleet is None:
             return []
-        needs = [f"fleet.{key}" for key in ("name", "listen") if
+        needs_restart = [f"fleet.{key}" for key in ("name", "listen") if
                  getattr(settings.fleet, key) != getattr(old.fleet, key)]  # fmt: skip
         self.fleet.seal = Seal(old.fleet.name, settings.fleet.keys)
         plan = settings.fleet.plan
         if plan.interval != old.fleet.plan.interval:
-            needs.append("fleet.interval")
+            needs_restart.append("fleet.interval")
         self.fleet.plan = plan
         self.fleet.members.timing = plan.timing
         for contact in self.fleet.contacts.values():
-            if contact.listed not in plan.peers:
-                contact.listed = None
-        return needs
+            if contact.listed_address not in plan.peers:
+                contact.listed_address = None
+        return needs_restart
 
     async def leave(self) -> None:
-        """Say goodbye, so that nobody waits for this member's part of the quotas."""
+        """Report that this member leaves, so that the others take over its share of the quotas at once."""
         self.flush()
         if self.fleet is None or self.udp is None:
             return
         self.fleet.leaving = True
-        for _ in range(_LEAVES):
+        for _ in range(_LEAVE_ROUNDS):
             self.flush()
             self.udp.send(self.fleet.tick(self._loop.time()))
             await asyncio.sleep(0.02)
@@ -232,16 +231,16 @@
             timer.cancel()
         self.flush()
         if self.fleet is not None:
-            self._save_rest(self._loop.time())
+            self._save_replicas(self._loop.time())
         if self.udp is not None:
             self.udp.close()
             self.udp = None
         self.store.close()
 
-    # What others are told
+    # Reports
 
     def report(self) -> dict[str, Any]:
-        """All of it: what `GET /tenants` answers."""
+        """The answer to `GET /tenants`."""
         found = self.admission.report(self._loop.time())
         found["name"] = self.name
         found["fleet"] = None if self.settings.fleet is None else self.settings.fleet.name
@@ -251,7 +250,7 @@
         return found
 
     def summary(self) -> dict[str, Any]:
-        """A line's worth, for `GET /status`."""
+        """A summary for `GET /status`."""
         found = self.admission.fleet_report(self._loop.time())
         members = found["members"]
         return {
@@ -264,5 +263,5 @@
         }  # fmt: skip
 
     def metrics(self) -> dict[str, Any]:
-        """What is exported: by tenant for the most used ones, and of the fleet."""
-        return self.admission.report(self._loop.time(), _METRICS)
+        """The report that is exported as metrics, with the most used tenants only."""
+        return self.admission.report(self._loop.time(), _MAX_EXPORTED_TENANTS)
--- a/mountgauge/tenants/settings.py
+++ b/mountgauge/tenants/settings.py
@@ -1,4 +1,4 @@
-"""`[fleet]` and `[[tenant]]` of an operator's file."""
+"""Settings: the `[fleet]` and `[[tenant]]` tables of an operator's file."""
 
 from __future__ import annotations
 
@@ -14,35 +14,35 @@
 from mountgauge.tenants.quota import Quota, Split
 from mountgauge.tenants.wire import MAX_NAME_LENGTH, tenant_key
 
-MOST_TENANTS = 20_000
-FLUSH = 0.1  # s between two times that new counts are written down
-_LEAST_KEY = 16  # characters
-FOR_BUDGETS = ("epoch", "settled", "drift")  # of [fleet]: read by mountgauge.budgets.settings
+MAX_TENANTS = 20_000
+FLUSH_INTERVAL_S = 0.1  # at which new counts are written
+_MIN_KEY_LENGTH = 16  # characters
+BUDGET_KEYS = ("epoch", "settled", "drift")  # keys of [fleet] that mountgauge.budgets.settings reads
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """`[fleet]`, checked."""
+    """A valid `[fleet]` table."""
 
     name: str
     listen: Address
-    keys: tuple[str, ...]  # the first seals, all open
+    keys: tuple[str, ...]  # datagrams are signed with the first and verified with any
     plan: Plan
 
 
 @dataclass(frozen=True, slots=True)
 class TenantSettings:
-    """One `[[tenant]]`, checked."""
+    """A valid `[[tenant]]` table."""
 
     name: str
-    quota: Quota | None  # None: counted, never turned away
+    quota: Quota | None  # None: messages are counted and never rejected
     users: Mapping[str, User]
-    strict: Quota | None = None  # the quota is a fleet-wide budget's, not counted by gossip
+    strict: Quota | None = None  # a quota enforced by a fleet-wide budget instead of gossip counts
 
 
 @dataclass(frozen=True, slots=True)
 class TenantFile:
-    """What an operator's file says of the fleet and of tenants."""
+    """The fleet and the tenants of an operator's file."""
 
     fleet: FleetSettings | None
     tenants: tuple[TenantSettings, ...]
@@ -53,23 +53,25 @@
 
 
 def read_tenants(top: Table) -> TenantFile | None:
-    """None where the file speaks of neither; ConfigError with one line on the first fault."""
+    """None if the file has neither table; ConfigError with one line about the first fault."""
     fleet, tables = top.table("fleet"), top.tables("tenant")
     if fleet is None and not tables:
         return None
     tenants = tuple(_tenant(table) for table in tables)
-    if len(tenants) > MOST_TENANTS:
-        raise ConfigError(f"tenant: {len(tenants)} are more than {MOST_TENANTS}")
+    if len(tenants) > MAX_TENANTS:
+        raise ConfigError(f"tenant: {len(tenants)} tenants exceed the limit of {MAX_TENANTS}")
     keys: dict[int, str] = {tenant_key(DEFAULT): ""}
     users: set[str] = set()
-    for place, tenant in enumerate(tenants):
+    for index, tenant in enumerate(tenants):
         same = keys.setdefault(tenant_key(tenant.name), tenant.name)
-        if same == tenant.name and any(tenant.name == other.name for other in tenants[:place]):
-            raise ConfigError(f"tenant[{place}].name: '{tenant.name}' stands twice")
+        if same == tenant.name and any(tenant.name == other.name for other in tenants[:index]):
+            raise ConfigError(f"tenant[{index}].name: '{tenant.name}' appears twice")
         if same and same != tenant.name:
-            raise ConfigError(f"tenant[{place}].name: '{tenant.name}' is '{same}' on the wire")
-        if twice := users & set(tenant.users):
-            raise ConfigError(f"tenant[{place}].users: '{min(twice)}' stands twice")
+            raise ConfigError(
+                f"tenant[{index}].name: '{tenant.name}' has the same key on the wire as '{same}'"
+            )
+        if duplicates := users & set(tenant.users):
+            raise ConfigError(f"tenant[{index}].users: '{min(duplicates)}' appears twice")
         users |= set(tenant.users)
     return TenantFile(_fleet(fleet) if fleet is not None else None, tenants)
 
@@ -101,11 +103,11 @@
     if strict and quota is None:
         raise ConfigError(f"{table.name}.strict: needs a rate")
     users = table.get("users", dict, default={})
-    if not all(isinstance(word, str) and word for word in users.values()):
+    if not all(isinstance(password, str) and password for password in users.values()):
         raise ConfigError(f"{table.name}.users: passwords are text, not empty")
     table.done()
-    named = {user: User(word, name) for user, word in users.items()}
-    return TenantSettings(name, None if strict else quota, named, quota if strict else None)
+    tenant_users = {user: User(password, name) for user, password in users.items()}
+    return TenantSettings(name, None if strict else quota, tenant_users, quota if strict else None)
 
 
 def _fleet(table: Table) -> FleetSettings:
@@ -114,19 +116,21 @@
     if listen is None:
         raise ConfigError("fleet.listen: missing")
     keys = table.get("keys", list)
-    if not 1 <= len(keys) <= 2 or not all(isinstance(key, str) and len(key) >= _LEAST_KEY for key in keys):
-        raise ConfigError(f"fleet.keys: one or two texts of {_LEAST_KEY} characters or more")
+    if not 1 <= len(keys) <= 2 or not all(
+        isinstance(key, str) and len(key) >= _MIN_KEY_LENGTH for key in keys
+    ):
+        raise ConfigError(f"fleet.keys: one or two strings of {_MIN_KEY_LENGTH} characters or more")
     peers = []
-    for place, text in enumerate(table.get("peers", list, default=[])):
-        where = f"fleet.peers[{place}]"
+    for index, text in enumerate(table.get("peers", list, default=[])):
+        where = f"fleet.peers[{index}]"
         peer = Address.parse(text, where)
-        _literal(peer, where)
+        _require_ip_address(peer, where)
         if not peer.port:
             raise ConfigError(f"{where}: port 0")
         peers.append((peer.host, peer.port))
-    _literal(listen, "fleet.listen")
+    _require_ip_address(listen, "fleet.listen")
     if len(set(peers)) < len(peers):
-        raise ConfigError("fleet.peers: an address stands twice")
+        raise ConfigError("fleet.peers: an address appears twice")
     interval = table.positive("interval", 0.25)
     if not 0.05 <= interval <= 60:
         raise ConfigError("fleet.interval: 0.05 to 60 s")
@@ -138,17 +142,17 @@
     forget = table.positive("forget", 86_400)
     linger = table.positive("linger", 60)
     if not 2 * interval <= suspect < gone < forget:
-        raise ConfigError("fleet: 2 * interval <= suspect < gone < forget is needed")
-    for key in FOR_BUDGETS:
+        raise ConfigError("fleet: 2 * interval <= suspect < gone < forget must hold")
+    for key in BUDGET_KEYS:
         table.get(key, int, float, default=0)
     table.done()
     return FleetSettings(
         name, listen, tuple(keys),
-        Plan(tuple(peers), interval, fanout, Timing(suspect, gone, forget, linger), FLUSH),
+        Plan(tuple(peers), interval, fanout, Timing(suspect, gone, forget, linger), FLUSH_INTERVAL_S),
     )  # fmt: skip
 
 
-def _literal(address: Address, where: str) -> None:
+def _require_ip_address(address: Address, where: str) -> None:
     try:
         ipaddress.ip_address(address.host)
     except ValueError:
--- a/mountgauge/tenants/store.py
+++ b/mountgauge/tenants/store.py
@@ -1,9 +1,10 @@
-"""What a member must still know after its process has ended, in one SQLite file in the state folder.
+"""The state that a member keeps across process runs, in one SQLite file in the state folder.
 
-Its own counts are written before any peer can hear of them, so that a life goes on where the peers left it.
-Lives that have ended or gone, and the past, are written when they change: nobody else may hold them when
-all members start anew. No sync is needed: only the process dies here (`docs/design.md`, The journal). With
-SQLite's write-ahead log a transaction counts whole or not at all, whenever the process is killed.
+Own counts are written before any peer can receive them, so that an incarnation continues from where the peers
+hold it. Counts of incarnations that ended or are gone, and the past, are written when they change: when all
+members restart, no other copy may exist. No fsync is needed, because the file has to survive only the end of
+the process, not of the machine (`docs/design.md`, The journal). With SQLite's write-ahead log a transaction
+is complete or absent, whenever the process is killed.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 from mountgauge.tenants.counts import Counts, Entry, Incarnation, Mark
 
 _VERSION = 1
-_PAGE = 4096
+_PAGE_BYTES = 4096
 _WAL_PAGES = 64
-_FIRST_ROOM = 512 * 1024
-_A_TENANT = 400  # bytes of file for each tenant: its own line, the past's, and some lives that have gone
+_BASE_BYTES = 512 * 1024
+_BYTES_PER_TENANT = 400  # its own counts, those of the past, and those of some incarnations that are gone
 
 _SCHEMA = """
 create table me (name text, life integer, boot integer);
@@ -39,7 +40,7 @@
 
 @dataclass(slots=True)
 class Saved:
-    """What an earlier process left. `life` is None where there was none, or where it cannot be read."""
+    """What a previous process run saved. `life` is None if it saved nothing readable under this name."""
 
     life: int | None = None
     boot: int = 0
@@ -51,12 +52,12 @@
 
 
 def max_file_bytes(tenants: int) -> int:
-    """Bytes that the file and its log may take; SQLite turns away what would pass it."""
-    return _FIRST_ROOM + _A_TENANT * tenants + (_WAL_PAGES + 8) * _PAGE
+    """The maximum size of the file and its log; SQLite rejects writes that would exceed it."""
+    return _BASE_BYTES + _BYTES_PER_TENANT * tenants + (_WAL_PAGES + 8) * _PAGE_BYTES
 
 
 class Store:
-    """OSError where the file cannot be opened; afterwards a write that fails is counted in `failed`."""
+    """The file. OSError if it cannot be opened; later failures of a write are counted in `failed`."""
 
     def __init__(self, folder: Path, tenants: int) -> None:
         self.path = folder / "tenants.db"
@@ -67,10 +68,10 @@
             self._prepare()
             version = self._db.execute("pragma user_version").fetchone()[0]
             self._db.execute("select count(*) from sqlite_master").fetchone()
-        except sqlite3.OperationalError as error:  # locked, or no room: not the file's fault
+        except sqlite3.OperationalError as error:  # locked, or no disk space: the file itself may be sound
             self._db.close()
             raise StoreError(f"{self.path}: {error}") from None
-        except sqlite3.DatabaseError as error:  # not a database, or damaged: counted on under a new life
+        except sqlite3.DatabaseError as error:  # not a database, or damaged: a new incarnation starts
             self.error = str(error)
             self._db.close()
             self.path.replace(self.path.with_suffix(".damaged"))
@@ -81,7 +82,7 @@
         if version > _VERSION:
             self._db.close()
             raise StoreError(f"{self.path}: written by a newer version ({version})")
-        pages = (max_file_bytes(tenants) - (_WAL_PAGES + 8) * _PAGE) // _PAGE
+        pages = (max_file_bytes(tenants) - (_WAL_PAGES + 8) * _PAGE_BYTES) // _PAGE_BYTES
         self._db.execute(f"pragma max_page_count={pages}")
         if not version:
             with self._db:
@@ -96,29 +97,29 @@
     def _prepare(self) -> None:
         for pragma in (
             "journal_mode=wal", "synchronous=off", f"wal_autocheckpoint={_WAL_PAGES}",
-            f"journal_size_limit={_WAL_PAGES * _PAGE}", "cache_size=-256",
+            f"journal_size_limit={_WAL_PAGES * _PAGE_BYTES}", "cache_size=-256",
         ):  # fmt: skip
             self._db.execute(f"pragma {pragma}")
 
     def load(self, name: str) -> Saved:
-        """What was saved under this name; another name's own counts are a life that has ended."""
+        """What was saved. Own counts under another name are loaded as an incarnation that ended."""
         saved = Saved()
         try:
             me = self._db.execute("select name, life, boot from me").fetchone()
             if me is not None and me[0] == name:
                 saved.life, saved.boot = me[1], me[2]
             counted: dict[int, list[Entry]] = {}
-            for life, *line in self._db.execute(
+            for incarnation, *line in self._db.execute(
                 "select life, key, count, version, demand from counted order by life, version"
             ):
-                counted.setdefault(life, []).append(Entry(*line))
-            for life, named, version in self._db.execute("select life, name, version from lives"):
-                saved.incarnations.append((life, named, version, counted.get(life, [])))
+                counted.setdefault(incarnation, []).append(Entry(*line))
+            for incarnation, member, version in self._db.execute("select life, name, version from lives"):
+                saved.incarnations.append((incarnation, member, version, counted.get(incarnation, [])))
             saved.pending = dict(self._db.execute("select key, count from pending"))
             saved.past = dict(self._db.execute("select key, count from past"))
             saved.folded = [
-                (life, Mark(version, int(check)))
-                for life, version, check in self._db.execute(
+                (incarnation, Mark(version, int(check)))
+                for incarnation, version, check in self._db.execute(
                     "select life, version, mark from folded order by place"
                 )
             ]
@@ -129,43 +130,44 @@
         return saved
 
     def save(
-        self, life: Incarnation, entries: Iterable[Entry], pending: Mapping[int, int] | None = None
+        self, own: Incarnation, entries: Iterable[Entry], pending: Mapping[int, int] | None = None
     ) -> bool:
-        """Own counts that have changed, and what is counted but belongs to no life yet."""
+        """Write own counts that changed, and pending ones that are not part of an incarnation yet."""
 
         def write() -> None:
             self._db.executemany(
-                "insert or replace into counted values (?, ?, ?, ?, ?)", [(life.id, *e) for e in entries]
-            )
-            self._db.execute(
-                "insert or replace into lives values (?, ?, ?)", (life.id, life.name, life.version)
+                "insert or replace into counted values (?, ?, ?, ?, ?)", [(own.id, *e) for e in entries]
             )
+            self._db.execute("insert or replace into lives values (?, ?, ?)", (own.id, own.name, own.version))
             if pending is not None:
                 self._db.execute("delete from pending")
                 self._db.executemany("insert into pending values (?, ?)", pending.items())
 
         return self._write(write)
 
-    def save_me(self, name: str, life: int, boot: int) -> bool:
+    def save_identity(self, name: str, incarnation: int, boot: int) -> bool:
+        """Write which incarnation this member counts under, and how often it was started."""
+
         def write() -> None:
             self._db.execute("delete from me")
-            self._db.execute("insert into me values (?, ?, ?)", (name, life, boot))
+            self._db.execute("insert into me values (?, ?, ?)", (name, incarnation, boot))
 
         return self._write(write)
 
-    def save_rest(self, counts: Counts, lives: Iterable[Incarnation]) -> bool:
-        """The past, and lives of others that only replicas hold; others that stood here go."""
+    def save_replicas(self, counts: Counts, incarnations: Iterable[Incarnation]) -> bool:
+        """Write the past and these incarnations of other members, in place of those written before."""
 
         def write() -> None:
             self._db.execute("delete from counted where life != ?", (counts.own.id,))
             self._db.execute("delete from lives where life != ?", (counts.own.id,))
-            for life in lives:
+            for incarnation in incarnations:
                 self._db.execute(
-                    "insert or replace into lives values (?, ?, ?)", (life.id, life.name, life.version)
+                    "insert or replace into lives values (?, ?, ?)",
+                    (incarnation.id, incarnation.name, incarnation.version),
                 )
                 self._db.executemany(
                     "insert or replace into counted values (?, ?, ?, ?, ?)",
-                    [(life.id, *e) for e in counts.delta(life, 0, 1 << 40)[1]],
+                    [(incarnation.id, *e) for e in counts.delta(incarnation, 0, 1 << 40)[1]],
                 )
             for table in ("past", "folded", "past_name"):
                 self._db.execute(f"delete from {table}")
@@ -182,6 +184,7 @@
         return self._write(write)
 
     def _write(self, write: Callable[[], None]) -> bool:
+        """Run `write` in a transaction. Returns whether it succeeded; a failure is counted."""
         try:
             self._db.execute("begin immediate")
             try:
--- a/mountgauge/tenants/table.py
+++ b/mountgauge/tenants/table.py
@@ -7,7 +7,7 @@
 
 
 def tenant_table(found: Mapping[str, Any]) -> Iterator[str]:
-    """Lines of text from what `GET /tenants` answers."""
+    """Lines of text from the answer to `GET /tenants`."""
     width = max([6, *(len(one["tenant"]) for one in found["tenants"])])
     head = f"{'USED':>12} {'AT MOST':>12} {'RATE/S':>9} {'QUOTA/S':>9} {'REFUSED HERE':>12}"
     yield f"{'TENANT':<{width}} {head}"
@@ -31,8 +31,8 @@
                 f" {trip:>8} {where}"
             )
     for name in found["conflicts"]:
-        yield f"CONFLICT: two members at work under the name {name}"
+        yield f"CONFLICT: two members use the name {name}"
     if found["split"]:
         yield "SPLIT: some members are out of reach; AT MOST grows until they are back"
     if not found["exact"]:
-        yield "NOT EXACT: part of the past may be missing or counted once for twice; see the log"
+        yield "NOT EXACT: some counts may be missing, or two messages counted as one; see the log"
--- a/mountgauge/tenants/udp.py
+++ b/mountgauge/tenants/udp.py
@@ -1,4 +1,4 @@
-"""The fleet's socket: datagrams in and out, a bounded number of them a moment, and never waited for."""
+"""The fleet's UDP socket. It bounds the datagrams handled per period and never blocks."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from mountgauge.tenants.gossip import OutgoingDatagrams, UdpAddress
 from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES
 
-_BUFFER = 1 << 20  # bytes that the kernel may hold
-_AT_ONCE = 8  # datagrams in one turn of the loop
-_A_MOMENT = 0.05  # s
-_MOST = 200  # datagrams in one moment; what comes above waits in the kernel, which drops what is too much
+_RECEIVE_BUFFER_BYTES = 1 << 20  # in the kernel
+_DATAGRAMS_PER_TURN = 8  # of the event loop
+_PERIOD_S = 0.05
+_DATAGRAMS_PER_PERIOD = 200  # more of them wait in the kernel, which drops what exceeds its buffer
 
 
-class Udp:
-    """OSError where the address cannot be bound."""
+class UdpTransport:
+    """A bound, non-blocking socket in the event loop. OSError if the address cannot be bound."""
 
     def __init__(self, address: Address, receive: Callable[[bytes, UdpAddress], OutgoingDatagrams]) -> None:
         self.counts: Counter[str] = Counter()
@@ -27,51 +27,52 @@
         self._socket = socket.socket(family, socket.SOCK_DGRAM)
         try:
             self._socket.setblocking(False)
-            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _BUFFER)
+            self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _RECEIVE_BUFFER_BYTES)
             self._socket.bind((address.host, address.port))
         except OSError as error:
             self._socket.close()
             raise OSError(f"fleet.listen: {address.host}:{address.port}: {error.strerror}") from None
         self.port = int(self._socket.getsockname()[1])
         self._loop = asyncio.get_running_loop()
-        self._left = _MOST
-        self._again: asyncio.TimerHandle | None = None
+        self._left = _DATAGRAMS_PER_PERIOD
+        self._period_timer: asyncio.TimerHandle | None = None
         self._loop.add_reader(self._socket, self._ready)
 
     def _ready(self) -> None:
-        for _ in range(_AT_ONCE):
+        for _ in range(_DATAGRAMS_PER_TURN):
             try:
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError as error:  # an ICMP answer to something sent earlier
+            except OSError as error:  # an ICMP error for a datagram sent before
                 self.counts[f"recv-{error.errno}"] += 1
                 continue
             self._left -= 1
             self.send(self._receive(data, source[:2]))
-        if self._again is None:
-            self._again = self._loop.call_later(_A_MOMENT, self._renew)
-        if self._left <= 0:  # a flood must not take the loop from delivery
+        if self._period_timer is None:
+            self._period_timer = self._loop.call_later(_PERIOD_S, self._start_period)
+        if self._left <= 0:  # a flood of datagrams must not keep the loop from delivering messages
             self.counts["paused"] += 1
             self._loop.remove_reader(self._socket)
 
-    def _renew(self) -> None:
-        self._again = None
-        paused, self._left = self._left <= 0, _MOST
+    def _start_period(self) -> None:
+        self._period_timer = None
+        paused, self._left = self._left <= 0, _DATAGRAMS_PER_PERIOD
         if paused:
             self._loop.add_reader(self._socket, self._ready)
 
     def send(self, out: OutgoingDatagrams) -> None:
-        for data, place in out:
+        """Send each datagram, or count the reason why it could not be sent."""
+        for data, address in out:
             try:
-                self._socket.sendto(data, place)
+                self._socket.sendto(data, address)
             except BlockingIOError:
                 self.counts["send-full"] += 1
             except OSError as error:
                 self.counts[f"send-{error.errno}"] += 1
 
     def close(self) -> None:
-        if self._again is not None:
-            self._again.cancel()
+        if self._period_timer is not None:
+            self._period_timer.cancel()
         self._loop.remove_reader(self._socket)
         self._socket.close()
--- a/tests/tenants/test_counts.py
+++ b/tests/tenants/test_counts.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from mountgauge.tenants.counts import _RECENT, Counts, Entry, Mark, size
+from mountgauge.tenants.counts import _MAX_RECENT_CHANGES, Counts, Entry, Mark, msgpack_uint_bytes
 
 KEYS = [11, 22, 33]
 settings.register_profile("fleet", derandomize=True, deadline=None, max_examples=150)
@@ -119,11 +119,18 @@
 
 
 def test_changes_far_back_are_found_though_only_the_newest_are_at_hand() -> None:
-    owner = Counts(range(100, 100 + 3 * _RECENT), 4 * _RECENT, 1, "m1")
-    for place in range(3 * _RECENT):
+    owner = Counts(range(100, 100 + 3 * _MAX_RECENT_CHANGES), 4 * _MAX_RECENT_CHANGES, 1, "m1")
+    for place in range(3 * _MAX_RECENT_CHANGES):
         owner.add(place, 1, 0)
-    for after in (0, 1, _RECENT, 2 * _RECENT - 1, 3 * _RECENT - 2, 3 * _RECENT):
-        assert owner.own.since(after) == list(range(after, 3 * _RECENT))
+    for after in (
+        0,
+        1,
+        _MAX_RECENT_CHANGES,
+        2 * _MAX_RECENT_CHANGES - 1,
+        3 * _MAX_RECENT_CHANGES - 2,
+        3 * _MAX_RECENT_CHANGES,
+    ):
+        assert owner.own.changed_since(after) == list(range(after, 3 * _MAX_RECENT_CHANGES))
 
 
 def test_folding_keeps_the_counts_in_any_order_and_a_newcomer_takes_it_over() -> None:
@@ -144,9 +151,9 @@
         newcomer.join(*deltas(counts(1), [(0, 999)])[0])  # knows of one of them, in part
         sums = dict(zip(replica.keys, replica.past, strict=True))
         assert newcomer.adopt(sums, list(replica.folded.items()), replica.past_lives, replica.past_id)
-        assert newcomer.total == total and newcomer.life(1) is None  # it cannot come in a second time
+        assert newcomer.total == total and newcomer.incarnation(1) is None  # it cannot come in a second time
         other = counts(11)
-        other.life(77, "x")
+        other.incarnation(77, "x")
         other.fold(77)  # a life that the first has not folded: neither contains the other
         assert not other.adopt(sums, list(replica.folded.items()), replica.past_lives, replica.past_id)
     assert all(one == whole[0] for one in whole)
@@ -155,10 +162,10 @@
 def test_tenants_and_lives_are_bounded() -> None:
     replica = counts()
     for key in range(1000, 2000):
-        replica.tenant(key)
-    assert len(replica.keys) == 8 and replica.overfull == 995
+        replica.tenant_index(key)
+    assert len(replica.keys) == 8 and replica.over_limit == 995
     for life in range(100, 2000):
-        replica.life(life, "x")
+        replica.incarnation(life, "x")
     assert len(replica.incarnations) == 512
     replica.join(100, "x", 0, 1, [])
     assert Mark(1, 0) == replica.incarnations[100].mark
@@ -166,4 +173,4 @@
 
 @given(st.integers(0, (1 << 63) - 1))
 def test_sizes_are_those_of_messagepack(number: int) -> None:
-    assert size(number) == len(msgspec.msgpack.encode(number))
+    assert msgpack_uint_bytes(number) == len(msgspec.msgpack.encode(number))
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -110,7 +110,7 @@
     else:  # and for what had gone to nobody
         age = report_age_bound(0.25, 0.3, 0.4, 8, 4, FLUSH)
         assert 0 <= lost <= 4 * (count_error(40 / 8, age) + 3)
-    assert all(not n.fleet.doubtful and not n.fleet.members.conflicts() for n in world.up)
+    assert all(not n.fleet.counts_uncertain and not n.fleet.members.conflicts() for n in world.up)
     world.until(60)  # lives that were given up are folded, and their counts stay
     assert {world.taken["b"] - n.used("b") for n in world.up} == {lost}
     assert len([m for m in world.nodes["n0"].fleet.members.all.values() if m.name == "n3"]) == 1
@@ -140,7 +140,7 @@
     world.start("n3", node.place, copy)
     world.until(21)
     assert world.nodes["n3"].renewed == 1
-    assert world.until_exact(5) < 5 and not any(n.fleet.doubtful for n in world.up)
+    assert world.until_exact(5) < 5 and not any(n.fleet.counts_uncertain for n in world.up)
 
 
 def test_two_members_under_one_name_say_so_and_count_right() -> None:
@@ -171,7 +171,7 @@
     world.nodes["n3"] = node
     world.until(25)
     assert node.renewed + world.nodes["twin"].renewed >= 1
-    assert node.fleet.doubtful or world.nodes["twin"].fleet.doubtful
+    assert node.fleet.counts_uncertain or world.nodes["twin"].fleet.counts_uncertain
     assert all("n3" in n.fleet.members.conflicts() for n in world.up)
 
 
@@ -238,7 +238,9 @@
     world.sides = None
     world.until(70)
     lone = world.nodes["n0"]
-    assert lone.renewed == 1 and lone.fleet.doubtful  # what it counted alone is not in the others' past
+    assert (
+        lone.renewed == 1 and lone.fleet.counts_uncertain
+    )  # what it counted alone is not in the others' past
     assert len({n.used("b") for n in world.up if n is not lone}) == 1
 
 
@@ -281,7 +283,7 @@
     world.until(20)
     for name in ("x", "y"):
         counts = world.nodes[name].admission.counts
-        assert len(counts.keys) <= 2 + 10 and counts.overfull > 0
+        assert len(counts.keys) <= 2 + 10 and counts.over_limit > 0
     before = world.bytes
     world.until(30)
     assert (world.bytes - before) / 10 / 3 < 20_000  # what cannot be held is not asked for without end
--- a/tests/tenants/test_model.py
+++ b/tests/tenants/test_model.py
@@ -101,7 +101,7 @@
             gossip(members, at, now, False)
     for member in members:
         assert member.fleet.counts.total[0] == truth - lost, (course, truth, lost)
-        assert not member.fleet.doubtful and not member.fleet.new_incarnation_reason
+        assert not member.fleet.counts_uncertain and not member.fleet.new_incarnation_reason
 
 
 def test_every_course_of_two_and_three_members_ends_in_the_same_right_counts() -> None:
--- a/tests/tenants/test_quota.py
+++ b/tests/tenants/test_quota.py
@@ -56,14 +56,14 @@
         return View(4, 4, mine, others, 0, 2.0)
 
     bucket = Bucket(quota, 0.0, view(25, 75), 1e9)
-    assert abs(bucket.part - 0.25) < 0.01
+    assert abs(bucket.share - 0.25) < 0.01
     bucket.admit(1.0, view(25, 0))
-    assert bucket.part < 0.26  # due, and not yet its own
+    assert bucket.share < 0.26  # due, and not yet its own
     bucket.admit(2.0, view(25, 10))
     bucket.admit(3.1, view(25, 0))
-    assert 0.65 < bucket.part < 0.75  # the least that was due meanwhile
+    assert 0.65 < bucket.share < 0.75  # the least that was due meanwhile
     bucket.admit(3.2, view(25, 225))
-    assert bucket.part < 0.11
+    assert bucket.share < 0.11
 
 
 def test_what_a_side_of_a_split_may_take() -> None:
@@ -83,8 +83,8 @@
 def test_demand_is_told_when_it_changes_and_when_it_ends() -> None:
     demand, told = Demand(), []
     for step in range(600):
-        demand.asked += 3 if step < 200 else 0
+        demand.submitted += 3 if step < 200 else 0
         if demand.step(0.1):
-            demand.told = round(demand.rate * 10)
-            told.append(demand.told)
+            demand.announced = round(demand.rate * 10)
+            told.append(demand.announced)
     assert max(told) > 270 and told[-1] == 0 and len(told) < 70
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -64,6 +64,6 @@
     world.restart("n2", keep=False)
     world.until(8)
     for node in world.up:
-        old = [m for m in node.fleet.members.all.values() if m.name == "n2" and not Members.here(m)]
+        old = [m for m in node.fleet.members.all.values() if m.name == "n2" and not Members.is_present(m)]
         assert len(old) <= 1 and not node.fleet.members.split
         assert len(node.fleet.members.present) == 3, "long before it would be gone (5 s)"
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -55,17 +55,17 @@
     ("[fleet]\n", "fleet.name: missing"),
     ('[fleet]\nname = "f"\nkeys = ["x"]\n', "fleet.listen: missing"),
     (fleet(1).replace(KEY, "short"), "fleet.keys"),
-    (fleet(1, 2, 2), "an address stands twice"),
+    (fleet(1, 2, 2), "an address appears twice"),
     (fleet(1, 0), "port 0"),
     (fleet(1).replace(HOST, "localhost"), "not an IP address"),
     (fleet(1) + "gone = 0.2\n", "suspect < gone"),
     (fleet(1) + "leader = true\n", "fleet.leader: unknown setting"),
     ('[[tenant]]\nname = "a b"\n', "tenant[0].name"),
-    ('[[tenant]]\nname = "a"\n[[tenant]]\nname = "a"\n', "'a' stands twice"),
+    ('[[tenant]]\nname = "a"\n[[tenant]]\nname = "a"\n', "'a' appears twice"),
     ('[[tenant]]\nname = "a"\nrate = 0\n', "tenant[0].rate: must be above 0"),
     ('[[tenant]]\nname = "a"\nburst = 3\n', "needs a rate"),
     ('[[tenant]]\nname = "a"\nrate = 3\nsplit = "maybe"\n', "tenant[0].split: not one of"),
-    ('[[tenant]]\nname = "a"\nusers.x = "1"\n[[tenant]]\nname = "b"\nusers.x = "2"\n', "'x' stands twice"),
+    ('[[tenant]]\nname = "a"\nusers.x = "1"\n[[tenant]]\nname = "b"\nusers.x = "2"\n', "'x' appears twice"),
     ('[[tenant]]\nname = "a"\nusers = { boss = "1" }\n', "'boss' is a tenant's user too"),
     ('[[tenant]]\nname = "a"\nusers = { x = 1 }\n', "passwords are text"),
     ('[limits]\ndisk_mb = 0.5\n[[tenant]]\nname = "a"\n', "limits.disk_mb: 1.3 at least"),
@@ -106,7 +106,9 @@
             assert await client.command(*enqueue) == b"+OK\r\n"
             assert world.runtime.tenants is not None
             admission = world.runtime.tenants.admission
-            assert admission.taken_here == 1 and admission.bounds(admission.index_by_name["rossi"], 0.0) == (
+            assert admission.accepted_here == 1 and admission.bounds(
+                admission.index_by_name["rossi"], 0.0
+            ) == (
                 1,
                 1,
             )
@@ -161,7 +163,7 @@
             assert not world.notices  # nothing taken on was given up
             assert world.runtime.sender.counts["refused", "quota"] == 2
             # Known already: no second count, and no refusal of what was promised.
-            assert await world.client.take("m0") is None and admission.taken_here == 2
+            assert await world.client.take("m0") is None and admission.accepted_here == 2
 
     run(main())
 
@@ -345,7 +347,7 @@
 def test_a_store_cut_off_at_any_byte_holds_one_of_the_states_that_were_written(tmp_path: Path) -> None:
     (tmp_path / "live").mkdir()
     store, counts = Store(tmp_path / "live", 3), small()
-    store.save_me("n", 7, 1)
+    store.save_identity("n", 7, 1)
     states = [(0, 0)]
     for number in range(6):
         entries = [counts.add(number % 3, 1 + number, 0), counts.add(0, 1, 0)]
@@ -368,7 +370,7 @@
         again.close()
         if saved.life is not None and saved.incarnations:
             ((_, _, version, lines),) = saved.incarnations
-            assert (version, sum(line.taken for line in lines)) in states and not again.error
+            assert (version, sum(line.accepted for line in lines)) in states and not again.error
             seen.add(version)
     assert len(seen) >= 5
     store.close()
@@ -376,14 +378,14 @@
 
 def test_a_damaged_a_newer_and_a_full_store(tmp_path: Path) -> None:
     store = Store(tmp_path, 3)
-    store.save_me("n", 7, 4)
+    store.save_identity("n", 7, 4)
     counts = small()
     store.save(counts.own, [counts.add(0, 5, 0)], {})
     other = small(9)
     other.add(1, 6, 0)
     counts.join(9, "gone", 0, 1, other.delta(other.own, 0, 999)[1])
     counts.fold(9)
-    assert store.save_rest(counts, [])
+    assert store.save_replicas(counts, [])
     store.close()
     store = Store(tmp_path, 3)
     saved = store.load("n")
--- a/tests/tenants/test_wire.py
+++ b/tests/tenants/test_wire.py
@@ -31,7 +31,7 @@
 
 def one(seal: Seal, **more: Any) -> bytes:
     fields: dict[str, Any] = {"name": "m2", "life": 2, "boot": 1, "run": 14, "seq": 1, "beat": 1, **more}
-    return seal.close(Datagram(**fields))
+    return seal.encode(Datagram(**fields))
 
 
 def test_what_is_refused_is_counted_and_changes_nothing() -> None:
@@ -39,7 +39,7 @@
     fleet = member(seal)
     good = one(seal)
     forged = good[:-1] + bytes([good[-1] ^ 1])
-    empty = seal.close(Datagram(name="m2", life=2, boot=1, run=14, seq=1, beat=1))[:4]
+    empty = seal.encode(Datagram(name="m2", life=2, boot=1, run=14, seq=1, beat=1))[:4]
     head = good[:4] + b"\xc1" * 20
     sealed_rubbish = head + blake3(head, key=seal._keys[good[2:4]]).digest(16)
     for data, reason in (
@@ -146,10 +146,10 @@
 def test_an_open_datagram_is_what_was_closed() -> None:
     seal = Seal("f", [NEW, OLD])
     told = Datagram(name="m2", life=2, boot=1, run=14, seq=1, beat=1, want=(3, 4), tombs=[(1, 2, 3)])
-    assert seal.open(seal.close(told)) == told
-    assert Seal("f", [OLD, NEW]).open(seal.close(told)) == told
+    assert seal.decode(seal.encode(told)) == told
+    assert Seal("f", [OLD, NEW]).decode(seal.encode(told)) == told
     try:
-        Seal("f", [OLD]).open(seal.close(told))
+        Seal("f", [OLD]).decode(seal.encode(told))
         raise AssertionError("opened without its key")
     except RefusedDatagramError as refused:
         assert str(refused) == "unknown-key"
