--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets in virtual time: each hard case is made to happen, on a network that one seed decides."""
+"""Fleets in virtual time: failures of members, disks, clocks and the network, reproducible by seed."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mountgauge.tenants.quota import Quota, Split
 from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES
 
-FOUL = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)  # jitter reorders: sends are 0.25 s apart
+LOSSY = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)  # jitter reorders: sends are 0.25 s apart
 EIGHT = [f"n{i}" for i in range(8)]
 QUOTA = Quota(20, 40)
 
@@ -28,15 +28,15 @@
     return world
 
 
-def over(world: World, since: float, quota: Quota = QUOTA) -> float:
-    """Messages of tenant a past its quota for the time since then."""
+def excess(world: World, since: float, quota: Quota = QUOTA) -> float:
+    """Messages of tenant a above its quota for the time since then."""
     return world.taken["a"] - quota.rate * (world.time - since) - quota.burst
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_counts_converge_through_loss_delay_doubles_and_reordering(seed: int) -> None:
-    world = fleet(seed, FOUL)
-    age = report_age_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
+def test_counts_converge_despite_loss_delay_duplicates_and_reordering(seed: int) -> None:
+    world = fleet(seed, LOSSY)
+    age = report_age_bound(0.25, LOSSY.loss, LOSSY.delay + LOSSY.jitter, 8, 4, FLUSH)
     truth: list[tuple[float, int]] = []
     world.load({"a": 60, "b": 40}, 25)
     most = 0.0
@@ -45,20 +45,21 @@
         truth.append((world.time, world.taken["b"]))
         then = max((n for at, n in truth if at <= world.time - 5), default=0)
         for node in world.up:
-            assert node.used("b") <= world.taken["b"] and node.used("a") <= world.taken["a"]  # never too many
+            # Never more than the truth.
+            assert node.used("b") <= world.taken["b"] and node.used("a") <= world.taken["a"]
             if then >= 200:
                 most = max(most, 1 - node.used("b") / then)
                 assert world.taken["b"] - node.used("b") <= count_error(40, age) + 8
                 assert world.taken["b"] <= node.high("b")
-        assert over(world, 0) <= overshoot(20, 40, 8, age)
+        assert excess(world, 0) <= overshoot(20, 40, 8, age)
     assert most <= 0.02
     assert world.until_exact(10) < 10
     assert sum(n.fleet.dropped["replayed"] for n in world.up) > 20 and world.largest <= MAX_DATAGRAM_BYTES
-    assert world.taken["a"] >= 0.85 * (20 * 20 + 40)  # the quota is there to be used
+    assert world.taken["a"] >= 0.85 * (20 * 20 + 40)  # the quota is used almost fully
 
 
 @pytest.mark.parametrize("split", list(Split))
-def test_a_split_into_halves_under_load_and_its_healing(split: Split) -> None:
+def test_quotas_and_counts_during_a_split_into_halves_and_after_it(split: Split) -> None:
     quota = Quota(20, 20, split)
     world = World({"a": quota, "b": None}, 5, Weather(loss=0.1, delay=0.05))
     world.add(*EIGHT)
@@ -69,13 +70,14 @@
     world.sides = lambda name: name < "n4"
     world.until(25)
     assert all(n.fleet.members.split for n in world.up)
-    assert all(world.taken["b"] <= n.high("b") for n in world.up)  # the bound grows with the silence
+    # The upper bound grows with the time since the last report.
+    assert all(world.taken["b"] <= n.high("b") for n in world.up)
     world.until(45)
     age = report_age_bound(0.25, 0.1, 0.05, 8, 4, FLUSH)
     bound = overshoot_split(20, 20, 8, age, world.timing.gone)
     taken = world.taken["a"] - before
     if split is Split.SHARE:
-        assert over(world, 5, quota) <= bound and taken > 0.85 * 20 * 30
+        assert excess(world, 5, quota) <= bound and taken > 0.85 * 20 * 30
     elif split is Split.FULL:
         assert 1.6 * 20 * 30 < taken <= 2 * (20 * 30 + 20) + bound
     else:  # neither half has a majority
@@ -83,40 +85,40 @@
     world.sides = None
     world.until(50)
     assert not any(n.fleet.members.split for n in world.up)
-    healed = world.taken["a"]
+    at_healing = world.taken["a"]
     world.until(55)
-    assert world.taken["a"] - healed > 0.5 * 20 * 5  # what it took while split does not silence it for long
+    assert world.taken["a"] - at_healing > 0.5 * 20 * 5  # the debt from the split is repaid soon
     assert world.until_exact(10) < 5
 
 
 @pytest.mark.parametrize("keep", [True, False])
-def test_killed_and_back_with_or_without_its_disk(keep: bool) -> None:
+def test_a_member_restarts_with_or_without_its_disk(keep: bool) -> None:
     world = fleet(7, Weather(loss=0.3, delay=0.2, jitter=0.2))
     world.load({"a": 30, "b": 40}, 30)
-    for when in (8.03, 12.57, 13.4, 18.05):  # the third comes before the second is known to all
+    for when in (8.03, 12.57, 13.4, 18.05):  # the third comes before the second has reached all members
         world.until(when)
-        heard = max(n.used("b") for n in world.up if n.name != "n3")
+        replicated = max(n.used("b") for n in world.up if n.name != "n3")
         node = world.restart("n3", keep)
         if when == 12.57:
             continue
         world.until(when + 4)
-        assert node.used("b") >= heard  # it learns its own past, and nothing that was heard is lost
+        assert node.used("b") >= replicated  # it receives its own past; nothing replicated is lost
     world.until(40)
     used = {n.used("b") for n in world.up}
     assert len(used) == 1
     lost = world.taken["b"] - used.pop()
-    if keep:  # exact but for what no flush has seen
+    if keep:  # exact except for what was not flushed
         assert lost == world.uncounted["b"] <= 4 * (lost_on_kill(40 / 8, FLUSH) + 3)
-    else:  # and for what had gone to nobody
+    else:  # and for what no other member had received
         age = report_age_bound(0.25, 0.3, 0.4, 8, 4, FLUSH)
         assert 0 <= lost <= 4 * (count_error(40 / 8, age) + 3)
     assert all(not n.fleet.counts_uncertain and not n.fleet.members.conflicts() for n in world.up)
-    world.until(60)  # lives that were given up are folded, and their counts stay
+    world.until(60)  # abandoned incarnations are folded, and their counts stay
     assert {world.taken["b"] - n.used("b") for n in world.up} == {lost}
     assert len([m for m in world.nodes["n0"].fleet.members.all.values() if m.name == "n3"]) == 1
 
 
-def test_back_under_its_name_at_a_new_address() -> None:
+def test_a_member_restarts_at_a_new_address() -> None:
     world = fleet(8)
     world.load({"b": 40}, 20)
     world.until(10)
@@ -127,8 +129,8 @@
     assert world.until_exact(5) < 5 and not any(n.fleet.members.split for n in world.up)
 
 
-def test_a_disk_that_is_older_than_what_peers_have_heard() -> None:
-    """As a folder put back from a copy: counting on from there would hide what peers know."""
+def test_a_disk_that_is_older_than_what_peers_hold_starts_a_new_incarnation() -> None:
+    """A folder restored from a backup: adding to the old counts would hide counts that peers hold."""
     world = fleet(9)
     world.load({"b": 40}, 20)
     world.until(6)
@@ -143,30 +145,31 @@
     assert world.until_exact(5) < 5 and not any(n.fleet.counts_uncertain for n in world.up)
 
 
-def test_two_members_under_one_name_say_so_and_count_right() -> None:
+def test_two_members_under_one_name_are_a_conflict_and_count_correctly() -> None:
     world = fleet(10, Weather(loss=0.1, delay=0.1))
     world.load({"b": 40}, 30)
     world.until(8)
     world.at_place.pop(("10.0.0.8", 77), None)
-    twin = world.start("n3", ("10.0.0.8", 77))  # empty: another life
+    twin = world.start("n3", ("10.0.0.8", 77))  # empty disk: another incarnation
     world.nodes["twin"] = twin
     world.nodes["n3"] = world.at_place[("10.0.0.1", 4)]
     world.until(20)
     assert all(n.fleet.members.conflicts() == {"n3"} for n in world.up)
     world.until(31)
-    assert world.until_exact(5) < 5  # two lives: nothing is counted twice
+    assert world.until_exact(5) < 5  # two incarnations: nothing is counted twice
     twin.leave()
     world.until(40)
     assert not any(n.fleet.members.conflicts() for n in world.up) and world.exact()
 
 
-def test_a_copied_folder_is_noticed_and_marked() -> None:
+def test_a_copied_folder_is_detected_and_its_counts_are_marked_as_uncertain() -> None:
     world = fleet(11)
     world.load({"b": 40}, 30)
     world.until(8)
     node = world.nodes["n3"]
     node.flush()
-    copy = Disk(node.disk.life, node.disk.boot - 1, node.disk.own)  # the same life, started as often
+    # The same incarnation and number of starts.
+    copy = Disk(node.disk.life, node.disk.boot - 1, node.disk.own)
     world.nodes["twin"] = world.start("n3", ("10.0.0.8", 77), copy)
     world.nodes["n3"] = node
     world.until(25)
@@ -175,8 +178,8 @@
     assert all("n3" in n.fleet.members.conflicts() for n in world.up)
 
 
-def test_no_result_depends_on_clocks_that_agree() -> None:
-    def course(offsets: list[float], jumps: bool) -> World:
+def test_no_result_depends_on_synchronized_clocks() -> None:
+    def simulate(offsets: list[float], jumps: bool) -> World:
         world = World({"a": QUOTA, "b": None}, 12, Weather(loss=0.2, delay=0.1))
         world.add(*EIGHT)
         for node, ahead in zip(world.up, offsets, strict=True):
@@ -188,22 +191,22 @@
         if jumps:
             world.until(15)
             for node in world.up[:3]:
-                node.ahead += 10  # its own clock leaps: it believes that all were silent for so long
+                node.ahead += 10  # its clock jumps: all others seem silent for that long
         world.until(30)
         return world
 
-    same, apart = course([0.0] * 8, False), course([10.0 * i - 35 for i in range(8)], False)
+    same, apart = simulate([0.0] * 8, False), simulate([10.0 * i - 35 for i in range(8)], False)
     assert same.taken["b"] == apart.taken["b"] and abs(same.taken["a"] - apart.taken["a"]) <= 12
     for world in (same, apart):
         assert all(world.taken["b"] - n.used("b") <= count_error(40, 2) for n in world.up)
         assert world.until_exact(10) < 5
-    leapt = course([0.0] * 8, True)
-    assert leapt.until_exact(10) < 5
-    assert over(leapt, 5) <= 20 * 10 / 8 * 3 + overshoot(20, 40, 8, 5)  # 10 s too many on three members
-    assert not any(n.fleet.members.split for n in leapt.up)
+    jumped = simulate([0.0] * 8, True)
+    assert jumped.until_exact(10) < 5
+    assert excess(jumped, 5) <= 20 * 10 / 8 * 3 + overshoot(20, 40, 8, 5)  # three members gain 10 s of quota
+    assert not any(n.fleet.members.split for n in jumped.up)
 
 
-def test_members_that_come_and_go_all_day_leave_their_counts_and_nothing_else() -> None:
+def test_members_that_come_and_go_leave_only_their_counts_behind() -> None:
     world = fleet(13, Weather(loss=0.2, delay=0.05), EIGHT[:4], timing=Timing(2.5, 5, 40, 3))
     world.load({"b": 30}, 200)
     for number in range(24):
@@ -215,10 +218,10 @@
             old.kill() if number % 3 == 0 else old.leave()
             del world.nodes[old.name]
             world.at_place.pop(old.place)
-        assert len(node.fleet.plan.peers) == 4  # it knows the seeds, they learn of it
+        assert len(node.fleet.plan.peers) == 4  # its file lists the first four, which discover it by gossip
     world.until(260)
     used = {n.used("b") for n in world.up}
-    # 8 were killed for good, with what had gone to nobody.
+    # 8 were killed for good, with counts that no other member had received.
     assert len(used) == 1 and 0 <= world.taken["b"] - max(used) <= 8 * (30 / 6 * 1.5 + 3)
     for node in world.up:
         assert len(node.admission.counts.incarnations) <= 4 + 2 + 1 and len(node.fleet.contacts) <= 8
@@ -228,7 +231,7 @@
     assert {newcomer.used("b")} == used
 
 
-def test_one_that_was_forgotten_behind_a_split_comes_back_marked() -> None:
+def test_a_member_forgotten_during_a_long_split_rejoins_with_uncertain_counts() -> None:
     world = fleet(14, timing=Timing(2.5, 5, 20, 2))
     world.load({"b": 40}, 60)
     world.until(10)
@@ -237,15 +240,14 @@
     assert len(world.nodes["n1"].fleet.members.known) == 7
     world.sides = None
     world.until(70)
-    lone = world.nodes["n0"]
-    assert (
-        lone.renewed == 1 and lone.fleet.counts_uncertain
-    )  # what it counted alone is not in the others' past
-    assert len({n.used("b") for n in world.up if n is not lone}) == 1
+    separated = world.nodes["n0"]
+    # What it counted alone is missing in the others' past.
+    assert separated.renewed == 1 and separated.fleet.counts_uncertain
+    assert len({n.used("b") for n in world.up if n is not separated}) == 1
 
 
-def test_ten_thousand_tenants_on_thirty_two_members() -> None:
-    names = {f"t{i}": None for i in range(10_000)}  # the figures of a longer course are in the note
+def test_traffic_for_ten_thousand_tenants_on_32_members_grows_only_with_changes() -> None:
+    names = {f"t{i}": None for i in range(10_000)}  # the documentation has the figures of a longer run
     world = World(names, 15, Weather(loss=0.1, delay=0.05))
     world.add(*[f"m{i}" for i in range(32)])
     world.until(5)
@@ -262,18 +264,18 @@
     assert all(n.admission.counts.total == world.up[0].admission.counts.total for n in world.up)
     spent = (world.bytes - busy_from) / 32
     assert world.largest <= MAX_DATAGRAM_BYTES
-    # By what changes: 10,000 lines of some 15 bytes reach each of 32 members, a few times over.
+    # Proportional to the changes: 10,000 entries of some 15 bytes reach each of 32 members a few times.
     assert spent <= 10_000 * 15 * 6 + quiet * (world.time - began) * 2
     world.until(world.time + 5)
     settled = world.bytes
     world.until(world.time + 5)
-    assert (world.bytes - settled) / 5 / 32 <= 1.5 * quiet  # not by what exists
+    assert (world.bytes - settled) / 5 / 32 <= 1.5 * quiet  # not proportional to the number of tenants
     for node in world.up:
         assert all(m.presence is Presence.PRESENT for m in node.fleet.members.all.values())
 
 
-def test_tenants_that_nobody_configured_cannot_make_it_grow() -> None:
-    """A member with a longer list than the others' is heard of, as far as there is room."""
+def test_tenants_that_only_another_member_configures_are_bounded() -> None:
+    """Counts of a member with more tenants than the others are accepted up to the limit."""
     world = World({"a": None}, 16, spare=10)
     world.add("x", "y")
     world.quotas = {"a": None, **{f"own{i}": None for i in range(500)}}
@@ -286,4 +288,4 @@
         assert len(counts.keys) <= 2 + 10 and counts.over_limit > 0
     before = world.bytes
     world.until(30)
-    assert (world.bytes - before) / 10 / 3 < 20_000  # what cannot be held is not asked for without end
+    assert (world.bytes - before) / 10 / 3 < 20_000  # what exceeds the limit is not requested forever
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -1,4 +1,4 @@
-"""Tenants after most of a fleet was killed and its folders lost, in virtual time on a foul network."""
+"""Counts and quotas after most members were killed and lost their folders, on a lossy virtual network."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.quota import Quota
 
-FOUL = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
+LOSSY = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
 EIGHT = [f"n{i}" for i in range(8)]
 QUOTA = Quota(20, 20)
 
 
-def lost(seed: int) -> tuple[World, float, int]:
-    """Six of eight are killed at one moment, come back with nothing, and the load goes on for 20 s."""
-    world = World({"a": QUOTA, "b": None}, seed, FOUL)
+def fleet_after_loss(seed: int) -> tuple[World, float, int]:
+    """Six of eight members restart at once without their folders; the load continues for 20 s."""
+    world = World({"a": QUOTA, "b": None}, seed, LOSSY)
     world.add(*EIGHT)
     world.load({"a": 60, "b": 40}, 35)
     world.until(15)
@@ -26,37 +26,37 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_whole_quota_is_in_use_again_five_seconds_after_the_last_start(seed: int) -> None:
-    world, start, before = lost(seed)
-    age = report_age_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
+def test_the_quota_is_fully_used_and_not_exceeded_five_seconds_after_the_restart(seed: int) -> None:
+    world, start, before = fleet_after_loss(seed)
+    age = report_age_bound(0.25, LOSSY.loss, LOSSY.delay + LOSSY.jitter, 8, 4, FLUSH)
     world.until(start + 5)
     at_five = world.taken["a"]
     while world.time < 35:
         world.until(world.time + 0.25)
-        over = world.taken["a"] - before - QUOTA.rate * (world.time - start) - QUOTA.burst
-        assert over <= overshoot(20, 20, 8, age)
+        excess = world.taken["a"] - before - QUOTA.rate * (world.time - start) - QUOTA.burst
+        assert excess <= overshoot(20, 20, 8, age)
     assert world.taken["a"] - at_five >= 0.9 * QUOTA.rate * (35 - start - 5)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_number_that_is_not_joined_does_not_call_itself_exact(seed: int) -> None:
-    world, _, _ = lost(seed)
+def test_a_count_is_not_reported_as_exact_while_counts_are_missing(seed: int) -> None:
+    world, _, _ = fleet_after_loss(seed)
     world.until(35)
-    quiet = report_age_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
-    bound = convergence_bound(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH, 5.0, ended=6)
+    settled = report_age_bound(0.25, LOSSY.loss, LOSSY.delay + LOSSY.jitter, 8, 4, FLUSH)
+    bound = convergence_bound(0.25, LOSSY.loss, LOSSY.delay + LOSSY.jitter, 8, 4, FLUSH, 5.0, ended=6)
     seen: list[tuple[float, str, int, bool]] = []
-    while world.time < 35 + quiet + bound:
+    while world.time < 35 + settled + bound:
         world.until(world.time + 0.25)
         for node in world.up:
             exact = not node.fleet.sync_gap(node.now)
             seen.append((world.time, node.name, node.used("b"), exact))
     final = {count for at, _, count, _ in seen if at >= world.time}
     assert len(final) == 1 and all(exact for at, _, _, exact in seen if at >= world.time)
-    wrong = [one for one in seen if one[0] >= 35 + quiet and one[3] and one[2] not in final]
-    assert wrong == [], "exact, and more was still to come"
+    wrong = [one for one in seen if one[0] >= 35 + settled and one[3] and one[2] not in final]
+    assert wrong == [], "reported as exact while counts were missing"
 
 
-def test_a_life_that_another_replaces_at_its_address_leaves_at_once_and_a_conflict_does_not() -> None:
+def test_an_incarnation_that_is_replaced_at_its_address_is_marked_as_left_at_once() -> None:
     world = World({"a": QUOTA}, 1, Weather(loss=0.0, delay=0.05))
     world.add("n0", "n1", "n2")
     world.load({"a": 30}, 6)
@@ -66,4 +66,4 @@
     for node in world.up:
         old = [m for m in node.fleet.members.all.values() if m.name == "n2" and not Members.is_present(m)]
         assert len(old) <= 1 and not node.fleet.members.split
-        assert len(node.fleet.members.present) == 3, "long before it would be gone (5 s)"
+        assert len(node.fleet.members.present) == 3, "not only after it is gone (5 s)"
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -1,4 +1,4 @@
-"""Tenants in running senders: users on both fronts, quotas, the page, SIGHUP, the store, the platform."""
+"""Tenants in running senders: users of both protocols, quotas, reports, SIGHUP, the store, the platform."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
     ('[[tenant]]\nname = "a"\nusers = { x = 1 }\n', "passwords are text"),
     ('[limits]\ndisk_mb = 0.5\n[[tenant]]\nname = "a"\n', "limits.disk_mb: 1.3 at least"),
 ])  # fmt: skip
-def test_each_fault_of_the_file_is_one_line(
+def test_each_fault_of_the_file_is_reported_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], more: str, text: str
 ) -> None:
     file = tmp_path / "sender.toml"
@@ -80,7 +80,7 @@
     assert text in line and str(file) in line
 
 
-def test_a_good_file_passes(tmp_path: Path) -> None:
+def test_a_valid_file_passes(tmp_path: Path) -> None:
     file = tmp_path / "sender.toml"
     file.write_text(FILE + fleet(7700, 7701) + TENANTS)
     assert cli.main(["check", str(file)]) == 0
@@ -91,7 +91,7 @@
 # Users
 
 
-def test_resp_clients_log_in_and_cannot_name_their_tenant(tmp_path: Path) -> None:
+def test_resp_clients_must_log_in_and_cannot_choose_their_tenant(tmp_path: Path) -> None:
     async def main() -> None:
         async with World(tmp_path, "http", extra=TENANTS) as world:
             client = world.client
@@ -112,7 +112,7 @@
                 1,
                 1,
             )
-            for _ in range(11):  # guessing ends with the connection
+            for _ in range(11):  # too many failed logins close the connection
                 answer = await client.command(b"AUTH", b"u", b"guess")
             assert answer.startswith(b"-WRONGPASS ") and await client.reader.read() == b""
 
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize(("login", "vhost", "code"), [
     ("\0u\0p", "/", 0), ("\0u\0q", "/", 403), ("\0x\0p", "/", 403), ("\0u\0p", "/other", 530),
 ])  # fmt: skip
-def test_amqp_clients_log_in_to_the_one_virtual_host(
+def test_amqp_clients_must_log_in_to_the_default_virtual_host(
     tmp_path: Path, login: str, vhost: str, code: int
 ) -> None:
     async def main() -> None:
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("protocol", ["http", "amqp"])
-def test_past_its_quota_a_message_is_turned_away_at_once_and_what_was_taken_ends_well(
+def test_a_message_above_the_quota_is_rejected_at_once_and_accepted_ones_are_delivered(
     tmp_path: Path, protocol: str
 ) -> None:
     async def main() -> None:
@@ -156,13 +156,13 @@
                 assert await world.client.command(b"AUTH", b"u", b"p") == b"+OK\r\n"
             assert world.runtime.tenants is not None
             admission = world.runtime.tenants.admission
-            admission._started -= 10_000  # it has long been up: the burst is there
+            admission._started -= 10_000  # as after a long run, so that the burst is available
             ends = [await world.client.take(f"m{i}") for i in range(4)]
             assert ends == [None, None, "deferred", "deferred"]
             assert [await world.client.end(f"m{i}") for i in range(2)] == ["delivered"] * 2
-            assert not world.notices  # nothing taken on was given up
+            assert not world.notices  # no accepted message was abandoned
             assert world.runtime.sender.counts["refused", "quota"] == 2
-            # Known already: no second count, and no refusal of what was promised.
+            # A repeated message that was accepted is not counted again and not rejected.
             assert await world.client.take("m0") is None and admission.accepted_here == 2
 
     run(main())
@@ -175,7 +175,7 @@
     return [admission.counts.total[place] for place in places] == counts
 
 
-def test_two_senders_count_together_and_say_so(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_two_senders_count_together_and_report_it(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def main() -> None:
         one, two = reserve_ports(2)
         for name in ("a", "b"):
@@ -222,7 +222,7 @@
     run(main())
 
 
-def test_sighup_moves_quotas_peers_and_keys(tmp_path: Path) -> None:
+def test_sighup_applies_quotas_peers_and_keys(tmp_path: Path) -> None:
     async def main() -> None:
         mine, peer = reserve_ports(2)
         async with World(tmp_path, "http", extra=fleet(mine, peer) + TENANTS) as world:
@@ -247,7 +247,7 @@
             world.extra = ""
             world.write()
             world.runtime.reload()
-            assert "rossi" in tenants.admission.index_by_name  # tenants go with a restart only
+            assert "rossi" in tenants.admission.index_by_name  # removing all tenants needs a restart
 
     run(main())
 
@@ -283,7 +283,7 @@
         except (OSError, ValueError):
             return {}
 
-    async def hand_in(self, n: int, ids: list[str]) -> int:
+    async def submit(self, n: int, ids: list[str]) -> int:
         client = RespClient(World(self.folder, "http"))
         client.reader, client.writer = await asyncio.open_connection(HOST, self.ports[n])
         await client.command(b"AUTH", b"v", b"q")
@@ -295,7 +295,7 @@
         return taken
 
 
-def test_processes_killed_and_begun_again_keep_the_counts(tmp_path: Path) -> None:
+def test_counts_survive_killed_and_restarted_processes(tmp_path: Path) -> None:
     async def main() -> None:
         async def hook(message: Message) -> bytes:
             return response(200, "OK", {}, b"")
@@ -304,8 +304,8 @@
         await hop.start()
         pair = Pair(tmp_path, hop.port)
         processes = [await pair.start(0), await pair.start(1)]
-        taken = await pair.hand_in(0, [f"a{i}" for i in range(40)])
-        taken += await pair.hand_in(1, [f"b{i}" for i in range(10)])
+        taken = await pair.submit(0, [f"a{i}" for i in range(40)])
+        taken += await pair.submit(1, [f"b{i}" for i in range(10)])
 
         async def counted(n: int, name: str = "verdi") -> int:
             found = await pair.used(n)
@@ -319,15 +319,15 @@
         await all_have(taken)
         processes[0].kill()
         await processes[0].wait()
-        processes[0] = await pair.start(0)  # with its folder: its life goes on
-        taken += await pair.hand_in(0, [f"c{i}" for i in range(5)])
+        processes[0] = await pair.start(0)  # with its folder: its incarnation continues
+        taken += await pair.submit(0, [f"c{i}" for i in range(5)])
         await all_have(taken)
         members = (await pair.used(1))["members"]
         assert sum(m["name"] == "s0" for m in members) == 1
         processes[0].kill()
         await processes[0].wait()
         shutil.rmtree(tmp_path / "state0")
-        processes[0] = await pair.start(0)  # without: it learns its own past from its peer
+        processes[0] = await pair.start(0)  # without its folder: it receives its own past from its peer
         await all_have(taken)
         for process in processes:
             process.send_signal(signal.SIGTERM)
@@ -340,11 +340,11 @@
 # The store
 
 
-def small(life: int = 7) -> Counts:
-    return Counts([11, 22, 33], 8, life, "n")
+def small(incarnation: int = 7) -> Counts:
+    return Counts([11, 22, 33], 8, incarnation, "n")
 
 
-def test_a_store_cut_off_at_any_byte_holds_one_of_the_states_that_were_written(tmp_path: Path) -> None:
+def test_a_store_truncated_at_any_byte_holds_one_of_the_written_states(tmp_path: Path) -> None:
     (tmp_path / "live").mkdir()
     store, counts = Store(tmp_path / "live", 3), small()
     store.save_identity("n", 7, 1)
@@ -376,7 +376,7 @@
     store.close()
 
 
-def test_a_damaged_a_newer_and_a_full_store(tmp_path: Path) -> None:
+def test_a_damaged_store_a_newer_store_and_a_full_disk(tmp_path: Path) -> None:
     store = Store(tmp_path, 3)
     store.save_identity("n", 7, 4)
     counts = small()
@@ -390,7 +390,7 @@
     store = Store(tmp_path, 3)
     saved = store.load("n")
     assert (saved.life, saved.boot, saved.past, saved.past_name) == (7, 4, {22: 6}, (9, 1))
-    assert store.load("another").life is None  # another member's folder: its life is not gone on with
+    assert store.load("another").life is None  # another member's folder: its incarnation is not continued
     store._db.execute("pragma user_version=2")
     store.close()
     with pytest.raises(StoreError, match="newer version"):
@@ -401,7 +401,7 @@
     store._db.execute("pragma max_page_count=1")
     big = Counts(range(5000), 5000, 7, "n")
     assert not store.save(big.own, [big.add(p, 1, 0) for p in range(5000)]) and store.failed == 1
-    store._db.execute("pragma max_page_count=1000")  # room has come back
+    store._db.execute("pragma max_page_count=1000")  # disk space is available again
     assert store.save(big.own, big.delta(big.own, 0, 1 << 30)[1])
     assert len(store.load("n").incarnations[0][3]) == 5000
     store.close()
@@ -410,7 +410,7 @@
 # The platform
 
 
-def test_on_the_platform_nothing_of_it_is_there() -> None:
+def test_the_platform_imports_nothing_of_tenants() -> None:
     code = (
         "import sys, mountgauge.cli, mountgauge.run.platform, mountgauge.run.serve\n"
         "off = 'mountgauge.tenants', 'msgspec', 'blake3', 'sqlite3'\n"
@@ -420,7 +420,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_what_the_page_answers_is_json_for_ten_thousand_tenants(tmp_path: Path) -> None:
+def test_the_tenants_page_is_json_for_ten_thousand_tenants(tmp_path: Path) -> None:
     async def main() -> None:
         many = "".join(f'[[tenant]]\nname = "t{i}"\n' for i in range(10_000))
         async with World(tmp_path, "http", extra=many) as world:
