--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -13,8 +13,8 @@
 from itertools import count
 
 from mountgauge.tenants.admission import QuotaAdmission
-from mountgauge.tenants.counts import Counts, Entry, Life, Mark
-from mountgauge.tenants.gossip import Gossip, Identity, Out, Place, Plan
+from mountgauge.tenants.counts import Counts, Entry, Incarnation, Mark
+from mountgauge.tenants.gossip import Gossip, Identity, OutgoingDatagrams, Plan, UdpAddress
 from mountgauge.tenants.members import Timing
 from mountgauge.tenants.quota import Quota
 from mountgauge.tenants.wire import Seal, tenant_key
@@ -50,7 +50,7 @@
 class Node:
     """One member, started with what its disk holds."""
 
-    def __init__(self, world: World, name: str, place: Place, disk: Disk, clock: float = 0.0) -> None:
+    def __init__(self, world: World, name: str, place: UdpAddress, disk: Disk, clock: float = 0.0) -> None:
         self.world, self.name, self.place, self.disk = world, name, place, disk
         self.ahead = clock  # s that its clock is ahead of the world's
         self.up = True
@@ -88,27 +88,27 @@
         return again
 
     def used(self, tenant: str) -> int:
-        return self.admission.bounds(self.admission.names[tenant], self.now)[0]
+        return self.admission.bounds(self.admission.index_by_name[tenant], self.now)[0]
 
     def high(self, tenant: str) -> int:
-        return self.admission.bounds(self.admission.names[tenant], self.now)[1]
+        return self.admission.bounds(self.admission.index_by_name[tenant], self.now)[1]
 
     def flush(self) -> None:
         counts, disk = self.admission.counts, self.disk
         self.admission.step(self.now)
         disk.pending = self.admission.pending_by_key()
-        disk.life = counts.mine.id
-        disk.own = (counts.mine.version, _lines(counts, counts.mine))
-        if self.fleet.changed_rest:
+        disk.life = counts.own.id
+        disk.own = (counts.own.version, _lines(counts, counts.own))
+        if self.fleet.replicas_changed:
             here = {m.id for m in self.fleet.members.present}
             disk.others = [
                 (life.id, life.name, life.version, _lines(counts, life))
-                for life in counts.lives.values() if life is not counts.mine and life.id not in here
+                for life in counts.incarnations.values() if life is not counts.own and life.id not in here
             ]  # fmt: skip
             disk.past = {k: n for k, n in zip(counts.keys, counts.past, strict=True) if n}
             disk.folded = list(counts.folded.items())
             disk.past_name = (counts.past_id, counts.past_lives)
-            self.fleet.changed_rest = False
+            self.fleet.replicas_changed = False
 
     def _flush(self) -> None:
         if self.up:
@@ -118,8 +118,8 @@
     def _gossip(self) -> None:
         if not self.up:
             return
-        if self.fleet.reborn:
-            self.fleet.renew(self.world.draw(), self.world.draw(), self.now)
+        if self.fleet.new_incarnation_reason:
+            self.fleet.start_incarnation(self.world.draw(), self.world.draw(), self.now)
             self.disk.boot = 1
             self.renewed += 1
         self.flush()
@@ -138,12 +138,12 @@
         """As SIGKILL does: what was counted since the last flush is counted nowhere."""
         for place, taken in self.admission.pending.items():
             if (known := self.disk.pending.get(self.admission.counts.keys[place], 0)) < taken:
-                name = next(n for n, p in self.admission.names.items() if p == place)
+                name = next(n for n, p in self.admission.index_by_name.items() if p == place)
                 self.world.uncounted[name] += taken - known
         self.up = False
 
 
-def _lines(counts: Counts, life: Life) -> list[Entry]:
+def _lines(counts: Counts, life: Incarnation) -> list[Entry]:
     return counts.delta(life, 0, 1 << 40)[1]
 
 
@@ -162,8 +162,8 @@
         self.seal = Seal("virtual", [KEY])
         self.time = 0.0
         self.nodes: dict[str, Node] = {}
-        self.at_place: dict[Place, Node] = {}
-        self.places: list[Place] = []
+        self.at_place: dict[UdpAddress, Node] = {}
+        self.places: list[UdpAddress] = []
         self.sides: Callable[[str], int] | None = None  # a split: who is on which side
         self.taken: Counter[str] = Counter()  # the truth
         self.uncounted: Counter[str] = Counter()  # what kills have lost of it
@@ -174,7 +174,7 @@
     def draw(self) -> int:
         return self.rng.getrandbits(62) + 1
 
-    def plan_for(self, place: Place) -> Plan:
+    def plan_for(self, place: UdpAddress) -> Plan:
         return Plan(
             tuple(p for p in self.places if p != place), self.interval, self.fanout, self.timing, FLUSH
         )
@@ -186,7 +186,7 @@
         for name, place in fresh:
             self.start(name, place)
 
-    def start(self, name: str, place: Place, disk: Disk | None = None, clock: float = 0.0) -> Node:
+    def start(self, name: str, place: UdpAddress, disk: Disk | None = None, clock: float = 0.0) -> Node:
         node = Node(self, name, place, disk or Disk(), clock)
         self.nodes[name] = self.at_place[place] = node
         return node
@@ -224,7 +224,7 @@
 
         self.at(when, hand_in)
 
-    def send(self, node: Node, out: Out) -> None:
+    def send(self, node: Node, out: OutgoingDatagrams) -> None:
         for data, place in out:
             self.datagrams += 1
             self.bytes += len(data)
@@ -235,7 +235,7 @@
                     late = weather.delay + self.rng.uniform(0, weather.jitter)
                     self.at(self.time + late, lambda d=data, p=place: self._arrive(d, node, p))  # type: ignore[misc]
 
-    def _arrive(self, data: bytes, source: Node, place: Place) -> None:
+    def _arrive(self, data: bytes, source: Node, place: UdpAddress) -> None:
         node = self.at_place.get(place)
         if node is None or not node.up:
             return
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -22,7 +22,7 @@
 from mountgauge.core.config import ConfigError
 from mountgauge.core.ports import Call
 from mountgauge.log import kv
-from mountgauge.tenants.gossip import Out, Place
+from mountgauge.tenants.gossip import OutgoingDatagrams, UdpAddress
 from mountgauge.tenants.wire import RefusedDatagramError, Seal
 
 log = logging.getLogger("mountgauge.budgets")
@@ -44,7 +44,7 @@
         self.waiting: Callable[[], Mapping[tuple[int, str], int]] = dict
         self.release: Callable[[], None] = lambda: None
         self.on_shares_changed: Callable[[Mapping[int, float]], None] = lambda shares: None
-        self.send: Callable[[Out], None] = lambda out: None
+        self.send: Callable[[OutgoingDatagrams], None] = lambda out: None
         self.refused: dict[str, int] = {}  # datagrams, by reason
         self.sent_bytes = 0
         self.busy_s = 0.0  # processing time of asks, answers and updates
@@ -171,7 +171,7 @@
 
     def _send(self, messages: Iterable[tuple[str, Ask | Answer]]) -> None:
         places, seal = self.member.membership.places(), self._seal()
-        out: Out = []
+        out: OutgoingDatagrams = []
         for target, message in messages:
             if target == self.name:
                 self._apply(message, None)
@@ -180,7 +180,7 @@
         self.sent_bytes += sum(len(data) for data, _ in out)
         self.send(out)
 
-    def received(self, data: bytes, source: Place) -> Out:
+    def received(self, data: bytes, source: UdpAddress) -> OutgoingDatagrams:
         """Apply a datagram; returns the answer, addressed to its source."""
         began = time.perf_counter()
         try:
@@ -191,7 +191,7 @@
         finally:
             self.busy_s += time.perf_counter() - began
 
-    def _apply(self, message: Ask | Answer, source: Place | None) -> Out:
+    def _apply(self, message: Ask | Answer, source: UdpAddress | None) -> OutgoingDatagrams:
         now = self._loop.time()
         self.gate.refresh(now)  # the time until now counts by the previous share
         if isinstance(message, Answer):
--- a/mountgauge/budgets/settings.py
+++ b/mountgauge/budgets/settings.py
@@ -12,7 +12,7 @@
 from mountgauge.core.config import ConfigError
 from mountgauge.settings_table import Table
 from mountgauge.tenants.settings import TenantSettings
-from mountgauge.tenants.wire import MOST_NAME
+from mountgauge.tenants.wire import MAX_NAME_LENGTH
 
 MAX_BUDGETS = 200
 MAX_MEMBERS = 64
@@ -77,8 +77,8 @@
 
 def _name(table: Table) -> str:
     name: str = table.get("name", str)
-    if not name or len(name) > MOST_NAME or not all(33 <= ord(c) < 127 for c in name):
-        raise ConfigError(f"{table.name}.name: 1 to {MOST_NAME} printable characters without spaces")
+    if not name or len(name) > MAX_NAME_LENGTH or not all(33 <= ord(c) < 127 for c in name):
+        raise ConfigError(f"{table.name}.name: 1 to {MAX_NAME_LENGTH} printable characters without spaces")
     return name
 
 
@@ -106,9 +106,9 @@
     """The budget that enforces a strict tenant's quota."""
     assert tenant.strict is not None
     name = f"tenant:{tenant.name}"
-    if len(name) > MOST_NAME:
+    if len(name) > MAX_NAME_LENGTH:
         raise ConfigError(
-            f"tenant '{tenant.name}': strict is for names of {MOST_NAME - 7} characters at most"
+            f"tenant '{tenant.name}': strict is for names of {MAX_NAME_LENGTH - 7} characters at most"
         )
     return Budget(name, Kind.RATE, tenant.strict.rate, tenant.strict.burst, Scope(tenant=tenant.name))
 
--- a/mountgauge/budgets/wire.py
+++ b/mountgauge/budgets/wire.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from mountgauge.budgets.messages import Answer, AnswerLine, Ask, AskLine
-from mountgauge.tenants.wire import MOST_NAME, RefusedDatagramError, Seal
+from mountgauge.tenants.wire import MAX_NAME_LENGTH, RefusedDatagramError, Seal
 
 HEAD = b"B1"
 MAX_LINES = 10  # per datagram, so that it stays below 1,200 bytes
 _MAX_ENDED = 16
 
 Number = Annotated[int, msgspec.Meta(ge=0, le=(1 << 63) - 1)]
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MOST_NAME)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Mask = Annotated[bytes, msgspec.Meta(max_length=32)]
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e12)]
 
@@ -97,13 +97,13 @@
                 message.name, message.to, message.to_run, message.file_epoch, message.lists, answer_lines,
                 list(message.ended[:_MAX_ENDED]), message.refused,
             )  # fmt: skip
-        yield seal.lock(_ENCODER.encode(encoded), HEAD)
+        yield seal.sign(_ENCODER.encode(encoded), HEAD)
 
 
 def open_(seal: Seal, data: bytes) -> Ask | Answer:
     """Decode a sealed datagram. RefusedDatagramError where it is not a valid one of this fleet."""
     try:
-        raw = _DECODER.decode(seal.unlock(data, HEAD))
+        raw = _DECODER.decode(seal.verify(data, HEAD))
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         raise RefusedDatagramError("malformed") from None
 
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -25,7 +25,7 @@
 from mountgauge.cli import main
 from mountgauge.core.config import ConfigError
 from mountgauge.operator_file import load
-from mountgauge.tenants.wire import MOST, RefusedDatagramError, Seal
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES, RefusedDatagramError, Seal
 from tests.helper import run
 from tests.visits import count_all_iterations
 
@@ -280,18 +280,18 @@
     lines = tuple(AskLine(f"{n:032d}", n, every, 4.0, 100.0, 128.0, 1.0) for n in range(25))
     ask = Ask("m" * 32, (1 << 62) + 1, 2, 3, 1 << 31, lines, ("x",), True)
     datagrams = list(wire.close(seal, ask))
-    assert len(datagrams) == 3 and max(map(len, datagrams)) <= MOST
+    assert len(datagrams) == 3 and max(map(len, datagrams)) <= MAX_DATAGRAM_BYTES
     read = [wire.open_(seal, one) for one in datagrams]
     assert tuple(line for one in read for line in one.lines) == lines
     assert all(isinstance(one, Ask) and one.ended == ("x",) and one.run == ask.run for one in read)
     answer_lines = tuple(AnswerLine(f"{n:032d}", n, every, every, 100.0, 64, (1, 2), 0.5) for n in range(10))
     answer = Answer("m2", "m1", 7, 3, 9, answer_lines, (), "behind")
     (data,) = wire.close(seal, answer)
-    assert len(data) <= MOST and wire.open_(seal, data) == answer
+    assert len(data) <= MAX_DATAGRAM_BYTES and wire.open_(seal, data) == answer
     with pytest.raises(RefusedDatagramError, match="forged"):
         wire.open_(seal, data[:-1] + bytes([data[-1] ^ 1]))
     with pytest.raises(RefusedDatagramError, match="malformed"):
-        wire.open_(seal, seal.lock(b"\x93\x01", wire.HEAD))
+        wire.open_(seal, seal.sign(b"\x93\x01", wire.HEAD))
 
 
 FILE = """
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -1,4 +1,4 @@
-"""Tenants in running senders: users on both fronts, quotas, the page, SIGHUP, the store, the platform."""
+"""Tenants in running senders: users of both protocols, quotas, reports, SIGHUP, the store, the platform."""
 
 from __future__ import annotations
 
@@ -55,22 +55,22 @@
     ("[fleet]\n", "fleet.name: missing"),
     ('[fleet]\nname = "f"\nkeys = ["x"]\n', "fleet.listen: missing"),
     (fleet(1).replace(KEY, "short"), "fleet.keys"),
-    (fleet(1, 2, 2), "an address stands twice"),
+    (fleet(1, 2, 2), "an address appears twice"),
     (fleet(1, 0), "port 0"),
     (fleet(1).replace(HOST, "localhost"), "not an IP address"),
     (fleet(1) + "gone = 0.2\n", "suspect < gone"),
     (fleet(1) + "leader = true\n", "fleet.leader: unknown setting"),
     ('[[tenant]]\nname = "a b"\n', "tenant[0].name"),
-    ('[[tenant]]\nname = "a"\n[[tenant]]\nname = "a"\n', "'a' stands twice"),
+    ('[[tenant]]\nname = "a"\n[[tenant]]\nname = "a"\n', "'a' appears twice"),
     ('[[tenant]]\nname = "a"\nrate = 0\n', "tenant[0].rate: must be above 0"),
     ('[[tenant]]\nname = "a"\nburst = 3\n', "needs a rate"),
     ('[[tenant]]\nname = "a"\nrate = 3\nsplit = "maybe"\n', "tenant[0].split: not one of"),
-    ('[[tenant]]\nname = "a"\nusers.x = "1"\n[[tenant]]\nname = "b"\nusers.x = "2"\n', "'x' stands twice"),
+    ('[[tenant]]\nname = "a"\nusers.x = "1"\n[[tenant]]\nname = "b"\nusers.x = "2"\n', "'x' appears twice"),
     ('[[tenant]]\nname = "a"\nusers = { boss = "1" }\n', "'boss' is a tenant's user too"),
     ('[[tenant]]\nname = "a"\nusers = { x = 1 }\n', "passwords are text"),
     ('[limits]\ndisk_mb = 0.5\n[[tenant]]\nname = "a"\n', "limits.disk_mb: 1.3 at least"),
 ])  # fmt: skip
-def test_each_fault_of_the_file_is_one_line(
+def test_each_fault_of_the_file_is_reported_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], more: str, text: str
 ) -> None:
     file = tmp_path / "sender.toml"
@@ -80,7 +80,7 @@
     assert text in line and str(file) in line
 
 
-def test_a_good_file_passes(tmp_path: Path) -> None:
+def test_a_valid_file_passes(tmp_path: Path) -> None:
     file = tmp_path / "sender.toml"
     file.write_text(FILE + fleet(7700, 7701) + TENANTS)
     assert cli.main(["check", str(file)]) == 0
@@ -91,7 +91,7 @@
 # Users
 
 
-def test_resp_clients_log_in_and_cannot_name_their_tenant(tmp_path: Path) -> None:
+def test_resp_clients_must_log_in_and_cannot_choose_their_tenant(tmp_path: Path) -> None:
     async def main() -> None:
         async with SenderHarness(tmp_path, "http", extra=TENANTS) as world:
             client = world.client
@@ -106,8 +106,13 @@
             assert await client.command(*enqueue) == b"+OK\r\n"
             assert world.runtime.tenants is not None
             admission = world.runtime.tenants.admission
-            assert admission.taken_here == 1 and admission.bounds(admission.names["rossi"], 0.0) == (1, 1)
-            for _ in range(11):  # guessing ends with the connection
+            assert admission.accepted_here == 1 and admission.bounds(
+                admission.index_by_name["rossi"], 0.0
+            ) == (
+                1,
+                1,
+            )
+            for _ in range(11):  # too many failed logins close the connection
                 answer = await client.command(b"AUTH", b"u", b"guess")
             assert answer.startswith(b"-WRONGPASS ") and await client.reader.read() == b""
 
@@ -117,7 +122,7 @@
 @pytest.mark.parametrize(("login", "vhost", "code"), [
     ("\0u\0p", "/", 0), ("\0u\0q", "/", 403), ("\0x\0p", "/", 403), ("\0u\0p", "/other", 530),
 ])  # fmt: skip
-def test_amqp_clients_log_in_to_the_one_virtual_host(
+def test_amqp_clients_must_log_in_to_the_default_virtual_host(
     tmp_path: Path, login: str, vhost: str, code: int
 ) -> None:
     async def main() -> None:
@@ -141,7 +146,7 @@
 
 
 @pytest.mark.parametrize("protocol", ["http", "amqp"])
-def test_past_its_quota_a_message_is_turned_away_at_once_and_what_was_taken_ends_well(
+def test_a_message_above_the_quota_is_rejected_at_once_and_accepted_ones_are_delivered(
     tmp_path: Path, protocol: str
 ) -> None:
     async def main() -> None:
@@ -151,14 +156,14 @@
                 assert await world.client.command(b"AUTH", b"u", b"p") == b"+OK\r\n"
             assert world.runtime.tenants is not None
             admission = world.runtime.tenants.admission
-            admission._started -= 10_000  # it has long been up: the burst is there
+            admission._started -= 10_000  # as after a long run, so that the burst is available
             ends = [await world.client.submit(f"m{i}") for i in range(4)]
             assert ends == [None, None, "deferred", "deferred"]
             assert [await world.client.outcome(f"m{i}") for i in range(2)] == ["delivered"] * 2
-            assert not world.notices  # nothing taken on was given up
+            assert not world.notices  # no accepted message was abandoned
             assert world.runtime.sender.counts["refused", "quota"] == 2
-            # Known already: no second count, and no refusal of what was promised.
-            assert await world.client.submit("m0") is None and admission.taken_here == 2
+            # A repeated message that was accepted is not counted again and not rejected.
+            assert await world.client.submit("m0") is None and admission.accepted_here == 2
 
     run(main())
 
@@ -170,7 +175,7 @@
     return [admission.counts.total[place] for place in places] == counts
 
 
-def test_two_senders_count_together_and_say_so(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_two_senders_count_together_and_report_it(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     async def main() -> None:
         one, two = reserve_ports(2)
         for name in ("a", "b"):
@@ -186,11 +191,11 @@
             assert await second.client.submit("n0") is None
             admissions = [world.runtime.tenants.admission for world in (first, second)]  # type: ignore[union-attr]
             for admission in admissions:
-                places = [admission.names["verdi"], admission.names["rossi"]]
+                places = [admission.index_by_name["verdi"], admission.index_by_name["rossi"]]
                 await until(partial(_has, admission, places, [20, 1]))
             member = first.runtime.tenants.fleet  # type: ignore[union-attr]
             assert member is not None
-            await until(lambda: not member.unjoined(asyncio.get_running_loop().time()))
+            await until(lambda: not member.sync_gap(asyncio.get_running_loop().time()))
             page = StatusServer(first.runtime.report, {"/tenants": first.runtime.tenants.report})  # type: ignore[union-attr]
             await page.listen(Address(HOST, 0))
             found = await fetch_status(Address(HOST, page.port), page="/tenants")
@@ -217,7 +222,7 @@
     run(main())
 
 
-def test_sighup_moves_quotas_peers_and_keys(tmp_path: Path) -> None:
+def test_sighup_applies_quotas_peers_and_keys(tmp_path: Path) -> None:
     async def main() -> None:
         mine, peer = reserve_ports(2)
         async with SenderHarness(tmp_path, "http", extra=fleet(mine, peer) + TENANTS) as world:
@@ -229,18 +234,20 @@
             ) + '[[tenant]]\nname = "bianchi"\n'
             world.write_file()
             world.runtime.reload()
-            assert tenants.admission.quotas[tenants.admission.names["rossi"]].rate == 7
-            assert "bianchi" in tenants.admission.names and tenants.fleet.plan.peers == ((HOST, peer + 1),)
+            assert tenants.admission.quotas[tenants.admission.index_by_name["rossi"]].rate == 7
+            assert "bianchi" in tenants.admission.index_by_name and tenants.fleet.plan.peers == (
+                (HOST, peer + 1),
+            )
             assert tenants.fleet.seal._first != old._first and set(old._keys) < set(tenants.fleet.seal._keys)
             kept = world.extra
             world.extra = kept.replace("rate = 7", 'rate = "x"')
             world.write_file()
             world.runtime.reload()  # changes nothing
-            assert tenants.admission.quotas[tenants.admission.names["rossi"]].rate == 7
+            assert tenants.admission.quotas[tenants.admission.index_by_name["rossi"]].rate == 7
             world.extra = ""
             world.write_file()
             world.runtime.reload()
-            assert "rossi" in tenants.admission.names  # tenants go with a restart only
+            assert "rossi" in tenants.admission.index_by_name  # removing all tenants needs a restart
 
     run(main())
 
@@ -276,7 +283,7 @@
         except (OSError, ValueError):
             return {}
 
-    async def hand_in(self, n: int, ids: list[str]) -> int:
+    async def submit(self, n: int, ids: list[str]) -> int:
         client = RespClient(SenderHarness(self.folder, "http"))
         client.reader, client.writer = await asyncio.open_connection(HOST, self.ports[n])
         await client.command(b"AUTH", b"v", b"q")
@@ -288,7 +295,7 @@
         return taken
 
 
-def test_processes_killed_and_begun_again_keep_the_counts(tmp_path: Path) -> None:
+def test_counts_survive_killed_and_restarted_processes(tmp_path: Path) -> None:
     async def main() -> None:
         async def hook(message: Message) -> bytes:
             return response(200, "OK", {}, b"")
@@ -297,8 +304,8 @@
         await hop.start()
         pair = Pair(tmp_path, hop.port)
         processes = [await pair.start(0), await pair.start(1)]
-        taken = await pair.hand_in(0, [f"a{i}" for i in range(40)])
-        taken += await pair.hand_in(1, [f"b{i}" for i in range(10)])
+        taken = await pair.submit(0, [f"a{i}" for i in range(40)])
+        taken += await pair.submit(1, [f"b{i}" for i in range(10)])
 
         async def counted(n: int, name: str = "verdi") -> int:
             found = await pair.used(n)
@@ -312,15 +319,15 @@
         await all_have(taken)
         processes[0].kill()
         await processes[0].wait()
-        processes[0] = await pair.start(0)  # with its folder: its life goes on
-        taken += await pair.hand_in(0, [f"c{i}" for i in range(5)])
+        processes[0] = await pair.start(0)  # with its folder: its incarnation continues
+        taken += await pair.submit(0, [f"c{i}" for i in range(5)])
         await all_have(taken)
         members = (await pair.used(1))["members"]
         assert sum(m["name"] == "s0" for m in members) == 1
         processes[0].kill()
         await processes[0].wait()
         shutil.rmtree(tmp_path / "state0")
-        processes[0] = await pair.start(0)  # without: it learns its own past from its peer
+        processes[0] = await pair.start(0)  # without its folder: it receives its own past from its peer
         await all_have(taken)
         for process in processes:
             process.send_signal(signal.SIGTERM)
@@ -333,19 +340,19 @@
 # The store
 
 
-def small(life: int = 7) -> Counts:
-    return Counts([11, 22, 33], 8, life, "n")
+def small(incarnation: int = 7) -> Counts:
+    return Counts([11, 22, 33], 8, incarnation, "n")
 
 
-def test_a_store_cut_off_at_any_byte_holds_one_of_the_states_that_were_written(tmp_path: Path) -> None:
+def test_a_store_truncated_at_any_byte_holds_one_of_the_written_states(tmp_path: Path) -> None:
     (tmp_path / "live").mkdir()
     store, counts = Store(tmp_path / "live", 3), small()
-    store.save_me("n", 7, 1)
+    store.save_identity("n", 7, 1)
     states = [(0, 0)]
     for number in range(6):
         entries = [counts.add(number % 3, 1 + number, 0), counts.add(0, 1, 0)]
-        assert store.save(counts.mine, entries, {22: number})
-        states.append((counts.mine.version, sum(counts.mine.count)))
+        assert store.save(counts.own, entries, {22: number})
+        states.append((counts.own.version, sum(counts.own.count)))
     files = {f.name: f.read_bytes() for f in (tmp_path / "live").iterdir() if not f.name.endswith("-shm")}
     log = files["tenants.db-wal"]
     seen = set()
@@ -361,29 +368,29 @@
             raise AssertionError(cut) from error
         saved = again.load("n")
         again.close()
-        if saved.life is not None and saved.lives:
-            ((_, _, version, lines),) = saved.lives
-            assert (version, sum(line.taken for line in lines)) in states and not again.error
+        if saved.life is not None and saved.incarnations:
+            ((_, _, version, lines),) = saved.incarnations
+            assert (version, sum(line.accepted for line in lines)) in states and not again.error
             seen.add(version)
     assert len(seen) >= 5
     store.close()
 
 
-def test_a_damaged_a_newer_and_a_full_store(tmp_path: Path) -> None:
+def test_a_damaged_store_a_newer_store_and_a_full_disk(tmp_path: Path) -> None:
     store = Store(tmp_path, 3)
-    store.save_me("n", 7, 4)
+    store.save_identity("n", 7, 4)
     counts = small()
-    store.save(counts.mine, [counts.add(0, 5, 0)], {})
+    store.save(counts.own, [counts.add(0, 5, 0)], {})
     other = small(9)
     other.add(1, 6, 0)
-    counts.join(9, "gone", 0, 1, other.delta(other.mine, 0, 999)[1])
+    counts.join(9, "gone", 0, 1, other.delta(other.own, 0, 999)[1])
     counts.fold(9)
-    assert store.save_rest(counts, [])
+    assert store.save_replicas(counts, [])
     store.close()
     store = Store(tmp_path, 3)
     saved = store.load("n")
     assert (saved.life, saved.boot, saved.past, saved.past_name) == (7, 4, {22: 6}, (9, 1))
-    assert store.load("another").life is None  # another member's folder: its life is not gone on with
+    assert store.load("another").life is None  # another member's folder: its incarnation is not continued
     store._db.execute("pragma user_version=2")
     store.close()
     with pytest.raises(StoreError, match="newer version"):
@@ -393,17 +400,17 @@
     assert store.error and store.load("n").life is None and (tmp_path / "tenants.damaged").exists()
     store._db.execute("pragma max_page_count=1")
     big = Counts(range(5000), 5000, 7, "n")
-    assert not store.save(big.mine, [big.add(p, 1, 0) for p in range(5000)]) and store.failed == 1
-    store._db.execute("pragma max_page_count=1000")  # room has come back
-    assert store.save(big.mine, big.delta(big.mine, 0, 1 << 30)[1])
-    assert len(store.load("n").lives[0][3]) == 5000
+    assert not store.save(big.own, [big.add(p, 1, 0) for p in range(5000)]) and store.failed == 1
+    store._db.execute("pragma max_page_count=1000")  # disk space is available again
+    assert store.save(big.own, big.delta(big.own, 0, 1 << 30)[1])
+    assert len(store.load("n").incarnations[0][3]) == 5000
     store.close()
 
 
 # The platform
 
 
-def test_on_the_platform_nothing_of_it_is_there() -> None:
+def test_the_platform_imports_nothing_of_tenants() -> None:
     code = (
         "import sys, mountgauge.cli, mountgauge.run.platform, mountgauge.run.serve\n"
         "off = 'mountgauge.tenants', 'msgspec', 'blake3', 'sqlite3'\n"
@@ -413,7 +420,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_what_the_page_answers_is_json_for_ten_thousand_tenants(tmp_path: Path) -> None:
+def test_the_tenants_page_is_json_for_ten_thousand_tenants(tmp_path: Path) -> None:
     async def main() -> None:
         many = "".join(f'[[tenant]]\nname = "t{i}"\n' for i in range(10_000))
         async with SenderHarness(tmp_path, "http", extra=many) as world:
--- a/tests/tenants/test_wire.py
+++ b/tests/tenants/test_wire.py
@@ -14,7 +14,7 @@
 from mountgauge.tenants.counts import Counts
 from mountgauge.tenants.gossip import Gossip, Identity, Plan
 from mountgauge.tenants.members import Timing
-from mountgauge.tenants.wire import MOST, Datagram, RefusedDatagramError, Seal, Window
+from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES, Datagram, RefusedDatagramError, Seal, Window
 
 settings.register_profile("fleet", derandomize=True, deadline=None, max_examples=150)
 settings.load_profile("fleet")
@@ -31,7 +31,7 @@
 
 def one(seal: Seal, **more: Any) -> bytes:
     fields: dict[str, Any] = {"name": "m2", "life": 2, "boot": 1, "run": 14, "seq": 1, "beat": 1, **more}
-    return seal.close(Datagram(**fields))
+    return seal.encode(Datagram(**fields))
 
 
 def test_what_is_refused_is_counted_and_changes_nothing() -> None:
@@ -39,19 +39,19 @@
     fleet = member(seal)
     good = one(seal)
     forged = good[:-1] + bytes([good[-1] ^ 1])
-    empty = seal.close(Datagram(name="m2", life=2, boot=1, run=14, seq=1, beat=1))[:4]
+    empty = seal.encode(Datagram(name="m2", life=2, boot=1, run=14, seq=1, beat=1))[:4]
     head = good[:4] + b"\xc1" * 20
     sealed_rubbish = head + blake3(head, key=seal._keys[good[2:4]]).digest(16)
     for data, reason in (
         (forged, "forged"), (good[:-20], "forged"), (good[:8], "malformed"), (b"", "malformed"),
         (empty, "malformed"), (sealed_rubbish, "malformed"), (one(other), "unknown-key"),
-        (one(Seal("another fleet", [NEW])), "unknown-key"), (good + b"\0" * MOST, "oversized"),
+        (one(Seal("another fleet", [NEW])), "unknown-key"), (good + b"\0" * MAX_DATAGRAM_BYTES, "oversized"),
         (one(seal, life=1, run=7), "own"),
     ):  # fmt: skip
         before = fleet.dropped[reason]
         assert fleet.receive(data, PEER, 1.0) == []
         assert fleet.dropped[reason] == before + 1, reason
-    assert set(fleet.counts.lives) == {1} and len(fleet.members.all) == 1 and not fleet.contacts
+    assert set(fleet.counts.incarnations) == {1} and len(fleet.members.all) == 1 and not fleet.contacts
     fleet.receive(good, PEER, 1.0)
     assert len(fleet.members.all) == 2
     fleet.receive(good, PEER, 1.1)
@@ -128,11 +128,11 @@
         ordered = [msgspec.msgpack.decode(data).get(f, d) for f, d in _FIELDS]
         head = b"M1" + seal._first + msgspec.msgpack.encode(ordered)
         out = fleet.receive(head + blake3(head, key=seal._keys[seal._first]).digest(16), PEER, 1.0 + seq)
-        assert len(out) <= 10 and all(len(one) <= MOST for one, _ in out)
-        if fleet.reborn:
-            fleet.renew(100 + seq, 200 + seq, 1.0 + seq)
+        assert len(out) <= 10 and all(len(one) <= MAX_DATAGRAM_BYTES for one, _ in out)
+        if fleet.new_incarnation_reason:
+            fleet.start_incarnation(100 + seq, 200 + seq, 1.0 + seq)
         for data, _ in fleet.tick(1.5 + seq):
-            assert len(data) <= MOST
+            assert len(data) <= MAX_DATAGRAM_BYTES
     assert len(fleet.counts.keys) <= 8
 
 
@@ -146,10 +146,10 @@
 def test_an_open_datagram_is_what_was_closed() -> None:
     seal = Seal("f", [NEW, OLD])
     told = Datagram(name="m2", life=2, boot=1, run=14, seq=1, beat=1, want=(3, 4), tombs=[(1, 2, 3)])
-    assert seal.open(seal.close(told)) == told
-    assert Seal("f", [OLD, NEW]).open(seal.close(told)) == told
+    assert seal.decode(seal.encode(told)) == told
+    assert Seal("f", [OLD, NEW]).decode(seal.encode(told)) == told
     try:
-        Seal("f", [OLD]).open(seal.close(told))
+        Seal("f", [OLD]).decode(seal.encode(told))
         raise AssertionError("opened without its key")
     except RefusedDatagramError as refused:
         assert str(refused) == "unknown-key"
