--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class Weather:
+class NetworkFaults:
     """What the network between the members does; times in s, `loss` and `doubled` as shares of datagrams."""
 
     loss: float = 0.0
@@ -55,12 +55,12 @@
 
     def __init__(
         self, budgets: Iterable[Budget], names: Iterable[str], seed: int, drift: float = 0.02,
-        weather: Weather | None = None,
+        network: NetworkFaults | None = None,
     ) -> None:  # fmt: skip
         self.rng = random.Random(seed)
         self.budgets = list(budgets)
         self.drift = drift
-        self.weather = weather or Weather()
+        self.network = network or NetworkFaults()
         self.time = 0.0
         self.nodes: dict[str, Node] = {}
         self.lists = MemberList(1, tuple(MemberEntry(name, (name, 0)) for name in names))
@@ -151,18 +151,18 @@
     # The network
 
     def _send(self, source: str, messages: Iterable[tuple[str, Ask | Answer]]) -> None:
-        weather = self.weather
+        network = self.network
         for target, message in messages:
             self.sent += 1
             self.bytes += 120 + 90 * len(message.lines)
-            groups = [one for one in weather.groups if source in one]
+            groups = [one for one in network.groups if source in one]
             cut = bool(groups) and not any(target in one for one in groups)
-            lost = cut or target in weather.deaf or self.rng.random() < weather.loss
+            lost = cut or target in network.deaf or self.rng.random() < network.loss
             if lost and target != source:
                 continue
-            times = 1 + (self.rng.random() < weather.doubled)
+            times = 1 + (self.rng.random() < network.doubled)
             for _ in range(times):
-                late = 0.0 if target == source else weather.delay_s + self.rng.random() * weather.jitter_s
+                late = 0.0 if target == source else network.delay_s + self.rng.random() * network.jitter_s
                 heapq.heappush(self._line, (self.time + late, next(self._count), target, message))
 
     def _arrive(self, target: str, message: Ask | Answer) -> None:
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from benchmarks.comeback_model import scene
-from benchmarks.fleet_model import FLUSH, Weather, World
+from benchmarks.fleet_model import FLUSH, NetworkFaults, World
 from mountgauge.lab.cli import began
 from mountgauge.lab.rig.events import Event, of, read
 from mountgauge.lab.rig.metrics import RunMetrics, summary
@@ -103,7 +103,7 @@
     time.
     """
     world = World(
-        {"a": Quota(20, 20), "b": None}, seed, Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
+        {"a": Quota(20, 20), "b": None}, seed, NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
     )
     world.add(*(f"n{place}" for place in range(8)))
     world.load({"a": 60, "b": 40}, 35)
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class NetworkFaults:
     """What the network does to each datagram. Times in seconds."""
 
     loss: float = 0.0
@@ -151,10 +151,10 @@
     """Nodes, the network between them and the only clock that is true."""
 
     def __init__(
-        self, quotas: Mapping[str, Quota | None], seed: int, weather: Weather | None = None,
+        self, quotas: Mapping[str, Quota | None], seed: int, network: NetworkFaults | None = None,
         interval: float = 0.25, fanout: int = 4, timing: Timing | None = None, spare: int = 64,
     ) -> None:  # fmt: skip
-        self.quotas, self.weather, self.spare = dict(quotas), weather or Weather(), spare
+        self.quotas, self.network, self.spare = dict(quotas), network or NetworkFaults(), spare
         self.rng = random.Random(seed)
         self.clients = random.Random(seed + 1)
         self.interval, self.fanout = interval, fanout
@@ -229,10 +229,10 @@
             self.datagrams += 1
             self.bytes += len(data)
             self.largest = max(self.largest, len(data))
-            weather = self.weather
-            for _ in range(1 + (self.rng.random() < weather.doubled)):
-                if self.rng.random() >= weather.loss:
-                    late = weather.delay + self.rng.uniform(0, weather.jitter)
+            network = self.network
+            for _ in range(1 + (self.rng.random() < network.doubled)):
+                if self.rng.random() >= network.loss:
+                    late = network.delay + self.rng.uniform(0, network.jitter)
                     self.at(self.time + late, lambda d=data, p=place: self._arrive(d, node, p))  # type: ignore[misc]
 
     def _arrive(self, data: bytes, source: Node, place: Place) -> None:
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -30,7 +30,7 @@
     """Counts what each member sends and computes; without the sums after each step, which no member makes."""
 
     def __init__(self, budgets: list[Budget], names: list[str], voters: int) -> None:
-        super().__init__(budgets, (), 1, weather=budget_fleet.Weather(loss=0.01, delay_s=0.005))
+        super().__init__(budgets, (), 1, network=budget_fleet.NetworkFaults(loss=0.01, delay_s=0.005))
         self.spent_ns: Counter[str] = Counter()  # by member
         self.sent_bytes: Counter[str] = Counter()
         self.lists = MemberList(
@@ -58,7 +58,7 @@
 def _gossip(members: int, tenants: int) -> tuple[float, float]:
     """Core share and bytes/s of one member."""
     names = [f"t{number}" for number in range(tenants)]
-    world = fleet_model.World(dict.fromkeys(names), 1, fleet_model.Weather(loss=0.05, delay=0.02))
+    world = fleet_model.World(dict.fromkeys(names), 1, fleet_model.NetworkFaults(loss=0.05, delay=0.02))
     world.add(*(f"m{number}" for number in range(members)))
     world.load({name: _MESSAGES_PER_S * members / tenants for name in names}, _SETTLE_S + _RUN_S)
     world.until(_SETTLE_S)
--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.fleet_model import Weather, World
+from benchmarks.fleet_model import NetworkFaults, World
 from benchmarks.process import cpu_s, resident_bytes
 from mountgauge.amqp import codec
 from mountgauge.core.config import Address
@@ -355,7 +355,7 @@
 
 def scale(members: int, seed: int) -> dict[str, Any]:
     """Bandwidth and processor time of one member: virtual time, 1,000 tenants, 25 messages a second each."""
-    world = World({f"t{n}": None for n in range(TENANTS)}, seed, Weather(loss=0.05, delay=0.02))
+    world = World({f"t{n}": None for n in range(TENANTS)}, seed, NetworkFaults(loss=0.05, delay=0.02))
     world.add(*(f"m{n}" for n in range(members)))
     world.until(5)
     quiet = world.bytes
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -6,35 +6,35 @@
 
 import pytest
 
-from benchmarks.budget_fleet import Weather, World, by_name, even, mean_use
+from benchmarks.budget_fleet import NetworkFaults, World, by_name, even, mean_use
 from mountgauge.budgets import timing
 from mountgauge.budgets.shares import Budget, Kind
 
 RATE = Budget("calls", Kind.RATE, 100, burst=30, reserve=0.04, lease_s=2.0)
 OUT = Budget("out", Kind.CONCURRENT, 40, reserve=0.0, lease_s=2.0, ends_within_s=1.0)
-BAD = Weather(loss=0.3, delay_s=0.1, jitter_s=0.4, doubled=0.2)
+BAD = NetworkFaults(loss=0.3, delay_s=0.1, jitter_s=0.4, doubled=0.2)
 LONG = Budget("calls", Kind.RATE, 100, burst=30, reserve=0.04, lease_s=4.0)
 CHECK_S = 0.02  # of virtual time, between two checks of the sums
 
 
-def fleet(count: int = 6, seed: int = 1, weather: Weather | None = None, *budgets: Budget) -> World:
-    world = World(budgets or (RATE, OUT), [f"m{index}" for index in range(count)], seed, weather=weather)
+def fleet(count: int = 6, seed: int = 1, network: NetworkFaults | None = None, *budgets: Budget) -> World:
+    world = World(budgets or (RATE, OUT), [f"m{index}" for index in range(count)], seed, network=network)
     world.demand = lambda name, budget, at: 200.0 / count
     return world
 
 
-def settled(count: int = 6, seed: int = 1, weather: Weather | None = None) -> World:
-    world = fleet(count, seed, weather)
+def settled(count: int = 6, seed: int = 1, network: NetworkFaults | None = None) -> World:
+    world = fleet(count, seed, network)
     world.until(8, CHECK_S)
-    assert world.use(RATE) > 0.95 or weather is not None
+    assert world.use(RATE) > 0.95 or network is not None
     return world
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@pytest.mark.parametrize("weather", [None, BAD])
-def test_the_total_is_in_use_and_never_exceeded(seed: int, weather: Weather | None) -> None:
+@pytest.mark.parametrize("network", [None, BAD])
+def test_the_total_is_in_use_and_never_exceeded(seed: int, network: NetworkFaults | None) -> None:
     """Where answers come half a second late and half of them are lost, a lease must last some seconds."""
-    world = fleet(6, seed, weather, LONG, OUT)
+    world = fleet(6, seed, network, LONG, OUT)
     assert mean_use(world, LONG, 12, 18) >= 0.95 and world.over == []
     shares = world.parts("calls")
     assert min(shares.values()) >= 0.85 * max(shares.values()), "even demand, even shares"
@@ -76,13 +76,13 @@
     for size in sizes:
         groups.append(frozenset(names[:size]))
         names = names[size:]
-    world.weather = Weather(groups=tuple(groups))
+    world.network = NetworkFaults(groups=tuple(groups))
     world.until(16, CHECK_S)
     for group in groups:
         held = sum(world.parts("calls")[name] for name in group)
         want = 100 - (6 - len(group)) * RATE.reserve * 100 / 6 if len(group) > 3 else len(group) * 4 / 6
         assert held == pytest.approx(want, abs=1.5)
-    world.weather = Weather()
+    world.network = NetworkFaults()
     world.until(22, CHECK_S)
     assert world.use(RATE) >= 0.95 and world.over == []
 
@@ -94,7 +94,7 @@
         cut = frozenset({f"m{step % 5}", f"m{(step + 1) % 5}"})
         others = frozenset({f"m{index}" for index in range(5)}) - cut
         deaf = frozenset({f"m{(step + 3) % 5}"})
-        world.weather = Weather(0.2, 0.05, 0.3, 0.2, (cut, others) if step % 3 else (), deaf)
+        world.network = NetworkFaults(0.2, 0.05, 0.3, 0.2, (cut, others) if step % 3 else (), deaf)
         world.until(world.time + 0.7, CHECK_S)
     assert world.over == []
 
@@ -201,7 +201,7 @@
     with mock.patch.object(timing, rule, replacement):
         world = fleet()
         world.until(9, CHECK_S)
-        world.weather = Weather(groups=(frozenset({"m0"}), frozenset(f"m{n}" for n in range(1, 6))))
+        world.network = NetworkFaults(groups=(frozenset({"m0"}), frozenset(f"m{n}" for n in range(1, 6))))
         for index in range(1, 6):
             world.restart(f"m{index}", "lost")
         world.until(14, CHECK_S)
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.fleet_model import FLUSH, Disk, Weather, World
+from benchmarks.fleet_model import FLUSH, Disk, NetworkFaults, World
 from mountgauge.tenants.bounds import (
     count_error,
     lost_on_kill,
@@ -16,13 +16,13 @@
 from mountgauge.tenants.quota import Quota, Split
 from mountgauge.tenants.wire import MOST
 
-FOUL = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)  # jitter reorders: sends are 0.25 s apart
+FOUL = NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)  # jitter reorders: sends are 0.25 s apart
 EIGHT = [f"n{i}" for i in range(8)]
 QUOTA = Quota(20, 40)
 
 
-def fleet(seed: int, weather: Weather | None = None, names: list[str] = EIGHT, **more: object) -> World:
-    world = World({"a": QUOTA, "b": None}, seed, weather, **more)  # type: ignore[arg-type]
+def fleet(seed: int, network: NetworkFaults | None = None, names: list[str] = EIGHT, **more: object) -> World:
+    world = World({"a": QUOTA, "b": None}, seed, network, **more)  # type: ignore[arg-type]
     world.add(*names)
     world.until(5)
     return world
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("split", list(Split))
 def test_a_split_into_halves_under_load_and_its_healing(split: Split) -> None:
     quota = Quota(20, 20, split)
-    world = World({"a": quota, "b": None}, 5, Weather(loss=0.1, delay=0.05))
+    world = World({"a": quota, "b": None}, 5, NetworkFaults(loss=0.1, delay=0.05))
     world.add(*EIGHT)
     world.until(5)
     world.load({"a": 80, "b": 20}, 55)
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("keep", [True, False])
 def test_killed_and_back_with_or_without_its_disk(keep: bool) -> None:
-    world = fleet(7, Weather(loss=0.3, delay=0.2, jitter=0.2))
+    world = fleet(7, NetworkFaults(loss=0.3, delay=0.2, jitter=0.2))
     world.load({"a": 30, "b": 40}, 30)
     for when in (8.03, 12.57, 13.4, 18.05):  # the third comes before the second is known to all
         world.until(when)
@@ -144,7 +144,7 @@
 
 
 def test_two_members_under_one_name_say_so_and_count_right() -> None:
-    world = fleet(10, Weather(loss=0.1, delay=0.1))
+    world = fleet(10, NetworkFaults(loss=0.1, delay=0.1))
     world.load({"b": 40}, 30)
     world.until(8)
     world.at_place.pop(("10.0.0.8", 77), None)
@@ -177,7 +177,7 @@
 
 def test_no_result_depends_on_clocks_that_agree() -> None:
     def course(offsets: list[float], jumps: bool) -> World:
-        world = World({"a": QUOTA, "b": None}, 12, Weather(loss=0.2, delay=0.1))
+        world = World({"a": QUOTA, "b": None}, 12, NetworkFaults(loss=0.2, delay=0.1))
         world.add(*EIGHT)
         for node, ahead in zip(world.up, offsets, strict=True):
             disk, place, name = node.disk, node.place, node.name
@@ -204,7 +204,7 @@
 
 
 def test_members_that_come_and_go_all_day_leave_their_counts_and_nothing_else() -> None:
-    world = fleet(13, Weather(loss=0.2, delay=0.05), EIGHT[:4], timing=Timing(2.5, 5, 40, 3))
+    world = fleet(13, NetworkFaults(loss=0.2, delay=0.05), EIGHT[:4], timing=Timing(2.5, 5, 40, 3))
     world.load({"b": 30}, 200)
     for number in range(24):
         world.until(world.time + 5)
@@ -244,7 +244,7 @@
 
 def test_ten_thousand_tenants_on_thirty_two_members() -> None:
     names = {f"t{i}": None for i in range(10_000)}  # the figures of a longer course are in the note
-    world = World(names, 15, Weather(loss=0.1, delay=0.05))
+    world = World(names, 15, NetworkFaults(loss=0.1, delay=0.05))
     world.add(*[f"m{i}" for i in range(32)])
     world.until(5)
     quiet_from, datagrams = world.bytes, world.datagrams
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from benchmarks.fleet_model import FLUSH, Weather, World
+from benchmarks.fleet_model import FLUSH, NetworkFaults, World
 from mountgauge.tenants.bounds import joined_after, overshoot, word_age
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.quota import Quota
 
-FOUL = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
+FOUL = NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
 EIGHT = [f"n{i}" for i in range(8)]
 QUOTA = Quota(20, 20)
 
@@ -57,7 +57,7 @@
 
 
 def test_a_life_that_another_replaces_at_its_address_leaves_at_once_and_a_conflict_does_not() -> None:
-    world = World({"a": QUOTA}, 1, Weather(loss=0.0, delay=0.05))
+    world = World({"a": QUOTA}, 1, NetworkFaults(loss=0.0, delay=0.05))
     world.add("n0", "n1", "n2")
     world.load({"a": 30}, 6)
     world.until(6)
