--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -25,14 +25,14 @@
 
 @dataclass
 class NetworkFaults:
-    """What the network between the members does; times in s, `loss` and `doubled` as shares of datagrams."""
+    """Faults of the network between the members; `loss` and `duplicated` are shares of datagrams."""
 
     loss: float = 0.0
     delay_s: float = 0.001
     jitter_s: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
     groups: tuple[frozenset[str], ...] = ()  # who hears whom; none: everyone
-    deaf: frozenset[str] = frozenset()  # hears nothing, but is heard
+    not_receiving: frozenset[str] = frozenset()  # hears nothing, but is heard
 
 
 @dataclass
@@ -157,10 +157,10 @@
             self.bytes += 120 + 90 * len(message.lines)
             groups = [one for one in network.groups if source in one]
             cut = bool(groups) and not any(target in one for one in groups)
-            lost = cut or target in network.deaf or self.rng.random() < network.loss
+            lost = cut or target in network.not_receiving or self.rng.random() < network.loss
             if lost and target != source:
                 continue
-            times = 1 + (self.rng.random() < network.doubled)
+            times = 1 + (self.rng.random() < network.duplicated)
             for _ in range(times):
                 late = 0.0 if target == source else network.delay_s + self.rng.random() * network.jitter_s
                 heapq.heappush(self._line, (self.time + late, next(self._count), target, message))
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -103,7 +103,7 @@
     time.
     """
     world = World(
-        {"a": Quota(20, 20), "b": None}, seed, NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
+        {"a": Quota(20, 20), "b": None}, seed, NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, duplicated=0.1)
     )
     world.add(*(f"n{place}" for place in range(8)))
     world.load({"a": 60, "b": 40}, 35)
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -30,7 +30,7 @@
     loss: float = 0.0
     delay: float = 0.005
     jitter: float = 0.0
-    doubled: float = 0.0
+    duplicated: float = 0.0
 
 
 @dataclass(slots=True)
@@ -230,7 +230,7 @@
             self.bytes += len(data)
             self.largest = max(self.largest, len(data))
             network = self.network
-            for _ in range(1 + (self.rng.random() < network.doubled)):
+            for _ in range(1 + (self.rng.random() < network.duplicated)):
                 if self.rng.random() >= network.loss:
                     late = network.delay + self.rng.uniform(0, network.jitter)
                     self.at(self.time + late, lambda d=data, p=place: self._arrive(d, node, p))  # type: ignore[misc]
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -12,7 +12,7 @@
 
 RATE = Budget("calls", Kind.RATE, 100, burst=30, reserve=0.04, lease_s=2.0)
 OUT = Budget("out", Kind.CONCURRENT, 40, reserve=0.0, lease_s=2.0, ends_within_s=1.0)
-BAD = NetworkFaults(loss=0.3, delay_s=0.1, jitter_s=0.4, doubled=0.2)
+BAD = NetworkFaults(loss=0.3, delay_s=0.1, jitter_s=0.4, duplicated=0.2)
 LONG = Budget("calls", Kind.RATE, 100, burst=30, reserve=0.04, lease_s=4.0)
 CHECK_S = 0.02  # of virtual time, between two checks of the sums
 
@@ -93,8 +93,8 @@
         world.demand = by_name({f"m{step % 5}": 200.0, f"m{(step + 2) % 5}": 50.0})
         cut = frozenset({f"m{step % 5}", f"m{(step + 1) % 5}"})
         others = frozenset({f"m{index}" for index in range(5)}) - cut
-        deaf = frozenset({f"m{(step + 3) % 5}"})
-        world.network = NetworkFaults(0.2, 0.05, 0.3, 0.2, (cut, others) if step % 3 else (), deaf)
+        not_receiving = frozenset({f"m{(step + 3) % 5}"})
+        world.network = NetworkFaults(0.2, 0.05, 0.3, 0.2, (cut, others) if step % 3 else (), not_receiving)
         world.until(world.time + 0.7, CHECK_S)
     assert world.over == []
 
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -16,7 +16,9 @@
 from mountgauge.tenants.quota import Quota, Split
 from mountgauge.tenants.wire import MOST
 
-FOUL = NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)  # jitter reorders: sends are 0.25 s apart
+FOUL = NetworkFaults(
+    loss=0.3, delay=0.5, jitter=0.2, duplicated=0.1
+)  # jitter reorders: sends are 0.25 s apart
 EIGHT = [f"n{i}" for i in range(8)]
 QUOTA = Quota(20, 40)
 
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -9,7 +9,7 @@
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.quota import Quota
 
-FOUL = NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
+FOUL = NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, duplicated=0.1)
 EIGHT = [f"n{i}" for i in range(8)]
 QUOTA = Quota(20, 20)
 
