--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -65,7 +65,7 @@
         self.nodes: dict[str, Node] = {}
         self.lists = MemberList(1, tuple(MemberEntry(name, (name, 0)) for name in names))
         self.demand: Callable[[str, str, float], float] = lambda name, budget, at: 0.0
-        self.over: list[tuple[float, str, float]] = []
+        self.overallocations: list[tuple[float, str, float]] = []
         self.sent = self.bytes = 0
         self._line: list[tuple[float, int, str, Ask | Answer]] = []
         self._count = itertools.count()
@@ -213,7 +213,7 @@
         node.epoch = max(node.epoch, node.member.membership.adopted)
         heapq.heappush(self._ticks, (self.time + TICK_S, next(self._count), name))
 
-    def parts(self, budget: str) -> dict[str, float]:
+    def shares(self, budget: str) -> dict[str, float]:
         """What each process would act on at this moment, a paused one too."""
         return {
             name: node.member.share(budget, self.clock(name)).total
@@ -227,19 +227,19 @@
                 [one.budget.total for node in self.nodes.values() if node.member is not None
                  for name, one in node.member.states.items() if name == budget.name], default=0.0
             )  # fmt: skip
-            total = sum(self.parts(budget.name).values())
+            total = sum(self.shares(budget.name).values())
             if total > most + EPSILON:
-                self.over.append((self.time, budget.name, total - most))
+                self.overallocations.append((self.time, budget.name, total - most))
 
-    def use(self, budget: Budget) -> float:
+    def utilization(self, budget: Budget) -> float:
         """The share of what could be used of the whole that the parts and the demand allow at this moment."""
-        parts = self.parts(budget.name)
+        parts = self.shares(budget.name)
         wanted = {name: self.demand(name, budget.name, self.time) for name in parts}
         served = sum(min(parts[name], wanted[name]) for name in parts)
         return served / max(1e-9, min(budget.total, sum(wanted.values())))
 
 
-def mean_use(world: World, budget: Budget, begin: float, end: float, step: float = 0.25) -> float:
+def mean_utilization(world: World, budget: Budget, begin: float, end: float, step: float = 0.25) -> float:
     """Averaged over a stretch of virtual time, which is run through."""
     world.until(begin)
     found = []
@@ -247,7 +247,7 @@
     while at < end:
         at += step
         world.until(at)
-        found.append(world.use(budget))
+        found.append(world.utilization(budget))
     return sum(found) / len(found)
 
 
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -235,8 +235,8 @@
         world.add(one.name)
     world.demand = even(6.0)
     world.until(11.0, 0.5)
-    use = [world.use(one) for one in budgets]
-    return {"virtual_use": round(min(use), 3), "virtual_over": len(world.over),
+    use = [world.utilization(one) for one in budgets]
+    return {"virtual_use": round(min(use), 3), "virtual_over": len(world.overallocations),
             "virtual_kb_per_s": round(world.bytes / 50 / 11 / 1000, 1)}  # fmt: skip
 
 
--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.budget_fleet import NetworkFaults, World, by_name, even, mean_use
+from benchmarks.budget_fleet import NetworkFaults, World, by_name, even, mean_utilization
 from mountgauge.budgets import timing
 from mountgauge.budgets.shares import Budget, Kind
 
@@ -26,7 +26,7 @@
 def settled(count: int = 6, seed: int = 1, network: NetworkFaults | None = None) -> World:
     world = fleet(count, seed, network)
     world.until(8, CHECK_S)
-    assert world.use(RATE) > 0.95 or network is not None
+    assert world.utilization(RATE) > 0.95 or network is not None
     return world
 
 
@@ -35,17 +35,17 @@
 def test_the_total_is_in_use_and_never_exceeded(seed: int, network: NetworkFaults | None) -> None:
     """Where answers come half a second late and half of them are lost, a lease must last some seconds."""
     world = fleet(6, seed, network, LONG, OUT)
-    assert mean_use(world, LONG, 12, 18) >= 0.95 and world.over == []
-    shares = world.parts("calls")
+    assert mean_utilization(world, LONG, 12, 18) >= 0.95 and world.overallocations == []
+    shares = world.shares("calls")
     assert min(shares.values()) >= 0.85 * max(shares.values()), "even demand, even shares"
 
 
 def test_a_member_with_all_the_demand_gets_nearly_the_total_and_returns_it() -> None:
     world = settled()
     world.demand = by_name({"m3": 300.0})
-    assert mean_use(world, RATE, 12, 14) >= 0.9
+    assert mean_utilization(world, RATE, 12, 14) >= 0.9
     world.demand = even(40.0)
-    assert mean_use(world, RATE, 20, 22) >= 0.95 and world.over == []
+    assert mean_utilization(world, RATE, 20, 22) >= 0.95 and world.overallocations == []
 
 
 @pytest.mark.parametrize("folder", ["kept", "lost", "old"])
@@ -55,7 +55,7 @@
     for index in range(count):
         world.restart(f"m{index}", folder)
     world.until(8 + timing.reuse_after_crash(RATE.lease_s, 0, 0.02) + 2, CHECK_S)
-    assert world.over == [] and world.use(RATE) >= 0.95
+    assert world.overallocations == [] and world.utilization(RATE) >= 0.95
 
 
 def test_a_crashed_members_share_is_reused_after_its_lease_and_after_a_goodbye_at_once() -> None:
@@ -63,10 +63,10 @@
     world.kill("m0")
     world.until(8 + timing.reuse_after_crash(RATE.lease_s, 0, 0.02) + 2, CHECK_S)
     own = RATE.reserve * 100 / 6
-    assert sum(world.parts("calls").values()) >= 100 - own - 1e-6, "the total without its reserve"
+    assert sum(world.shares("calls").values()) >= 100 - own - 1e-6, "the total without its reserve"
     world.goodbye("m1")
     world.until(world.time + timing.reuse_after_goodbye() + 0.5, CHECK_S)
-    assert sum(world.parts("calls").values()) >= 100 - 2 * own - 1 and world.over == []
+    assert sum(world.shares("calls").values()) >= 100 - 2 * own - 1 and world.overallocations == []
 
 
 @pytest.mark.parametrize("sizes", [(3, 3), (2, 2, 2), (4, 2)])
@@ -79,12 +79,12 @@
     world.network = NetworkFaults(groups=tuple(groups))
     world.until(16, CHECK_S)
     for group in groups:
-        held = sum(world.parts("calls")[name] for name in group)
+        held = sum(world.shares("calls")[name] for name in group)
         want = 100 - (6 - len(group)) * RATE.reserve * 100 / 6 if len(group) > 3 else len(group) * 4 / 6
         assert held == pytest.approx(want, abs=1.5)
     world.network = NetworkFaults()
     world.until(22, CHECK_S)
-    assert world.use(RATE) >= 0.95 and world.over == []
+    assert world.utilization(RATE) >= 0.95 and world.overallocations == []
 
 
 def test_moving_partitions_and_one_way_losses_while_slices_move() -> None:
@@ -96,18 +96,18 @@
         not_receiving = frozenset({f"m{(step + 3) % 5}"})
         world.network = NetworkFaults(0.2, 0.05, 0.3, 0.2, (cut, others) if step % 3 else (), not_receiving)
         world.until(world.time + 0.7, CHECK_S)
-    assert world.over == []
+    assert world.overallocations == []
 
 
 def test_a_paused_holder_uses_no_slice_that_others_have() -> None:
     world = settled()
     world.pause("m0", 9.0)
     world.until(16.9, CHECK_S)
-    assert world.parts("calls")["m0"] == pytest.approx(RATE.reserve * 100 / 6), (
+    assert world.shares("calls")["m0"] == pytest.approx(RATE.reserve * 100 / 6), (
         "its leases expire by its own clock"
     )
     world.until(24, CHECK_S)
-    assert world.use(RATE) >= 0.95 and world.over == []
+    assert world.utilization(RATE) >= 0.95 and world.overallocations == []
 
 
 def test_members_are_added_and_removed_under_load() -> None:
@@ -120,7 +120,7 @@
         for one in names:
             world.reload(one)
         world.until(world.time + 5, CHECK_S)
-    assert len(world.parts("calls")) == 6 and min(world.parts("calls").values()) > 10
+    assert len(world.shares("calls")) == 6 and min(world.parts("calls").values()) > 10
     for name in ("m0", "m4", "m1"):
         names.remove(name)
         world.change(names)
@@ -129,7 +129,7 @@
         world.until(world.time + 2, CHECK_S)
         world.goodbye(name)
         world.until(world.time + 3, CHECK_S)
-    assert world.over == [] and sum(world.parts("calls").values()) > 95
+    assert world.overallocations == [] and sum(world.shares("calls").values()) > 95
 
 
 def test_the_total_is_lowered_and_raised_while_it_is_in_use() -> None:
@@ -141,8 +141,8 @@
             world.reload(f"m{index}")
             world.until(world.time + 0.5, CHECK_S)
         world.until(world.time + 6, CHECK_S)
-        assert sum(world.parts("calls").values()) == pytest.approx(total, rel=0.05)
-    assert world.over == []
+        assert sum(world.shares("calls").values()) == pytest.approx(total, rel=0.05)
+    assert world.overallocations == []
 
 
 def test_a_budget_that_is_removed_and_added_again_continues_its_ask_numbers() -> None:
@@ -155,7 +155,7 @@
         world.reload("m1")
     assert member.states["calls"].leases.number == asked, "late answers to earlier asks must not count"
     world.until(16, CHECK_S)
-    assert world.over == [] and world.use(RATE) >= 0.95
+    assert world.overallocations == [] and world.utilization(RATE) >= 0.95
 
 
 @pytest.mark.parametrize("total", [0, 1, 5])
@@ -164,19 +164,19 @@
     few = Budget("few", Kind.CONCURRENT, total, reserve=0.0, lease_s=2.0)
     world = fleet(count, 1, None, few)
     world.until(9, CHECK_S)
-    assert sum(world.parts("few").values()) == total and world.over == []
+    assert sum(world.shares("few").values()) == total and world.overallocations == []
 
 
 def test_calls_of_a_crashed_holder_count_until_they_have_surely_ended() -> None:
     slow = Budget("out", Kind.CONCURRENT, 8, reserve=0.0, lease_s=2.0, ends_within_s=6.0)
     world = fleet(3, 1, None, slow)
     world.until(14, CHECK_S)
-    had = world.parts("out")["m0"]
+    had = world.shares("out")["m0"]
     world.kill("m0")
     world.until(14 + 7.5, CHECK_S)
-    assert sum(world.parts("out").values()) == 8 - had, "its calls may still run at the partner"
+    assert sum(world.shares("out").values()) == 8 - had, "its calls may still run at the partner"
     world.until(14 + timing.reuse_after_crash(2.0, 6.0, 0.02) + 2, CHECK_S)
-    assert sum(world.parts("out").values()) == 8
+    assert sum(world.shares("out").values()) == 8
 
 
 def test_a_seed_determines_the_history() -> None:
@@ -184,7 +184,7 @@
     for _ in range(2):
         world = fleet(4, 7, BAD)
         world.until(6)
-        found.append((world.sent, world.parts("calls")))
+        found.append((world.sent, world.shares("calls")))
     assert found[0] == found[1]
 
 
@@ -205,4 +205,4 @@
         for index in range(1, 6):
             world.restart(f"m{index}", "lost")
         world.until(14, CHECK_S)
-        assert world.over
+        assert world.overallocations
