--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -52,7 +52,7 @@
 
     def __init__(self, world: World, name: str, place: Place, disk: Disk, clock: float = 0.0) -> None:
         self.world, self.name, self.place, self.disk = world, name, place, disk
-        self.ahead = clock  # s that its clock is ahead of the world's
+        self.clock_offset_s = clock  # s that its clock is ahead of the world's
         self.up = True
         keys = [tenant_key(tenant) for tenant in world.quotas]
         life = disk.life or world.draw()
@@ -66,7 +66,7 @@
             me, world.plan_for(place), counts, world.seal, self.now, random.Random(world.draw())
         )
         self.admission = QuotaAdmission(world.quotas, counts, self.fleet, self.now, disk.pending)
-        self.taken: Counter[str] = Counter()
+        self.accepted: Counter[str] = Counter()
         self.refused = 0
         self.renewed = 0
         world.at(world.time + world.rng.uniform(0, world.interval), self._gossip)
@@ -74,15 +74,15 @@
 
     @property
     def now(self) -> float:
-        return self.world.time + self.ahead
+        return self.world.time + self.clock_offset_s
 
     def offer(self, tenant: str) -> float | None:
         """A client hands in one message. None where it is taken on."""
         again = self.admission.admit(tenant, self.now)
         if again is None:
             self.admission.taken(tenant)
-            self.taken[tenant] += 1
-            self.world.taken[tenant] += 1
+            self.accepted[tenant] += 1
+            self.world.accepted[tenant] += 1
         else:
             self.refused += 1
         return again
@@ -164,8 +164,8 @@
         self.nodes: dict[str, Node] = {}
         self.at_place: dict[Place, Node] = {}
         self.places: list[Place] = []
-        self.sides: Callable[[str], int] | None = None  # a split: who is on which side
-        self.taken: Counter[str] = Counter()  # the truth
+        self.partition_of: Callable[[str], int] | None = None  # a split: who is on which side
+        self.accepted: Counter[str] = Counter()  # the truth
         self.uncounted: Counter[str] = Counter()  # what kills have lost of it
         self.datagrams = self.bytes = self.largest = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -194,7 +194,7 @@
     def restart(self, name: str, keep: bool = True) -> Node:
         old = self.nodes[name]
         old.kill()
-        return self.start(name, old.place, old.disk if keep else None, old.ahead)
+        return self.start(name, old.place, old.disk if keep else None, old.clock_offset_s)
 
     def at(self, when: float, then: Callable[[], None]) -> None:
         heapq.heappush(self._events, (when, next(self._order), then))
@@ -239,7 +239,7 @@
         node = self.at_place.get(place)
         if node is None or not node.up:
             return
-        if self.sides is not None and self.sides(source.name) != self.sides(node.name):
+        if self.partition_of is not None and self.partition_of(source.name) != self.partition_of(node.name):
             return
         self.send(node, node.fleet.receive(data, source.place, node.now))
 
@@ -249,7 +249,9 @@
 
     def exact(self) -> bool:
         """Whether each node that is up counts the truth, but for what kills have lost."""
-        return all(node.used(t) == self.taken[t] - self.uncounted[t] for node in self.up for t in self.quotas)
+        return all(
+            node.used(t) == self.accepted[t] - self.uncounted[t] for node in self.up for t in self.quotas
+        )
 
     def until_exact(self, limit: float) -> float:
         """Seconds until it is so, no more than the limit."""
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -32,7 +32,7 @@
 
 def over(world: World, since: float, quota: Quota = QUOTA) -> float:
     """Messages of tenant a past its quota for the time since then."""
-    return world.taken["a"] - quota.rate * (world.time - since) - quota.burst
+    return world.accepted["a"] - quota.rate * (world.time - since) - quota.burst
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -44,19 +44,21 @@
     most = 0.0
     while world.time < 25:
         world.until(world.time + 0.25)
-        truth.append((world.time, world.taken["b"]))
+        truth.append((world.time, world.accepted["b"]))
         then = max((n for at, n in truth if at <= world.time - 5), default=0)
         for node in world.up:
-            assert node.used("b") <= world.taken["b"] and node.used("a") <= world.taken["a"]  # never too many
+            assert (
+                node.used("b") <= world.accepted["b"] and node.used("a") <= world.accepted["a"]
+            )  # never too many
             if then >= 200:
                 most = max(most, 1 - node.used("b") / then)
-                assert world.taken["b"] - node.used("b") <= count_error(40, age) + 8
-                assert world.taken["b"] <= node.high("b")
+                assert world.accepted["b"] - node.used("b") <= count_error(40, age) + 8
+                assert world.accepted["b"] <= node.high("b")
         assert over(world, 0) <= overshoot(20, 40, 8, age)
     assert most <= 0.02
     assert world.until_exact(10) < 10
     assert sum(n.fleet.dropped["replayed"] for n in world.up) > 20 and world.largest <= MOST
-    assert world.taken["a"] >= 0.85 * (20 * 20 + 40)  # the quota is there to be used
+    assert world.accepted["a"] >= 0.85 * (20 * 20 + 40)  # the quota is there to be used
 
 
 @pytest.mark.parametrize("split", list(Split))
@@ -67,27 +69,29 @@
     world.until(5)
     world.load({"a": 80, "b": 20}, 55)
     world.until(15)
-    before = world.taken["a"]
-    world.sides = lambda name: name < "n4"
+    before = world.accepted["a"]
+    world.partition_of = lambda name: name < "n4"
     world.until(25)
     assert all(n.fleet.members.split for n in world.up)
-    assert all(world.taken["b"] <= n.high("b") for n in world.up)  # the bound grows with the silence
+    assert all(world.accepted["b"] <= n.high("b") for n in world.up)  # the bound grows with the silence
     world.until(45)
     age = word_age(0.25, 0.1, 0.05, 8, 4, FLUSH)
     bound = overshoot_split(20, 20, 8, age, world.timing.gone)
-    taken = world.taken["a"] - before
+    taken = world.accepted["a"] - before
     if split is Split.SHARE:
         assert over(world, 5, quota) <= bound and taken > 0.85 * 20 * 30
     elif split is Split.FULL:
         assert 1.6 * 20 * 30 < taken <= 2 * (20 * 30 + 20) + bound
     else:  # neither half has a majority
         assert taken <= 20 * world.timing.gone + bound
-    world.sides = None
+    world.partition_of = None
     world.until(50)
     assert not any(n.fleet.members.split for n in world.up)
-    healed = world.taken["a"]
+    healed = world.accepted["a"]
     world.until(55)
-    assert world.taken["a"] - healed > 0.5 * 20 * 5  # what it took while split does not silence it for long
+    assert (
+        world.accepted["a"] - healed > 0.5 * 20 * 5
+    )  # what it took while split does not silence it for long
     assert world.until_exact(10) < 5
 
 
@@ -106,7 +110,7 @@
     world.until(40)
     used = {n.used("b") for n in world.up}
     assert len(used) == 1
-    lost = world.taken["b"] - used.pop()
+    lost = world.accepted["b"] - used.pop()
     if keep:  # exact but for what no flush has seen
         assert lost == world.uncounted["b"] <= 4 * (lost_on_kill(40 / 8, FLUSH) + 3)
     else:  # and for what had gone to nobody
@@ -114,7 +118,7 @@
         assert 0 <= lost <= 4 * (count_error(40 / 8, age) + 3)
     assert all(not n.fleet.doubtful and not n.fleet.members.conflicts() for n in world.up)
     world.until(60)  # lives that were given up are folded, and their counts stay
-    assert {world.taken["b"] - n.used("b") for n in world.up} == {lost}
+    assert {world.accepted["b"] - n.used("b") for n in world.up} == {lost}
     assert len([m for m in world.nodes["n0"].fleet.members.all.values() if m.name == "n3"]) == 1
 
 
@@ -190,14 +194,14 @@
         if jumps:
             world.until(15)
             for node in world.up[:3]:
-                node.ahead += 10  # its own clock leaps: it believes that all were silent for so long
+                node.clock_offset_s += 10  # its own clock leaps: it believes that all were silent for so long
         world.until(30)
         return world
 
     same, apart = course([0.0] * 8, False), course([10.0 * i - 35 for i in range(8)], False)
-    assert same.taken["b"] == apart.taken["b"] and abs(same.taken["a"] - apart.taken["a"]) <= 12
+    assert same.accepted["b"] == apart.accepted["b"] and abs(same.accepted["a"] - apart.accepted["a"]) <= 12
     for world in (same, apart):
-        assert all(world.taken["b"] - n.used("b") <= count_error(40, 2) for n in world.up)
+        assert all(world.accepted["b"] - n.used("b") <= count_error(40, 2) for n in world.up)
         assert world.until_exact(10) < 5
     leapt = course([0.0] * 8, True)
     assert leapt.until_exact(10) < 5
@@ -221,7 +225,7 @@
     world.until(260)
     used = {n.used("b") for n in world.up}
     # 8 were killed for good, with what had gone to nobody.
-    assert len(used) == 1 and 0 <= world.taken["b"] - max(used) <= 8 * (30 / 6 * 1.5 + 3)
+    assert len(used) == 1 and 0 <= world.accepted["b"] - max(used) <= 8 * (30 / 6 * 1.5 + 3)
     for node in world.up:
         assert len(node.admission.counts.lives) <= 4 + 2 + 1 and len(node.fleet.contacts) <= 8
         assert node.admission.counts.past_lives >= 20 and not node.fleet.diverged
@@ -234,10 +238,10 @@
     world = fleet(14, timing=Timing(2.5, 5, 20, 2))
     world.load({"b": 40}, 60)
     world.until(10)
-    world.sides = lambda name: name == "n0"
+    world.partition_of = lambda name: name == "n0"
     world.until(50)
     assert len(world.nodes["n1"].fleet.members.known) == 7
-    world.sides = None
+    world.partition_of = None
     world.until(70)
     lone = world.nodes["n0"]
     assert lone.renewed == 1 and lone.fleet.doubtful  # what it counted alone is not in the others' past
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -22,7 +22,7 @@
     world.until(15)
     for name in EIGHT[2:]:
         world.restart(name, keep=False)
-    return world, world.time, world.taken["a"]
+    return world, world.time, world.accepted["a"]
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -30,12 +30,12 @@
     world, start, before = lost(seed)
     age = word_age(0.25, FOUL.loss, FOUL.delay + FOUL.jitter, 8, 4, FLUSH)
     world.until(start + 5)
-    at_five = world.taken["a"]
+    at_five = world.accepted["a"]
     while world.time < 35:
         world.until(world.time + 0.25)
-        over = world.taken["a"] - before - QUOTA.rate * (world.time - start) - QUOTA.burst
+        over = world.accepted["a"] - before - QUOTA.rate * (world.time - start) - QUOTA.burst
         assert over <= overshoot(20, 20, 8, age)
-    assert world.taken["a"] - at_five >= 0.9 * QUOTA.rate * (35 - start - 5)
+    assert world.accepted["a"] - at_five >= 0.9 * QUOTA.rate * (35 - start - 5)
 
 
 @pytest.mark.parametrize("seed", range(3))
