--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.comeback_model import scene
+from benchmarks.comeback_model import simulate_restart
 from benchmarks.fleet_model import FLUSH, NetworkFaults, World
 from mountgauge.lab.cli import began
 from mountgauge.lab.rig.events import Event, of, read
@@ -86,7 +86,7 @@
     """200 modules in virtual time: the worst of the seeds, with the ramp and without."""
     found: dict[str, float] = {}
     for ramp, end in ((True, ""), (False, "_without")):
-        played = [scene(200, seed, ramp, falls_at=1.5) for seed in seeds]
+        played = [simulate_restart(200, seed, ramp, falls_at=1.5) for seed in seeds]
         found[f"virtual_200_served_share_5s{end}"] = min(one["served_share_5s"] for one in played)
         found[f"virtual_200_refused_share{end}"] = max(one["refused_share"] for one in played)
     return found
--- a/benchmarks/comeback_model.py
+++ b/benchmarks/comeback_model.py
@@ -70,21 +70,21 @@
         self._number = 0
         self._rng = random.Random(self.seed)
         self._owner: dict[int, int] = {}
-        self.lives: list[_Member] = [self._new(place) for place in range(self.members)]
+        self.process_runs: list[_Member] = [self._new(place) for place in range(self.members)]
 
     def _new(self, place: int) -> _Member:
         policy = Policy(settings(self.members, self.slots, self.ramp), self._rng.getrandbits(60))
         member = _Member(policy, self.now)
         return member
 
-    def begin(self) -> None:
+    def start_all(self) -> None:
         """All members start now, with their list."""
         for place in range(self.members):
             self.start(place)
 
     def start(self, place: int, held: int = 0) -> None:
         """A member starts anew; `held` messages of its earlier life come back to it."""
-        self.lives[place] = self._new(place)
+        self.process_runs[place] = self._new(place)
         entry = Entry(Readiness.READY, 0.0, self.rate, 0, 7, 0, ENDPOINT)
         self._feed(place, io.Targets(ListKind.CACHED, 1, (entry,)))
         for _ in range(held):
@@ -96,7 +96,7 @@
         heapq.heappush(self._queue, (when, self._count, place, what, args))
 
     def _feed(self, place: int, event: io.Event) -> None:
-        member = self.lives[place]
+        member = self.process_runs[place]
         for action in member.policy.handle(event, 1000.0 + self.now):
             match action:
                 case io.Issue(number, endpoint, _):
@@ -111,7 +111,7 @@
                 case io.PushBack() | io.Abort():
                     self.ended += 1
 
-    def play(self, seconds: float) -> None:
+    def run(self, seconds: float) -> None:
         """So many seconds on, with messages at random members."""
         until = self.now + seconds
         next_offer = self.now + self._rng.expovariate(self.offered)
@@ -130,7 +130,7 @@
                 continue
             when, _, place, what, args = heapq.heappop(self._queue)
             self.now = max(self.now, when)
-            if args[0] is not self.lives[place]:
+            if args[0] is not self.process_runs[place]:
                 continue  # of a process that is gone
             if what == "ring":
                 self._feed(place, io.Ring(args[1]))
@@ -141,7 +141,7 @@
         self.now = until
 
 
-def scene(
+def simulate_restart(
     members: int, seed: int, ramp: bool, falls_at: float = 0.0, seconds: float = 20.0
 ) -> Mapping[str, float]:
     """Four in five members start anew at one moment, and the partner goes cold."""
@@ -149,15 +149,15 @@
         members, 100.0, 80.0, seed, max(4, 40 // members), ramp, CapacityModel(100.0, falls_at=falls_at)
     )
     fleet.capacity.cold_at = -1e9
-    fleet.begin()
-    fleet.play(15.0)
+    fleet.start_all()
+    fleet.run(15.0)
     zero = fleet.now
     fleet.capacity.go_cold(zero)
     for place in fleet._rng.sample(range(members), max(1, members * 4 // 5)):
-        held = len(fleet.lives[place].policy.messages)
+        held = len(fleet.process_runs[place].policy.messages)
         fleet.start(place, held)
     could = fleet.capacity.could(zero, zero + 5)
-    fleet.play(seconds)
+    fleet.run(seconds)
     served = [at for at in fleet.served if zero <= at < zero + 5]
     refused = [at for at in fleet.refused if zero <= at < zero + 5]
     last = [at for at in fleet.served if at >= zero + seconds - 5]
@@ -170,19 +170,19 @@
     }  # fmt: skip
 
 
-def lowered(members: int, seed: int, ramp: bool) -> Mapping[str, float]:
+def simulate_lowered_limit(members: int, seed: int, ramp: bool) -> Mapping[str, float]:
     """The limit is at 0.4 of what is listed for 20 s: calls a second served and refused meanwhile, and
     after it.
     """
     fleet = Fleet(members, 100.0, 80.0, seed, max(4, 40 // members), ramp, CapacityModel(100.0))
     fleet.capacity.cold_at = -1e9
-    fleet.begin()
-    fleet.play(15.0)
+    fleet.start_all()
+    fleet.run(15.0)
     zero = fleet.now
     fleet.capacity.cut = 0.4
-    fleet.play(20)
+    fleet.run(20)
     fleet.capacity.cut = 1.0
-    fleet.play(15)
+    fleet.run(15)
 
     def rate(times: list[float], begin: float, end: float) -> float:
         return len([at for at in times if begin <= at - zero < end]) / (end - begin)
--- a/tests/recovery/test_module.py
+++ b/tests/recovery/test_module.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.comeback_model import Fleet, lowered, scene
+from benchmarks.comeback_model import Fleet, simulate_lowered_limit, simulate_restart
 from mountgauge.lab.rig.capacity_model import CapacityModel
 from mountgauge.recovery.destinations import destination_states
 from mountgauge.recovery.phases import DestinationState
@@ -22,8 +22,8 @@
     members: int, share: float, refused: float
 ) -> None:
     """Four in five nodes restart as the partner becomes cold; at 1.5 times its capacity it fails."""
-    found = scene(members, 3, True, falls_at=1.5)
-    without = scene(members, 3, False, falls_at=1.5)
+    found = simulate_restart(members, 3, True, falls_at=1.5)
+    without = simulate_restart(members, 3, False, falls_at=1.5)
     assert found["served_share_5s"] >= share > without["served_share_5s"]
     assert found["refused_share"] <= refused < without["refused_share"]
     assert found["fell"] == 0 < without["fell"]
@@ -35,20 +35,20 @@
     send rate limit would cause that.
     """
     for members in (1, 10, 40):
-        found = scene(members, 2, False, falls_at=1.5, seconds=45.0)
+        found = simulate_restart(members, 2, False, falls_at=1.5, seconds=45.0)
         assert found["last_5s_per_s"] >= 40, members
 
 
 def test_a_lowered_limit_is_found_and_used_again() -> None:
-    found = lowered(10, 1, True)
+    found = simulate_lowered_limit(10, 1, True)
     assert found["served"] >= 28 and found["refused"] <= 20 and found["after_10_s"] >= 70
 
 
 def test_the_same_seed_gives_the_same_history() -> None:
     def play() -> tuple[list[float], list[float]]:
         fleet = Fleet(10, 100.0, 80.0, 7, 4, True, CapacityModel(100.0, falls_at=1.5))
-        fleet.begin()
-        fleet.play(8)
+        fleet.start_all()
+        fleet.run(8)
         return fleet.served, fleet.refused
 
     assert play() == play()
--- a/tests/sharding/test_owners.py
+++ b/tests/sharding/test_owners.py
@@ -40,17 +40,17 @@
 def restart_cold(divisor: int, rate: float, seed: int, moved: bool) -> tuple[Owners, float]:
     """Restart the destination, cold, and all owners; after 3 s one may hand the shard to a fourth."""
     fleet = Owners(divisor, rate, seed)
-    fleet.begin()
-    fleet.play(15.0)
+    fleet.start_all()
+    fleet.run(15.0)
     since = fleet.now
     fleet.capacity.go_cold(since)
     for place in fleet.placed:
         fleet.start(place)
-    fleet.play(3.0)
+    fleet.run(3.0)
     if moved:
         fleet.start(3)
         fleet.placed = (1, 2, 3)
-    fleet.play(17.0)
+    fleet.run(17.0)
     return fleet, since
 
 
@@ -74,7 +74,7 @@
     assert max_excess(fleet, since, RULES["fallMultiple"]) <= 0
     assert max_excess(fleet, since, 0.75 * RULES["fallMultiple"]) <= 0  # with a reserve
     if moved:
-        assert not fleet.lives[0].policy.messages  # the previous owner has finished its messages
+        assert not fleet.process_runs[0].policy.messages  # the previous owner has finished its messages
     assert sum(at >= since for at in fleet.served) >= 0.4 * rate * 20.0  # its capacity is used
 
 
