--- a/tests/budgets/test_fleet.py
+++ b/tests/budgets/test_fleet.py
@@ -120,7 +120,7 @@
         for one in names:
             world.reload(one)
         world.until(world.time + 5, CHECK_S)
-    assert len(world.shares("calls")) == 6 and min(world.parts("calls").values()) > 10
+    assert len(world.shares("calls")) == 6 and min(world.shares("calls").values()) > 10
     for name in ("m0", "m4", "m1"):
         names.remove(name)
         world.change(names)
