--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -8,7 +8,7 @@
 
 from benchmarks.slopes import core, fleet, hops, journal, module, pages, recovery, telemetry
 from benchmarks.slopes.probe import measure
-from benchmarks.slopes.report import Target, heading, line, save, targets
+from benchmarks.slopes.report import Target, format_line, heading, save, targets
 from mountgauge.core.config import ConfigError
 from mountgauge.lab.scale.size import load_size
 
@@ -42,7 +42,7 @@
     results = []
     for probe in chosen:
         found = measure(probe, arguments.quick)
-        print(line(found, at), flush=True)
+        print(format_line(found, at), flush=True)
         if arguments.json is not None:
             results.append(found)
             save(arguments.json, results, PROBES)
--- a/benchmarks/slopes/probe.py
+++ b/benchmarks/slopes/probe.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Measured:
+class ProbeResult:
     probe: Probe
     measurements: tuple[Measurement, ...]
     load_average: float  # of one minute, highest during the probe
@@ -106,7 +106,7 @@
         tracemalloc.stop()
 
 
-def measure(probe: Probe, quick: bool) -> Measured:
+def measure(probe: Probe, quick: bool) -> ProbeResult:
     """From the smallest size up, until the next one would pass the probe's limit."""
     sizes = (probe.quick_sizes or probe.sizes[:4]) if quick else probe.sizes
     limit = probe.limit_s / 5 if quick else probe.limit_s
@@ -118,7 +118,7 @@
         found.append(Measurement(size, _least(probe, size)))
         costs.append(time.process_time() - began - spent)
         load = max(load, os.getloadavg()[0])
-    return Measured(probe, tuple(found), round(load, 2), round(time.process_time() - began, 2))
+    return ProbeResult(probe, tuple(found), round(load, 2), round(time.process_time() - began, 2))
 
 
 def _least(probe: Probe, size: int) -> float:
--- a/benchmarks/slopes/report.py
+++ b/benchmarks/slopes/report.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.slopes.probe import Axis, Measured, Probe, Unit
+from benchmarks.slopes.probe import Axis, Probe, ProbeResult, Unit
 from mountgauge.lab.scale.fit import Estimate, Fit, FitError, Unknown, fit
 from mountgauge.lab.scale.size import FleetSize
 
@@ -32,7 +32,7 @@
     )
 
 
-def line(found: Measured, at: Target) -> str:
+def format_line(found: ProbeResult, at: Target) -> str:
     probe = found.probe
     sizes = f"{found.measurements[0].size:g}..{found.measurements[-1].size:g} {probe.axis}"
     try:
@@ -56,7 +56,7 @@
             return f"{largest}; unknown ({why}) at {target:.7g}"
 
 
-def _as_json(found: Measured) -> dict[str, Any]:
+def _as_json(found: ProbeResult) -> dict[str, Any]:
     probe = found.probe
     try:
         law: dict[str, Any] | None = asdict(fit(found.measurements))
@@ -70,7 +70,7 @@
     }  # fmt: skip
 
 
-def save(path: Path, results: Sequence[Measured], order: Sequence[Probe]) -> None:
+def save(path: Path, results: Sequence[ProbeResult], order: Sequence[Probe]) -> None:
     """Everything that was measured, nothing of when; results of other probes that the file has stay."""
     probes = {one["name"]: one for one in _kept(path)} | {one.probe.name: _as_json(one) for one in results}
     found = {
--- a/tests/lab/test_slopes.py
+++ b/tests/lab/test_slopes.py
@@ -10,8 +10,8 @@
 
 from benchmarks.slopes.__main__ import PROBES
 from benchmarks.slopes.journal import BODY_BYTES
-from benchmarks.slopes.probe import Measured, Method, Probe, Unit, measure
-from benchmarks.slopes.report import line, save
+from benchmarks.slopes.probe import Method, Probe, ProbeResult, Unit, measure
+from benchmarks.slopes.report import format_line, save
 from mountgauge.lab.scale.fit import Measurement
 from mountgauge.lab.scale.limits import limits
 from mountgauge.lab.scale.size import load_size
@@ -57,8 +57,8 @@
     path = tmp_path / "results" / "slopes.json"
     first, second = _counted("first", []), _counted("second", [])
 
-    def measured(probe: Probe, cost: float) -> Measured:
-        return Measured(probe, tuple(Measurement(size, cost * size) for size in (1, 2, 4)), 0.5, 0.1)
+    def measured(probe: Probe, cost: float) -> ProbeResult:
+        return ProbeResult(probe, tuple(Measurement(size, cost * size) for size in (1, 2, 4)), 0.5, 0.1)
 
     save(path, [measured(second, 1.0)], (first, second))
     save(path, [measured(first, 1.0)], (first, second))
@@ -69,6 +69,6 @@
 
 
 def test_a_line_names_exponent_figure_and_source() -> None:
-    found = Measured(_counted("x", []), tuple(Measurement(n, 2.0 * n) for n in (10, 100, 1000)), 0.5, 0.1)
-    text = line(found, {found.probe.axis: 1e6})
+    found = ProbeResult(_counted("x", []), tuple(Measurement(n, 2.0 * n) for n in (10, 100, 1000)), 0.5, 0.1)
+    text = format_line(found, {found.probe.axis: 1e6})
     assert "1.00" in text and "2e+06 bytes (2e+06 to 2e+06) at 1000000" in text and text.endswith("; here")
