--- a/example/dispatch.py
+++ b/example/dispatch.py
@@ -1,4 +1,4 @@
-"""A toy dispatch program: hands five messages to the sender on 127.0.0.1:6400 and shows its answers."""
+"""An example dispatch program that submits five messages to the sender on 127.0.0.1:6400."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 def enqueue(msg_id: str, pairs: str, body: bytes) -> bytes:
-    """One message as a RESP2 command."""
+    """The RESP2 command that submits one message."""
     args = [b"ENQUEUE", b"0", msg_id.encode(), pairs.encode(), body]
     return b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args)
 
 
 def main() -> None:
-    """Hand in five messages, and print the answers."""
+    """Submit five messages and print the answers."""
     with socket.create_connection(SENDER, 2) as connection, connection.makefile("rb") as answers:
         for number in range(5):
             msg_id = uuid.uuid4().hex[:16]
--- a/example/fleet/dispatch.py
+++ b/example/fleet/dispatch.py
@@ -1,4 +1,4 @@
-"""A toy dispatch program: logs in as rossi and as verdi at each sender and hands in ten messages for each."""
+"""An example dispatch program: logs in to each sender as rossi and verdi, and submits messages for both."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def main() -> None:
-    """Hand in messages for both tenants at each sender."""
+    """Submit messages for both tenants to each sender."""
     for port in (6411, 6412, 6413):
         for user in (b"rossi", b"verdi"):
             with (
@@ -21,13 +21,13 @@
             ):
                 connection.sendall(command(b"AUTH", user, b"change-me"))
                 answers.readline()
-                said = []
+                answered = []
                 for _ in range(10):
                     name = uuid.uuid4().hex[:16].encode()
                     pairs = b"c=confirmation,d=24000,k=%b,dest=7" % name
                     connection.sendall(command(b"ENQUEUE", b"0", name, pairs, b"stop confirmed"))
-                    said.append(answers.readline().decode().strip())
-            print(port, user.decode(), *said)
+                    answered.append(answers.readline().decode().strip())
+            print(port, user.decode(), *answered)
 
 
 if __name__ == "__main__":
--- a/example/partner.py
+++ b/example/partner.py
@@ -1,4 +1,4 @@
-"""A toy partner: takes calls on 127.0.0.1:8081 and shows them. Every third one fails, to show a repeat."""
+"""An example partner: accepts calls on 127.0.0.1:8081 and prints them. Every third fails, to show a retry."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class Partner(BaseHTTPRequestHandler):
     """Prints each call, and fails every third."""
 
-    protocol_version = "HTTP/1.1"  # connections stay alive
+    protocol_version = "HTTP/1.1"  # keeps connections open between calls
 
     def do_POST(self) -> None:
         body = self.rfile.read(int(self.headers["Content-Length"]))
@@ -23,7 +23,7 @@
         self.end_headers()
 
     def log_message(self, format: str, *args: object) -> None:
-        """Each call is shown above already."""
+        """Log nothing: `do_POST` prints each call."""
 
 
 if __name__ == "__main__":
--- a/example/sharding/stand.py
+++ b/example/sharding/stand.py
@@ -1,5 +1,7 @@
-"""Stand-ins for the example: a discovery on 127.0.0.1:8541, and a partner with two endpoints for each of 40
-destinations on 127.0.0.1:8542. Every ten seconds discovery takes one endpoint out and puts the last one back.
+"""Stand-ins for the example: a discovery on 127.0.0.1:8541 and a partner on 127.0.0.1:8542.
+
+The partner has two endpoints for each of 40 destinations. Every ten seconds discovery marks one endpoint as
+leaving and the previous one as active again.
 """
 
 from __future__ import annotations
@@ -16,17 +18,18 @@
 CHANGE_EVERY_S = 10.0
 
 
-class List:
-    """Discovery's list: versions, and what changed with which."""
+class EndpointList:
+    """Discovery's list of endpoints, with the version in which each of them last changed."""
 
     def __init__(self) -> None:
-        self.version = int(time.time())  # above that of its last run: a version that went back is refused
-        self.news = threading.Condition()
+        # Above the versions of the previous run: the relays refuse a version that went back.
+        self.version = int(time.time())
+        self.version_changed = threading.Condition()
         self.lines: dict[str, dict[str, Any]] = {}
         self.changed: dict[str, int] = {}
         for destination in range(DESTINATIONS):
-            for place in "xy":
-                self._put(f"{place}{destination}", destination, "active")
+            for prefix in "xy":
+                self._put(f"{prefix}{destination}", destination, "active")
 
     def _put(self, name: str, destination: int, state: str) -> None:
         self.lines[name] = {
@@ -36,30 +39,30 @@
         self.changed[name] = self.version
 
     def change(self, destination: int, state: str) -> None:
-        """Give one endpoint of a destination another state."""
-        with self.news:
+        """Change the state of a destination's first endpoint."""
+        with self.version_changed:
             self.version += 1
             self._put(f"x{destination}", destination, state)
-            self.news.notify_all()
+            self.version_changed.notify_all()
 
-    def whole(self) -> dict[str, Any]:
-        """The whole list."""
-        with self.news:
+    def full(self) -> dict[str, Any]:
+        """The full list."""
+        with self.version_changed:
             return {"version": self.version, "full": True, "servers": list(self.lines.values())}
 
     def since(self, index: int, wait_s: float) -> dict[str, Any]:
-        """What changed after a version, once something has or the wait is over."""
-        with self.news:
-            self.news.wait_for(lambda: self.version > index, wait_s)
+        """The endpoints that changed after a version; waits until there are some, or for `wait_s` seconds."""
+        with self.version_changed:
+            self.version_changed.wait_for(lambda: self.version > index, wait_s)
             lines = [one for name, one in self.lines.items() if self.changed[name] > index]
             return {"version": self.version, "full": False, "servers": lines}
 
 
-LIST = List()
+LIST = EndpointList()
 
 
 class Discovery(BaseHTTPRequestHandler):
-    """Answers whole lists and watches."""
+    """Answers requests for the full list and watches for changes."""
 
     protocol_version = "HTTP/1.1"
 
@@ -68,8 +71,8 @@
         if "index" in query:
             found = LIST.since(int(query["index"][0]), int(query["wait"][0]) / 1000)
         else:
-            found = LIST.whole()
-            print(f"discovery: the whole list was asked for, version {found['version']}", flush=True)
+            found = LIST.full()
+            print(f"discovery: full list requested, version {found['version']}", flush=True)
         body = json.dumps(found).encode()
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
@@ -77,11 +80,11 @@
         self.wfile.write(body)
 
     def log_message(self, format: str, *args: object) -> None:
-        """Watches come every second."""
+        """Log nothing: a watch arrives every second."""
 
 
 class Partner(BaseHTTPRequestHandler):
-    """Takes each call and shows it."""
+    """Accepts each call and prints it."""
 
     protocol_version = "HTTP/1.1"
 
@@ -93,13 +96,13 @@
         self.end_headers()
 
     def log_message(self, format: str, *args: object) -> None:
-        """Each call is shown above already."""
+        """Log nothing: `do_POST` prints each call."""
 
 
 def main() -> None:
-    """Serve both, and change the list now and then."""
-    for place, handler in ((DISCOVERY, Discovery), (PARTNER, Partner)):
-        server = ThreadingHTTPServer(place, handler)
+    """Serve both, and change the list every `CHANGE_EVERY_S` seconds."""
+    for address, handler in ((DISCOVERY, Discovery), (PARTNER, Partner)):
+        server = ThreadingHTTPServer(address, handler)
         threading.Thread(target=server.serve_forever, daemon=True).start()
     print(f"discovery on {DISCOVERY[0]}:{DISCOVERY[1]}, partner on {PARTNER[0]}:{PARTNER[1]}", flush=True)
     destination = 0
