--- a/Makefile
+++ b/Makefile
@@ -45,7 +45,7 @@
 	  .venv-fleet/bin/python -m mountgauge agent example/budgets/agent.toml
 
 sharding: build   ## a discovery, a partner, two relays and four senders by shard: example/sharding
-	@trap 'kill 0' EXIT; .venv/bin/python example/sharding/stand.py & \
+	@trap 'kill 0' EXIT; .venv/bin/python example/sharding/stand_ins.py & \
 	  .venv/bin/python -m mountgauge relay example/sharding/relay-a.toml & \
 	  .venv/bin/python -m mountgauge relay example/sharding/relay-b.toml & \
 	  .venv/bin/python -m mountgauge agent example/sharding/agent.toml
