--- a/benchmarks/slopes/__init__.py
+++ b/benchmarks/slopes/__init__.py
@@ -1,6 +1,6 @@
-"""How costs grow: each subsystem's processor time and memory against destinations, members and messages.
+"""Measures how costs grow: each subsystem's processor time and memory by destinations, members and messages.
 
     python -m benchmarks.slopes [--quick] [--json FILE] [--only NAME]
 
-One module a subsystem, each with its probes; `probe` measures, `report` fits, prints and writes.
+Each subsystem has a module with its probes; `probe` measures, and `report` fits, prints and writes results.
 """
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -1,4 +1,4 @@
-"""Measures how costs grow, prints one line a probe, and writes what was measured and fitted as JSON."""
+"""Measures how costs grow, prints one line a probe, and writes measurements and fits as JSON."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 _SIZE = Path(__file__).parents[2] / "experiments" / "scale" / "two-years.toml"
 PROBES = tuple(
     probe
-    for part in (module, core, hops, recovery, pages, telemetry, journal, fleet)
-    for probe in part.PROBES
+    for subsystem in (module, core, hops, recovery, pages, telemetry, journal, fleet)
+    for probe in subsystem.PROBES
 )
 
 
@@ -24,17 +24,17 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="four sizes each, a fifth of the time")
     parser.add_argument(
-        "--json", type=Path, metavar="FILE", help="keep the results here, beside those of other probes"
+        "--json", type=Path, metavar="FILE", help="write the results here, keeping those of other probes"
     )
-    parser.add_argument("--only", metavar="NAME", help="probes whose name begins so")
-    parser.add_argument("--size", type=Path, default=_SIZE, help="the size that figures are given for (TOML)")
+    parser.add_argument("--only", metavar="NAME", help="run only probes whose name starts with NAME")
+    parser.add_argument("--size", type=Path, default=_SIZE, help="the fleet size to extrapolate to (TOML)")
     arguments = parser.parse_args()
     chosen = [probe for probe in PROBES if probe.name.startswith(arguments.only or "")]
     if not chosen:
-        print(f"no probe begins with '{arguments.only}'", file=sys.stderr)
+        print(f"no probe's name starts with '{arguments.only}'", file=sys.stderr)
         return 2
     try:
-        at: Target = targets(load_size(arguments.size))
+        target_sizes: Target = targets(load_size(arguments.size))
     except ConfigError as error:
         print(error, file=sys.stderr)
         return 2
@@ -42,7 +42,7 @@
     results = []
     for probe in chosen:
         found = measure(probe, arguments.quick)
-        print(format_line(found, at), flush=True)
+        print(format_line(found, target_sizes), flush=True)
         if arguments.json is not None:
             results.append(found)
             save(arguments.json, results, PROBES)
--- a/benchmarks/slopes/core.py
+++ b/benchmarks/slopes/core.py
@@ -1,4 +1,4 @@
-"""The core beside the module: learning lists, dividing budgets, taking messages back after a restart."""
+"""The core without the module: applying lists, dividing budgets, restoring messages after a restart."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def _listed(count: int) -> Sender:
-    """A core that has learned so many next hops; its module has not been told of them."""
+    """A core with so many next hops listed, which its module is not notified of."""
     core = sender(Policy(settings(), 1), Peers())
     core.list_changed(whole_list(count))
     core._ready.clear()
@@ -44,7 +44,7 @@
 
 
 def _memory(count: int) -> Sample:
-    """What the core keeps of a list, with the list itself."""
+    """What the core keeps of a list, including the list itself."""
 
     def build() -> Sender:
         return _listed(count)
@@ -53,7 +53,7 @@
 
 
 def _divide_one(count: int) -> Sample:
-    """The part of one destination's budget changes."""
+    """The share of one destination's budget changes."""
     core, turns = _listed(count), numbers()
 
     def change() -> None:
@@ -64,15 +64,15 @@
 
 
 def _waiting(count: int) -> Sample:
-    """What budgets ask the core before each ask of theirs, with a message held for each destination."""
+    """The core's demand, which budgets read before each ask, with a message queued for each destination."""
     core = sender(asked_policy(count), Peers())
     return lambda: timed(lambda: core.waiting)
 
 
 def _restore(count: int) -> Sample:
-    """All that an earlier life held goes back to the module, 256 a turn; one destination, one slot.
+    """The messages of the previous run are restored to the module, 256 a turn; one destination, one slot.
 
-    Each sample is a start of its own.
+    Each sample is a separate start.
     """
 
     def one() -> float:
@@ -92,7 +92,7 @@
 
 
 def _restore_memory(count: int) -> Sample:
-    """What core and module hold of messages that are restored, beside the journal's own records."""
+    """What core and module keep for restored messages, not counting the journal's records."""
     peers = Peers()
     messages = [stored(number, 0, _BODY_BYTES, peers.wall() + 3000.0) for number in range(count)]
 
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -1,6 +1,7 @@
-"""What members say to each other: tenants' counts by gossip, budgets by leases, in virtual time.
+"""What members send to each other: tenants' counts by gossip and budgets by leases, in virtual time.
 
-Processor time holds the virtual network's part as well; bytes are those of the datagrams, sealed and whole.
+Processor time includes that of the simulated network. Bytes of the tenants' counts are those of the sealed
+datagrams; those of the leases are the simulation's estimate.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget, Kind
 
-_TENANTS, _MESSAGES_PER_S = 100, 25.0  # of the fleet in all; of each member
+_TENANTS, _MESSAGES_PER_S = 100, 25.0  # in the whole fleet; accepted by each member
 _SETTLE_S, _RUN_S = 2.0, 4.0
 _GOSSIP = (8, 16, 32, 64, 128)
 _ALL = (6, 12, 18, 24, 36, 48)
@@ -27,7 +28,7 @@
 
 
 class _Metered(budget_fleet.World):
-    """Counts what each member sends and computes; without the sums after each step, which no member makes."""
+    """Counts each member's bytes and processor time; skips the check, which real members do not make."""
 
     def __init__(self, budgets: list[Budget], names: list[str], voters: int) -> None:
         super().__init__(budgets, (), 1, network=budget_fleet.NetworkFaults(loss=0.01, delay_s=0.005))
@@ -69,7 +70,7 @@
 
 
 class _Lease(NamedTuple):
-    """Of one voter and of one member without a vote: core share and bytes/s. Without the latter, 0."""
+    """Core share and bytes/s of one voter and of one member without a vote; 0 if there is none of these."""
 
     voter_core: float
     voter_bytes: float
@@ -86,7 +87,7 @@
 
 @cache
 def _leases(members: int, budgets: int, voters: int) -> _Lease:
-    """The mean voter and the mean other member, with demand above the whole."""
+    """Means of the voters and of the other members, with demand above the total."""
     names = [f"m{number:03d}" for number in range(members)]
     world = _Metered(_budgets(budgets, members), names, voters)
     world.demand = budget_fleet.even(200.0 / members)
@@ -105,7 +106,7 @@
 
 
 def _gossip_memory(members: int) -> Sample:
-    """Of one member, once all are known to it."""
+    """Memory of one member that is notified of all others."""
 
     def build() -> fleet_model.World:
         world = fleet_model.World(dict.fromkeys(f"t{number}" for number in range(_TENANTS)), 1)
@@ -117,7 +118,7 @@
 
 
 def _leases_memory(members: int) -> Sample:
-    """Of one member, all of them voters."""
+    """Memory of one member, where all are voters."""
 
     def build() -> budget_fleet.World:
         names = [f"m{number:03d}" for number in range(members)]
@@ -193,11 +194,11 @@
     sent: Callable[[int], Sample],
     limit_s: float,
 ) -> tuple[Probe, Probe]:
-    """Processor time and bytes of the same runs."""
-    rest = (Method.VIRTUAL_TIME, sizes, 1, limit_s)
+    """The probes of processor time and of bytes of the same runs."""
+    common = (Method.VIRTUAL_TIME, sizes, 1, limit_s)
     return (
-        Probe(f"{name}-core", core, source, axis, Unit.CORE_SHARE, *rest),
-        Probe(f"{name}-bytes", sent, source, axis, Unit.BYTES_PER_S, *rest),
+        Probe(f"{name}-core", core, source, axis, Unit.CORE_SHARE, *common),
+        Probe(f"{name}-bytes", sent, source, axis, Unit.BYTES_PER_S, *common),
     )
 
 
--- a/benchmarks/slopes/hops.py
+++ b/benchmarks/slopes/hops.py
@@ -1,4 +1,4 @@
-"""Next hops over HTTP and the router before them: what a change of the list costs in kept connections."""
+"""Next hops over HTTP and the router: the cost of list changes and of new calls by kept connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from mountgauge.next_hops import HttpNextHops
 from mountgauge.router import Router
 
-_SIZES = (100, 300, 1_000, 3_000, 10_000, 20_000)  # as many as a process may have descriptors
+_SIZES = (100, 300, 1_000, 3_000, 10_000, 20_000)  # the largest is about a process's limit of descriptors
 
 
 class _Owner:
@@ -18,18 +18,18 @@
     def finished(self, call: Call, results: object) -> None: ...
 
 
-def _forgotten(connection: Connection) -> None: ...
+def _on_closed(connection: Connection) -> None: ...
 
 
 def _keep(http: HttpNextHops, hop_id: str) -> None:
-    """One idle connection."""
-    place = (hop_id, "127.0.0.1", 1024)
-    http._pools[place] = [Connection(_forgotten)]
-    http._places[hop_id] = [place]
+    """Add one idle connection."""
+    address = (hop_id, "127.0.0.1", 1024)
+    http._pools[address] = [Connection(_on_closed)]
+    http._places[hop_id] = [address]
 
 
 def _close_idle(count: int) -> Sample:
-    """One next hop without a kept connection leaves, while so many others have one each."""
+    """A next hop without a connection is removed, while so many others have an idle one each."""
     http = HttpNextHops(_Owner(), 1.0, 5.0, 1 << 20)
     for number in range(count):
         _keep(http, f"hop-{number}")
@@ -38,7 +38,7 @@
 
 
 def _make_room(count: int) -> Sample:
-    """A call needs a connection while all descriptors are taken by idle ones."""
+    """A call needs a connection while idle connections use all descriptors."""
     http = HttpNextHops(_Owner(), 1.0, 5.0, 1)
     http._open = 2
     for number in range(count):
--- a/benchmarks/slopes/journal.py
+++ b/benchmarks/slopes/journal.py
@@ -1,4 +1,4 @@
-"""The journal: what a start with so many live messages costs, and what a compaction does."""
+"""The journal: the cost of a start with so many live messages, and of a compaction."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 
 
 def _write(folder: Path, count: int) -> None:
-    """A journal with so many live messages, as a process that was killed leaves it."""
+    """Write a journal with so many live messages, as a killed process leaves it."""
     journal = Journal(folder, DISK_BYTES)
     records = b"".join(stored(number, 0, BODY_BYTES, _EXPIRES).record() for number in range(count))
     journal._write(records)
     journal.close()
 
 
-def _started(folder: str, told: Callable[[tuple[float, float]], None]) -> None:
-    """In a fresh process: processor time of the start, and what it adds to the resident size."""
+def _measure_start(folder: str, report: Callable[[tuple[float, float]], None]) -> None:
+    """In a fresh process: reports the start's processor time and what it adds to the resident size."""
     import os
 
     before, began = resident_bytes(os.getpid()), time.process_time()
     journal = Journal(Path(folder), DISK_BYTES)
     spent = time.process_time() - began
-    told((spent, float(resident_bytes(os.getpid()) - before)))
+    report((spent, float(resident_bytes(os.getpid()) - before)))
     journal.close()
 
 
 @cache
 def _start(count: int) -> tuple[float, float]:
-    """Processor time (the least of three starts) and resident bytes."""
+    """Processor time and added resident bytes of a start, the least of three each."""
     context = multiprocessing.get_context("spawn")
     found = []
     with tempfile.TemporaryDirectory(prefix="slopes-") as folder:
         _write(Path(folder), count)
         for _ in range(3):
             answers = context.SimpleQueue()
-            process = context.Process(target=_started, args=(folder, answers.put))
+            process = context.Process(target=_measure_start, args=(folder, answers.put))
             process.start()
             found.append(answers.get())
             process.join()
@@ -69,13 +69,13 @@
 
 
 def _compaction(count: int) -> Sample:
-    """All that is live is written anew, in one step of the loop."""
+    """All live records are rewritten, in one step of the event loop."""
     folder = tempfile.TemporaryDirectory(prefix="slopes-")
     _write(Path(folder.name), count)
     journal = Journal(Path(folder.name), DISK_BYTES)
 
     def compact() -> None:
-        assert folder  # the file lives as long as what measures it
+        assert folder  # the reference keeps the temporary folder until the sample is dropped
         journal._rewrite(journal._content())
 
     return lambda: timed(compact)
--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -1,4 +1,4 @@
-"""The decision module: list handling, memory, and the paths that go over all destinations or messages."""
+"""The decision module: list updates, memory, and code paths that visit all destinations or messages."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def _delta(count: int) -> Sample:
-    """One endpoint drains, or is ready again."""
+    """One endpoint starts to drain, or becomes ready again."""
     policy = listed_policy(count)
     turns = numbers()
 
@@ -29,7 +29,7 @@
     return lambda: timed(change)
 
 
-def _whole(count: int) -> Sample:
+def _full_list(count: int) -> Sample:
     policy = listed_policy(count)
     event = io.Targets(io.ListKind.FULL, 2, tuple(entry(number) for number in range(count)))
     return lambda: timed(lambda: policy.handle(event, _NOW))
@@ -47,7 +47,7 @@
 
 
 def _message(count: int) -> Sample:
-    """A message comes and is answered, with slots to spare."""
+    """A message arrives and is answered while slots are free."""
     policy, fresh = listed_policy(count, workers=64), numbers()
     dest = count // 2
 
@@ -60,7 +60,7 @@
 
 
 def _starved(count: int) -> Sample:
-    """The one slot falls free while a message waits for it."""
+    """The only slot becomes free while a message waits for it."""
     policy, fresh = listed_policy(count, workers=1), numbers()
     dest = count // 2
     policy.handle(incoming(fresh(), dest, _NOW), _NOW)
@@ -73,11 +73,11 @@
     return lambda: timed(one)
 
 
-def _full_room(count: int) -> Sample:
-    """A message comes while all the room for messages is taken: the one worth least is looked for."""
-    room = 200
-    policy, fresh = listed_policy(count, workers=1, max_open=room), numbers()
-    for _ in range(room):
+def _full_queue(count: int) -> Sample:
+    """A message arrives while the queue is full: the message of least value is searched for."""
+    capacity = 200
+    policy, fresh = listed_policy(count, workers=1, max_open=capacity), numbers()
+    for _ in range(capacity):
         number = fresh()
         policy.handle(incoming(number, number % count, _NOW), _NOW)
 
@@ -88,13 +88,13 @@
     return lambda: timed(one)
 
 
-def _full_room_held(count: int) -> Sample:
-    """The same, where the room is for so many messages, of a hundred destinations."""
+def _full_large_queue(count: int) -> Sample:
+    """The same, with a queue of so many messages for a hundred destinations."""
     policy, fresh = listed_policy(100, workers=1, max_open=int(count / OPEN_SHARE) + 1), numbers()
     for _ in range(count):
         number = fresh()
         policy.handle(incoming(number, number % 100, _NOW), _NOW)
-    later = _NOW + 0.9 * DEADLINE_S  # none of them is owed a try any more
+    later = _NOW + 0.9 * DEADLINE_S  # so late that no queued message is still owed an attempt
 
     def one() -> None:
         number = fresh()
@@ -104,7 +104,7 @@
 
 
 def _backlogged(count: int) -> tuple[Policy, Callable[[], int]]:
-    """A destination for which so many messages are held, and which has all the slots."""
+    """A destination that has all slots, and so many queued messages."""
     policy, fresh = listed_policy(1, workers=2), numbers()
     for _ in range(count):
         policy.handle(incoming(fresh(), 0, _NOW), _NOW)
@@ -112,26 +112,26 @@
 
 
 def _backlog_answer(count: int) -> Sample:
-    """A message comes, a call is answered, and the next message goes: the backlog stays."""
+    """A message arrives, a call is answered, and the next message is sent: the backlog stays the same."""
     policy, fresh = _backlogged(count)
-    out = [number for number, message in policy.messages.items() if message.in_flight]
+    in_flight = [number for number, message in policy.messages.items() if message.in_flight]
 
     def one() -> None:
         policy.handle(incoming(fresh(), 0, _NOW), _NOW)
-        actions = policy.handle(answered(out.pop(0), 0), _NOW)
-        out.extend(action.msg_id for action in actions if isinstance(action, io.Issue))
+        actions = policy.handle(answered(in_flight.pop(0), 0), _NOW)
+        in_flight.extend(action.msg_id for action in actions if isinstance(action, io.Issue))
 
     return lambda: timed(one)
 
 
 def _backlog_arrival(count: int) -> Sample:
-    """A message comes for it while there are slots, but none for one destination alone."""
+    """A message arrives for it while slots are free, but none that this destination may use."""
     policy, fresh = _backlogged(count)
     policy.settings = replace(policy.settings, workers=3)
     return lambda: timed(lambda: policy.handle(incoming(fresh(), 0, _NOW), _NOW))
 
 
-def _held_memory(count: int) -> Sample:
+def _queued_memory(count: int) -> Sample:
     def build() -> Policy:
         policy = listed_policy(1, workers=1)
         for number in range(1, count + 1):
@@ -143,20 +143,20 @@
 
 PROBES = (
     Probe("policy-one-change", _delta, "rillspindle.policy.Policy._list", repeats=3, limit_s=25.0),
-    Probe("policy-whole-list", _whole, "rillspindle.policy.Policy._list", repeats=2, limit_s=15.0),
+    Probe("policy-whole-list", _full_list, "rillspindle.policy.Policy._list", repeats=2, limit_s=15.0),
     Probe("policy-memory", _memory, "rillspindle.catalog, rillspindle.state.Dest, Endpoint",
           unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1, limit_s=30.0),
     Probe("policy-message", _message, "rillspindle.policy.Policy._take, _outcome"),
     Probe("policy-starved-slot", _starved, "rillspindle.policy.Policy._outcome (sorted by _slot_worth)"),
-    Probe("policy-full-room", _full_room, "rillspindle.policy.Policy._hold (_drain_time of each)",
+    Probe("policy-full-room", _full_queue, "rillspindle.policy.Policy._hold (_drain_time of each)",
           sizes=(1_000, 3_000, 10_000, 30_000, 100_000, 300_000)),
-    Probe("policy-full-room-held", _full_room_held, "rillspindle.policy.Policy._hold (each held message)",
+    Probe("policy-full-room-held", _full_large_queue, "rillspindle.policy.Policy._hold (each held message)",
           axis=Axis.MESSAGES, sizes=_BACKLOG, repeats=3),
     Probe("policy-backlog-answer", _backlog_answer, "rillspindle.policy.Policy._slot_worth, _pump",
           axis=Axis.MESSAGES, sizes=_BACKLOG),
     Probe("policy-backlog-arrival", _backlog_arrival, "rillspindle.policy.Policy._pump (list of dest.queued)",
           axis=Axis.MESSAGES, sizes=_BACKLOG),
-    Probe("policy-held-memory", _held_memory, "rillspindle.state.Message",
+    Probe("policy-held-memory", _queued_memory, "rillspindle.state.Message",
           axis=Axis.MESSAGES, sizes=_BACKLOG, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
           limit_s=30.0),
 )  # fmt: skip
--- a/benchmarks/slopes/pages.py
+++ b/benchmarks/slopes/pages.py
@@ -1,4 +1,4 @@
-"""What is read and written whole: discovery's list, an operator's file, the status page, notices."""
+"""Data that is read or written as a whole: discovery's list, an operator's file, the status page, notices."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from mountgauge.router import Router
 
-_OWED = (1_000, 3_000, 10_000, 30_000, 100_000)
+_NOTICES = (1_000, 3_000, 10_000, 30_000, 100_000)
 _FILE = (100, 300, 1_000, 3_000, 10_000, 30_000)
 
 
@@ -60,14 +60,14 @@
     )
 
     def load() -> None:
-        assert folder  # the file lives as long as what measures it
+        assert folder  # the reference keeps the temporary folder until the sample is dropped
         load_hops(path, 1)
 
     return lambda: timed(load)
 
 
 def _status(count: int) -> Sample:
-    """The state that `GET /status` answers, without what optional parts add."""
+    """The report that `GET /status` returns, without the sections of optional subsystems."""
     runtime = Runtime.__new__(Runtime)
     hops = {f"hop-{number}": hop(number) for number in range(count)}
     runtime.config, runtime.subsystems = cast(Any, SimpleNamespace(name="slopes")), []
@@ -77,8 +77,8 @@
     return lambda: timed(lambda: orjson.dumps(dict(runtime.report())))
 
 
-class _Answering:
-    """A platform that takes each batch of notices at once."""
+class _AcceptingClient:
+    """A platform that accepts each batch of notices at once."""
 
     async def exchange(self, data: bytes, limit: float, connect_limit: float = 1.5) -> Any:
         return SimpleNamespace(status=204)
@@ -87,11 +87,11 @@
 
 
 def _notices(count: int) -> Sample:
-    """So many messages end undelivered together; all are told."""
+    """So many messages become undeliverable at the same time, and a notice is sent for each."""
 
-    async def tell_all() -> float:
+    async def send_all() -> float:
         notices = Notices(Address("127.0.0.1", 1))
-        notices._client = cast(Client, _Answering())
+        notices._client = cast(Client, _AcceptingClient())
         for number in range(count):
             notices.report_outcome(
                 f"message-{number:012d}", MessageOutcome(Status.UNDELIVERABLE), lambda: None
@@ -104,7 +104,7 @@
         assert notices.unacknowledged == 0
         return spent
 
-    return lambda: asyncio.run(tell_all())
+    return lambda: asyncio.run(send_all())
 
 
 PROBES = (
@@ -115,5 +115,5 @@
           repeats=3, limit_s=15.0),
     Probe("status-page", _status, "mountgauge.run.base.Runtime.report"),
     Probe("notices-drain", _notices, "mountgauge.notices.Notices._run (list of all owed, each batch)",
-          axis=Axis.MESSAGES, sizes=_OWED, repeats=3),
+          axis=Axis.MESSAGES, sizes=_NOTICES, repeats=3),
 )  # fmt: skip
--- a/benchmarks/slopes/recovery.py
+++ b/benchmarks/slopes/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery after a restart: what is looked at each quarter of a second, and written each second."""
+"""Recovery after a restart: the checks of each quarter of a second, and the facts written each second."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 _INSTANCES = (100, 300, 1_000, 3_000, 10_000)
 
 
-def _look(count: int) -> Sample:
-    """Each destination is asked for."""
+def _check(count: int) -> Sample:
+    """Each destination has a queued message."""
     policy = asked_policy(count)
     return lambda: timed(lambda: destination_states(policy, 101.0))
 
 
-def _idle_look(count: int) -> Sample:
-    """No destination is asked for."""
+def _idle_check(count: int) -> Sample:
+    """No destination has a message."""
     policy = listed_policy(count)
     return lambda: timed(lambda: destination_states(policy, 101.0))
 
 
 def _facts(count: int) -> Sample:
-    """The subsystem alone, on a runtime that has only what it asks of it; each destination is asked for."""
+    """The subsystem alone, on a runtime with only what it needs; each destination has a queued message."""
     policy = asked_policy(count)
     stamp = Stamp("", 1_000_101.0, 101.0, 1_000_101.0)
     core = SimpleNamespace(policy=policy, rules=policy.settings, version=1)
-    part = RecoverySubsystem.__new__(RecoverySubsystem)
-    part.runtime = cast("Runtime", SimpleNamespace(sender=core))
-    part.identity = Identity("slopes", "0" * 16, 1, False)
-    return lambda: timed(lambda: part.facts(stamp))
+    subsystem = RecoverySubsystem.__new__(RecoverySubsystem)
+    subsystem.runtime = cast("Runtime", SimpleNamespace(sender=core))
+    subsystem.identity = Identity("slopes", "0" * 16, 1, False)
+    return lambda: timed(lambda: subsystem.facts(stamp))
 
 
 def _table(count: int) -> Sample:
@@ -50,10 +50,10 @@
 
 
 PROBES = (
-    Probe("recovery-look", _look, "mountgauge.recovery.destinations.destination_states, each 0.25 s"),
+    Probe("recovery-look", _check, "mountgauge.recovery.destinations.destination_states, each 0.25 s"),
     Probe("recovery-facts", _facts, "mountgauge.run.recovery.RecoverySubsystem.facts, each 1 s"),
     Probe(
-        "recovery-idle-look", _idle_look, "mountgauge.recovery.destinations.destination_states, each 0.25 s"
+        "recovery-idle-look", _idle_check, "mountgauge.recovery.destinations.destination_states, each 0.25 s"
     ),
     Probe("recovery-table", _table, "mountgauge.recovery.table.lines", axis=Axis.MEMBERS, sizes=_INSTANCES),
 )
--- a/benchmarks/slopes/report.py
+++ b/benchmarks/slopes/report.py
@@ -1,4 +1,4 @@
-"""What was measured, as one line a probe and as the JSON that the capacity page is worked out from."""
+"""Formats measurements as one line a probe, and writes the JSON file that the capacity page is based on."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def targets(size: FleetSize) -> Target:
-    """The size that a cost is given for, by what grows; tenants, budgets and connections have no target."""
+    """The sizes to extrapolate to; tenants, budgets and connections have none."""
     return {
         Axis.DESTINATIONS: float(size.destinations),
         Axis.MEMBERS: float(size.senders),
@@ -71,7 +71,7 @@
 
 
 def save(path: Path, results: Sequence[ProbeResult], order: Sequence[Probe]) -> None:
-    """Everything that was measured, nothing of when; results of other probes that the file has stay."""
+    """Writes the results without timestamps; results of other probes in the file are kept."""
     probes = {one["name"]: one for one in _kept(path)} | {one.probe.name: _as_json(one) for one in results}
     found = {
         "processor": processor(),
@@ -83,7 +83,7 @@
 
 
 def _kept(path: Path) -> list[dict[str, Any]]:
-    """What the file has, where it is of this processor and Python: others' costs are not to be compared."""
+    """The file's results if they are from this processor and Python version: others are not comparable."""
     if not path.exists():
         return []
     raw = json.loads(path.read_text())
@@ -92,7 +92,7 @@
 
 
 def processor() -> str:
-    """The processor's model, as the system names it."""
+    """The processor's model as reported by the system."""
     try:
         for text in Path("/proc/cpuinfo").read_text().splitlines():
             if text.startswith("model name"):
--- a/benchmarks/slopes/telemetry.py
+++ b/benchmarks/slopes/telemetry.py
@@ -1,4 +1,4 @@
-"""Telemetry: one export of metrics, which has a point for each tenant and for each member of the fleet."""
+"""Telemetry: one export of metrics, with a data point for each tenant and for each member of the fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def _report(members: int) -> dict[str, Any]:
-    """What `/tenants` says in a fleet of so many members."""
+    """The report that `/tenants` returns in a fleet of so many members."""
     tenants = [
         {
             "tenant": f"t{number}",
@@ -27,8 +27,8 @@
         }
         for number in range(_TENANTS)
     ]
-    words = [{"name": f"m{number}", "presence": "here", "age_s": 0.25} for number in range(members)]
-    return {"tenants": tenants, "members": words, "split": False, "gossip": {"dropped": {}}}
+    presence = [{"name": f"m{number}", "presence": "here", "age_s": 0.25} for number in range(members)]
+    return {"tenants": tenants, "members": presence, "split": False, "gossip": {"dropped": {}}}
 
 
 def _export(report: dict[str, Any]) -> bytes:
--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/worlds.py
@@ -1,4 +1,4 @@
-"""What several probes stand on: settings, lists of destinations, and a core without sockets or clock."""
+"""Fixtures of several probes: settings, lists of destinations, and a core without sockets or a real clock."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def settings(max_open: int = 10_000_000, workers: int = 1, senders: int = 1) -> dict[str, Any]:
-    """The module's settings as an operator's file gives them, with room for any number of messages."""
+    """The module's settings as an operator's file gives them, with capacity for any number of messages."""
     return {
         "balancers": senders, "zone": 0, "tick": 0.005, "discovery": "subscribe", "weights": "nominal",
         "grades": [{
@@ -46,7 +46,7 @@
 
 
 def entry(number: int, readiness: Readiness = Readiness.READY) -> Entry:
-    """The one endpoint of a destination."""
+    """The only endpoint of a destination."""
     return Entry(readiness, 0.0, 0.0, 0, number, 0, b"hop-%d" % number)
 
 
@@ -59,7 +59,7 @@
 
 
 def listed_policy(count: int, **extra: int) -> Policy:
-    """A module that knows so many destinations, one endpoint each."""
+    """A module that has so many destinations listed, one endpoint each."""
     policy = Policy(settings(**extra), SEED)
     entries = tuple(entry(number) for number in range(count))
     policy.handle(io.Targets(io.ListKind.FULL, 1, entries), 100.0)
@@ -67,7 +67,7 @@
 
 
 def asked_policy(count: int) -> Policy:
-    """The same, with a message held for each destination but the one that has the only slot."""
+    """The same, with a message queued for each destination except the one that has the only slot."""
     policy = listed_policy(count, workers=1)
     for number in range(count):
         policy.handle(incoming(number + 1, number, 100.0), 100.0)
@@ -75,7 +75,7 @@
 
 
 class Peers:
-    """Next hops, transport map, front and clock of a core that is measured alone. Calls stay out."""
+    """Stands in for next hops, transport map, front and clock of a core. Its calls stay in flight."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -92,8 +92,8 @@
     def boot(self) -> str:
         return ""
 
-    def call_at(self, when: float, then: Callable[[], None]) -> None:
-        self.due.append(then)
+    def call_at(self, when: float, callback: Callable[[], None]) -> None:
+        self.due.append(callback)
 
     def start(self, call: Call) -> None:
         self.calls.append(call)
@@ -107,19 +107,19 @@
 
     def snapshot(self) -> None: ...
 
-    def report_outcome(self, msg_id: str, end: MessageOutcome, told: Callable[[], None]) -> None:
-        told()
+    def report_outcome(self, msg_id: str, outcome: MessageOutcome, on_delivered: Callable[[], None]) -> None:
+        on_delivered()
 
     def run_due(self) -> None:
-        """The turns that the core asked for, a tick later."""
+        """Run the callbacks that the core has scheduled, a tick later."""
         self.time += 0.01
         due, self.due = self.due, []
-        for then in due:
-            then()
+        for callback in due:
+            callback()
 
 
 def sender(policy: Policy, peers: Peers, folder: Path | None = None) -> Sender:
-    """A core on a journal of its own."""
+    """A core with a journal of its own."""
     journal = Journal(folder or Path(tempfile.mkdtemp(prefix="slopes-")), DISK_BYTES, clock=peers)
     found = Sender(policy, NAMES, journal, peers, {"platform": peers})
     found.next_hops = found.map = peers
@@ -139,9 +139,9 @@
 
 
 def numbers(start: int = 1) -> Callable[[], int]:
-    """Message numbers that never come again."""
-    found = itertools.count(start)
-    return lambda: next(found)
+    """Returns increasing message numbers."""
+    counter = itertools.count(start)
+    return lambda: next(counter)
 
 
 def finish_all(core: Sender, calls: Sequence[Call], outcome: Outcome = Outcome.OK) -> None:
