--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -1,12 +1,12 @@
-"""Many idle connections, measured: what each costs, and how far one core goes.
+"""Measures many idle connections: the cost of each, and how many one core can serve.
 
     python -m benchmarks.idle [--quick] [--front resp|amqp] [--connections N] [--json FILE]
 
-One real sender, pinned to a core; load processes on the others, each from a loopback address of its own.
-A steady 100 messages a second are handed in over RESP2 while idle connections are ramped, until p99 of
-`+OK` passes 400 ms, delivery passes 2 s, or a limit stops it. Then all of them wake within a second, and
-half of them are reset in the same instant. Prints a table, a chart (SVG, with matplotlib) and one line of
-JSON; exit 1 where an aim is missed.
+One real sender is pinned to a core; load processes run on the others, each from its own loopback address. A
+steady 100 messages a second are submitted over RESP2 while idle connections are added, until p99 of `+OK`
+exceeds 400 ms, delivery exceeds 2 s, or a limit is reached. Then all idle connections submit a message within
+a second, and half of them are reset at the same instant. Prints a table and one line of JSON, and draws a
+chart (SVG, with matplotlib); exits with 1 if a target is missed.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 from mountgauge.lab.rig.proxies import HOST
 from mountgauge.status import ask
 
-RATE, BUSY = 100.0, 100  # messages a second, over so many connections
-FULL, QUICK = 18_000, 3_000
-AIMS = {"resp": 3 * 1024, "amqp": 6 * 1024}  # resident bytes for each connection
-HEARTBEAT = 60
-LOADS = 3
-_SETTLE = 3.5  # s after which nothing of what was handed in is left: deadlines, connections to the partner
+RATE, BUSY = 100.0, 100  # messages/s, and the connections that submit them
+FULL, QUICK = 18_000, 3_000  # idle connections
+TARGET_BYTES = {"resp": 3 * 1024, "amqp": 6 * 1024}  # resident memory of each connection
+HEARTBEAT = 60  # s
+LOADS = 3  # load processes
+_SETTLE_S = 3.5  # after which deadlines have passed and connections to the partner are closed
 
 
 def percentile(values: list[float], share: float) -> float:
-    """The value below which this share of the values lies; 0 of none."""
+    """The value below which this share of the values lies; 0 if there are none."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))] if ordered else 0.0
 
 
 def slab_bytes() -> int:
-    """Of the whole machine: kernel objects of both ends of each connection are in it."""
+    """The machine's slab memory, which includes the kernel objects of both ends of each connection."""
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("Slab:"):
             return int(line.split()[1]) * 1024
@@ -53,10 +53,10 @@
 
 
 class Busy:
-    """The steady clients, and the partner that takes every call: when each message came to either."""
+    """The busy clients and the partner, which accepts every call: the latencies that both observe."""
 
     def __init__(self) -> None:
-        self.handed: dict[str, float] = {}
+        self.submitted: dict[str, float] = {}  # messages not delivered yet, and when they were submitted
         self.ok: list[float] = []
         self.delivered: list[float] = []
         self.refused = self.lost = 0
@@ -64,6 +64,7 @@
         self.rng = random.Random(7)
 
     async def start(self) -> int:
+        """Start the partner; its port."""
         self.server = await asyncio.start_server(self._partner, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -73,7 +74,7 @@
             while data := await reader.read(65536):
                 for message in parser.feed(data):
                     self.calls += 1
-                    began = self.handed.pop(message.headers.get("x-trace-id", ""), None)
+                    began = self.submitted.pop(message.headers.get("x-trace-id", ""), None)
                     if began is not None:
                         self.delivered.append(time.monotonic() - began)
                     writer.write(response(200, "OK", {}, b""))
@@ -82,18 +83,19 @@
         writer.close()
 
     async def connect(self, port: int) -> None:
+        """Connect the busy clients to the sender."""
         self.peers = [await asyncio.open_connection(HOST, port) for _ in range(BUSY)]
         self.number = 0
 
     async def run(self, seconds: float) -> dict[str, float]:
-        """Hand in for so long: p99 of the take-on and of the delivery, in s."""
+        """Submit messages for so many seconds; percentiles of the latency of `+OK` and of delivery, in s."""
         self.ok, self.delivered, self.refused = [], [], 0
         began = time.monotonic()
         tasks = []
         for n in range(int(seconds * RATE)):
-            # At random within its hundredth: else it would beat with the sender's tick.
+            # A random moment of its interval: a fixed one would interfere with the sender's tick.
             await asyncio.sleep(max(0.0, began + (n + self.rng.random()) / RATE - time.monotonic()))
-            tasks.append(asyncio.create_task(self._one(n % BUSY)))
+            tasks.append(asyncio.create_task(self._submit(n % BUSY)))
         await asyncio.wait(tasks, timeout=3)
         lost = sum(not task.done() or task.exception() is not None for task in tasks)
         self.lost += lost
@@ -104,24 +106,25 @@
             "sent": len(tasks),
         }  # fmt: skip
 
-    async def _one(self, place: int) -> None:
-        reader, writer = self.peers[place]
+    async def _submit(self, index: int) -> None:
+        reader, writer = self.peers[index]
         self.number += 1
         msg_id = f"busy-{self.number}"
         args = (b"ENQUEUE", b"0", msg_id.encode(), b"c=note,d=3000,dest=7", b"x" * 200)
-        began = self.handed[msg_id] = time.monotonic()
+        began = self.submitted[msg_id] = time.monotonic()
         writer.write(b"*%d\r\n" % len(args) + b"".join(b"$%d\r\n%b\r\n" % (len(a), a) for a in args))
         answer = await reader.readline()
         self.ok.append(time.monotonic() - began)
         if answer != b"+OK\r\n":
             self.refused += 1
-            self.handed.pop(msg_id, None)
+            self.submitted.pop(msg_id, None)
 
 
-class Loads:
-    """The load processes."""
+class LoadProcesses:
+    """The load processes, see `benchmarks.idle_load`."""
 
     async def start(self, front: str, port: int, cores: list[int]) -> None:
+        """Start the processes, each pinned to one of the cores."""
         self.processes = []
         for n in range(LOADS):
             process = await asyncio.create_subprocess_exec(
@@ -131,24 +134,29 @@
             os.sched_setaffinity(process.pid, {cores[n % len(cores)]})
             self.processes.append(process)
 
-    async def order(self, each: list[dict[str, Any]], limit: float = 60) -> list[dict[str, Any]]:
-        async def one(process: asyncio.subprocess.Process, what: dict[str, Any]) -> dict[str, Any]:
+    async def send(self, each: list[dict[str, Any]], limit: float = 60) -> list[dict[str, Any]]:
+        """Send each process its command, and return all results."""
+
+        async def one(process: asyncio.subprocess.Process, command: dict[str, Any]) -> dict[str, Any]:
             assert process.stdin is not None and process.stdout is not None
-            process.stdin.write(json.dumps(what).encode() + b"\n")
+            process.stdin.write(json.dumps(command).encode() + b"\n")
             found: dict[str, Any] = json.loads(await process.stdout.readline())
             return found
 
         async with asyncio.timeout(limit):
             return await asyncio.gather(*map(one, self.processes, each))
 
-    async def all(self, **what: Any) -> list[dict[str, Any]]:
-        return await self.order([what] * LOADS)
+    async def all(self, **command: Any) -> list[dict[str, Any]]:
+        """Send all processes the same command."""
+        return await self.send([command] * LOADS)
 
     async def open(self, count: int) -> list[dict[str, Any]]:
-        parts = [count // LOADS + (n < count % LOADS) for n in range(LOADS)]
-        return await self.order([{"do": "open", "count": part} for part in parts])
+        """Open so many connections, divided evenly between the processes."""
+        shares = [count // LOADS + (n < count % LOADS) for n in range(LOADS)]
+        return await self.send([{"do": "open", "count": share} for share in shares])
 
     async def stop(self) -> None:
+        """End the processes."""
         for process in self.processes:
             assert process.stdin is not None
             process.stdin.close()
@@ -168,18 +176,19 @@
 
 
 class Sender:
-    """The sender under test, seen by its process and its status page."""
+    """The sender under test, observed by its process and its status page."""
 
     def __init__(self, pid: int, status: Address) -> None:
         self.pid, self.status = pid, status
 
     async def clients(self) -> dict[str, Any]:
+        """The section on clients of its status page."""
         found: dict[str, Any] = (await ask(self.status))["clients"]
         return found
 
     async def idle(self, seconds: float) -> tuple[float, float, float]:
-        """Share of a core, wakeups a second, and voluntary switches a second, with nothing handed in."""
-        await asyncio.sleep(_SETTLE)
+        """Share of a core, wakeups/s, and the measured time in s, while no message is submitted."""
+        await asyncio.sleep(_SETTLE_S)
         before, cpu, at = (await self.clients())["loop_wakeups"], cpu_s(self.pid), time.monotonic()
         await asyncio.sleep(seconds)
         spent = time.monotonic() - at
@@ -187,16 +196,17 @@
         return cpu / spent, ((await self.clients())["loop_wakeups"] - before) / spent, spent
 
     def descriptors(self) -> int:
+        """The number of its open descriptors."""
         return len(os.listdir(f"/proc/{self.pid}/fd"))
 
 
 async def measure(front: str, quick: bool, count: int) -> tuple[dict[str, Any], list[dict[str, float]]]:
-    """Fill one front with idle connections: its figures, and rows for the chart."""
+    """Fills one front with idle connections; the figures, and the rows of the chart."""
     target, step, window = (QUICK, 1500, 2.0) if quick else (FULL, 3000, 5.0)
     target = count or target
     compare, quiet = (5.0, 4.0) if quick else (15.0, 20.0)
     cores = sorted(os.sched_getaffinity(0))
-    busy, loads = Busy(), Loads()
+    busy, loads = Busy(), LoadProcesses()
     found: dict[str, Any] = {"front": front, "target": target}
     rows: list[dict[str, float]] = []
     with tempfile.TemporaryDirectory() as name:
@@ -209,8 +219,8 @@
         )  # fmt: skip
         try:
             os.sched_setaffinity(process.pid, {cores[0]})
-            rest = cores[1:] or cores
-            os.sched_setaffinity(0, {rest[0]})
+            other_cores = cores[1:] or cores
+            os.sched_setaffinity(0, {other_cores[0]})
             sender = Sender(process.pid, Address(HOST, ports[1]))
             for _ in range(100):
                 try:
@@ -218,13 +228,13 @@
                     break
                 except OSError:
                     await asyncio.sleep(0.05)
-            await loads.start(front, ports[2 if front == "amqp" else 0], rest[1:] or rest)
+            await loads.start(front, ports[2 if front == "amqp" else 0], other_cores[1:] or other_cores)
             await busy.connect(ports[0])
-            await busy.run(2.0)  # warm
+            await busy.run(2.0)  # warm-up
             alone = await busy.run(compare)
             found["idle_cpu_share_none"], found["wakeups_per_s_none"], _ = await sender.idle(quiet)
             rss, slab, fds = resident_bytes(sender.pid), slab_bytes(), sender.descriptors()
-            # The ramp
+            # The number of idle connections grows.
             kept, why = 0, ""
             if front == "amqp":
                 await loads.all(do="beat", every=HEARTBEAT / 2)
@@ -248,9 +258,9 @@
             found["kernel_bytes_per_connection"] = round((slab_bytes() - slab) / 2 / max(1, kept))
             found["idle_cpu_share"], found["wakeups_per_s"], _ = await sender.idle(quiet)
             held = await busy.run(compare)
-            # All wake
-            orders = [{"do": "wake", "within": 1.0, "name": f"w{n}", "seed": n} for n in range(LOADS)]
-            waking = asyncio.create_task(loads.order(orders))
+            # All idle connections submit a message.
+            commands = [{"do": "wake", "within": 1.0, "name": f"w{n}", "seed": n} for n in range(LOADS)]
+            waking = asyncio.create_task(loads.send(commands))
             during = await busy.run(3.0)
             woken = await waking
             found["wake_asked"] = sum(one["asked"] for one in woken)
@@ -259,30 +269,32 @@
             found["wake_busy"] = sum(one["busy"] for one in woken)
             found["wake_longest_s"] = round(max(one["longest"] for one in woken), 3)
             found["wake_load_behind_s"] = round(max(one["behind"] for one in woken), 3)
-            again = sorted(ms for one in woken for ms in one["again"])
-            slots: dict[int, int] = {}
-            for ms in again:
-                slots[ms // 100] = slots.get(ms // 100, 0) + 1
-            found["again_ms"] = [again[0], again[len(again) // 2], again[-1]] if again else []
-            found["again_most_in_100_ms"] = max(slots.values(), default=0)
+            retries_ms = sorted(ms for one in woken for ms in one["again"])
+            by_100_ms: dict[int, int] = {}
+            for ms in retries_ms:
+                by_100_ms[ms // 100] = by_100_ms.get(ms // 100, 0) + 1
+            found["again_ms"] = (
+                [retries_ms[0], retries_ms[len(retries_ms) // 2], retries_ms[-1]] if retries_ms else []
+            )
+            found["again_most_in_100_ms"] = max(by_100_ms.values(), default=0)
             found["wake_busy_p99_s"] = round(during["delivered_p99"], 4)
             found["wake_busy_ok_p99_s"] = round(during["ok_p99"], 4)
             found["wake_busy_refused"] = during["refused"]
-            if not quick:  # all in the same instant: how many a second one core hears
+            if not quick:  # all at the same instant: how many submissions a second one core answers
                 await asyncio.sleep(2)
-                orders = [{"do": "wake", "within": 0.0, "name": f"x{n}", "seed": n} for n in range(LOADS)]
-                burst = await loads.order(orders)
+                commands = [{"do": "wake", "within": 0.0, "name": f"x{n}", "seed": n} for n in range(LOADS)]
+                burst = await loads.send(commands)
                 longest = max(one["longest"] for one in burst)
                 found["burst_longest_s"] = round(longest, 3)
                 found["burst_heard_per_s"] = round(sum(one["asked"] for one in burst) / max(1e-3, longest))
-            # Half are reset in the same instant
-            was = (await sender.clients())["open"]
+            # Half of the connections are reset at the same instant.
+            open_before = (await sender.clients())["open"]
             resetting = asyncio.create_task(loads.all(do="reset", share=0.5))
             during = await busy.run(2.0)
             gone = sum(one["reset"] for one in await resetting)
             await asyncio.sleep(0.3)
             now = await sender.clients()
-            found["reset_left_over"] = now["open"] - (was - gone)
+            found["reset_left_over"] = now["open"] - (open_before - gone)
             found["reset_busy_ok_p99_s"] = round(during["ok_p99"], 4)
             if front == "amqp" and not quick and not count:
                 silent = sum(one["silent"] for one in await loads.all(do="silence", share=0.5))
@@ -292,12 +304,13 @@
                     await asyncio.sleep(0.5)
                 found["silent_found_after_s"] = round(time.monotonic() - began, 1)
             await loads.all(do="close")
-            await asyncio.sleep(_SETTLE)
+            await asyncio.sleep(_SETTLE_S)
             now = await sender.clients()
             found["descriptors_left_over"] = sender.descriptors() - fds
             found["rss_left_over"] = resident_bytes(sender.pid) - rss
             again_alone = await busy.run(compare)
-            # What did not go back to the system is used again. These are still held at SIGHUP and SIGTERM.
+            # Memory that was not returned to the system should be reused. The connections stay open at SIGHUP
+            # and SIGTERM.
             await loads.open(kept)
             found["second_ramp_bytes"] = round((resident_bytes(sender.pid) - rss) / max(1, kept))
             os.kill(sender.pid, signal.SIGHUP)
@@ -322,41 +335,41 @@
     return found, rows
 
 
-def aims(found: dict[str, Any]) -> dict[str, tuple[float, bool]]:
-    """By key: the aim, and whether it is met."""
+def targets(found: dict[str, Any]) -> dict[str, tuple[float, bool]]:
+    """For each figure with a target: the target, and whether it is met."""
 
-    def most(key: str, limit: float) -> tuple[float, bool]:
+    def at_most(key: str, limit: float) -> tuple[float, bool]:
         return limit, found[key] <= limit
 
-    by: dict[str, tuple[float, bool]] = {
+    by_figure: dict[str, tuple[float, bool]] = {
         "kept": (found["target"], found["kept"] >= found["target"]),
-        "bytes_per_connection": most("bytes_per_connection", AIMS[found["front"]]),
-        "idle_cpu_share": most("idle_cpu_share", 0.02),
-        "busy_p99_ratio": most("busy_p99_ratio", 1.1),
-        "wake_unanswered": most("wake_unanswered", 0),
-        "wake_busy_p99_s": most("wake_busy_p99_s", 2.0),
-        "longest_turn_ms": most("longest_turn_ms", 50.0),
-        "reset_left_over": most("reset_left_over", 0),
-        "descriptors_left_over": most("descriptors_left_over", 0),
-        "busy_lost": most("busy_lost", 0),
-        "exit_code": most("exit_code", 0),
-        "stop_s": most("stop_s", 3.7),
+        "bytes_per_connection": at_most("bytes_per_connection", TARGET_BYTES[found["front"]]),
+        "idle_cpu_share": at_most("idle_cpu_share", 0.02),
+        "busy_p99_ratio": at_most("busy_p99_ratio", 1.1),
+        "wake_unanswered": at_most("wake_unanswered", 0),
+        "wake_busy_p99_s": at_most("wake_busy_p99_s", 2.0),
+        "longest_turn_ms": at_most("longest_turn_ms", 50.0),
+        "reset_left_over": at_most("reset_left_over", 0),
+        "descriptors_left_over": at_most("descriptors_left_over", 0),
+        "busy_lost": at_most("busy_lost", 0),
+        "exit_code": at_most("exit_code", 0),
+        "stop_s": at_most("stop_s", 3.7),
     }
-    # It includes what the wake-up left.
-    by["second_ramp_bytes"] = most("second_ramp_bytes", AIMS[found["front"]])
-    by["reload_closed"] = most("reload_closed", 0)
-    if found["front"] == "resp":  # none for an idle one: what the loop does anyway, and some scatter
+    # It includes memory that the burst of submissions left allocated.
+    by_figure["second_ramp_bytes"] = at_most("second_ramp_bytes", TARGET_BYTES[found["front"]])
+    by_figure["reload_closed"] = at_most("reload_closed", 0)
+    if found["front"] == "resp":  # idle connections cause no wakeups: those without any, and some variance
         limit = found["wakeups_per_s_none"] * 1.1 + 2
-        by["wakeups_per_s"] = (round(limit, 1), found["wakeups_per_s"] <= limit)
-    return by
+        by_figure["wakeups_per_s"] = (round(limit, 1), found["wakeups_per_s"] <= limit)
+    return by_figure
 
 
 def chart(path: Path, front: str, rows: list[dict[str, float]]) -> None:
-    """Draw the rows as SVG, where matplotlib is there."""
+    """Draw the rows as SVG, if matplotlib is installed."""
     try:
         import matplotlib  # type: ignore[import-not-found,unused-ignore]
     except ModuleNotFoundError:
-        print("no chart: matplotlib is missing (requirements-bench.txt)", file=sys.stderr)
+        print("no chart: matplotlib is not installed (requirements-bench.txt)", file=sys.stderr)
         return
     matplotlib.use("svg")
     from matplotlib import pyplot
@@ -366,12 +379,12 @@
     left.plot(held, [row["ok_p50"] * 1000 for row in rows], label="p50 of +OK")
     left.plot(held, [row["ok_p99"] * 1000 for row in rows], label="p99 of +OK")
     left.plot(held, [row["delivered_p99"] * 1000 for row in rows], label="p99 of delivery")
-    left.set(xlabel=f"idle {front} connections", ylabel="ms", title="Busy clients while the idle ones come")
+    left.set(xlabel=f"idle {front} connections", ylabel="ms", title="Busy clients while idle ones connect")
     left.set_ylim(bottom=0)
     left.legend()
-    right.plot(held, [row["rss"] / 1e6 for row in rows], label="resident, over none held")
-    limit = [held_now * AIMS[front] / 1e6 for held_now in held]
-    right.plot(held, limit, linestyle=":", label="aim")
+    right.plot(held, [row["rss"] / 1e6 for row in rows], label="resident, above none open")
+    limit = [count * TARGET_BYTES[front] / 1e6 for count in held]
+    right.plot(held, limit, linestyle=":", label="target")
     right.set(xlabel=f"idle {front} connections", ylabel="MB", title="Memory")
     right.set_ylim(bottom=0)
     right.legend()
@@ -381,11 +394,11 @@
 
 
 def main() -> int:
-    """Measure the front that is asked for, and print the table; 1 where an aim is missed."""
+    """Measure the chosen front and print the table; 1 if a target is missed."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--front", choices=("resp", "amqp"), default="resp")
-    parser.add_argument("--connections", type=int, default=0, help="in place of 18,000 or 3,000")
+    parser.add_argument("--connections", type=int, default=0, help="instead of 18,000 or 3,000")
     parser.add_argument("--json", type=Path)
     parser.add_argument("--chart", type=Path, default=Path("idle.svg"))
     args = parser.parse_args()
@@ -396,17 +409,17 @@
               f"{row['delivered_p99'] * 1e3:>11.2f} {row['rss'] / 1e6:>7.1f} "
               f"{row['longest_turn_ms']:>13.1f}")  # fmt: skip
     print()
-    wanted = aims(found)
+    by_figure = targets(found)
     for key, value in found.items():
-        aim, met = wanted.get(key, (None, True))
+        target, met = by_figure.get(key, (None, True))
         shown = round(value, 4) if isinstance(value, float) else value
-        print(f"{key:<28} {shown!s:>24} {'-' if aim is None else aim!s:>10}{'' if met else '  MISSED'}")
+        print(f"{key:<28} {shown!s:>24} {'-' if target is None else target!s:>10}{'' if met else '  MISSED'}")
     chart(args.chart, args.front, rows)
     line = json.dumps({"quick": args.quick, **found})
     print(line)
     if args.json is not None:
         args.json.write_text(line + "\n")
-    return 0 if all(met for _, met in wanted.values()) else 1
+    return 0 if all(met for _, met in by_figure.values()) else 1
 
 
 if __name__ == "__main__":
--- a/benchmarks/idle_load.py
+++ b/benchmarks/idle_load.py
@@ -1,7 +1,8 @@
-"""One load process of `benchmarks.idle`: holds thousands of connections, told by lines of JSON on stdin.
+"""One load process of `benchmarks.idle`: keeps thousands of connections, controlled by JSON lines on stdin.
 
-Plain sockets in an epoll: a client that costs little. Each line in is one order, each line out its result.
-Orders: open, wake, reset, silence, close, beat (a rate that goes on), quit.
+The connections are plain sockets in one epoll, so that they cost little. Each line on stdin is a command, and
+each line on stdout its result. Commands: open, wake, reset, silence, beat (heartbeats at a rate), close,
+state. The process ends when stdin does.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 _OPENED = codec.method(1, "confirm.select-ok")
 _PING = b"*1\r\n$4\r\nPING\r\n"
 _BEAT = codec.frame(codec.HEARTBEAT, 0, b"")
-_AT_ONCE = 64  # connections under way while they are opened
+_OPENING_AT_ONCE = 64  # connections
 
 
 def _enqueue(msg_id: str) -> bytes:
@@ -46,7 +47,7 @@
 
 
 class Load:
-    """The connections of one load process, and what came on them."""
+    """The connections of one load process, and the data received on them."""
 
     def __init__(self, front: str, port: int, source: str) -> None:
         self.front, self.port, self.source = front, port, source
@@ -54,16 +55,16 @@
         self.socks: dict[int, socket.socket] = {}
         self.got: dict[int, bytes] = {}
         self.beats: deque[int] = deque()
-        self.beat_every = 0.0  # s between two beats of one connection
+        self.beat_every = 0.0  # s between two heartbeats of one connection; 0: none
         self.next_beat = 0.0
         self.lost = 0
 
     def open(self, count: int) -> dict[str, Any]:
-        """Open so many, each having asked once; stops at the first that is refused or not answered."""
+        """Open so many connections, each with a request; stop at the first that is refused or unanswered."""
         opened, began = 0, time.monotonic()
         while opened < count:
             step = []
-            for _ in range(min(_AT_ONCE, count - opened)):
+            for _ in range(min(_OPENING_AT_ONCE, count - opened)):
                 sock = socket.socket()
                 try:
                     sock.bind((self.source, 0))
@@ -102,7 +103,7 @@
         return ""
 
     def pump(self, wait: float) -> list[tuple[int, bytes]]:
-        """Read what came; connections that the other side ended are dropped and counted."""
+        """Read what has arrived; connections that the other side closed are dropped and counted."""
         found = []
         for fd, _ in self.epoll.poll(wait, 512):
             try:
@@ -119,6 +120,7 @@
         return found
 
     def drop(self, fd: int, reset: bool = False) -> None:
+        """Close a connection, with a TCP reset if asked for."""
         sock = self.socks.pop(fd)
         if reset:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -126,7 +128,7 @@
         sock.close()
 
     def beat(self) -> float:
-        """Send the heartbeats that are due; returns s until the next one."""
+        """Send the heartbeats that are due; the seconds until the next one."""
         if not self.beat_every or not self.beats:
             return 0.2
         now = time.monotonic()
@@ -142,14 +144,14 @@
         return max(0.0, self.next_beat - now)
 
     def wake(self, within: float, name: str, seed: int) -> dict[str, Any]:
-        """All of them hand in one message, at random moments of a second: what each hears, and when."""
+        """Submit a message on each connection, at random moments of `within` s, and collect the answers."""
         rng = random.Random(seed)
         begin = time.monotonic() + 0.2
         plan = deque(sorted((begin + rng.random() * within, fd) for fd in self.socks))
-        asked: dict[int, float] = {}
+        submitted: dict[int, float] = {}
         answers: list[tuple[float, str, int]] = []
-        late = 0.0  # by how much this process itself was behind its plan
-        while plan or (asked and time.monotonic() < begin + within + 5):
+        late = 0.0  # s by which this process itself was behind its plan
+        while plan or (submitted and time.monotonic() < begin + within + 5):
             now = time.monotonic()
             for _ in range(64):
                 if not plan or plan[0][0] > now:
@@ -159,29 +161,30 @@
                     continue
                 late = max(late, now - when)
                 text = f"{name}-{fd}"
-                asked[fd] = time.monotonic()
+                submitted[fd] = time.monotonic()
                 try:
                     self.socks[fd].send(_enqueue(text) if self.front == "resp" else _publish(text))
                 except OSError:
-                    asked.pop(fd, None)
+                    submitted.pop(fd, None)
             for fd, data in self.pump(0 if plan else 0.05):
-                if fd not in asked:
+                if fd not in submitted:
                     continue
-                kind, again = self._heard(fd, data)
+                kind, retry_ms = self._answer(fd, data)
                 if kind:
-                    answers.append((time.monotonic() - asked.pop(fd), kind, again))
+                    answers.append((time.monotonic() - submitted.pop(fd), kind, retry_ms))
         times = sorted(answer[0] for answer in answers)
         return {
-            "asked": len(answers) + len(asked), "unanswered": len(asked),
+            "asked": len(answers) + len(submitted), "unanswered": len(submitted),
             "late": sum(t > 0.4 for t in times) if self.front == "resp" else
             sum(t > 0.4 and kind != "ok" for t, kind, _ in answers),
             "ok": sum(kind == "ok" for _, kind, _ in answers),
             "busy": sum(kind == "busy" for _, kind, _ in answers),
             "longest": times[-1] if times else 0.0, "behind": late,
-            "again": [again for _, kind, again in answers if kind == "busy"],
+            "again": [retry_ms for _, kind, retry_ms in answers if kind == "busy"],
         }  # fmt: skip
 
-    def _heard(self, fd: int, data: bytes) -> tuple[str, int]:
+    def _answer(self, fd: int, data: bytes) -> tuple[str, int]:
+        """The kind of answer and its retry time in ms; the kind is empty while the answer is incomplete."""
         if self.front == "resp":
             if data.startswith(b"+OK"):
                 return "ok", 0
@@ -192,7 +195,7 @@
         data = self.got.pop(fd, b"") + data
         parser = codec.FrameParser(1 << 17)
         parser.feed(data)
-        again = 0
+        retry_ms = 0
         while (frame := parser.next()) is not None:
             if frame.kind != codec.METHOD:
                 continue
@@ -200,37 +203,39 @@
             if method.name == "basic.ack":
                 return "ok", 0
             if method.name == "basic.return":
-                again = int(method.args["text"].rpartition("again_ms=")[2] or 0)
+                retry_ms = int(method.args["text"].rpartition("again_ms=")[2] or 0)
             elif method.name == "basic.nack":
-                return "busy", again
+                return "busy", retry_ms
         self.got[fd] = data
         return "", 0
 
     def reset(self, share: float) -> dict[str, Any]:
-        some = list(self.socks)[: int(len(self.socks) * share)]
-        for fd in some:
+        """Reset this share of the connections."""
+        chosen = list(self.socks)[: int(len(self.socks) * share)]
+        for fd in chosen:
             self.drop(fd, reset=True)
-        return {"reset": len(some)}
+        return {"reset": len(chosen)}
 
     def silence(self, share: float) -> dict[str, Any]:
-        """So many never say anything again, and their end is not told either."""
-        some = set(list(self.socks)[: int(len(self.socks) * share)])
-        self.beats = deque(fd for fd in self.beats if fd not in some)
-        return {"silent": len(some)}
+        """Stop the heartbeats of this share of the connections, without closing them."""
+        chosen = set(list(self.socks)[: int(len(self.socks) * share)])
+        self.beats = deque(fd for fd in self.beats if fd not in chosen)
+        return {"silent": len(chosen)}
 
-    def order(self, line: str) -> dict[str, Any]:
-        order = json.loads(line)
-        match order.pop("do"):
+    def execute(self, line: str) -> dict[str, Any]:
+        """Carry out one command; its result."""
+        command = json.loads(line)
+        match command.pop("do"):
             case "open":
-                return self.open(order["count"])
+                return self.open(command["count"])
             case "wake":
-                return self.wake(order["within"], order["name"], order["seed"])
+                return self.wake(command["within"], command["name"], command["seed"])
             case "reset":
-                return self.reset(order["share"])
+                return self.reset(command["share"])
             case "silence":
-                return self.silence(order["share"])
+                return self.silence(command["share"])
             case "beat":
-                self.beat_every, self.next_beat = order["every"], time.monotonic()
+                self.beat_every, self.next_beat = command["every"], time.monotonic()
                 return {}
             case "close":
                 for fd in list(self.socks):
@@ -243,10 +248,10 @@
 
 
 def main() -> None:
-    """Carry out orders from stdin until it ends."""
+    """Carry out commands from stdin until it ends."""
     front, port, source = sys.argv[1:]
     load = Load(front, int(port), source)
-    orders = b""
+    pending = b""
     os.set_blocking(0, False)
     wait = select.poll()
     wait.register(0, select.POLLIN)
@@ -260,10 +265,10 @@
             continue
         if not part:
             return
-        orders += part
-        while b"\n" in orders:
-            line, _, orders = orders.partition(b"\n")
-            print(json.dumps(load.order(line.decode())), flush=True)
+        pending += part
+        while b"\n" in pending:
+            line, _, pending = pending.partition(b"\n")
+            print(json.dumps(load.execute(line.decode())), flush=True)
 
 
 if __name__ == "__main__":
