--- a/benchmarks/tenants.py
+++ b/benchmarks/tenants.py
@@ -1,12 +1,12 @@
-"""Shared tenant counts, measured: eight real senders behind a relay that loses 30 % and delays by 500 ms.
+"""Measures shared tenant counts: eight real senders behind a proxy that loses 30 % and delays by 500 ms.
 
     python -m benchmarks.tenants [--quick] [--seed N] [--json FILE]
 
-Clients of both protocols hand in messages whose number is known. Again and again each sender is asked what
-it counts. A ninth sender without a fleet gets the same load as each of the eight: what it needs less of the
-processor is gossip's. Then the relay splits the fleet into halves. Prints a table, then one line of JSON;
-exit 1 where a bound is broken or an aim missed. Without --quick the fleet runs longer, and 2 to 32 members
-are played in virtual time for the table of bandwidth and processor time.
+Clients of both protocols submit a known number of messages, and each sender's counts are read repeatedly. A
+ninth sender without a fleet gets the same load as each of the eight: the difference in processor time is the
+cost of gossip. Then the proxy splits the fleet into halves. Prints a table, then one line of JSON; exits with
+1 if a bound or a target is missed. Without --quick the fleet runs longer, and fleets of 2 to 32 members are
+simulated in virtual time for the table of bandwidth and processor time.
 """
 
 from __future__ import annotations
@@ -37,14 +37,15 @@
 QUOTA, BURST = 20.0, 20.0
 INTERVAL, FANOUT, FLUSH = 0.25, 4, 0.1
 LOSS, DELAY = 0.3, 0.5
-LIMITED, BILLED, SMALL = 8.0, 6.0, 6.0  # messages a second that each member is offered of each kind
+LIMITED, BILLED, SMALL = 8.0, 6.0, 6.0  # messages/s of each kind that are offered to each member
 KEY = "the benchmark's own key"
 
 
 class Partner:
-    """Takes every call at once."""
+    """Accepts every call at once."""
 
     async def start(self) -> int:
+        """Start listening; the port."""
         self.server = await asyncio.start_server(self._serve, HOST, 0)
         return int(self.server.sockets[0].getsockname()[1])
 
@@ -59,20 +60,22 @@
         writer.close()
 
 
-class Truth:
-    """What was taken on, by tenant, and when."""
+class ClientCounts:
+    """The answers that the clients received, by tenant: what the senders' counts should say."""
 
     def __init__(self) -> None:
-        self.taken: Counter[str] = Counter()
+        self.accepted: Counter[str] = Counter()
         self.refused: Counter[str] = Counter()
         self.failed = 0
         self.times: dict[str, list[float]] = {}
 
-    def took(self, tenant: str) -> None:
-        self.taken[tenant] += 1
+    def add_accepted(self, tenant: str) -> None:
+        """Count a message as accepted now."""
+        self.accepted[tenant] += 1
         self.times.setdefault(tenant, []).append(time.monotonic())
 
-    def at(self, tenant: str, when: float) -> int:
+    def accepted_by(self, tenant: str, when: float) -> int:
+        """The tenant's messages that were accepted up to this moment."""
         times = self.times.get(tenant, [])
         low, high = 0, len(times)
         while low < high:
@@ -82,21 +85,23 @@
 
 
 class Resp:
-    """Hands in for any tenant on one connection: it logs in anew for each message."""
+    """Submits for any tenant on one RESP2 connection: it logs in again for each message."""
 
-    def __init__(self, port: int, truth: Truth) -> None:
-        self.port, self.truth, self.number = port, truth, 0
+    def __init__(self, port: int, counts: ClientCounts) -> None:
+        self.port, self.counts, self.number = port, counts, 0
 
     async def connect(self) -> None:
+        """Connect to the sender."""
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
 
-    async def hand_in(self, tenant: str) -> None:
+    async def submit(self, tenant: str) -> None:
+        """Submit one message and count its answer."""
         self.number += 1
         commands = (
             [b"AUTH", tenant.encode(), b"p"],
             [b"ENQUEUE", b"0", b"%d-%d" % (self.port, self.number), b"c=note,d=8000,dest=7", b"body"],
         )
-        for _ in range(2):  # a sender may close a connection between two requests: once more, on a new one
+        for _ in range(2):  # the sender may close a connection between two requests: retry on a new one
             login = answer = b""
             try:
                 for args in commands:
@@ -111,20 +116,20 @@
             self.writer.close()
             await self.connect()
         if login != b"+OK\r\n" or answer[:1] not in (b"+", b"-"):
-            self.truth.failed += 1
+            self.counts.failed += 1
         elif answer.startswith(b"+OK"):
-            self.truth.took(tenant)
+            self.counts.add_accepted(tenant)
         elif answer.startswith(b"-BUSY "):
-            self.truth.refused[tenant] += 1
+            self.counts.refused[tenant] += 1
         else:
-            self.truth.failed += 1
+            self.counts.failed += 1
 
 
 class Publisher:
     """Publishes for one tenant over AMQP with confirms."""
 
-    def __init__(self, port: int, tenant: str, truth: Truth) -> None:
-        self.port, self.tenant, self.truth, self.number = port, tenant, truth, 0
+    def __init__(self, port: int, tenant: str, counts: ClientCounts) -> None:
+        self.port, self.tenant, self.counts, self.number = port, tenant, counts, 0
 
     async def _frame(self) -> codec.Frame:
         head = await self.reader.readexactly(7)
@@ -139,21 +144,24 @@
             raise OSError(f"{method.name} for {name}: {method.args}")
         return method
 
-    def _say(self, channel: int, name: str, **args: Any) -> None:
+    def _send(self, channel: int, name: str, **args: Any) -> None:
         self.writer.write(codec.method(channel, name, **args))
 
     async def connect(self) -> None:
+        """Connect, log in and open a channel with confirms."""
         self.reader, self.writer = await asyncio.open_connection(HOST, self.port)
         self.writer.write(codec.PROTOCOL_HEADER)
         await self._expect("connection.start")
-        self._say(0, "connection.start-ok", mechanism="PLAIN", response=f"\0{self.tenant}\0p", locale="en_US")
+        self._send(
+            0, "connection.start-ok", mechanism="PLAIN", response=f"\0{self.tenant}\0p", locale="en_US"
+        )
         tune = (await self._expect("connection.tune")).args
-        self._say(0, "connection.tune-ok", **{**tune, "heartbeat": 0})
-        self._say(0, "connection.open", vhost="/")
+        self._send(0, "connection.tune-ok", **{**tune, "heartbeat": 0})
+        self._send(0, "connection.open", vhost="/")
         await self._expect("connection.open-ok")
-        self._say(1, "channel.open")
+        self._send(1, "channel.open")
         await self._expect("channel.open-ok")
-        self._say(1, "confirm.select")
+        self._send(1, "confirm.select")
         await self._expect("confirm.select-ok")
         self.task = asyncio.create_task(self._listen())
 
@@ -167,11 +175,12 @@
                 continue
             method = codec.decode_method(frame.payload)
             if method.name == "basic.ack":
-                self.truth.took(self.tenant)
+                self.counts.add_accepted(self.tenant)
             elif method.name == "basic.nack":
-                self.truth.refused[self.tenant] += 1
+                self.counts.refused[self.tenant] += 1
 
-    async def hand_in(self, _: str) -> None:
+    async def submit(self, _: str) -> None:
+        """Publish one message; the answer is counted when it arrives."""
         self.number += 1
         properties = {"message_id": f"{self.port}-{self.number}", "type": "note", "expiration": "8000"}
         self.writer.write(
@@ -181,28 +190,29 @@
 
 
 class Fleet:
-    """The senders, the relay between them, and the clients."""
+    """The senders, the proxy between them, and the clients."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder, self.rng = folder, random.Random(seed)
-        self.truth = Truth()
-        self.alone = Truth()  # of the ninth
+        self.counts = ClientCounts()  # of the clients of the eight senders
+        self.ninth_counts = ClientCounts()  # of the clients of the ninth, which has no fleet
         self.processes: list[asyncio.subprocess.Process] = []
         tcp = reserve_ports(3 * (MEMBERS + 1))
         self.resp, self.amqp, self.status = tcp[::3], tcp[1::3], tcp[2::3]
         self.udp = reserve_ports(MEMBERS)
-        self.relay = DatagramProxy([(HOST, port) for port in self.udp], LOSS, DELAY, seed)
+        self.proxy = DatagramProxy([(HOST, port) for port in self.udp], LOSS, DELAY, seed)
 
     async def start(self) -> None:
+        """Start partner, proxy and senders, and connect the clients."""
         self.partner = Partner()
         hop = await self.partner.start()
-        places = await self.relay.start()
+        addresses = await self.proxy.start()
         tenants = "".join(f'[[tenant]]\nname = "t{n}"\nusers.t{n} = "p"\n' for n in range(TENANTS))
         tenants += f'[[tenant]]\nname = "limited"\nrate = {QUOTA}\nburst = {BURST}\nusers.limited = "p"\n'
         tenants += '[[tenant]]\nname = "billed"\nusers.billed = "p"\n'
         for n in range(MEMBERS + 1):
-            known = [places[n, to] for to in range(MEMBERS) if to != n] if n < MEMBERS else []
-            peers = [f'"{HOST}:{port}"' for _, port in known]
+            others = [addresses[n, to] for to in range(MEMBERS) if to != n] if n < MEMBERS else []
+            peers = [f'"{HOST}:{port}"' for _, port in others]
             fleet = (
                 f'[fleet]\nname = "bench"\nlisten = "{HOST}:{self.udp[n]}"\npeers = [{", ".join(peers)}]\n'
                 f'keys = ["{KEY}"]\ninterval = {INTERVAL}\nfanout = {FANOUT}\n'
@@ -222,8 +232,8 @@
             )
         self.clients: list[tuple[Resp, Publisher]] = []
         for n in range(MEMBERS + 1):
-            truth = self.truth if n < MEMBERS else self.alone
-            pair = Resp(self.resp[n], truth), Publisher(self.amqp[n], "billed", truth)
+            counts = self.counts if n < MEMBERS else self.ninth_counts
+            pair = Resp(self.resp[n], counts), Publisher(self.amqp[n], "billed", counts)
             for client in pair:
                 for attempt in range(100):
                     try:
@@ -236,67 +246,72 @@
             self.clients.append(pair)
 
     async def used(self, n: int) -> dict[str, int]:
+        """A sender's counts by tenant, from its status page."""
         found = await ask(Address(HOST, self.status[n]), 10, "/tenants")
-        self.last = found
+        self.last_answer = found
         return {line["tenant"]: line["used"] for line in found["tenants"]}
 
     async def gossip_bytes(self) -> int:
+        """Bytes of gossip that the eight have sent so far."""
         found = [await ask(Address(HOST, self.status[n]), 10, "/tenants") for n in range(MEMBERS)]
         return sum(one["gossip"]["sent_bytes"] for one in found)
 
     async def load(self, until: float, small: bool = True) -> None:
-        """Each member is offered its share at random moments; the ninth as much as each."""
+        """Submit each member's load at random moments; the ninth sender gets as much as the others."""
 
-        async def one(client: Resp | Publisher, rate: float, limited: bool) -> None:
+        async def one_kind(client: Resp | Publisher, rate: float, limited: bool) -> None:
             rng = random.Random(self.rng.random())
             while True:
                 await asyncio.sleep(rng.expovariate(rate))
                 if time.monotonic() >= until:
                     return
-                await client.hand_in("limited" if limited else f"t{rng.randrange(TENANTS)}")
+                await client.submit("limited" if limited else f"t{rng.randrange(TENANTS)}")
 
-        async def both(client: Resp, rng: random.Random) -> None:
+        async def both_kinds(client: Resp, rng: random.Random) -> None:
             total = LIMITED + (SMALL if small else 0)
             while True:
                 await asyncio.sleep(rng.expovariate(total))
                 if time.monotonic() >= until:
                     return
                 limited = rng.random() < LIMITED / total
-                await client.hand_in("limited" if limited else f"t{rng.randrange(TENANTS)}")
+                await client.submit("limited" if limited else f"t{rng.randrange(TENANTS)}")
 
         await asyncio.gather(*(
             task for resp, publisher in self.clients
-            for task in (both(resp, random.Random(self.rng.random())), one(publisher, BILLED, False))
+            for task in (
+                both_kinds(resp, random.Random(self.rng.random())), one_kind(publisher, BILLED, False)
+            )
         ))  # fmt: skip
 
     async def stop(self) -> None:
+        """Stop the senders, the proxy and the partner."""
         for process in self.processes:
             if process.returncode is None:
                 process.terminate()
         for process in self.processes:
             await process.wait()
-        self.relay.close()
+        self.proxy.close()
         self.partner.server.close()
 
 
 async def _exact(fleet: Fleet, limit: float) -> float:
-    """Seconds from now until each sender counts just what was taken on."""
+    """Seconds from now until each sender counts exactly the accepted messages, at most `limit`."""
     began = time.monotonic()
     while time.monotonic() - began < limit:
-        wanted = +fleet.truth.taken
-        if [+Counter(await fleet.used(n)) for n in range(MEMBERS)] == [wanted] * MEMBERS:
+        expected = +fleet.counts.accepted
+        if [+Counter(await fleet.used(n)) for n in range(MEMBERS)] == [expected] * MEMBERS:
             return time.monotonic() - began
         await asyncio.sleep(0.1)
     return limit
 
 
 async def measure(quick: bool, seed: int) -> dict[str, Any]:
-    """The figures of one run of real senders. Times in s, shares of one core."""
+    """Measures one run of real senders. Times are in s, processor time in shares of one core."""
     seconds, split_for = (14.0, 10.0) if quick else (40.0, 30.0)
     found: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(Path(folder), seed)
-        truth = fleet.truth
+        counts = fleet.counts
         try:
             await fleet.start()
             await asyncio.sleep(2 * DELAY + 1)
@@ -309,15 +324,15 @@
                     asked = time.monotonic()
                     used = await fleet.used(n)
                     for tenant in ("limited", "billed"):
-                        then = truth.at(tenant, asked - 5)
+                        then = counts.accepted_by(tenant, asked - 5)
                         if then >= 200:
                             errors.append(1 - used[tenant] / then)
-                        # An AMQP client hears of the delivery, a little after the take-on.
-                        too_many = max(too_many, used[tenant] - truth.taken[tenant])
-                await fleet.used(MEMBERS)  # the ninth answers as often
+                        # An AMQP client is notified at the delivery, a little after the message was accepted.
+                        too_many = max(too_many, used[tenant] - counts.accepted[tenant])
+                await fleet.used(MEMBERS)  # the ninth sender answers as many requests
                 allowed = QUOTA * (time.monotonic() - began) + BURST
                 if allowed >= 200:
-                    over.append(truth.taken["limited"] / allowed - 1)
+                    over.append(counts.accepted["limited"] / allowed - 1)
                 await asyncio.sleep(0.2)
             await loading
             spent = time.monotonic() - began
@@ -326,25 +341,25 @@
             found["error_after_5s_max"] = round(max(errors), 4)
             found["counted_too_many"] = too_many
             found["overshoot"] = round(max(over), 4)
-            found["use_of_quota"] = round(truth.taken["limited"] / (QUOTA * spent + BURST), 3)
+            found["use_of_quota"] = round(counts.accepted["limited"] / (QUOTA * spent + BURST), 3)
             found["cpu_share"] = round(sum(shares[:-1]) / MEMBERS - shares[-1], 4)
             found["cpu_share_alone"] = round(shares[-1], 4)
             found["bytes_per_s"] = round((await fleet.gossip_bytes() - gossip) / spent / MEMBERS)
             found["memory_mb"] = round(max(resident_bytes(pid) for pid in pids[:-1]) / 1e6, 1)
             found["memory_mb_alone"] = round(resident_bytes(pids[-1]) / 1e6, 1)
-            # The halves, for longer than it takes to notice.
-            fleet.relay.split = set(range(MEMBERS // 2))
-            began, before = time.monotonic(), truth.taken["limited"]
+            # Split into halves, for longer than members need to detect it.
+            fleet.proxy.split = set(range(MEMBERS // 2))
+            began, before = time.monotonic(), counts.accepted["limited"]
             await fleet.load(began + split_for)
-            taken, spent = truth.taken["limited"] - before, time.monotonic() - began
-            found["overshoot_split"] = round(taken / (QUOTA * spent + BURST) - 1, 4)
+            accepted, spent = counts.accepted["limited"] - before, time.monotonic() - began
+            found["overshoot_split"] = round(accepted / (QUOTA * spent + BURST) - 1, 4)
             await fleet.used(0)
-            found["split_seen"] = fleet.last["split"]
-            fleet.relay.split = set()
+            found["split_seen"] = fleet.last_answer["split"]
+            fleet.proxy.split = set()
             found["exact_after_heal_s"] = round(await _exact(fleet, 30), 2)
-            found["messages"] = sum(truth.taken.values())
-            found["refused"] = sum(truth.refused.values())
-            found["failed"] = truth.failed + fleet.alone.failed
+            found["messages"] = sum(counts.accepted.values())
+            found["refused"] = sum(counts.refused.values())
+            found["failed"] = counts.failed + fleet.ninth_counts.failed
             found["seconds"], found["split_seconds"] = seconds, split_for
         finally:
             await fleet.stop()
@@ -354,7 +369,10 @@
 
 
 def scale(members: int, seed: int) -> dict[str, Any]:
-    """Bandwidth and processor time of one member: virtual time, 1,000 tenants, 25 messages a second each."""
+    """Simulates a fleet in virtual time: bandwidth and processor time of one member.
+
+    The fleet has 1,000 tenants, and each member accepts 25 messages/s.
+    """
     world = World({f"t{n}": None for n in range(TENANTS)}, seed, NetworkFaults(loss=0.05, delay=0.02))
     world.add(*(f"m{n}" for n in range(members)))
     world.until(5)
@@ -375,7 +393,7 @@
 
 
 def main() -> int:
-    """Measure, and print the table; 1 where an aim is missed."""
+    """Measure and print the table; 1 if a bound or a target is missed."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--seed", type=int, default=1)
@@ -387,7 +405,7 @@
     split_allowed = QUOTA * found["split_seconds"] + BURST
     gone = 20 * INTERVAL
     bounds = {
-        # At BILLED a second on each member, 200 counted: what the age past 5 s may hide.
+        # At BILLED messages/s on each member, of 200 counted: those in the age beyond 5 s may be missing.
         "error_after_5s_max": (count_error(BILLED * MEMBERS, max(0.0, age - 5)) / 200, 0.02),
         "exact_after_s": (age + 3 * INTERVAL, 10),
         "overshoot": (overshoot(QUOTA, BURST, MEMBERS, age) / allowed, 0.05),
@@ -398,11 +416,11 @@
     print(f"{'figure':<22} {'measured':>10} {'bound':>10} {'aim':>8}")
     broken = not found["split_seen"]
     for key, value in found.items():
-        bound, aim = bounds.get(key, (None, None))
-        missed = any(limit is not None and value > limit for limit in (bound, aim))
+        bound, target = bounds.get(key, (None, None))
+        missed = any(limit is not None and value > limit for limit in (bound, target))
         broken |= missed
-        limit, wanted = ("-" if one is None else f"{one:.4g}" for one in (bound, aim))
-        print(f"{key:<22} {value!s:>10} {limit:>10} {wanted:>8}{'  MISSED' if missed else ''}")
+        shown_bound, shown_target = ("-" if one is None else f"{one:.4g}" for one in (bound, target))
+        print(f"{key:<22} {value!s:>10} {shown_bound:>10} {shown_target:>8}{'  MISSED' if missed else ''}")
     found["bounds"] = {key: bound for key, (bound, _) in bounds.items() if bound is not None}
     if not args.quick:
         found["scale"] = [scale(members, args.seed) for members in (2, 4, 8, 16, 32)]
