--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -1,8 +1,9 @@
-"""A fleet that divides budgets, in virtual time: the members' state machines, a network that loses, delays,
-doubles and splits, clocks that drift, processes that are paused and die, folders that are lost.
+"""Simulates a fleet that divides budgets, in virtual time.
 
-Everything comes from one seed. After each step `World.check` sums what each process would act on, by its own
-clock and however late it is, and notes where that is more than the whole.
+The members' state machines are the real ones. The simulated network loses, delays, duplicates and partitions;
+clocks drift; processes are paused and killed; state folders are lost. One seed determines everything. After
+each step `World.check` adds up the shares that the processes would use, each by its own clock and however
+late it is, and records where the sum exceeds the total.
 """
 
 from __future__ import annotations
@@ -19,39 +20,39 @@
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget
 
-TICK_S = 0.05  # between two looks of a member
+TICK_S = 0.05  # between two ticks of a member
 EPSILON = 1e-6
 
 
 @dataclass
 class NetworkFaults:
-    """Faults of the network between the members; `loss` and `duplicated` are shares of datagrams."""
+    """Faults of the network between the members; `loss` and `duplicated` are shares of the datagrams."""
 
     loss: float = 0.0
     delay_s: float = 0.001
     jitter_s: float = 0.0
     duplicated: float = 0.0
-    groups: tuple[frozenset[str], ...] = ()  # who hears whom; none: everyone
-    not_receiving: frozenset[str] = frozenset()  # hears nothing, but is heard
+    groups: tuple[frozenset[str], ...] = ()  # partitions; empty: all reach each other
+    not_receiving: frozenset[str] = frozenset()  # members that can send, but receive nothing
 
 
 @dataclass
 class Node:
-    """One process: its member, its clock, its folder."""
+    """One process: its member, its clock and its state folder."""
 
     name: str
-    rate: float  # of its clock
+    rate: float  # of its clock, relative to true time
     member: Member | None = None
     paused_until: float = 0.0
     run: int = 0
     disk: list[tuple[str, GrantRecord]] = field(default_factory=list)
     epoch: int = 0  # on disk
-    kept: bool = False  # the folder is surely whole
+    kept: bool = False  # the folder is known to be complete
     left_at: float | None = None
 
 
 class World:
-    """The members, the network between them, and the only clock that is true."""
+    """The members, the network between them, and true time."""
 
     def __init__(
         self, budgets: Iterable[Budget], names: Iterable[str], seed: int, drift: float = 0.02,
@@ -67,7 +68,7 @@
         self.demand: Callable[[str, str, float], float] = lambda name, budget, at: 0.0
         self.overallocations: list[tuple[float, str, float]] = []
         self.sent = self.bytes = 0
-        self._line: list[tuple[float, int, str, Ask | Answer]] = []
+        self._in_transit: list[tuple[float, int, str, Ask | Answer]] = []
         self._count = itertools.count()
         self._ticks: list[tuple[float, int, str]] = []
         for one in self.lists.members:
@@ -76,7 +77,7 @@
     # Processes
 
     def add(self, name: str, rate: float | None = None) -> None:
-        """A member that was never here: clocks run anywhere within the drift."""
+        """Start a new member; by default its clock's rate is drawn from within the drift."""
         rate = self.rng.uniform(1 - self.drift, 1 + self.drift) if rate is None else rate
         self.nodes[name] = Node(name, rate)
         self.start(name)
@@ -84,6 +85,7 @@
     def start(
         self, name: str, lists: MemberList | None = None, budgets: Iterable[Budget] | None = None
     ) -> None:
+        """Start a process on the folder that the member's previous run left."""
         node = self.nodes[name]
         node.run += 1
         lists, now = lists or self.lists, self.clock(name)
@@ -100,7 +102,7 @@
         heapq.heappush(self._ticks, (self.time + self.rng.uniform(0, TICK_S), next(self._count), name))
 
     def kill(self, name: str, folder: str = "kept") -> None:
-        """SIGKILL. `folder`: kept; lost; or old, a copy of no use, which the witness shows."""
+        """SIGKILL. `folder`: kept, lost, or old: an outdated copy, which the process detects."""
         node = self.nodes[name]
         node.member, node.paused_until = None, 0.0
         if folder == "lost":
@@ -110,21 +112,23 @@
             node.kept = False
 
     def restart(self, name: str, folder: str = "kept") -> None:
+        """Kill the process and start it again at once."""
         self.kill(name, folder)
         self.start(name)
 
     def pause(self, name: str, seconds: float) -> None:
-        """SIGSTOP and, later, SIGCONT; its clock goes on."""
+        """SIGSTOP and, after so many seconds, SIGCONT; the clock goes on meanwhile."""
         self.nodes[name].paused_until = self.time + seconds
 
     def goodbye(self, name: str) -> None:
+        """Stop the process in an orderly way: it hands its leases back."""
         node = self.nodes[name]
         if node.member is not None:
             self._send(name, node.member.goodbye(self.clock(name), {}))
             node.left_at, node.member = self.time, None
 
     def change(self, names: Iterable[str], budgets: Iterable[Budget] | None = None) -> None:
-        """A new file for all: members added or removed, one an epoch."""
+        """Replace the settings file: members are added or removed, one an epoch."""
         wanted, lists = set(names), self.lists
         for name in sorted(wanted ^ set(lists.at(lists.epoch))):
             epoch = lists.epoch + 1
@@ -141,11 +145,12 @@
             self.budgets = list(budgets)
 
     def reload(self, name: str) -> None:
-        """SIGHUP: this member reads the newest file."""
+        """SIGHUP: this member reads the newest settings file."""
         if (member := self.nodes[name].member) is not None:
             member.reload(self.lists, self.budgets, self.clock(name))
 
     def clock(self, name: str) -> float:
+        """The time by this member's own clock."""
         return 1000.0 + self.time * self.nodes[name].rate
 
     # The network
@@ -162,15 +167,15 @@
                 continue
             times = 1 + (self.rng.random() < network.duplicated)
             for _ in range(times):
-                late = 0.0 if target == source else network.delay_s + self.rng.random() * network.jitter_s
-                heapq.heappush(self._line, (self.time + late, next(self._count), target, message))
+                delay_s = 0.0 if target == source else network.delay_s + self.rng.random() * network.jitter_s
+                heapq.heappush(self._in_transit, (self.time + delay_s, next(self._count), target, message))
 
     def _arrive(self, target: str, message: Ask | Answer) -> None:
         node = self.nodes.get(target)
         if node is None or node.member is None:
             return
         if node.paused_until > self.time:  # it waits in the socket
-            heapq.heappush(self._line, (node.paused_until, next(self._count), target, message))
+            heapq.heappush(self._in_transit, (node.paused_until, next(self._count), target, message))
             return
         now = self.clock(target)
         if isinstance(message, Ask):
@@ -183,14 +188,15 @@
     # Running
 
     def until(self, end: float, check_every: float = 0.02) -> None:
+        """Run until `end`, checking the sums of shares at least this often."""
         next_check = self.time
         while True:
-            at = min([end, *(line[0][0] for line in (self._line, self._ticks) if line)])
+            at = min([end, *(line[0][0] for line in (self._in_transit, self._ticks) if line)])
             if at >= end:
                 break
             self.time = max(self.time, at)
-            if self._line and self._line[0][0] <= self.time:
-                _, _, target, message = heapq.heappop(self._line)
+            if self._in_transit and self._in_transit[0][0] <= self.time:
+                _, _, target, message = heapq.heappop(self._in_transit)
                 self._arrive(target, message)
             elif self._ticks and self._ticks[0][0] <= self.time:
                 _, _, name = heapq.heappop(self._ticks)
@@ -214,7 +220,7 @@
         heapq.heappush(self._ticks, (self.time + TICK_S, next(self._count), name))
 
     def shares(self, budget: str) -> dict[str, float]:
-        """What each process would act on at this moment, a paused one too."""
+        """The share that each process would use at this moment, paused processes included."""
         return {
             name: node.member.share(budget, self.clock(name)).total
             for name, node in self.nodes.items()
@@ -222,6 +228,7 @@
         }
 
     def check(self) -> None:
+        """Record each budget whose shares add up to more than its total."""
         for budget in self.budgets:
             most = max(
                 [one.budget.total for node in self.nodes.values() if node.member is not None
@@ -232,15 +239,15 @@
                 self.overallocations.append((self.time, budget.name, total - most))
 
     def utilization(self, budget: Budget) -> float:
-        """The share of what could be used of the whole that the parts and the demand allow at this moment."""
-        parts = self.shares(budget.name)
-        wanted = {name: self.demand(name, budget.name, self.time) for name in parts}
-        served = sum(min(parts[name], wanted[name]) for name in parts)
+        """What shares and demand allow to be used now, by the most that demand and total would allow."""
+        shares = self.shares(budget.name)
+        wanted = {name: self.demand(name, budget.name, self.time) for name in shares}
+        served = sum(min(shares[name], wanted[name]) for name in shares)
         return served / max(1e-9, min(budget.total, sum(wanted.values())))
 
 
 def mean_utilization(world: World, budget: Budget, begin: float, end: float, step: float = 0.25) -> float:
-    """Averaged over a stretch of virtual time, which is run through."""
+    """Run the world from `begin` to `end`, and return the mean utilization."""
     world.until(begin)
     found = []
     at = begin
@@ -257,5 +264,5 @@
 
 
 def by_name(wanted: Mapping[str, float]) -> Callable[[str, str, float], float]:
-    """A demand by member, at all times; none of those not named."""
+    """A constant demand for each named member, and none for the others."""
     return lambda name, budget, at: wanted.get(name, 0.0)
--- a/benchmarks/comeback_model.py
+++ b/benchmarks/comeback_model.py
@@ -1,8 +1,8 @@
-"""A fleet of decision modules in virtual time against one partner: hundreds of members in seconds.
+"""Simulates a fleet of decision modules against one partner, in virtual time: hundreds of members in seconds.
 
-Each member is a `Policy` of its own, fed by messages, answers and its own timers; the partner is the rig's
-`CapacityModel`. Nothing else exists: no sockets, no processes, no clock but the one that is counted here. The
-same seed gives the same figures.
+Each member is a `Policy` of its own that receives messages, answers and its own timers; the partner is the
+rig's `CapacityModel`. There are no sockets and no processes, and the clock is simulated. The same seed gives
+the same figures.
 """
 
 from __future__ import annotations
@@ -25,12 +25,14 @@
 
 
 def settings(members: int, slots: int, ramp: bool) -> dict[str, Any]:
-    """What a member of an operator's file is told."""
-    grade = {"name": "note", "semantics": "idempotent", "deadline": DEADLINE_S, "aim": 2.0, "group": "all",
-             "worth": 1.0, "lateWorth": 0.3, "repeatWindow": 25.0}  # fmt: skip
+    """The module's settings of each member, as an operator's file gives them."""
+    message_class = {
+        "name": "note", "semantics": "idempotent", "deadline": DEADLINE_S, "aim": 2.0, "group": "all",
+        "worth": 1.0, "lateWorth": 0.3, "repeatWindow": 25.0,
+    }  # fmt: skip
     return {
         "balancers": members, "zone": 0, "tick": 0.005, "discovery": "subscribe", "weights": "nominal",
-        "grades": [grade], "localities": [], "shapes": ["k"],
+        "grades": [message_class], "localities": [], "shapes": ["k"],
         "ceilings": {"attemptsCap": 8, "cancel": True, "connectTimeout": 1.5, "maxOpen": 400,
                      "maxRetryAfter": 2.0, "mayDuplicate": False, "probes": False},
         "extra": {"kindBatch": [1], "losesWorth": "even", "routesApart": [False], "workers": slots,
@@ -44,13 +46,13 @@
 @dataclass(eq=False)
 class _Member:
     policy: Policy
-    offset: float  # its start on the common clock
+    offset: float  # its start in virtual time, s
     attempts: Counter[int] = field(default_factory=Counter)
 
 
 @dataclass(eq=False)
 class Fleet:
-    """`members` modules with `offered` messages/s in all at a partner of `rate` calls/s."""
+    """`members` modules that send `offered` messages/s in all to a partner of `rate` calls/s."""
 
     members: int
     rate: float
@@ -70,49 +72,59 @@
         self._number = 0
         self._rng = random.Random(self.seed)
         self._owner: dict[int, int] = {}
-        self.process_runs: list[_Member] = [self._new(place) for place in range(self.members)]
+        self.process_runs: list[_Member] = [self._new(member_index) for member_index in range(self.members)]
 
-    def _new(self, place: int) -> _Member:
+    def _new(self, member_index: int) -> _Member:
         policy = Policy(settings(self.members, self.slots, self.ramp), self._rng.getrandbits(60))
         member = _Member(policy, self.now)
         return member
 
     def start_all(self) -> None:
-        """All members start now, with their list."""
-        for place in range(self.members):
-            self.start(place)
+        """Start all members now, each with the list of endpoints."""
+        for member_index in range(self.members):
+            self.start(member_index)
 
-    def start(self, place: int, held: int = 0) -> None:
-        """A member starts anew; `held` messages of its earlier life come back to it."""
-        self.process_runs[place] = self._new(place)
+    def start(self, member_index: int, held: int = 0) -> None:
+        """Restart a member; `held` messages that its previous run had queued are restored to it."""
+        self.process_runs[member_index] = self._new(member_index)
         entry = Entry(Readiness.READY, 0.0, self.rate, 0, 7, 0, ENDPOINT)
-        self._feed(place, io.Targets(ListKind.CACHED, 1, (entry,)))
+        self._feed(member_index, io.Targets(ListKind.CACHED, 1, (entry,)))
         for _ in range(held):
             self._number += 1
-            self._feed(place, io.Restored(self._number, self.now + DEADLINE_S, 7, 0, 0, ()))
+            self._feed(member_index, io.Restored(self._number, self.now + DEADLINE_S, 7, 0, 0, ()))
 
-    def _at(self, when: float, place: int, what: str, *args: Any) -> None:
+    def _at(self, when: float, member_index: int, kind: str, *args: Any) -> None:
         self._count += 1
-        heapq.heappush(self._queue, (when, self._count, place, what, args))
+        heapq.heappush(self._queue, (when, self._count, member_index, kind, args))
 
-    def _feed(self, place: int, event: io.Event) -> None:
-        member = self.process_runs[place]
+    def _feed(self, member_index: int, event: io.Event) -> None:
+        member = self.process_runs[member_index]
         for action in member.policy.handle(event, 1000.0 + self.now):
             match action:
                 case io.Issue(number, endpoint, _):
                     send = member.attempts[number]
                     member.attempts[number] += 1
-                    taken = self.capacity.call(self.now)
-                    (self.served if taken else self.refused).append(self.now)
-                    took = ANSWER_S if taken else 0.002
-                    self._at(self.now + took, place, "answer", member, number, endpoint, send, taken, took)
+                    accepted = self.capacity.call(self.now)
+                    (self.served if accepted else self.refused).append(self.now)
+                    took_s = ANSWER_S if accepted else 0.002
+                    self._at(
+                        self.now + took_s,
+                        member_index,
+                        "answer",
+                        member,
+                        number,
+                        endpoint,
+                        send,
+                        accepted,
+                        took_s,
+                    )
                 case io.Schedule(delay, token):
-                    self._at(self.now + delay, place, "ring", member, token)
+                    self._at(self.now + delay, member_index, "ring", member, token)
                 case io.PushBack() | io.Abort():
                     self.ended += 1
 
     def run(self, seconds: float) -> None:
-        """So many seconds on, with messages at random members."""
+        """Simulate so many seconds, with messages submitted to random members."""
         until = self.now + seconds
         next_offer = self.now + self._rng.expovariate(self.offered)
         while True:
@@ -123,28 +135,31 @@
                 self.now = next_offer
                 next_offer += self._rng.expovariate(self.offered)
                 self._number += 1
-                place = self._rng.randrange(self.members)
+                member_index = self._rng.randrange(self.members)
                 self._feed(
-                    place, io.Incoming(self._number, 0, 1000.0 + self.now + DEADLINE_S, 0, 0.0, 7, 0, 0)
+                    member_index,
+                    io.Incoming(self._number, 0, 1000.0 + self.now + DEADLINE_S, 0, 0.0, 7, 0, 0),
                 )
                 continue
-            when, _, place, what, args = heapq.heappop(self._queue)
+            when, _, member_index, kind, args = heapq.heappop(self._queue)
             self.now = max(self.now, when)
-            if args[0] is not self.process_runs[place]:
-                continue  # of a process that is gone
-            if what == "ring":
-                self._feed(place, io.Ring(args[1]))
+            if args[0] is not self.process_runs[member_index]:
+                continue  # belongs to a run that has ended
+            if kind == "ring":
+                self._feed(member_index, io.Ring(args[1]))
             else:
-                _, number, endpoint, send, taken, took = args
-                outcome = Outcome.OK if taken else Outcome.FULL
-                self._feed(place, io.Response(number, took, endpoint, outcome, send, taken, 0, (), False))
+                _, number, endpoint, send, accepted, took_s = args
+                outcome = Outcome.OK if accepted else Outcome.FULL
+                self._feed(
+                    member_index, io.Response(number, took_s, endpoint, outcome, send, accepted, 0, (), False)
+                )
         self.now = until
 
 
 def simulate_restart(
     members: int, seed: int, ramp: bool, falls_at: float = 0.0, seconds: float = 20.0
 ) -> Mapping[str, float]:
-    """Four in five members start anew at one moment, and the partner goes cold."""
+    """Restarts four in five members at the same moment, when the partner also becomes cold."""
     fleet = Fleet(
         members, 100.0, 80.0, seed, max(4, 40 // members), ramp, CapacityModel(100.0, falls_at=falls_at)
     )
@@ -153,9 +168,9 @@
     fleet.run(15.0)
     zero = fleet.now
     fleet.capacity.go_cold(zero)
-    for place in fleet._rng.sample(range(members), max(1, members * 4 // 5)):
-        held = len(fleet.process_runs[place].policy.messages)
-        fleet.start(place, held)
+    for member_index in fleet._rng.sample(range(members), max(1, members * 4 // 5)):
+        held = len(fleet.process_runs[member_index].policy.messages)
+        fleet.start(member_index, held)
     could = fleet.capacity.could(zero, zero + 5)
     fleet.run(seconds)
     served = [at for at in fleet.served if zero <= at < zero + 5]
@@ -171,8 +186,8 @@
 
 
 def simulate_lowered_limit(members: int, seed: int, ramp: bool) -> Mapping[str, float]:
-    """The limit is at 0.4 of what is listed for 20 s: calls a second served and refused meanwhile, and
-    after it.
+    """Lowers the partner's limit to 0.4 of the listed rate for 20 s; calls/s served and refused in that time,
+    and calls/s served after it.
     """
     fleet = Fleet(members, 100.0, 80.0, seed, max(4, 40 // members), ramp, CapacityModel(100.0))
     fleet.capacity.cold_at = -1e9
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -1,6 +1,7 @@
-"""A fleet in virtual time: the real admission and gossip on a network that loses, delays, doubles and splits.
+"""Simulates a fleet that shares tenants' counts, in virtual time.
 
-One seed gives one course, to the datagram. Used by the tests and by the tables of `docs/tenants.md`.
+Admission and gossip are the real ones; the simulated network loses, delays, duplicates and partitions. A seed
+determines the run down to the datagram. The tests and the tables of `docs/tenants.md` use it.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 from mountgauge.tenants.wire import Seal, tenant_key
 
 KEY = "a key of the virtual fleet"
-FLUSH = 0.1
+FLUSH = 0.1  # s between two writes to disk
 
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """What the network does to each datagram. Times in seconds."""
+    """Faults of the network: `loss` and `duplicated` are shares of the datagrams, times are in seconds."""
 
     loss: float = 0.0
     delay: float = 0.005
@@ -35,7 +36,7 @@
 
 @dataclass(slots=True)
 class Disk:
-    """What a node finds when it starts again; None of it after a lost disk."""
+    """The state that a node restores at a restart; a lost disk has the defaults."""
 
     life: int | None = None
     boot: int = 0
@@ -48,11 +49,11 @@
 
 
 class Node:
-    """One member, started with what its disk holds."""
+    """One member, started from what its disk holds."""
 
     def __init__(self, world: World, name: str, place: Place, disk: Disk, clock: float = 0.0) -> None:
         self.world, self.name, self.place, self.disk = world, name, place, disk
-        self.clock_offset_s = clock  # s that its clock is ahead of the world's
+        self.clock_offset_s = clock  # by which its clock is ahead of the world's
         self.up = True
         keys = [tenant_key(tenant) for tenant in world.quotas]
         life = disk.life or world.draw()
@@ -77,23 +78,26 @@
         return self.world.time + self.clock_offset_s
 
     def offer(self, tenant: str) -> float | None:
-        """A client hands in one message. None where it is taken on."""
-        again = self.admission.admit(tenant, self.now)
-        if again is None:
+        """Submit one message of a client; None if it is accepted, else s until a retry makes sense."""
+        retry_after_s = self.admission.admit(tenant, self.now)
+        if retry_after_s is None:
             self.admission.taken(tenant)
             self.accepted[tenant] += 1
             self.world.accepted[tenant] += 1
         else:
             self.refused += 1
-        return again
+        return retry_after_s
 
     def used(self, tenant: str) -> int:
+        """The tenant's messages that this node has counted."""
         return self.admission.bounds(self.admission.names[tenant], self.now)[0]
 
     def high(self, tenant: str) -> int:
+        """The upper bound that this node gives for the tenant's messages."""
         return self.admission.bounds(self.admission.names[tenant], self.now)[1]
 
     def flush(self) -> None:
+        """Write the node's state to its disk."""
         counts, disk = self.admission.counts, self.disk
         self.admission.step(self.now)
         disk.pending = self.admission.pending_by_key()
@@ -127,7 +131,7 @@
         self.world.at(self.world.time + self.world.interval, self._gossip)
 
     def leave(self) -> None:
-        """As at SIGTERM."""
+        """Stop as at SIGTERM, with a last flush and last datagrams."""
         self.fleet.leaving = True
         for _ in range(3):
             self.flush()
@@ -135,11 +139,11 @@
         self.up = False
 
     def kill(self) -> None:
-        """As SIGKILL does: what was counted since the last flush is counted nowhere."""
-        for place, taken in self.admission.pending.items():
-            if (known := self.disk.pending.get(self.admission.counts.keys[place], 0)) < taken:
+        """Stop as at SIGKILL: messages accepted since the last flush are lost to all counts."""
+        for place, accepted in self.admission.pending.items():
+            if (flushed := self.disk.pending.get(self.admission.counts.keys[place], 0)) < accepted:
                 name = next(n for n, p in self.admission.names.items() if p == place)
-                self.world.uncounted[name] += taken - known
+                self.world.uncounted[name] += accepted - flushed
         self.up = False
 
 
@@ -148,7 +152,7 @@
 
 
 class World:
-    """Nodes, the network between them and the only clock that is true."""
+    """Nodes, the network between them and true time."""
 
     def __init__(
         self, quotas: Mapping[str, Quota | None], seed: int, network: NetworkFaults | None = None,
@@ -164,14 +168,17 @@
         self.nodes: dict[str, Node] = {}
         self.at_place: dict[Place, Node] = {}
         self.places: list[Place] = []
-        self.partition_of: Callable[[str], int] | None = None  # a split: who is on which side
-        self.accepted: Counter[str] = Counter()  # the truth
-        self.uncounted: Counter[str] = Counter()  # what kills have lost of it
+        self.partition_of: Callable[[str], int] | None = (
+            None  # the partition of a node, while the network is split
+        )
+        self.accepted: Counter[str] = Counter()  # by tenant, of all nodes: what the counts should say
+        self.uncounted: Counter[str] = Counter()  # accepted messages whose count was lost by kills
         self.datagrams = self.bytes = self.largest = 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = count()
 
     def draw(self) -> int:
+        """A random number for an identity or a seed; never 0."""
         return self.rng.getrandbits(62) + 1
 
     def plan_for(self, place: Place) -> Plan:
@@ -180,7 +187,7 @@
         )
 
     def add(self, *names: str) -> None:
-        """Nodes that know of each other from their files."""
+        """Start nodes that list each other in their settings files."""
         fresh = [(name, ("10.0.0.1", len(self.places) + 1 + i)) for i, name in enumerate(names)]
         self.places += [place for _, place in fresh]
         for name, place in fresh:
@@ -192,22 +199,25 @@
         return node
 
     def restart(self, name: str, keep: bool = True) -> Node:
+        """Kill a node and start it again, on its disk or on an empty one."""
         old = self.nodes[name]
         old.kill()
         return self.start(name, old.place, old.disk if keep else None, old.clock_offset_s)
 
-    def at(self, when: float, then: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (when, next(self._order), then))
+    def at(self, when: float, action: Callable[[], None]) -> None:
+        """Schedule an action at a moment of virtual time."""
+        heapq.heappush(self._events, (when, next(self._order), action))
 
     def until(self, when: float) -> None:
+        """Run until this moment of virtual time."""
         assert when >= self.time
         while self._events and self._events[0][0] <= when:
-            self.time, _, then = heapq.heappop(self._events)
-            then()
+            self.time, _, action = heapq.heappop(self._events)
+            action()
         self.time = when
 
     def load(self, rates: Mapping[str, float], until: float, names: Sequence[str] | None = None) -> None:
-        """Messages at random moments, for each tenant at this rate, each at a node drawn for it."""
+        """Submit messages at random moments, at the given rate for each tenant, each to a random node."""
         for tenant, rate in rates.items():
             self._next(tenant, rate, until, names)
 
@@ -216,15 +226,16 @@
         if when > until:
             return
 
-        def hand_in() -> None:
+        def submit() -> None:
             up = [n for n in (names or self.nodes) if self.nodes[n].up]
             if up:
                 self.nodes[self.clients.choice(up)].offer(tenant)
             self._next(tenant, rate, until, names)
 
-        self.at(when, hand_in)
+        self.at(when, submit)
 
     def send(self, node: Node, out: Out) -> None:
+        """Deliver datagrams of a node as the network's faults allow."""
         for data, place in out:
             self.datagrams += 1
             self.bytes += len(data)
@@ -232,8 +243,8 @@
             network = self.network
             for _ in range(1 + (self.rng.random() < network.duplicated)):
                 if self.rng.random() >= network.loss:
-                    late = network.delay + self.rng.uniform(0, network.jitter)
-                    self.at(self.time + late, lambda d=data, p=place: self._arrive(d, node, p))  # type: ignore[misc]
+                    delay = network.delay + self.rng.uniform(0, network.jitter)
+                    self.at(self.time + delay, lambda d=data, p=place: self._arrive(d, node, p))  # type: ignore[misc]
 
     def _arrive(self, data: bytes, source: Node, place: Place) -> None:
         node = self.at_place.get(place)
@@ -248,13 +259,13 @@
         return [node for node in self.nodes.values() if node.up]
 
     def exact(self) -> bool:
-        """Whether each node that is up counts the truth, but for what kills have lost."""
+        """Whether each running node counts all accepted messages, except those whose count a kill lost."""
         return all(
             node.used(t) == self.accepted[t] - self.uncounted[t] for node in self.up for t in self.quotas
         )
 
     def until_exact(self, limit: float) -> float:
-        """Seconds until it is so, no more than the limit."""
+        """Run until all counts are exact, at most `limit` seconds; the seconds that it took."""
         began = self.time
         while not self.exact() and self.time - began < limit:
             self.until(self.time + 0.25)
