--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -2,9 +2,10 @@
 
     python -m benchmarks.slow_start [--seeds N] [--worst N]
 
-Plays `N` drawn scenes for each size of fleet and kind of outage, and prints for each the worst ratio of calls
-to allowed calls, of spans that came mostly from senders told of the outage, and the broken scenes. Then the
-worst scenes, one a line. Exit 1 where a scene breaks the rule. The same seeds give the same table.
+Simulates `N` random scenes for each size of fleet and kind of outage. Prints for each the worst ratio of
+calls to allowed calls, in spans whose calls came mostly from senders that had seen the outage, and the number
+of scenes that broke the rule; then the worst scenes, one a line. Exits with 1 if a scene breaks the rule. The
+same seeds give the same table.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 SENDERS = (1, 2, 3, 5, 8, 12, 20, 30)
 SEEDS = 40
 
-Played = tuple[Scene, Margin]
+SceneResult = tuple[Scene, Margin]
 
 
-def played(seeds: Iterable[int], sizes: Sequence[int] = SENDERS) -> list[Played]:
-    """Each size with each outage and seed, with its margin."""
+def simulate(seeds: Iterable[int], sizes: Sequence[int] = SENDERS) -> list[SceneResult]:
+    """Simulates each size with each outage and seed."""
     scenes = [Scene.drawn(size, outage, seed) for size in sizes for outage in Outage for seed in seeds]
-    return [(scene, Fleet(scene).play()) for scene in scenes]
+    return [(scene, Fleet(scene).run()) for scene in scenes]
 
 
-def table(results: Sequence[Played]) -> str:
-    """A row for each size of fleet: the worst ratio at each outage, and broken of played scenes."""
+def table(results: Sequence[SceneResult]) -> str:
+    """A row for each size of fleet: the worst ratio for each outage, and how many scenes broke the rule."""
     head = "| senders | " + " | ".join(outage.value for outage in Outage) + " | broken |"
     rows = [head, "|" + " --- |" * (len(Outage) + 2)]
     for size in sorted({scene.senders for scene, _ in results}):
@@ -40,12 +41,12 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Play, print; 1 where a scene breaks the rule."""
+    """Simulate and print the table; 1 if a scene breaks the rule."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", type=int, default=SEEDS, help="scenes for each size and outage")
     parser.add_argument("--worst", type=int, default=12, help="how many of the worst scenes to show")
     options = parser.parse_args(arguments)
-    results = played(range(options.seeds))
+    results = simulate(range(options.seeds))
     print(table(results))
     results.sort(key=lambda one: -one[1].worst)
     for scene, found in results[: options.worst]:
--- a/benchmarks/slow_start_model.py
+++ b/benchmarks/slow_start_model.py
@@ -1,8 +1,8 @@
-"""A fleet of decision modules in virtual time at a destination that goes down and comes back cold.
+"""Simulates a fleet of decision modules, in virtual time, whose destination goes down and returns cold.
 
-Each sender is a `Policy` of its own, fed by messages, outcomes and its own timers. What arrives at the
-destination from its return until it is warm is judged against the budget of rule 4, in any span of `fall`
-seconds. There are no sockets and no clock but the one that is counted here: one scene gives one course.
+Each sender is a `Policy` of its own that receives messages, outcomes and its own timers. The calls that
+arrive at the destination from its return until it is warm are compared with the budget of rule 4, in every
+span of `fall` seconds. There are no sockets and the clock is simulated: a scene determines the run.
 """
 
 from __future__ import annotations
@@ -22,22 +22,23 @@
 from rillspindle.interface import Entry, ListKind, Outcome, Readiness
 
 TICK_S = 0.005
-CLOCK_START_S = 1000.0  # what the senders' clock shows at the start of a scene
+CLOCK_START_S = 1000.0  # the senders' clock at the start of a scene
 ANSWER_S = (0.03, 0.2)
 QUICK_FAILURE_S = 0.01
 DEST = 7
-START_CAPACITY = 0.17  # share of its capacity that a destination has at its return
+START_CAPACITY = 0.17  # share of its capacity that a destination has when it returns
 FALL_MULTIPLE, FALL_S = 2.0, 1.5
-COLD_S = 14.0  # from its return until it has all of its capacity
+COLD_S = 14.0  # from its return until it has its full capacity
 MESSAGE_WEIGHT = 0.05  # of a call, for each message past the first in one call
-SMALL_BUDGET = 30.0  # calls; under it chance is given more room
-TOLD_PART = 2 / 3  # of the calls in a span: more from senders that were told of the outage, and it is a break
+SMALL_BUDGET = 30.0  # calls; a smaller budget has a larger allowance for chance
+# A span breaks the rule only if a larger share of its calls came from senders that had seen the outage.
+NOTIFIED_SHARE = 2 / 3
 MOST_FAIL = 0.85  # share of calls that fail at a destination that fails most of them
-CLIENT_RETRIES_S = 0.3  # s after which a client that was turned back comes again at the soonest
+CLIENT_RETRIES_S = 0.3  # after which a rejected client retries at the soonest
 
 
 class Outage(Enum):
-    """What a call meets while the destination is down."""
+    """How the destination treats calls while it is down."""
 
     SILENT = "silent"
     NO_CONNECTION = "no connection"
@@ -48,14 +49,14 @@
 
 
 def allowed_calls(budget: float) -> float:
-    """Calls in one span that a cold destination bears, where the settings allow it `budget` calls."""
+    """The most calls in one span for a budget of `budget` calls, with an allowance for chance."""
     if budget < SMALL_BUDGET:
         return budget + 3 * math.sqrt(budget) + 3
     return budget + 2 * math.sqrt(budget) + 2
 
 
 def budget_at(rate: float, age: float) -> float:
-    """Calls that the settings allow in the span that ends `age` s after the return: N of the formula."""
+    """Calls that the settings allow in the span that ends `age` s after the return: N in rule 4."""
 
     def share(at: float) -> float:
         return START_CAPACITY + (1 - START_CAPACITY) * min(1.0, max(0.0, at) / COLD_S)
@@ -65,26 +66,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Scene:
-    """One course: a fleet, its demand, an outage and what happens meanwhile. Times in s."""
+    """One simulated run: a fleet, its demand, an outage and the events during it. Times in s."""
 
     senders: int
     outage: Outage
     seed: int
     rate: float  # calls/s of each route while warm
-    load: float  # calls' worth of messages offered, as a part of what all routes take
-    listed: bool  # the list tells the rate
+    load: float  # offered messages, as a share of the capacity of all routes
+    listed: bool  # the list includes the rate
     endpoints: int
     apart: bool  # each endpoint is a route with its own limit
     batch: int
-    uneven: bool  # some senders get several times the mean
-    restarted: float  # share of the senders that start anew during the outage
-    clients_retry: bool  # those turned back come again
+    uneven: bool  # some senders receive several times the mean
+    restarted: float  # share of the senders that restart during the outage
+    clients_retry: bool  # rejected clients submit again
     before: float
     down: float
 
     @classmethod
     def drawn(cls, senders: int, outage: Outage, seed: int) -> Scene:
-        """A scene of this size and outage; the seed draws the rest."""
+        """A scene of this size and outage; the seed determines the rest."""
         draw = Random(f"{senders} {outage.value} {seed}")
         endpoints = draw.choice([1, 1, 2, 3])
         return cls(
@@ -106,20 +107,23 @@
 
     @property
     def routes(self) -> int:
-        """Routes with a limit of their own."""
+        """The number of routes, each with a limit of its own."""
         return self.endpoints if self.apart else 1
 
     def settings(self, workers: int) -> dict[str, Any]:
-        """What each sender is told at its start."""
+        """The module's settings of each sender."""
 
-        def grade(name: str, semantics: str, deadline: float, aim: float) -> dict[str, Any]:
-            return {"name": name, "semantics": semantics, "deadline": deadline, "aim": aim, "group": "all",
+        def message_class(name: str, semantics: str, deadline: float, target: float) -> dict[str, Any]:
+            return {"name": name, "semantics": semantics, "deadline": deadline, "aim": target, "group": "all",
                     "worth": 1.0, "lateWorth": 0.3, "repeatWindow": deadline}  # fmt: skip
 
         return {
             "balancers": self.senders, "zone": 0, "tick": TICK_S, "discovery": "automatic",
             "weights": "nominal" if self.listed else "off", "localities": ["here"], "shapes": ["kind"],
-            "grades": [grade("update", "idempotent", 8.0, 1.0), grade("confirm", "deduplicated", 24.0, 2.0)],
+            "grades": [
+                message_class("update", "idempotent", 8.0, 1.0),
+                message_class("confirm", "deduplicated", 24.0, 2.0),
+            ],
             "ceilings": {"attemptsCap": 8, "cancel": True, "connectTimeout": 1.5, "maxOpen": 199,
                          "maxRetryAfter": 2.0, "mayDuplicate": False, "probes": False},
             "extra": {"kindBatch": [self.batch], "losesWorth": "even", "routesApart": [self.apart],
@@ -132,52 +136,52 @@
 
 @dataclass(slots=True, eq=False)
 class _Sender:
-    """One life of a sender: its module, and whether it has been told of the outage, by route."""
+    """One process run of a sender: its module, and the routes whose outage it has seen."""
 
     policy: Policy
-    told: set[int] = field(default_factory=set)
+    notified: set[int] = field(default_factory=set)
     attempts: dict[int, int] = field(default_factory=dict)
     latest: dict[io.EndpointId, _Call] = field(default_factory=dict)
 
 
 @dataclass(slots=True, eq=False)
 class _Call:
-    """A call on its way: the messages in it, each with the number of its attempt."""
+    """A call in flight; each of its messages has the number of its attempt."""
 
     at: float
     route: int
     endpoint: io.EndpointId
     sender: _Sender
-    told: bool
-    give_up_after: float = 0.0
+    notified: bool  # its sender had seen the outage when it was sent
+    timeout: float = 0.0
     messages: list[tuple[int, int]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class _Message:
-    """A message that a client waits for."""
+    """A message whose client waits for its outcome."""
 
     sender: int
     expires: float
-    grade: int
+    message_class: int
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A call that has reached a route."""
+    """A call that reached a route."""
 
     at: float
-    weight: float  # of a call with a single message
-    told: bool  # its sender had been told of the outage before
+    weight: float  # 1 for a call with a single message
+    notified: bool  # its sender had seen the outage when it was sent
 
 
 @dataclass(frozen=True, slots=True)
 class Margin:
-    """How the calls of one scene stand against the budget, at the worst route and span."""
+    """The calls of one scene compared with the budget, in the worst span of the worst route."""
 
-    worst: float = 0.0  # calls over allowed calls, where over two thirds came from senders that were told
-    worst_of_all: float = 0.0  # the same, wherever the calls came from
-    at: float = 0.0  # s after the return of the worst span's end
+    worst: float = 0.0  # calls by allowed calls, of spans with more than `NOTIFIED_SHARE` of notified calls
+    worst_of_all: float = 0.0  # the same, of all spans
+    at: float = 0.0  # when the worst span ended, in s after the return
     calls: float = 0.0
     budget: float = 0.0
     arrivals: int = 0  # from the return until it is warm
@@ -189,7 +193,7 @@
 
 
 def margin(arrivals: list[Arrival], rate: float, back_at: float) -> Margin:
-    """The worst span of `FALL_S` from the return until the route is warm."""
+    """Compares all spans of `FALL_S`, from the return until the route is warm, with the budget."""
     span: deque[Arrival] = deque()
     worst = Margin()
     seen = [one for one in arrivals if back_at <= one.at <= back_at + COLD_S]
@@ -198,11 +202,11 @@
         while span[0].at <= one.at - FALL_S:
             span.popleft()
         calls = sum(call.weight for call in span)
-        told = sum(call.weight for call in span if call.told)
+        notified = sum(call.weight for call in span if call.notified)
         budget = budget_at(rate, one.at - back_at)
         ratio = calls / allowed_calls(budget)
         of_all = max(worst.worst_of_all, ratio)
-        if told > TOLD_PART * calls and ratio > worst.worst:
+        if notified > NOTIFIED_SHARE * calls and ratio > worst.worst:
             worst = Margin(ratio, of_all, one.at - back_at, calls, budget, len(seen))
         else:
             worst = Margin(worst.worst, of_all, worst.at, worst.calls, worst.budget, len(seen))
@@ -210,7 +214,7 @@
 
 
 class Fleet:
-    """The senders of a scene, the destination's routes, and the clock between them."""
+    """The senders of a scene, the destination's routes and the simulated clock."""
 
     def __init__(self, scene: Scene) -> None:
         self.scene, self.now = scene, 0.0
@@ -221,8 +225,8 @@
         self.models = [
             CapacityModel(scene.rate, cold_share=START_CAPACITY, warm_s=COLD_S) for _ in range(scene.routes)
         ]
-        # of routes apart the first one goes down alone, or all do
-        self._falling = self._draw.choice([1, scene.routes])
+        # Of several routes, either the first alone goes down or all do.
+        self._routes_down = self._draw.choice([1, scene.routes])
         self.down_at, self.back_at = scene.before, scene.before + scene.down
         self.arrivals: list[list[Arrival]] = [[] for _ in range(scene.routes)]
         self._messages: dict[int, _Message] = {}
@@ -230,29 +234,31 @@
         self._shares = shares
         self.senders = [self._started() for _ in range(scene.senders)]
 
-    def play(self) -> Margin:
-        """The whole scene; the margin of the worst of the routes that went down."""
+    def run(self) -> Margin:
+        """Simulate the scene; the margin of the worst of the routes that went down."""
         for sender in self.senders:
             self._list(sender)
         scene = self.scene
-        self._at(self.down_at, "down", self._falling)
-        for place in self._draw.sample(range(scene.senders), round(scene.restarted * scene.senders)):
-            self._at(self._draw.uniform(self.down_at, self.back_at), "restart", place)
+        self._at(self.down_at, "down", self._routes_down)
+        for index in self._draw.sample(range(scene.senders), round(scene.restarted * scene.senders)):
+            self._at(self._draw.uniform(self.down_at, self.back_at), "restart", index)
         offered = scene.load * scene.rate * scene.routes * (1 + (scene.batch - 1) / 2)
         self._at(self._draw.expovariate(offered), "offer", offered)
         end = self.back_at + COLD_S
         while self._queue and self._queue[0][0] <= end:
-            self.now, _, what, value = heapq.heappop(self._queue)
-            getattr(self, "_on_" + what)(value)
-        margins = [margin(self.arrivals[place], scene.rate, self.back_at) for place in range(self._falling)]
+            self.now, _, kind, value = heapq.heappop(self._queue)
+            getattr(self, "_on_" + kind)(value)
+        margins = [
+            margin(self.arrivals[route], scene.rate, self.back_at) for route in range(self._routes_down)
+        ]
         return max(margins, key=lambda one: (one.worst, one.worst_of_all))
 
-    def _at(self, when: float, what: str, value: Any) -> None:
-        """In the sender's next turn at the soonest: all that happens is counted in ticks."""
+    def _at(self, when: float, kind: str, value: Any) -> None:
+        """Schedule an event; all but arrivals are rounded up to the sender's next tick."""
         when = max(when, self.now)
-        if what != "arrive":
+        if kind != "arrive":
             when = math.ceil(when / TICK_S - 1e-6) * TICK_S
-        heapq.heappush(self._queue, (when, next(self._order), what, value))
+        heapq.heappush(self._queue, (when, next(self._order), kind, value))
 
     def _started(self) -> _Sender:
         return _Sender(Policy(self.scene.settings(self._workers), self._draw.getrandbits(60)))
@@ -260,8 +266,8 @@
     def _list(self, sender: _Sender) -> None:
         scale = self.scene.rate if self.scene.listed else 1.0
         entries = tuple(
-            Entry(Readiness.READY, 0.0, scale, 0, DEST, 0, b"%d" % place)
-            for place in range(self.scene.endpoints)
+            Entry(Readiness.READY, 0.0, scale, 0, DEST, 0, b"%d" % number)
+            for number in range(self.scene.endpoints)
         )
         self._feed(sender, io.Targets(ListKind.CACHED, 1, entries))
 
@@ -272,40 +278,40 @@
                     self._issue(sender, action)
                 case io.Schedule(delay, token):
                     self._at(self.now + delay, "ring", (sender, token))
-                case io.PushBack(number, again):
+                case io.PushBack(number, retry_after):
                     message = self._messages.pop(number, None)
                     if message is not None and self.scene.clients_retry:
-                        self._at(self.now + max(CLIENT_RETRIES_S, again), "again", message)
+                        self._at(self.now + max(CLIENT_RETRIES_S, retry_after), "submit", message)
                 case io.Abort(number):
                     self._messages.pop(number, None)
 
     def _issue(self, sender: _Sender, issue: io.Issue) -> None:
-        """What goes to one endpoint in one turn travels as one call."""
+        """Messages for the same endpoint in the same turn are sent as one call, up to the batch size."""
         route = int(issue.endpoint) if self.scene.apart else 0
         call = sender.latest.get(issue.endpoint)
         if call is None or call.at != self.now or len(call.messages) >= self.scene.batch:
-            call = _Call(self.now, route, issue.endpoint, sender, route in sender.told)
+            call = _Call(self.now, route, issue.endpoint, sender, route in sender.notified)
             sender.latest[issue.endpoint] = call
             self._at(self.now + TICK_S / 2, "arrive", call)
         attempt = sender.attempts.get(issue.msg_id, 0)
         sender.attempts[issue.msg_id] = attempt + 1
         call.messages.append((issue.msg_id, attempt))
-        call.give_up_after = max(call.give_up_after, issue.timeout)
+        call.timeout = max(call.timeout, issue.timeout)
 
     def _on_offer(self, offered: float) -> None:
-        place = self._draw.choices(range(self.scene.senders), self._shares)[0]
-        grade = self._draw.randrange(2)
-        deadline = self.senders[place].policy.settings.message_classes[grade].deadline
-        self._on_again(_Message(place, self.now + deadline, grade))
+        index = self._draw.choices(range(self.scene.senders), self._shares)[0]
+        message_class = self._draw.randrange(2)
+        deadline = self.senders[index].policy.settings.message_classes[message_class].deadline
+        self._on_submit(_Message(index, self.now + deadline, message_class))
         self._at(self.now + self._draw.expovariate(offered), "offer", offered)
 
-    def _on_again(self, message: _Message) -> None:
-        """A client hands a message in, for the first time or again."""
+    def _on_submit(self, message: _Message) -> None:
+        """A client submits a message, for the first time or again."""
         if self.now < message.expires:
             number = next(self._numbers)
             self._messages[number] = message
             expires = CLOCK_START_S + message.expires
-            event = io.Incoming(number, 0, expires, 0, 0.0, DEST, message.grade, 0)
+            event = io.Incoming(number, 0, expires, 0, 0.0, DEST, message.message_class, 0)
             self._feed(self.senders[message.sender], event)
 
     def _on_ring(self, timer: tuple[_Sender, int]) -> None:
@@ -318,61 +324,65 @@
             model.go_cold(self.now)
             model.cold_at = self.back_at
 
-    def _on_restart(self, place: int) -> None:
-        """A new life of a sender, which has been told of nothing: what it held comes back to it."""
-        held = [
+    def _on_restart(self, index: int) -> None:
+        """Restart a sender: the new run has not seen the outage, and its queued messages are restored."""
+        queued = [
             (number, message)
             for number, message in self._messages.items()
-            if message.sender == place and message.expires > self.now
+            if message.sender == index and message.expires > self.now
         ]
-        sender = self.senders[place] = self._started()
+        sender = self.senders[index] = self._started()
         self._list(sender)
-        for number, message in held:
+        for number, message in queued:
             expires = CLOCK_START_S + message.expires
-            self._feed(sender, io.Restored(number, expires, DEST, message.grade, 0, ()))
+            self._feed(sender, io.Restored(number, expires, DEST, message.message_class, 0, ()))
 
     def _on_arrive(self, call: _Call) -> None:
-        """The call reaches its route, which answers, refuses or is silent."""
+        """The call reaches its route, which answers it, refuses it or stays silent."""
         weight = 1 + MESSAGE_WEIGHT * (len(call.messages) - 1)
-        self.arrivals[call.route].append(Arrival(self.now, weight, call.told))
-        down = call.route < self._falling and self.down_at <= self.now < self.back_at
+        self.arrivals[call.route].append(Arrival(self.now, weight, call.notified))
+        down = call.route < self._routes_down and self.down_at <= self.now < self.back_at
         if down and (self.scene.outage != Outage.MOST_FAIL or self._draw.random() < MOST_FAIL):
             self._fail(call)
             return
         model = self.models[call.route]
         if model.call(self.now):
-            self._end(call, Outcome.OK, self._draw.uniform(*ANSWER_S))
+            self._finish(call, Outcome.OK, self._draw.uniform(*ANSWER_S))
         else:
-            self._end(call, Outcome.FULL, QUICK_FAILURE_S)
+            self._finish(call, Outcome.FULL, QUICK_FAILURE_S)
 
     def _fail(self, call: _Call) -> None:
         match self.scene.outage:
             case Outage.SILENT:
-                self._end(call, Outcome.TIMEOUT, call.give_up_after)
+                self._finish(call, Outcome.TIMEOUT, call.timeout)
             case Outage.NO_CONNECTION:
-                self._end(call, Outcome.CONNECT_FAILED, QUICK_FAILURE_S)
+                self._finish(call, Outcome.CONNECT_FAILED, QUICK_FAILURE_S)
             case Outage.SHUT:
-                self._end(call, Outcome.FULL, QUICK_FAILURE_S)
+                self._finish(call, Outcome.FULL, QUICK_FAILURE_S)
             case Outage.SHUT_WITH_WAIT:
-                self._end(call, Outcome.FULL, QUICK_FAILURE_S, self.back_at - self.now)
+                self._finish(call, Outcome.FULL, QUICK_FAILURE_S, self.back_at - self.now)
             case _:
-                self._end(call, Outcome.ERROR, QUICK_FAILURE_S)
+                self._finish(call, Outcome.ERROR, QUICK_FAILURE_S)
 
-    def _end(self, call: _Call, outcome: Outcome, spent: float, wait: float = 0.0) -> None:
-        self._at(call.at + spent, "end", (call, outcome, spent, wait))
+    def _finish(self, call: _Call, outcome: Outcome, spent: float, wait: float = 0.0) -> None:
+        self._at(call.at + spent, "finished", (call, outcome, spent, wait))
 
-    def _on_end(self, ended: tuple[_Call, Outcome, float, float]) -> None:
-        call, outcome, spent, wait = ended
+    def _on_finished(self, finished: tuple[_Call, Outcome, float, float]) -> None:
+        call, outcome, spent, wait = finished
         sender = call.sender
         if sender not in self.senders:
             return
         for number, attempt in call.messages:
             message = self._messages.get(number)
-            over = outcome == Outcome.OK or message is None
+            message_finished = outcome == Outcome.OK or message is None
             if outcome == Outcome.OK:
                 self._messages.pop(number, None)
             wait_ms = math.ceil(wait * 1000)
-            event = io.Response(number, spent, call.endpoint, outcome, attempt, over, wait_ms, ())
+            event = io.Response(number, spent, call.endpoint, outcome, attempt, message_finished, wait_ms, ())
             self._feed(sender, event)
-        if outcome != Outcome.OK and self.down_at <= call.at < self.back_at and call.route < self._falling:
-            sender.told.add(call.route)
+        if (
+            outcome != Outcome.OK
+            and self.down_at <= call.at < self.back_at
+            and call.route < self._routes_down
+        ):
+            sender.notified.add(call.route)
