--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -1,12 +1,12 @@
-"""Coming back, measured: real senders killed together on the rig, with the ramp and without it, on the same
-seeds.
+"""Measures recovery after restarts: real senders on the rig that are killed together, with and without the
+ramp.
 
     python -m benchmarks.comeback [--quick] [--json FILE]
 
-Twelve senders through scenes of `experiments/comeback`, each played with `[comeback]` and without on the
-same seed at the same time; a tenant's quota in a fleet of eight that loses most of its state; 200 modules
-in virtual time. Prints a table, then one line of JSON; exit 1 where an aim is missed. --quick: one seed,
-two scenes and the virtual fleet.
+Twelve senders run through scenes of `experiments/comeback`, each with `[comeback]` and without, on the same
+seed and at the same time. Then come a tenant's quota in a fleet of eight that loses most of its state, and
+200 modules in virtual time. Prints a table, then one line of JSON; exits with 1 if a target is missed.
+--quick: one seed, two scenes and the simulated fleet.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
     *QUICK, "ten-of-twelve-lost", "again-while-ramping", "paused", "folders", "crash-loop", "discovery",
     "split", "reconnect",
 )  # fmt: skip
-DISCOVERY_COST_S = 0.4  # of its time for a list call, in the scene `discovery`
-_SLACK = 0.3  # s that a busy machine may add to what the oracle sees
-AIMS = {"served_share_5s": 0.8, "refused_share": 0.1, "full_service_over_limit": 1.3}
+DISCOVERY_COST_S = 0.4  # time that discovery needs for a list call, in the scene `discovery`
+_SLACK_S = 0.3  # delay that a busy machine may add to what the oracle observes
+TARGETS = {"served_share_5s": 0.8, "refused_share": 0.1, "full_service_over_limit": 1.3}
 NONE = ("endless", "lost", "doubled", "rules_broken", "stale_sends", "exact_too_soon")
 
 _CODE = (
@@ -50,18 +50,18 @@
 
 
 def _start(name: str, folder: Path, seed: int, ramp: str, seconds: float) -> subprocess.Popen[bytes]:
-    words = [str(SCENES / f"{name}.toml"), str(folder), str(seed), ramp, str(seconds)]
-    return subprocess.Popen([sys.executable, "-c", _CODE, *words])
+    arguments = [str(SCENES / f"{name}.toml"), str(folder), str(seed), ramp, str(seconds)]
+    return subprocess.Popen([sys.executable, "-c", _CODE, *arguments])
 
 
 def _figures(name: str, folder: Path, seed: int, seconds: float) -> dict[str, Any]:
     schedule = load(SCENES / f"{name}.toml").with_(seed=seed)
     events = read(folder / "events.jsonl")
-    return summary(events, judge(schedule, events, _SLACK), began(events), seconds or schedule.seconds, 7)
+    return summary(events, judge(schedule, events, _SLACK_S), began(events), seconds or schedule.seconds, 7)
 
 
-def play(name: str, seed: int, root: Path, seconds: float) -> dict[str, dict[str, Any]]:
-    """One scene with the ramp and without it, side by side."""
+def run_scene(name: str, seed: int, root: Path, seconds: float) -> dict[str, dict[str, Any]]:
+    """Runs one scene with the ramp and without it, in parallel."""
     rigs = {
         ramp: _start(name, root / f"{name}-{seed}-{ramp}", seed, ramp, seconds)
         for ramp in ("with", "without")
@@ -72,73 +72,73 @@
 
 
 def quota(events: Sequence[Event], rate: float, end: float) -> dict[str, float]:
-    """The part of the quota that was in use, from 5 s after the last start on and over the first 8 s."""
-    taken = [event.at for event in of(events, "taken")]
+    """The share of the quota in use: from 5 s after the last start, in the first 8 s, and before the kill."""
+    accepted = [event.at for event in of(events, "taken")]
     ready = max((event.at for event in of(events, "ready") if event.at > 0), default=0.0)
 
     def use(begin: float, until: float) -> float:
-        return round(RunMetrics.count(taken, begin, until) / rate / (until - begin), 3)
+        return round(RunMetrics.count(accepted, begin, until) / rate / (until - begin), 3)
 
     return {"quota_use_5s_on": use(ready + 5, end), "quota_use_8s": use(0, 8), "quota_use_before": use(-5, 0)}
 
 
 def virtual(seeds: Sequence[int]) -> dict[str, float]:
-    """200 modules in virtual time: the worst of the seeds, with the ramp and without."""
+    """Simulates 200 modules in virtual time: the worst of the seeds, with the ramp and without."""
     found: dict[str, float] = {}
-    for ramp, end in ((True, ""), (False, "_without")):
-        played = [simulate_restart(200, seed, ramp, falls_at=1.5) for seed in seeds]
-        found[f"virtual_200_served_share_5s{end}"] = min(one["served_share_5s"] for one in played)
-        found[f"virtual_200_refused_share{end}"] = max(one["refused_share"] for one in played)
+    for ramp, suffix in ((True, ""), (False, "_without")):
+        results = [simulate_restart(200, seed, ramp, falls_at=1.5) for seed in seeds]
+        found[f"virtual_200_served_share_5s{suffix}"] = min(one["served_share_5s"] for one in results)
+        found[f"virtual_200_refused_share{suffix}"] = max(one["refused_share"] for one in results)
     return found
 
 
 def list_peak(events: Sequence[Event], begin: float, end: float, capacity: float) -> float:
-    """The busiest second's list calls over what discovery works through in a second."""
+    """The list calls of the busiest second, by the number that discovery can answer in a second."""
     at = [event.at for event in of(events, "list-call") if begin <= event.at < end]
     return round(max((RunMetrics.count(at, one, one + 1) for one in at), default=0) / capacity, 2)
 
 
 def exact_too_soon(seed: int) -> int:
-    """Looks at members that call a number exact while others hold more of it: six of eight lost, in virtual
-    time.
+    """How often a member reported a count as exact before it was complete, after six of eight members lost
+    their state; in virtual time.
     """
     world = World(
         {"a": Quota(20, 20), "b": None}, seed, NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, duplicated=0.1)
     )
-    world.add(*(f"n{place}" for place in range(8)))
+    world.add(*(f"n{index}" for index in range(8)))
     world.load({"a": 60, "b": 40}, 35)
     world.until(15)
-    for place in range(2, 8):
-        world.restart(f"n{place}", keep=False)
+    for index in range(2, 8):
+        world.restart(f"n{index}", keep=False)
     world.until(35 + word_age(0.25, 0.3, 0.7, 8, 4, FLUSH))
-    looks: list[tuple[int, bool]] = []
+    checks: list[tuple[int, bool]] = []
     end = world.time + joined_after(0.25, 0.3, 0.7, 8, 4, FLUSH, 5.0, 6)
     while world.time < end:
         world.until(world.time + 0.25)
-        looks += [(node.used("b"), not node.fleet.unjoined(node.now)) for node in world.up]
-    return sum(exact and count != looks[-1][0] for count, exact in looks)
+        checks += [(node.used("b"), not node.fleet.unjoined(node.now)) for node in world.up]
+    return sum(exact and count != checks[-1][0] for count, exact in checks)
 
 
 def total(runs: Sequence[Mapping[str, Any]]) -> dict[str, Any]:
-    """The worst of the runs for what has an aim, the sum for what is counted."""
+    """The worst run's figure where there is a target, and the sum of what is counted."""
     worst = {"served_share_5s": min, "refused_share": max, "peak_over_bearing_100ms": max}
     found: dict[str, Any] = {key: pick(run[key] for run in runs) for key, pick in worst.items()}
-    over = [run["full_service_over_limit"] for run in runs]
-    found["full_service_over_limit"] = None if None in over else max(over)
+    ratios = [run["full_service_over_limit"] for run in runs]
+    found["full_service_over_limit"] = None if None in ratios else max(ratios)
     for key in ("endless", "lost", "doubled", "rules_broken", "stale_sends", "fell"):
         found[key] = sum(run[key] for run in runs)
     return found
 
 
 def missed(found: Mapping[str, Any]) -> list[str]:
-    """The aims that were missed."""
+    """The figures that miss their target."""
     bad = [key for key in NONE if found.get(key, 0)]
-    if found["served_share_5s"] < AIMS["served_share_5s"]:
+    if found["served_share_5s"] < TARGETS["served_share_5s"]:
         bad.append("served_share_5s")
-    if found["refused_share"] > AIMS["refused_share"]:
+    if found["refused_share"] > TARGETS["refused_share"]:
         bad.append("refused_share")
-    over = found["full_service_over_limit"]
-    if over is None or over > AIMS["full_service_over_limit"]:
+    ratio = found["full_service_over_limit"]
+    if ratio is None or ratio > TARGETS["full_service_over_limit"]:
         bad.append("full_service_over_limit")
     if found.get("quota_use_5s_on", 1.0) < 0.9:
         bad.append("quota_use_5s_on")
@@ -146,7 +146,7 @@
 
 
 def main() -> int:
-    """Run the scenes with the ramp and without; 1 where an aim is missed."""
+    """Run the scenes with the ramp and without; 1 if a target is missed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--json", type=Path)
@@ -157,34 +157,34 @@
     with tempfile.TemporaryDirectory() as folder:
         for name in names:
             for seed in seeds:
-                both = play(name, seed, Path(folder), 10.0 if args.quick else 0.0)
+                both = run_scene(name, seed, Path(folder), 10.0 if args.quick else 0.0)
                 ramps = name.startswith(("ten-of-twelve", "again"))
                 for ramp, figures in both.items():
-                    kept = ("served_share_5s", "refused_share", "full_service_s", "fell", "rules_broken")
+                    printed = ("served_share_5s", "refused_share", "full_service_s", "fell", "rules_broken")
                     print(
                         f"{name:<20} {seed:>3} {ramp:<8}",
-                        *(f"{key}={figures[key]}" for key in kept),
+                        *(f"{key}={figures[key]}" for key in printed),
                         flush=True,
                     )
                     if ramps:
                         runs[ramp].append(figures)
-                    else:  # no partner comes back cold there: rules alone
+                    else:  # no partner returns cold in these scenes, so that only the rules are checked
                         for key in ("lost", "doubled", "rules_broken", "stale_sends"):
-                            where = key if ramp == "with" else f"{key}_without"
-                            found[where] = found.get(where, 0) + figures[key]
+                            figure = key if ramp == "with" else f"{key}_without"
+                            found[figure] = found.get(figure, 0) + figures[key]
             if name == "discovery":
-                runs_of = [Path(folder) / f"{name}-{seed}-with" / "events.jsonl" for seed in seeds]
+                event_files = [Path(folder) / f"{name}-{seed}-with" / "events.jsonl" for seed in seeds]
                 found["list_calls_peak_over_capacity"] = max(
-                    list_peak(read(one), 8.2, 13.2, 1 / DISCOVERY_COST_S) for one in runs_of
+                    list_peak(read(one), 8.2, 13.2, 1 / DISCOVERY_COST_S) for one in event_files
                 )
         if not args.quick:
             rig = _start("tenants", Path(folder) / "tenants", 11, "with", 0)
             rig.wait(300)
             found |= quota(read(Path(folder) / "tenants" / "events.jsonl"), 20.0, 20.0)
-    for ramp, end in (("with", ""), ("without", "_without")):
+    for ramp, suffix in (("with", ""), ("without", "_without")):
         for key, value in total(runs[ramp]).items():
-            had = found.get(key + end, 0)
-            found[key + end] = value + had if isinstance(value, int) and had else value
+            previous = found.get(key + suffix, 0)
+            found[key + suffix] = value + previous if isinstance(value, int) and previous else value
     found |= virtual((1,) if args.quick else (1, 2, 3))
     found["exact_too_soon"] = sum(map(exact_too_soon, (1,) if args.quick else (1, 2, 3)))
     found["missed"] = missed(found)
