--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
-"""docs/CAPACITY.md from the kept results.
+"""Writes docs/CAPACITY.md from the kept results.
 
     python -m benchmarks.capacity [--check]
 
-Writes the page; with --check it only says whether page and results agree, exit 1 where they don't.
+With --check it writes nothing and exits with 1 if the page differs from the results.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
         return 2
     if arguments.check:
         same = PAGE.exists() and PAGE.read_text() == text
-        print("page and results agree" if same else f"{PAGE.name} differs from the results: write it anew")
+        print("page and results agree" if same else f"{PAGE.name} differs from the results: write it again")
         return 0 if same else 1
     PAGE.write_text(text)
     return 0
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -1,9 +1,10 @@
-"""What a destination that is down costs its senders, and what it sees when it is back: the real module.
+"""Simulates what an outage costs a destination's senders, and the load on it after its return.
 
     python -m benchmarks.outage [--seeds N] [--json FILE]
 
-Two ways to spread a destination's messages: over all senders, as today; and over the senders that hold its
-shard. Outages of several lengths, in virtual time; one line each, and the figures as JSON.
+Uses the real module in virtual time, with outages of several lengths. A destination's messages are spread in
+two ways: over all senders, and over the senders that hold its shard. Prints one line for each, and writes the
+figures as JSON.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 
 
 def outages(size: FleetSize) -> list[tuple[str, Outage]]:
-    """Each way with each length; the listed rate is twice the demand."""
+    """The outages of each length with each way; the listed rate is twice the demand."""
     demand = size.events_per_s / size.destinations
     ways = (("every sender", size.senders, _NODES_OF_MANY), ("the shard's owners", size.places, size.places))
     return [
--- a/benchmarks/scale.py
+++ b/benchmarks/scale.py
@@ -1,10 +1,11 @@
-"""The control part of fleets of several sizes, measured: hollow senders, relays, real senders beside them.
+"""Measures the control traffic of fleets of several sizes: simulated senders, relays and some real senders.
 
     python -m benchmarks.scale [--quick] [--page]
 
-Plays `experiments/scale/full.toml` and keeps the result in `benchmarks/results/scale.json`; charts and page
-go to `runs/`. --quick: `quick.toml` in under a minute, nothing is kept. --page: plays nothing and writes
-`docs/CAPACITY.md` from the kept results. Exit 1 where a bound is missed, 2 where a file cannot be used.
+Runs `experiments/scale/full.toml` and keeps the result in `benchmarks/results/scale.json`; charts and page
+are written to `runs/`. --quick: runs `quick.toml` in under a minute and keeps nothing. --page: runs nothing
+and writes `docs/CAPACITY.md` from the kept results. Exits with 1 if a bound is missed, and with 2 if a file
+cannot be used.
 """
 
 from __future__ import annotations
@@ -26,8 +27,8 @@
 SETTINGS = ROOT / "experiments" / "scale"
 
 
-def play(quick: bool) -> int:
-    """Play the quick file, or the full one and keep its result."""
+def run(quick: bool) -> int:
+    """Run the quick settings, or the full ones and keep their result."""
     file = SETTINGS / ("quick.toml" if quick else "full.toml")
     settings = load(file)
     page.check_libraries()
@@ -43,7 +44,7 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Exit code of the run."""
+    """The exit code of the run."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--quick", action="store_true", help="small sizes, nothing kept")
     parser.add_argument("--page", action="store_true", help="write docs/CAPACITY.md from the kept results")
@@ -52,7 +53,7 @@
         if arguments.page:
             PAGE.write_text(capacity_page.render(RESULTS))
             return 0
-        return play(arguments.quick)
+        return run(arguments.quick)
     except (ConfigError, KeptError) as error:
         print(error, file=sys.stderr)
         return 2
--- a/benchmarks/shard_relay.py
+++ b/benchmarks/shard_relay.py
@@ -1,7 +1,7 @@
-"""What a relay at the top pays for a whole list, for one change, and for the asks of one zone's senders.
+"""Measures a top relay's cost of a full list, of one change, and of the asks of one zone's senders.
 
-`python -m benchmarks.shard_relay`: processor time of the state machine alone, without sockets and without the
-collector's full sweeps; one JSON line for each number of endpoints, medians.
+`python -m benchmarks.shard_relay`: processor time of the state machine alone, without sockets and without
+full garbage collections; prints one JSON line with medians for each number of endpoints.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 LISTED = (1_000, 10_000, 50_000, 300_000)  # endpoints
 CHANGES = 1_000
-SENDERS, SHARDS_EACH = 783, 11  # of one zone
+SENDERS, SHARDS_EACH = 783, 11  # in one zone
 
 
 def line(number: int, weight: float = 1.0) -> dict[str, Any]:
@@ -33,14 +33,14 @@
 
 
 def timed(act: Callable[[], object]) -> float:
-    """Processor seconds of one call."""
+    """Processor time of one call, s."""
     start = time.process_time()
     act()
     return time.process_time() - start
 
 
-def tell(relay: Relay, body: object, now: float) -> float:
-    """Answer the relay's call to discovery; the processor seconds that it needs for it."""
+def answer_list_call(relay: Relay, body: object, now: float) -> float:
+    """Answers the relay's call to discovery; the processor time that it needs for the answer, s."""
     (call,) = relay.poll(now)
     return timed(lambda: relay.answered(call, body, now))
 
@@ -48,23 +48,25 @@
 def measure(listed: int) -> dict[str, float]:
     relay = Relay("top", ListWatch(ShardStore(DEFAULT_SHARD_COUNT), RELAY_TIMING, Random(1)), RelaySettings())
     lines = [line(number) for number in range(listed)]
-    whole = tell(relay, {"version": 1, "full": True, "servers": lines}, 0.0)
+    full = answer_list_call(relay, {"version": 1, "full": True, "servers": lines}, 0.0)
     changes = sorted(
-        tell(relay, {"version": at, "full": False, "servers": [line(at * 7 % listed, float(at))]}, 0.0)
+        answer_list_call(
+            relay, {"version": at, "full": False, "servers": [line(at * 7 % listed, float(at))]}, 0.0
+        )
         for at in range(2, CHANGES + 2)
     )
     gc.freeze()
     rng, newest = Random(2), CHANGES + 1
     asks = [Ask(f"s{number}", positions(rng, newest), wait_s=1.0) for number in range(SENDERS)]
-    held = [timed(partial(relay.ask, ask, 0.0)) for ask in asks]
-    over = timed(lambda: relay.take_ready(2.0))
+    ask_times = [timed(partial(relay.ask, ask, 0.0)) for ask in asks]
+    answer_time = timed(lambda: relay.take_ready(2.0))
     return {
         "listed": listed,
-        "whole_s": round(whole, 3),
+        "whole_s": round(full, 3),
         "change_us": round(1e6 * changes[CHANGES // 2], 1),
         "change_p99_us": round(1e6 * changes[CHANGES * 99 // 100], 1),
-        "ask_us": round(1e6 * statistics.median(held), 1),
-        "answer_us": round(1e6 * over / SENDERS, 1),
+        "ask_us": round(1e6 * statistics.median(ask_times), 1),
+        "answer_us": round(1e6 * answer_time / SENDERS, 1),
     }
 
 
