--- a/benchmarks/slopes/core.py
+++ b/benchmarks/slopes/core.py
@@ -2,26 +2,26 @@
 
 from __future__ import annotations
 
+from benchmarks.slopes.fixtures import Peers, full_list, hop, numbers, queued_policy, sender, settings, stored
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, allocated, timed
-from benchmarks.slopes.worlds import Peers, asked_policy, hop, numbers, sender, settings, stored, whole_list
 from mountgauge.core.config import MapUpdate
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle.interface import Readiness
 
-_MESSAGES = (1_000, 3_000, 10_000, 30_000, 100_000)
+_MESSAGE_COUNTS = (1_000, 3_000, 10_000, 30_000, 100_000)
 _BODY_BYTES = 200
 
 
 def _listed(count: int) -> Sender:
     """A core with so many next hops listed, which its module is not notified of."""
     core = sender(Policy(settings(), 1), Peers())
-    core.list_changed(whole_list(count))
+    core.list_changed(full_list(count))
     core._ready.clear()
     return core
 
 
-def _learn_one(count: int) -> Sample:
+def _apply_change(count: int) -> Sample:
     core, turns = _listed(count), numbers(2)
 
     def change() -> None:
@@ -33,8 +33,8 @@
     return lambda: timed(change)
 
 
-def _learn_whole(count: int) -> Sample:
-    core, update = _listed(count), whole_list(count, 2)
+def _apply_full(count: int) -> Sample:
+    core, update = _listed(count), full_list(count, 2)
 
     def change() -> None:
         core.list_changed(update)
@@ -65,7 +65,7 @@
 
 def _waiting(count: int) -> Sample:
     """The core's demand, which budgets read before each ask, with a message queued for each destination."""
-    core = sender(asked_policy(count), Peers())
+    core = sender(queued_policy(count), Peers())
     return lambda: timed(lambda: core.waiting)
 
 
@@ -108,16 +108,16 @@
 
 
 PROBES = (
-    Probe("sender-one-change", _learn_one, "mountgauge.core.hop_table.HopTable.apply_update"),
-    Probe("sender-whole-list", _learn_whole, "mountgauge.core.hop_table.HopTable.apply_update", repeats=3),
+    Probe("sender-one-change", _apply_change, "mountgauge.core.hop_table.HopTable.apply_update"),
+    Probe("sender-whole-list", _apply_full, "mountgauge.core.hop_table.HopTable.apply_update", repeats=3),
     Probe("sender-memory", _memory, "mountgauge.core.hop_table.HopTable",
           unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1, limit_s=30.0),
     Probe("sender-divide-one", _divide_one, "mountgauge.core.hop_table.HopTable.set_budget_shares"),
     Probe("sender-waiting", _waiting, "mountgauge.core.sender.Sender.waiting"),
     Probe("sender-restore", _restore, "mountgauge.core.sender.Sender.restore, turn; Policy._pump",
-          axis=Axis.MESSAGES, sizes=_MESSAGES, repeats=3, limit_s=20.0),
+          axis=Axis.MESSAGES, sizes=_MESSAGE_COUNTS, repeats=3, limit_s=20.0),
     Probe("sender-restore-memory", _restore_memory,
           "mountgauge.core.sender.PendingMessage; rillspindle.state.Message",
-          axis=Axis.MESSAGES, sizes=_MESSAGES, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
+          axis=Axis.MESSAGES, sizes=_MESSAGE_COUNTS, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
           limit_s=30.0),
 )  # fmt: skip
--- a/benchmarks/slopes/worlds.py
+++ b/benchmarks/slopes/fixtures.py
@@ -54,7 +54,7 @@
     return NextHop(f"hop-{number}", "127.0.0.1", 1024 + number % 60_000, entry(number, readiness))
 
 
-def whole_list(count: int, version: int = 1) -> MapUpdate:
+def full_list(count: int, version: int = 1) -> MapUpdate:
     return MapUpdate(version, True, tuple(hop(number) for number in range(count)))
 
 
@@ -66,7 +66,7 @@
     return policy
 
 
-def asked_policy(count: int) -> Policy:
+def queued_policy(count: int) -> Policy:
     """The same, with a message queued for each destination except the one that has the only slot."""
     policy = listed_policy(count, workers=1)
     for number in range(count):
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -20,11 +20,11 @@
 
 _TENANTS, _MESSAGES_PER_S = 100, 25.0  # in the whole fleet; accepted by each member
 _SETTLE_S, _RUN_S = 2.0, 4.0
-_GOSSIP = (8, 16, 32, 64, 128)
-_ALL = (6, 12, 18, 24, 36, 48)
-_SOME = (10, 15, 20, 30, 40, 60)
+_GOSSIP_SIZES = (8, 16, 32, 64, 128)
+_ALL_SIZES = (6, 12, 18, 24, 36, 48)
+_FIVE_VOTERS_SIZES = (10, 15, 20, 30, 40, 60)
 _BUDGETS, _VOTERS = 2, 5
-_BUDGETS_COUNT = (1, 2, 5, 10, 20, 40)
+_BUDGET_COUNTS = (1, 2, 5, 10, 20, 40)
 
 
 class _Metered(budget_fleet.World):
@@ -203,16 +203,16 @@
 
 
 PROBES = (
-    *_pair("gossip-members", Axis.MEMBERS, _GOSSIP, _GOSSIP_SOURCE, _gossip_core, _gossip_bytes, 60.0),
+    *_pair("gossip-members", Axis.MEMBERS, _GOSSIP_SIZES, _GOSSIP_SOURCE, _gossip_core, _gossip_bytes, 60.0),
     *_pair(
         "gossip-tenants", Axis.TENANTS, _TENANT_COUNTS, _GOSSIP_SOURCE, _tenants_core, _tenants_bytes, 40.0
     ),
-    *_pair("leases-all-vote", Axis.MEMBERS, _ALL, _ALL_VOTE, _all_vote_core, _all_vote_bytes, 20.0),
-    *_pair("leases-voter", Axis.MEMBERS, _SOME, _VOTER, _voter_core, _voter_bytes, 20.0),
-    *_pair("leases-member", Axis.MEMBERS, _SOME, _MEMBER, _member_core, _member_bytes, 20.0),
-    *_pair("leases-budgets", Axis.BUDGETS, _BUDGETS_COUNT, _MEMBER, _budgets_core, _budgets_bytes, 10.0),
+    *_pair("leases-all-vote", Axis.MEMBERS, _ALL_SIZES, _ALL_VOTE, _all_vote_core, _all_vote_bytes, 20.0),
+    *_pair("leases-voter", Axis.MEMBERS, _FIVE_VOTERS_SIZES, _VOTER, _voter_core, _voter_bytes, 20.0),
+    *_pair("leases-member", Axis.MEMBERS, _FIVE_VOTERS_SIZES, _MEMBER, _member_core, _member_bytes, 20.0),
+    *_pair("leases-budgets", Axis.BUDGETS, _BUDGET_COUNTS, _MEMBER, _budgets_core, _budgets_bytes, 10.0),
     Probe("gossip-members-memory", _gossip_memory, "mountgauge.tenants.counts.Counts", Axis.MEMBERS,
-          Unit.BYTES, Method.TRACEMALLOC, _GOSSIP[:-1], 1, 40.0),
+          Unit.BYTES, Method.TRACEMALLOC, _GOSSIP_SIZES[:-1], 1, 40.0),
     Probe("leases-all-vote-memory", _leases_memory, "mountgauge.budgets.grants, leases", Axis.MEMBERS,
-          Unit.BYTES, Method.TRACEMALLOC, _ALL, 1, 40.0),
+          Unit.BYTES, Method.TRACEMALLOC, _ALL_SIZES, 1, 40.0),
 )  # fmt: skip
--- a/benchmarks/slopes/journal.py
+++ b/benchmarks/slopes/journal.py
@@ -10,11 +10,11 @@
 from pathlib import Path
 
 from benchmarks.process import resident_bytes
+from benchmarks.slopes.fixtures import DISK_BYTES, stored
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, timed
-from benchmarks.slopes.worlds import DISK_BYTES, stored
 from mountgauge.core.journal import Journal
 
-_MESSAGES = (3_000, 10_000, 30_000, 100_000, 300_000)
+_MESSAGE_COUNTS = (3_000, 10_000, 30_000, 100_000, 300_000)
 BODY_BYTES = 200
 _EXPIRES = 4e9  # wall time
 
@@ -85,13 +85,13 @@
 
 PROBES = (
     Probe("journal-start", _start_time, _SOURCE, Axis.MESSAGES, Unit.SECONDS, Method.PROCESS_TIME,
-          _MESSAGES, 1, 20.0),
+          _MESSAGE_COUNTS, 1, 20.0),
     Probe("journal-start-memory", _start_memory,
           "mountgauge.core.journal.StoredMessage", Axis.MESSAGES, Unit.BYTES,
-          Method.FRESH_PROCESS, _MESSAGES, 1, 20.0),
+          Method.FRESH_PROCESS, _MESSAGE_COUNTS, 1, 20.0),
     Probe("journal-file", _file_bytes,
           "mountgauge.core.journal.StoredMessage.record", Axis.MESSAGES, Unit.BYTES,
-          Method.COUNTED, _MESSAGES[:-1], 1),
+          Method.COUNTED, _MESSAGE_COUNTS[:-1], 1),
     Probe("journal-compaction", _compaction, "mountgauge.core.journal.Journal._compact, _content, _rewrite",
-          Axis.MESSAGES, Unit.SECONDS, Method.PROCESS_TIME, _MESSAGES, 3),
+          Axis.MESSAGES, Unit.SECONDS, Method.PROCESS_TIME, _MESSAGE_COUNTS, 3),
 )  # fmt: skip
--- a/benchmarks/slopes/module.py
+++ b/benchmarks/slopes/module.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from dataclasses import replace
 
+from benchmarks.slopes.fixtures import DEADLINE_S, answered, entry, incoming, listed_policy, numbers, settings
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, allocated, timed
-from benchmarks.slopes.worlds import DEADLINE_S, answered, entry, incoming, listed_policy, numbers, settings
 from rillspindle import Policy
 from rillspindle import interface as io
 from rillspindle.interface import Readiness
 from rillspindle.policy import OPEN_SHARE
 
-_BACKLOG = (1_000, 3_000, 10_000, 30_000, 100_000, 300_000)
+_BACKLOG_SIZES = (1_000, 3_000, 10_000, 30_000, 100_000, 300_000)
 _NOW = 101.0
 
 
@@ -151,12 +151,12 @@
     Probe("policy-full-room", _full_queue, "rillspindle.policy.Policy._hold (_drain_time of each)",
           sizes=(1_000, 3_000, 10_000, 30_000, 100_000, 300_000)),
     Probe("policy-full-room-held", _full_large_queue, "rillspindle.policy.Policy._hold (each held message)",
-          axis=Axis.MESSAGES, sizes=_BACKLOG, repeats=3),
+          axis=Axis.MESSAGES, sizes=_BACKLOG_SIZES, repeats=3),
     Probe("policy-backlog-answer", _backlog_answer, "rillspindle.policy.Policy._slot_worth, _pump",
-          axis=Axis.MESSAGES, sizes=_BACKLOG),
+          axis=Axis.MESSAGES, sizes=_BACKLOG_SIZES),
     Probe("policy-backlog-arrival", _backlog_arrival, "rillspindle.policy.Policy._pump (list of dest.queued)",
-          axis=Axis.MESSAGES, sizes=_BACKLOG),
+          axis=Axis.MESSAGES, sizes=_BACKLOG_SIZES),
     Probe("policy-held-memory", _queued_memory, "rillspindle.state.Message",
-          axis=Axis.MESSAGES, sizes=_BACKLOG, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
+          axis=Axis.MESSAGES, sizes=_BACKLOG_SIZES, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
           limit_s=30.0),
 )  # fmt: skip
--- a/benchmarks/slopes/pages.py
+++ b/benchmarks/slopes/pages.py
@@ -11,8 +11,8 @@
 
 import orjson
 
+from benchmarks.slopes.fixtures import NAMES, hop
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, timed
-from benchmarks.slopes.worlds import NAMES, hop
 from mountgauge.core.config import Address
 from mountgauge.core.ports import MessageOutcome, Status
 from mountgauge.http1 import Client
@@ -24,8 +24,8 @@
 if TYPE_CHECKING:
     from mountgauge.router import Router
 
-_NOTICES = (1_000, 3_000, 10_000, 30_000, 100_000)
-_FILE = (100, 300, 1_000, 3_000, 10_000, 30_000)
+_NOTICE_COUNTS = (1_000, 3_000, 10_000, 30_000, 100_000)
+_FILE_SIZES = (100, 300, 1_000, 3_000, 10_000, 30_000)
 
 
 def _discovery_body(count: int) -> bytes:
@@ -111,9 +111,9 @@
     Probe("discovery-parse", _parse_list, "mountgauge.core.config.SettingNames.update", repeats=3),
     Probe("discovery-list-bytes", _list_bytes, "mountgauge.platform.discovery.MOST_LIST_BYTES bounds it",
           unit=Unit.BYTES, method=Method.COUNTED, repeats=1, sizes=(300, 1_000, 3_000, 10_000, 30_000)),
-    Probe("operator-file", _load_file, "mountgauge.operator_file.load_hops (tomllib)", sizes=_FILE,
+    Probe("operator-file", _load_file, "mountgauge.operator_file.load_hops (tomllib)", sizes=_FILE_SIZES,
           repeats=3, limit_s=15.0),
     Probe("status-page", _status, "mountgauge.run.base.Runtime.report"),
     Probe("notices-drain", _notices, "mountgauge.notices.Notices._run (list of all owed, each batch)",
-          axis=Axis.MESSAGES, sizes=_NOTICES, repeats=3),
+          axis=Axis.MESSAGES, sizes=_NOTICE_COUNTS, repeats=3),
 )  # fmt: skip
--- a/benchmarks/slopes/recovery.py
+++ b/benchmarks/slopes/recovery.py
@@ -5,8 +5,8 @@
 from types import SimpleNamespace
 from typing import TYPE_CHECKING, cast
 
+from benchmarks.slopes.fixtures import listed_policy, queued_policy
 from benchmarks.slopes.probe import Axis, Probe, Sample, timed
-from benchmarks.slopes.worlds import asked_policy, listed_policy
 from mountgauge.core.durable_time import Stamp
 from mountgauge.recovery.destinations import destination_states
 from mountgauge.recovery.identity import Identity
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from mountgauge.run.base import Runtime
 
-_INSTANCES = (100, 300, 1_000, 3_000, 10_000)
+_INSTANCE_COUNTS = (100, 300, 1_000, 3_000, 10_000)
 
 
 def _check(count: int) -> Sample:
     """Each destination has a queued message."""
-    policy = asked_policy(count)
+    policy = queued_policy(count)
     return lambda: timed(lambda: destination_states(policy, 101.0))
 
 
@@ -33,7 +33,7 @@
 
 def _facts(count: int) -> Sample:
     """The subsystem alone, on a runtime with only what it needs; each destination has a queued message."""
-    policy = asked_policy(count)
+    policy = queued_policy(count)
     stamp = Stamp("", 1_000_101.0, 101.0, 1_000_101.0)
     core = SimpleNamespace(policy=policy, rules=policy.settings, version=1)
     subsystem = RecoverySubsystem.__new__(RecoverySubsystem)
@@ -55,5 +55,7 @@
     Probe(
         "recovery-idle-look", _idle_check, "mountgauge.recovery.destinations.destination_states, each 0.25 s"
     ),
-    Probe("recovery-table", _table, "mountgauge.recovery.table.lines", axis=Axis.MEMBERS, sizes=_INSTANCES),
+    Probe(
+        "recovery-table", _table, "mountgauge.recovery.table.lines", axis=Axis.MEMBERS, sizes=_INSTANCE_COUNTS
+    ),
 )
--- a/benchmarks/slopes/telemetry.py
+++ b/benchmarks/slopes/telemetry.py
@@ -9,7 +9,7 @@
 from mountgauge.otlp import encode
 from mountgauge.snapshot import Snapshot
 
-_MEMBERS = (10, 30, 100, 300, 1_000, 3_000, 10_000)
+_MEMBER_COUNTS = (10, 30, 100, 300, 1_000, 3_000, 10_000)
 _TENANTS = 100
 _SOURCE = "mountgauge.otlp.tenant_metrics, encode"
 
@@ -46,7 +46,7 @@
 
 
 PROBES = (
-    Probe("telemetry-export", _time, _SOURCE, axis=Axis.MEMBERS, sizes=_MEMBERS),
+    Probe("telemetry-export", _time, _SOURCE, axis=Axis.MEMBERS, sizes=_MEMBER_COUNTS),
     Probe("telemetry-bytes", _bytes, _SOURCE, axis=Axis.MEMBERS, unit=Unit.BYTES, method=Method.COUNTED,
-          sizes=_MEMBERS, repeats=1),
+          sizes=_MEMBER_COUNTS, repeats=1),
 )  # fmt: skip
