--- a/benchmarks/comeback_model.py
+++ b/benchmarks/comeback_model.py
@@ -84,12 +84,12 @@
         for member_index in range(self.members):
             self.start(member_index)
 
-    def start(self, member_index: int, held: int = 0) -> None:
-        """Restart a member; `held` messages that its previous run had queued are restored to it."""
+    def start(self, member_index: int, queued: int = 0) -> None:
+        """Restart a member; `queued` messages of its previous run are restored to it."""
         self.process_runs[member_index] = self._new(member_index)
         entry = Entry(Readiness.READY, 0.0, self.rate, 0, 7, 0, ENDPOINT)
         self._feed(member_index, io.Targets(ListKind.CACHED, 1, (entry,)))
-        for _ in range(held):
+        for _ in range(queued):
             self._number += 1
             self._feed(member_index, io.Restored(self._number, self.now + DEADLINE_S, 7, 0, 0, ()))
 
@@ -169,8 +169,8 @@
     zero = fleet.now
     fleet.capacity.go_cold(zero)
     for member_index in fleet._rng.sample(range(members), max(1, members * 4 // 5)):
-        held = len(fleet.process_runs[member_index].policy.messages)
-        fleet.start(member_index, held)
+        queued = len(fleet.process_runs[member_index].policy.messages)
+        fleet.start(member_index, queued)
     could = fleet.capacity.could(zero, zero + 5)
     fleet.run(seconds)
     served = [at for at in fleet.served if zero <= at < zero + 5]
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -257,7 +257,7 @@
             found["bytes_per_connection"] = round((resident_bytes(sender.pid) - rss) / max(1, kept))
             found["kernel_bytes_per_connection"] = round((slab_bytes() - slab) / 2 / max(1, kept))
             found["idle_cpu_share"], found["wakeups_per_s"], _ = await sender.idle(quiet)
-            held = await busy.run(compare)
+            loaded = await busy.run(compare)
             # All idle connections submit a message.
             commands = [{"do": "wake", "within": 1.0, "name": f"w{n}", "seed": n} for n in range(LOADS)]
             waking = asyncio.create_task(loads.send(commands))
@@ -317,8 +317,8 @@
             await asyncio.sleep(0.3)
             found["reload_closed"] = kept + BUSY - (await sender.clients())["open"]
             base = (alone["ok_p99"] + again_alone["ok_p99"]) / 2
-            found["busy_p99_s"] = [round(x["ok_p99"], 5) for x in (alone, held, again_alone)]
-            found["busy_p99_ratio"] = round(held["ok_p99"] / base, 3)
+            found["busy_p99_s"] = [round(x["ok_p99"], 5) for x in (alone, loaded, again_alone)]
+            found["busy_p99_ratio"] = round(loaded["ok_p99"] / base, 3)
             found["longest_turn_ms"] = now["longest_turn_ever_ms"]
             found["busy_lost"] = busy.lost
             found["fared"] = now["fared"]
@@ -375,16 +375,16 @@
     from matplotlib import pyplot
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(10, 4))
-    held = [row["held"] for row in rows]
-    left.plot(held, [row["ok_p50"] * 1000 for row in rows], label="p50 of +OK")
-    left.plot(held, [row["ok_p99"] * 1000 for row in rows], label="p99 of +OK")
-    left.plot(held, [row["delivered_p99"] * 1000 for row in rows], label="p99 of delivery")
+    open_counts = [row["held"] for row in rows]
+    left.plot(open_counts, [row["ok_p50"] * 1000 for row in rows], label="p50 of +OK")
+    left.plot(open_counts, [row["ok_p99"] * 1000 for row in rows], label="p99 of +OK")
+    left.plot(open_counts, [row["delivered_p99"] * 1000 for row in rows], label="p99 of delivery")
     left.set(xlabel=f"idle {front} connections", ylabel="ms", title="Busy clients while idle ones connect")
     left.set_ylim(bottom=0)
     left.legend()
-    right.plot(held, [row["rss"] / 1e6 for row in rows], label="resident, above none open")
-    limit = [count * TARGET_BYTES[front] / 1e6 for count in held]
-    right.plot(held, limit, linestyle=":", label="target")
+    right.plot(open_counts, [row["rss"] / 1e6 for row in rows], label="resident, above none open")
+    limit = [count * TARGET_BYTES[front] / 1e6 for count in open_counts]
+    right.plot(open_counts, limit, linestyle=":", label="target")
     right.set(xlabel=f"idle {front} connections", ylabel="MB", title="Memory")
     right.set_ylim(bottom=0)
     right.legend()
--- a/benchmarks/idle_load.py
+++ b/benchmarks/idle_load.py
@@ -92,12 +92,12 @@
         data = b""
         try:
             while not data.endswith(wanted):
-                part = sock.recv(4096)
-                if not part:
+                chunk = sock.recv(4096)
+                if not chunk:
                     return "closed by the sender"
-                if part.startswith(b"-"):
-                    return part.decode("latin-1").strip()
-                data += part
+                if chunk.startswith(b"-"):
+                    return chunk.decode("latin-1").strip()
+                data += chunk
         except OSError as error:
             return f"no answer: {error}"
         return ""
@@ -189,8 +189,8 @@
             if data.startswith(b"+OK"):
                 return "ok", 0
             if data.startswith(b"-BUSY"):
-                words = data.split()
-                return "busy", int(words[1]) if len(words) > 1 else 0
+                fields = data.split()
+                return "busy", int(fields[1]) if len(fields) > 1 else 0
             return "other", 0
         data = self.got.pop(fd, b"") + data
         parser = codec.FrameParser(1 << 17)
@@ -260,12 +260,12 @@
         wait.poll(load.beat() * 1000)
         load.pump(0)
         try:
-            part = os.read(0, 65536)
+            chunk = os.read(0, 65536)
         except BlockingIOError:
             continue
-        if not part:
+        if not chunk:
             return
-        pending += part
+        pending += chunk
         while b"\n" in pending:
             line, _, pending = pending.partition(b"\n")
             print(json.dumps(load.execute(line.decode())), flush=True)
