--- a/benchmarks/budget_model.py
+++ b/benchmarks/budget_model.py
@@ -86,6 +86,7 @@
         self.keys: dict[Any, Any] = {}  # cached keys of its state, by time and renaming
 
     def copy(self) -> Node:
+        """A copy whose changes do not affect this state."""
         old, mine = self.grants, self.leases
         grants = Grants(old.slices, old.drift, old.silent_until, dict(old.grants_by_holder), dict(old.newest))
         voted = {voter: dict(one) for voter, one in mine.voted.items()}
@@ -107,6 +108,7 @@
         self.nodes = {name: Node(1, Grants(slices, DRIFT), Leases(LEASE, DRIFT), ()) for name in NAMES}
 
     def copy(self) -> World:
+        """A copy that shares its nodes with this state until they are changed."""
         found = World.__new__(World)
         found.now, found.crashes, found.sent, found.slices = self.now, self.crashes, self.sent, self.slices
         found.nodes = dict(self.nodes)
@@ -118,6 +120,7 @@
         return node
 
     def clock(self, name: str) -> float:
+        """The time by the member's own clock."""
         return self.now * RATES[name]
 
     def broken(self) -> bool:
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -21,6 +21,7 @@
 
 
 def main() -> int:
+    """Write or check the page; the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--check", action="store_true", help="write nothing")
     arguments = parser.parse_args()
--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -75,6 +75,7 @@
 
     @property
     def now(self) -> float:
+        """The time by the node's own clock."""
         return self.world.time + self.clock_offset_s
 
     def offer(self, tenant: str) -> float | None:
@@ -168,9 +169,8 @@
         self.nodes: dict[str, Node] = {}
         self.at_place: dict[Place, Node] = {}
         self.places: list[Place] = []
-        self.partition_of: Callable[[str], int] | None = (
-            None  # the partition of a node, while the network is split
-        )
+        # The partition of each node, while the network is split.
+        self.partition_of: Callable[[str], int] | None = None
         self.accepted: Counter[str] = Counter()  # by tenant, of all nodes: what the counts should say
         self.uncounted: Counter[str] = Counter()  # accepted messages whose count was lost by kills
         self.datagrams = self.bytes = self.largest = 0
@@ -182,6 +182,7 @@
         return self.rng.getrandbits(62) + 1
 
     def plan_for(self, place: Place) -> Plan:
+        """The gossip plan of a node at this address."""
         return Plan(
             tuple(p for p in self.places if p != place), self.interval, self.fanout, self.timing, FLUSH
         )
@@ -194,6 +195,7 @@
             self.start(name, place)
 
     def start(self, name: str, place: Place, disk: Disk | None = None, clock: float = 0.0) -> Node:
+        """Start a node at an address, on the given disk or on an empty one."""
         node = Node(self, name, place, disk or Disk(), clock)
         self.nodes[name] = self.at_place[place] = node
         return node
@@ -256,6 +258,7 @@
 
     @property
     def up(self) -> list[Node]:
+        """The running nodes."""
         return [node for node in self.nodes.values() if node.up]
 
     def exact(self) -> bool:
--- a/benchmarks/outage.py
+++ b/benchmarks/outage.py
@@ -38,11 +38,13 @@
 
 
 def mean(each: list[Seen]) -> Seen:
+    """The mean of each figure."""
     columns = zip(*(asdict(one).values() for one in each), strict=True)
     return Seen(*(statistics.mean(column) for column in columns))
 
 
 def main() -> int:
+    """Simulate the outages and print the figures; the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--json", type=Path)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -28,6 +28,7 @@
 
 
 def remove_members(file: MemberFile, names: Iterable[str]) -> MemberFile:
+    """The next epoch's members' file, without these members."""
     removed, epoch = set(names), file.epoch + 1
     lines = (
         replace(one, until=epoch) if one.name in removed and one.until == FOREVER else one
@@ -37,6 +38,7 @@
 
 
 def add_members(file: MemberFile, added: Iterable[Member]) -> MemberFile:
+    """The next epoch's members' file, with these members added."""
     epoch = file.epoch + 1
     return replace(file, epoch=epoch, members=(*file.members, *(replace(one, since=epoch) for one in added)))
 
@@ -57,6 +59,7 @@
 
 
 def measure(count: int, zones: int, settings: PlacementSettings) -> dict[str, float]:
+    """Places all shards, then removes and adds single members and a whole zone; the figures."""
     rng = Random(1)
     file = MemberFile(1, tuple(Member(f"s{index}", f"z{index % zones}") for index in range(count)))
     placements: list[Placement] = []
@@ -93,6 +96,7 @@
 
 
 def main() -> None:
+    """Measure and print the figures."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--members", type=int, default=18_000)
     parser.add_argument("--zones", type=int, default=23)
--- a/benchmarks/shard_relay.py
+++ b/benchmarks/shard_relay.py
@@ -28,6 +28,7 @@
 
 
 def line(number: int, weight: float = 1.0) -> dict[str, Any]:
+    """One endpoint as discovery lists it."""
     return {"id": f"e{number}", "addr": "10.0.0.1:80", "zone": "a", "kind": "k", "cell": number,
             "state": "active", "weight": weight, "started_ms": 0}  # fmt: skip
 
@@ -46,6 +47,7 @@
 
 
 def measure(listed: int) -> dict[str, float]:
+    """The figures of a relay with so many listed endpoints."""
     relay = Relay("top", ListWatch(ShardStore(DEFAULT_SHARD_COUNT), RELAY_TIMING, Random(1)), RelaySettings())
     lines = [line(number) for number in range(listed)]
     full = answer_list_call(relay, {"version": 1, "full": True, "servers": lines}, 0.0)
@@ -71,10 +73,12 @@
 
 
 def positions(rng: Random, version: int) -> tuple[Position, ...]:
+    """Random shards of one sender, each at this version."""
     return tuple(Position(rng.randrange(DEFAULT_SHARD_COUNT), version) for _ in range(SHARDS_EACH))
 
 
 def main() -> None:
+    """Measure each number of endpoints and print its figures."""
     for listed in LISTED:
         print(json.dumps(measure(listed)), flush=True)
 
--- a/benchmarks/slopes/__main__.py
+++ b/benchmarks/slopes/__main__.py
@@ -21,6 +21,7 @@
 
 
 def main() -> int:
+    """Run the chosen probes; the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--quick", action="store_true", help="four sizes each, a fifth of the time")
     parser.add_argument(
--- a/benchmarks/slopes/fixtures.py
+++ b/benchmarks/slopes/fixtures.py
@@ -51,10 +51,12 @@
 
 
 def hop(number: int, readiness: Readiness = Readiness.READY) -> NextHop:
+    """The next hop of a destination."""
     return NextHop(f"hop-{number}", "127.0.0.1", 1024 + number % 60_000, entry(number, readiness))
 
 
 def full_list(count: int, version: int = 1) -> MapUpdate:
+    """A full list of so many next hops."""
     return MapUpdate(version, True, tuple(hop(number) for number in range(count)))
 
 
@@ -127,14 +129,17 @@
 
 
 def incoming(number: int, dest: int, now: float) -> io.Incoming:
+    """The event of a message that arrives."""
     return io.Incoming(number, 0, now + DEADLINE_S, 0, 0.0, dest, 0, 0)
 
 
 def answered(number: int, dest: int) -> io.Response:
+    """The event of a message that was delivered."""
     return io.Response(number, 0.05, b"hop-%d" % dest, Outcome.OK, 0, True, 0, ())
 
 
 def stored(number: int, dest: int, body_bytes: int, expires: float) -> StoredMessage:
+    """A message as the journal stores it."""
     return StoredMessage(f"message-{number:012d}", "note", expires, dest, "", "platform", bytes(body_bytes))
 
 
@@ -145,5 +150,6 @@
 
 
 def finish_all(core: Sender, calls: Sequence[Call], outcome: Outcome = Outcome.OK) -> None:
+    """Report the same outcome for all messages of these calls."""
     for call in calls:
         core.finished(call, {item.number: AttemptResult(outcome) for item in call.items})
--- a/benchmarks/slopes/probe.py
+++ b/benchmarks/slopes/probe.py
@@ -20,6 +20,8 @@
 
 
 class Unit(StrEnum):
+    """What a cost is measured in."""
+
     SECONDS = "s"  # processor time of one operation
     BYTES = "bytes"  # memory
     CORE_SHARE = "core"  # processor time of one member by elapsed time
@@ -72,6 +74,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
+    """The measurements of a probe."""
+
     probe: Probe
     measurements: tuple[Measurement, ...]
     load_average: float  # over one minute, the highest during the probe
--- a/benchmarks/slopes/report.py
+++ b/benchmarks/slopes/report.py
@@ -26,6 +26,7 @@
 
 
 def heading() -> str:
+    """The heading of the lines that `format_line` returns."""
     return (
         f"{'probe':<24} {'measured at':>26} {'exponent':>9} {'residual':>9} {'model':>13} {'load':>6}"
         f"  at the size of two years; source"
@@ -33,6 +34,7 @@
 
 
 def format_line(found: ProbeResult, at: Target) -> str:
+    """A probe's line: its fit, and the cost at the target size."""
     probe = found.probe
     sizes = f"{found.measurements[0].size:g}..{found.measurements[-1].size:g} {probe.axis}"
     try:
--- a/example/partner.py
+++ b/example/partner.py
@@ -14,6 +14,7 @@
     protocol_version = "HTTP/1.1"  # keeps connections open between calls
 
     def do_POST(self) -> None:
+        """Answer a call and print it."""
         body = self.rfile.read(int(self.headers["Content-Length"]))
         status = 500 if next(CALLS) % 3 == 0 else 200
         key = self.headers["Idempotency-Key"] or "-"
--- a/example/sharding/stand_ins.py
+++ b/example/sharding/stand_ins.py
@@ -67,6 +67,7 @@
     protocol_version = "HTTP/1.1"
 
     def do_GET(self) -> None:
+        """Answer with the full list, or with the changes since the version asked for."""
         query = parse_qs(urlsplit(self.path).query)
         if "index" in query:
             found = LIST.since(int(query["index"][0]), int(query["wait"][0]) / 1000)
@@ -89,6 +90,7 @@
     protocol_version = "HTTP/1.1"
 
     def do_POST(self) -> None:
+        """Answer a call and print it."""
         body = self.rfile.read(int(self.headers["Content-Length"]))
         print(f"partner: {self.headers['X-Trace-Id']} {body.decode()}", flush=True)
         self.send_response(200)
