--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,8 +1,8 @@
-"""docs/CAPACITY.md from the kept results.
+"""Writes docs/CAPACITY.md from the kept results.
 
     python -m benchmarks.capacity [--check]
 
-Writes the page; with --check it only says whether page and results agree, exit 1 where they don't.
+With --check it writes nothing and exits with 1 if the page differs from the results.
 """
 
 from __future__ import annotations
@@ -21,6 +21,7 @@
 
 
 def main() -> int:
+    """Write or check the page; the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--check", action="store_true", help="write nothing")
     arguments = parser.parse_args()
@@ -31,7 +32,7 @@
         return 2
     if arguments.check:
         same = PAGE.exists() and PAGE.read_text() == text
-        print("page and results agree" if same else f"{PAGE.name} differs from the results: write it anew")
+        print("page and results agree" if same else f"{PAGE.name} differs from the results: write it again")
         return 0 if same else 1
     PAGE.write_text(text)
     return 0
--- a/benchmarks/slopes/core.py
+++ b/benchmarks/slopes/core.py
@@ -1,27 +1,27 @@
-"""The core beside the module: learning lists, dividing budgets, taking messages back after a restart."""
+"""The core without the module: applying lists, dividing budgets, restoring messages after a restart."""
 
 from __future__ import annotations
 
+from benchmarks.slopes.fixtures import Peers, full_list, hop, numbers, queued_policy, sender, settings, stored
 from benchmarks.slopes.probe import Axis, Method, Probe, Sample, Unit, allocated, timed
-from benchmarks.slopes.worlds import Peers, asked_policy, hop, numbers, sender, settings, stored, whole_list
 from mountgauge.core.config import MapUpdate
 from mountgauge.core.sender import Sender
 from rillspindle import Policy
 from rillspindle.interface import Readiness
 
-_MESSAGES = (1_000, 3_000, 10_000, 30_000, 100_000)
+_MESSAGE_COUNTS = (1_000, 3_000, 10_000, 30_000, 100_000)
 _BODY_BYTES = 200
 
 
 def _listed(count: int) -> Sender:
-    """A core that has learned so many next hops; its module has not been told of them."""
+    """A core with so many next hops listed, which its module is not notified of."""
     core = sender(Policy(settings(), 1), Peers())
-    core.list_changed(whole_list(count))
+    core.list_changed(full_list(count))
     core._ready.clear()
     return core
 
 
-def _learn_one(count: int) -> Sample:
+def _apply_change(count: int) -> Sample:
     core, turns = _listed(count), numbers(2)
 
     def change() -> None:
@@ -33,8 +33,8 @@
     return lambda: timed(change)
 
 
-def _learn_whole(count: int) -> Sample:
-    core, update = _listed(count), whole_list(count, 2)
+def _apply_full(count: int) -> Sample:
+    core, update = _listed(count), full_list(count, 2)
 
     def change() -> None:
         core.list_changed(update)
@@ -44,7 +44,7 @@
 
 
 def _memory(count: int) -> Sample:
-    """What the core keeps of a list, with the list itself."""
+    """What the core keeps of a list, including the list itself."""
 
     def build() -> Sender:
         return _listed(count)
@@ -53,7 +53,7 @@
 
 
 def _divide_one(count: int) -> Sample:
-    """The part of one destination's budget changes."""
+    """The share of one destination's budget changes."""
     core, turns = _listed(count), numbers()
 
     def change() -> None:
@@ -64,15 +64,15 @@
 
 
 def _waiting(count: int) -> Sample:
-    """What budgets ask the core before each ask of theirs, with a message held for each destination."""
-    core = sender(asked_policy(count), Peers())
+    """The core's demand, which budgets read before each ask, with a message queued for each destination."""
+    core = sender(queued_policy(count), Peers())
     return lambda: timed(lambda: core.waiting)
 
 
 def _restore(count: int) -> Sample:
-    """All that an earlier life held goes back to the module, 256 a turn; one destination, one slot.
+    """The messages of the previous run are restored to the module, 256 a turn; one destination, one slot.
 
-    Each sample is a start of its own.
+    Each sample is a separate start.
     """
 
     def one() -> float:
@@ -92,7 +92,7 @@
 
 
 def _restore_memory(count: int) -> Sample:
-    """What core and module hold of messages that are restored, beside the journal's own records."""
+    """What core and module keep for restored messages, not counting the journal's records."""
     peers = Peers()
     messages = [stored(number, 0, _BODY_BYTES, peers.wall() + 3000.0) for number in range(count)]
 
@@ -108,16 +108,16 @@
 
 
 PROBES = (
-    Probe("sender-one-change", _learn_one, "mountgauge.core.hop_table.HopTable.apply_update"),
-    Probe("sender-whole-list", _learn_whole, "mountgauge.core.hop_table.HopTable.apply_update", repeats=3),
+    Probe("sender-one-change", _apply_change, "mountgauge.core.hop_table.HopTable.apply_update"),
+    Probe("sender-whole-list", _apply_full, "mountgauge.core.hop_table.HopTable.apply_update", repeats=3),
     Probe("sender-memory", _memory, "mountgauge.core.hop_table.HopTable",
           unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1, limit_s=30.0),
     Probe("sender-divide-one", _divide_one, "mountgauge.core.hop_table.HopTable.set_budget_shares"),
     Probe("sender-waiting", _waiting, "mountgauge.core.sender.Sender.waiting"),
     Probe("sender-restore", _restore, "mountgauge.core.sender.Sender.restore, turn; Policy._pump",
-          axis=Axis.MESSAGES, sizes=_MESSAGES, repeats=3, limit_s=20.0),
+          axis=Axis.MESSAGES, sizes=_MESSAGE_COUNTS, repeats=3, limit_s=20.0),
     Probe("sender-restore-memory", _restore_memory,
           "mountgauge.core.sender.PendingMessage; rillspindle.state.Message",
-          axis=Axis.MESSAGES, sizes=_MESSAGES, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
+          axis=Axis.MESSAGES, sizes=_MESSAGE_COUNTS, unit=Unit.BYTES, method=Method.TRACEMALLOC, repeats=1,
           limit_s=30.0),
 )  # fmt: skip
--- a/benchmarks/slopes/fleet.py
+++ b/benchmarks/slopes/fleet.py
@@ -1,6 +1,7 @@
-"""What members say to each other: tenants' counts by gossip, budgets by leases, in virtual time.
+"""What members send to each other: tenants' counts by gossip and budgets by leases, in virtual time.
 
-Processor time holds the virtual network's part as well; bytes are those of the datagrams, sealed and whole.
+Processor time includes that of the simulated network. Bytes of the tenants' counts are those of the sealed
+datagrams; those of the leases are the simulation's estimate.
 """
 
 from __future__ import annotations
@@ -17,20 +18,20 @@
 from mountgauge.budgets.messages import Answer, Ask
 from mountgauge.budgets.shares import Budget, Kind
 
-_TENANTS, _MESSAGES_PER_S = 100, 25.0  # of the fleet in all; of each member
+_TENANTS, _MESSAGES_PER_S = 100, 25.0  # in the whole fleet; accepted by each member
 _SETTLE_S, _RUN_S = 2.0, 4.0
-_GOSSIP = (8, 16, 32, 64, 128)
-_ALL = (6, 12, 18, 24, 36, 48)
-_SOME = (10, 15, 20, 30, 40, 60)
+_GOSSIP_SIZES = (8, 16, 32, 64, 128)
+_ALL_SIZES = (6, 12, 18, 24, 36, 48)
+_FIVE_VOTERS_SIZES = (10, 15, 20, 30, 40, 60)
 _BUDGETS, _VOTERS = 2, 5
-_BUDGETS_COUNT = (1, 2, 5, 10, 20, 40)
+_BUDGET_COUNTS = (1, 2, 5, 10, 20, 40)
 
 
 class _Metered(budget_fleet.World):
-    """Counts what each member sends and computes; without the sums after each step, which no member makes."""
+    """Counts each member's bytes and processor time; skips the check, which real members do not make."""
 
     def __init__(self, budgets: list[Budget], names: list[str], voters: int) -> None:
-        super().__init__(budgets, (), 1, weather=budget_fleet.Weather(loss=0.01, delay_s=0.005))
+        super().__init__(budgets, (), 1, network=budget_fleet.NetworkFaults(loss=0.01, delay_s=0.005))
         self.spent_ns: Counter[str] = Counter()  # by member
         self.sent_bytes: Counter[str] = Counter()
         self.lists = MemberList(
@@ -58,7 +59,7 @@
 def _gossip(members: int, tenants: int) -> tuple[float, float]:
     """Core share and bytes/s of one member."""
     names = [f"t{number}" for number in range(tenants)]
-    world = fleet_model.World(dict.fromkeys(names), 1, fleet_model.Weather(loss=0.05, delay=0.02))
+    world = fleet_model.World(dict.fromkeys(names), 1, fleet_model.NetworkFaults(loss=0.05, delay=0.02))
     world.add(*(f"m{number}" for number in range(members)))
     world.load({name: _MESSAGES_PER_S * members / tenants for name in names}, _SETTLE_S + _RUN_S)
     world.until(_SETTLE_S)
@@ -69,7 +70,7 @@
 
 
 class _Lease(NamedTuple):
-    """Of one voter and of one member without a vote: core share and bytes/s. Without the latter, 0."""
+    """Core share and bytes/s of one voter and of one member without a vote; 0 if there is none of these."""
 
     voter_core: float
     voter_bytes: float
@@ -86,7 +87,7 @@
 
 @cache
 def _leases(members: int, budgets: int, voters: int) -> _Lease:
-    """The mean voter and the mean other member, with demand above the whole."""
+    """Means of the voters and of the other members, with demand above the total."""
     names = [f"m{number:03d}" for number in range(members)]
     world = _Metered(_budgets(budgets, members), names, voters)
     world.demand = budget_fleet.even(200.0 / members)
@@ -105,7 +106,7 @@
 
 
 def _gossip_memory(members: int) -> Sample:
-    """Of one member, once all are known to it."""
+    """Memory of one member that is notified of all others."""
 
     def build() -> fleet_model.World:
         world = fleet_model.World(dict.fromkeys(f"t{number}" for number in range(_TENANTS)), 1)
@@ -117,7 +118,7 @@
 
 
 def _leases_memory(members: int) -> Sample:
-    """Of one member, all of them voters."""
+    """Memory of one member, where all are voters."""
 
     def build() -> budget_fleet.World:
         names = [f"m{number:03d}" for number in range(members)]
@@ -193,25 +194,25 @@
     sent: Callable[[int], Sample],
     limit_s: float,
 ) -> tuple[Probe, Probe]:
-    """Processor time and bytes of the same runs."""
-    rest = (Method.VIRTUAL_TIME, sizes, 1, limit_s)
+    """The probes of processor time and of bytes of the same runs."""
+    common = (Method.VIRTUAL_TIME, sizes, 1, limit_s)
     return (
-        Probe(f"{name}-core", core, source, axis, Unit.CORE_SHARE, *rest),
-        Probe(f"{name}-bytes", sent, source, axis, Unit.BYTES_PER_S, *rest),
+        Probe(f"{name}-core", core, source, axis, Unit.CORE_SHARE, *common),
+        Probe(f"{name}-bytes", sent, source, axis, Unit.BYTES_PER_S, *common),
     )
 
 
 PROBES = (
-    *_pair("gossip-members", Axis.MEMBERS, _GOSSIP, _GOSSIP_SOURCE, _gossip_core, _gossip_bytes, 60.0),
+    *_pair("gossip-members", Axis.MEMBERS, _GOSSIP_SIZES, _GOSSIP_SOURCE, _gossip_core, _gossip_bytes, 60.0),
     *_pair(
         "gossip-tenants", Axis.TENANTS, _TENANT_COUNTS, _GOSSIP_SOURCE, _tenants_core, _tenants_bytes, 40.0
     ),
-    *_pair("leases-all-vote", Axis.MEMBERS, _ALL, _ALL_VOTE, _all_vote_core, _all_vote_bytes, 20.0),
-    *_pair("leases-voter", Axis.MEMBERS, _SOME, _VOTER, _voter_core, _voter_bytes, 20.0),
-    *_pair("leases-member", Axis.MEMBERS, _SOME, _MEMBER, _member_core, _member_bytes, 20.0),
-    *_pair("leases-budgets", Axis.BUDGETS, _BUDGETS_COUNT, _MEMBER, _budgets_core, _budgets_bytes, 10.0),
+    *_pair("leases-all-vote", Axis.MEMBERS, _ALL_SIZES, _ALL_VOTE, _all_vote_core, _all_vote_bytes, 20.0),
+    *_pair("leases-voter", Axis.MEMBERS, _FIVE_VOTERS_SIZES, _VOTER, _voter_core, _voter_bytes, 20.0),
+    *_pair("leases-member", Axis.MEMBERS, _FIVE_VOTERS_SIZES, _MEMBER, _member_core, _member_bytes, 20.0),
+    *_pair("leases-budgets", Axis.BUDGETS, _BUDGET_COUNTS, _MEMBER, _budgets_core, _budgets_bytes, 10.0),
     Probe("gossip-members-memory", _gossip_memory, "mountgauge.tenants.counts.Counts", Axis.MEMBERS,
-          Unit.BYTES, Method.TRACEMALLOC, _GOSSIP[:-1], 1, 40.0),
+          Unit.BYTES, Method.TRACEMALLOC, _GOSSIP_SIZES[:-1], 1, 40.0),
     Probe("leases-all-vote-memory", _leases_memory, "mountgauge.budgets.grants, leases", Axis.MEMBERS,
-          Unit.BYTES, Method.TRACEMALLOC, _ALL, 1, 40.0),
+          Unit.BYTES, Method.TRACEMALLOC, _ALL_SIZES, 1, 40.0),
 )  # fmt: skip
--- a/benchmarks/slopes/report.py
+++ b/benchmarks/slopes/report.py
@@ -1,4 +1,4 @@
-"""What was measured, as one line a probe and as the JSON that the capacity page is worked out from."""
+"""Formats measurements as one line a probe, and writes the JSON file that the capacity page is based on."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.slopes.probe import Axis, Measured, Probe, Unit
+from benchmarks.slopes.probe import Axis, Probe, ProbeResult, Unit
 from mountgauge.lab.scale.fit import Estimate, Fit, FitError, Unknown, fit
 from mountgauge.lab.scale.size import FleetSize
 
@@ -17,7 +17,7 @@
 
 
 def targets(size: FleetSize) -> Target:
-    """The size that a cost is given for, by what grows; tenants, budgets and connections have no target."""
+    """The sizes to extrapolate to; tenants, budgets and connections have none."""
     return {
         Axis.DESTINATIONS: float(size.destinations),
         Axis.MEMBERS: float(size.senders),
@@ -26,13 +26,15 @@
 
 
 def heading() -> str:
+    """The heading of the lines that `format_line` returns."""
     return (
         f"{'probe':<24} {'measured at':>26} {'exponent':>9} {'residual':>9} {'model':>13} {'load':>6}"
         f"  at the size of two years; source"
     )
 
 
-def line(found: Measured, at: Target) -> str:
+def format_line(found: ProbeResult, at: Target) -> str:
+    """A probe's line: its fit, and the cost at the target size."""
     probe = found.probe
     sizes = f"{found.measurements[0].size:g}..{found.measurements[-1].size:g} {probe.axis}"
     try:
@@ -56,7 +58,7 @@
             return f"{largest}; unknown ({why}) at {target:.7g}"
 
 
-def _as_json(found: Measured) -> dict[str, Any]:
+def _as_json(found: ProbeResult) -> dict[str, Any]:
     probe = found.probe
     try:
         law: dict[str, Any] | None = asdict(fit(found.measurements))
@@ -70,8 +72,8 @@
     }  # fmt: skip
 
 
-def save(path: Path, results: Sequence[Measured], order: Sequence[Probe]) -> None:
-    """Everything that was measured, nothing of when; results of other probes that the file has stay."""
+def save(path: Path, results: Sequence[ProbeResult], order: Sequence[Probe]) -> None:
+    """Writes the results without timestamps; results of other probes in the file are kept."""
     probes = {one["name"]: one for one in _kept(path)} | {one.probe.name: _as_json(one) for one in results}
     found = {
         "processor": processor(),
@@ -83,7 +85,7 @@
 
 
 def _kept(path: Path) -> list[dict[str, Any]]:
-    """What the file has, where it is of this processor and Python: others' costs are not to be compared."""
+    """The file's results if they are from this processor and Python version: others are not comparable."""
     if not path.exists():
         return []
     raw = json.loads(path.read_text())
@@ -92,7 +94,7 @@
 
 
 def processor() -> str:
-    """The processor's model, as the system names it."""
+    """The processor's model as reported by the system."""
     try:
         for text in Path("/proc/cpuinfo").read_text().splitlines():
             if text.startswith("model name"):
--- a/benchmarks/slopes/telemetry.py
+++ b/benchmarks/slopes/telemetry.py
@@ -1,4 +1,4 @@
-"""Telemetry: one export of metrics, which has a point for each tenant and for each member of the fleet."""
+"""Telemetry: one export of metrics, with a data point for each tenant and for each member of the fleet."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from mountgauge.otlp import encode
 from mountgauge.snapshot import Snapshot
 
-_MEMBERS = (10, 30, 100, 300, 1_000, 3_000, 10_000)
+_MEMBER_COUNTS = (10, 30, 100, 300, 1_000, 3_000, 10_000)
 _TENANTS = 100
 _SOURCE = "mountgauge.otlp.tenant_metrics, encode"
 
 
 def _report(members: int) -> dict[str, Any]:
-    """What `/tenants` says in a fleet of so many members."""
+    """The report that `/tenants` returns in a fleet of so many members."""
     tenants = [
         {
             "tenant": f"t{number}",
@@ -27,8 +27,8 @@
         }
         for number in range(_TENANTS)
     ]
-    words = [{"name": f"m{number}", "presence": "here", "age_s": 0.25} for number in range(members)]
-    return {"tenants": tenants, "members": words, "split": False, "gossip": {"dropped": {}}}
+    presence = [{"name": f"m{number}", "presence": "here", "age_s": 0.25} for number in range(members)]
+    return {"tenants": tenants, "members": presence, "split": False, "gossip": {"dropped": {}}}
 
 
 def _export(report: dict[str, Any]) -> bytes:
@@ -46,7 +46,7 @@
 
 
 PROBES = (
-    Probe("telemetry-export", _time, _SOURCE, axis=Axis.MEMBERS, sizes=_MEMBERS),
+    Probe("telemetry-export", _time, _SOURCE, axis=Axis.MEMBERS, sizes=_MEMBER_COUNTS),
     Probe("telemetry-bytes", _bytes, _SOURCE, axis=Axis.MEMBERS, unit=Unit.BYTES, method=Method.COUNTED,
-          sizes=_MEMBERS, repeats=1),
+          sizes=_MEMBER_COUNTS, repeats=1),
 )  # fmt: skip
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from benchmarks.fleet_model import FLUSH, Disk, Weather, World
+from benchmarks.fleet_model import FLUSH, Disk, NetworkFaults, World
 from mountgauge.tenants.bounds import (
     count_error,
     lost_on_kill,
@@ -16,13 +16,15 @@
 from mountgauge.tenants.quota import Quota, Split
 from mountgauge.tenants.wire import MAX_DATAGRAM_BYTES
 
-LOSSY = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)  # jitter reorders: sends are 0.25 s apart
+LOSSY = NetworkFaults(
+    loss=0.3, delay=0.5, jitter=0.2, duplicated=0.1
+)  # jitter reorders: sends are 0.25 s apart
 EIGHT = [f"n{i}" for i in range(8)]
 QUOTA = Quota(20, 40)
 
 
-def fleet(seed: int, weather: Weather | None = None, names: list[str] = EIGHT, **more: object) -> World:
-    world = World({"a": QUOTA, "b": None}, seed, weather, **more)  # type: ignore[arg-type]
+def fleet(seed: int, network: NetworkFaults | None = None, names: list[str] = EIGHT, **more: object) -> World:
+    world = World({"a": QUOTA, "b": None}, seed, network, **more)  # type: ignore[arg-type]
     world.add(*names)
     world.until(5)
     return world
@@ -30,7 +32,7 @@
 
 def excess(world: World, since: float, quota: Quota = QUOTA) -> float:
     """Messages of tenant a above its quota for the time since then."""
-    return world.taken["a"] - quota.rate * (world.time - since) - quota.burst
+    return world.accepted["a"] - quota.rate * (world.time - since) - quota.burst
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -42,58 +44,58 @@
     most = 0.0
     while world.time < 25:
         world.until(world.time + 0.25)
-        truth.append((world.time, world.taken["b"]))
+        truth.append((world.time, world.accepted["b"]))
         then = max((n for at, n in truth if at <= world.time - 5), default=0)
         for node in world.up:
             # Never more than the truth.
-            assert node.used("b") <= world.taken["b"] and node.used("a") <= world.taken["a"]
+            assert node.used("b") <= world.accepted["b"] and node.used("a") <= world.accepted["a"]
             if then >= 200:
                 most = max(most, 1 - node.used("b") / then)
-                assert world.taken["b"] - node.used("b") <= count_error(40, age) + 8
-                assert world.taken["b"] <= node.high("b")
+                assert world.accepted["b"] - node.used("b") <= count_error(40, age) + 8
+                assert world.accepted["b"] <= node.high("b")
         assert excess(world, 0) <= overshoot(20, 40, 8, age)
     assert most <= 0.02
     assert world.until_exact(10) < 10
     assert sum(n.fleet.dropped["replayed"] for n in world.up) > 20 and world.largest <= MAX_DATAGRAM_BYTES
-    assert world.taken["a"] >= 0.85 * (20 * 20 + 40)  # the quota is used almost fully
+    assert world.accepted["a"] >= 0.85 * (20 * 20 + 40)  # the quota is used almost fully
 
 
 @pytest.mark.parametrize("split", list(Split))
 def test_quotas_and_counts_during_a_split_into_halves_and_after_it(split: Split) -> None:
     quota = Quota(20, 20, split)
-    world = World({"a": quota, "b": None}, 5, Weather(loss=0.1, delay=0.05))
+    world = World({"a": quota, "b": None}, 5, NetworkFaults(loss=0.1, delay=0.05))
     world.add(*EIGHT)
     world.until(5)
     world.load({"a": 80, "b": 20}, 55)
     world.until(15)
-    before = world.taken["a"]
-    world.sides = lambda name: name < "n4"
+    before = world.accepted["a"]
+    world.partition_of = lambda name: name < "n4"
     world.until(25)
     assert all(n.fleet.members.split for n in world.up)
     # The upper bound grows with the time since the last report.
-    assert all(world.taken["b"] <= n.high("b") for n in world.up)
+    assert all(world.accepted["b"] <= n.high("b") for n in world.up)
     world.until(45)
     age = report_age_bound(0.25, 0.1, 0.05, 8, 4, FLUSH)
     bound = overshoot_split(20, 20, 8, age, world.timing.gone)
-    taken = world.taken["a"] - before
+    taken = world.accepted["a"] - before
     if split is Split.SHARE:
         assert excess(world, 5, quota) <= bound and taken > 0.85 * 20 * 30
     elif split is Split.FULL:
         assert 1.6 * 20 * 30 < taken <= 2 * (20 * 30 + 20) + bound
     else:  # neither half has a majority
         assert taken <= 20 * world.timing.gone + bound
-    world.sides = None
+    world.partition_of = None
     world.until(50)
     assert not any(n.fleet.members.split for n in world.up)
-    at_healing = world.taken["a"]
+    at_healing = world.accepted["a"]
     world.until(55)
-    assert world.taken["a"] - at_healing > 0.5 * 20 * 5  # the debt from the split is repaid soon
+    assert world.accepted["a"] - at_healing > 0.5 * 20 * 5  # the debt from the split is repaid soon
     assert world.until_exact(10) < 5
 
 
 @pytest.mark.parametrize("keep", [True, False])
 def test_a_member_restarts_with_or_without_its_disk(keep: bool) -> None:
-    world = fleet(7, Weather(loss=0.3, delay=0.2, jitter=0.2))
+    world = fleet(7, NetworkFaults(loss=0.3, delay=0.2, jitter=0.2))
     world.load({"a": 30, "b": 40}, 30)
     for when in (8.03, 12.57, 13.4, 18.05):  # the third comes before the second has reached all members
         world.until(when)
@@ -106,7 +108,7 @@
     world.until(40)
     used = {n.used("b") for n in world.up}
     assert len(used) == 1
-    lost = world.taken["b"] - used.pop()
+    lost = world.accepted["b"] - used.pop()
     if keep:  # exact except for what was not flushed
         assert lost == world.uncounted["b"] <= 4 * (lost_on_kill(40 / 8, FLUSH) + 3)
     else:  # and for what no other member had received
@@ -114,7 +116,7 @@
         assert 0 <= lost <= 4 * (count_error(40 / 8, age) + 3)
     assert all(not n.fleet.counts_uncertain and not n.fleet.members.conflicts() for n in world.up)
     world.until(60)  # abandoned incarnations are folded, and their counts stay
-    assert {world.taken["b"] - n.used("b") for n in world.up} == {lost}
+    assert {world.accepted["b"] - n.used("b") for n in world.up} == {lost}
     assert len([m for m in world.nodes["n0"].fleet.members.all.values() if m.name == "n3"]) == 1
 
 
@@ -146,7 +148,7 @@
 
 
 def test_two_members_under_one_name_are_a_conflict_and_count_correctly() -> None:
-    world = fleet(10, Weather(loss=0.1, delay=0.1))
+    world = fleet(10, NetworkFaults(loss=0.1, delay=0.1))
     world.load({"b": 40}, 30)
     world.until(8)
     world.at_place.pop(("10.0.0.8", 77), None)
@@ -180,7 +182,7 @@
 
 def test_no_result_depends_on_synchronized_clocks() -> None:
     def simulate(offsets: list[float], jumps: bool) -> World:
-        world = World({"a": QUOTA, "b": None}, 12, Weather(loss=0.2, delay=0.1))
+        world = World({"a": QUOTA, "b": None}, 12, NetworkFaults(loss=0.2, delay=0.1))
         world.add(*EIGHT)
         for node, ahead in zip(world.up, offsets, strict=True):
             disk, place, name = node.disk, node.place, node.name
@@ -191,14 +193,14 @@
         if jumps:
             world.until(15)
             for node in world.up[:3]:
-                node.ahead += 10  # its clock jumps: all others seem silent for that long
+                node.clock_offset_s += 10  # its clock jumps: all others seem silent for that long
         world.until(30)
         return world
 
     same, apart = simulate([0.0] * 8, False), simulate([10.0 * i - 35 for i in range(8)], False)
-    assert same.taken["b"] == apart.taken["b"] and abs(same.taken["a"] - apart.taken["a"]) <= 12
+    assert same.accepted["b"] == apart.accepted["b"] and abs(same.accepted["a"] - apart.accepted["a"]) <= 12
     for world in (same, apart):
-        assert all(world.taken["b"] - n.used("b") <= count_error(40, 2) for n in world.up)
+        assert all(world.accepted["b"] - n.used("b") <= count_error(40, 2) for n in world.up)
         assert world.until_exact(10) < 5
     jumped = simulate([0.0] * 8, True)
     assert jumped.until_exact(10) < 5
@@ -207,7 +209,7 @@
 
 
 def test_members_that_come_and_go_leave_only_their_counts_behind() -> None:
-    world = fleet(13, Weather(loss=0.2, delay=0.05), EIGHT[:4], timing=Timing(2.5, 5, 40, 3))
+    world = fleet(13, NetworkFaults(loss=0.2, delay=0.05), EIGHT[:4], timing=Timing(2.5, 5, 40, 3))
     world.load({"b": 30}, 200)
     for number in range(24):
         world.until(world.time + 5)
@@ -222,7 +224,7 @@
     world.until(260)
     used = {n.used("b") for n in world.up}
     # 8 were killed for good, with counts that no other member had received.
-    assert len(used) == 1 and 0 <= world.taken["b"] - max(used) <= 8 * (30 / 6 * 1.5 + 3)
+    assert len(used) == 1 and 0 <= world.accepted["b"] - max(used) <= 8 * (30 / 6 * 1.5 + 3)
     for node in world.up:
         assert len(node.admission.counts.incarnations) <= 4 + 2 + 1 and len(node.fleet.contacts) <= 8
         assert node.admission.counts.past_lives >= 20 and not node.fleet.diverged
@@ -235,10 +237,10 @@
     world = fleet(14, timing=Timing(2.5, 5, 20, 2))
     world.load({"b": 40}, 60)
     world.until(10)
-    world.sides = lambda name: name == "n0"
+    world.partition_of = lambda name: name == "n0"
     world.until(50)
     assert len(world.nodes["n1"].fleet.members.known) == 7
-    world.sides = None
+    world.partition_of = None
     world.until(70)
     separated = world.nodes["n0"]
     # What it counted alone is missing in the others' past.
@@ -248,7 +250,7 @@
 
 def test_traffic_for_ten_thousand_tenants_on_32_members_grows_only_with_changes() -> None:
     names = {f"t{i}": None for i in range(10_000)}  # the documentation has the figures of a longer run
-    world = World(names, 15, Weather(loss=0.1, delay=0.05))
+    world = World(names, 15, NetworkFaults(loss=0.1, delay=0.05))
     world.add(*[f"m{i}" for i in range(32)])
     world.until(5)
     quiet_from, datagrams = world.bytes, world.datagrams
--- a/tests/tenants/test_recovery.py
+++ b/tests/tenants/test_recovery.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from benchmarks.fleet_model import FLUSH, Weather, World
+from benchmarks.fleet_model import FLUSH, NetworkFaults, World
 from mountgauge.tenants.bounds import convergence_bound, overshoot, report_age_bound
 from mountgauge.tenants.members import Members
 from mountgauge.tenants.quota import Quota
 
-LOSSY = Weather(loss=0.3, delay=0.5, jitter=0.2, doubled=0.1)
+LOSSY = NetworkFaults(loss=0.3, delay=0.5, jitter=0.2, duplicated=0.1)
 EIGHT = [f"n{i}" for i in range(8)]
 QUOTA = Quota(20, 20)
 
@@ -22,7 +22,7 @@
     world.until(15)
     for name in EIGHT[2:]:
         world.restart(name, keep=False)
-    return world, world.time, world.taken["a"]
+    return world, world.time, world.accepted["a"]
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -30,12 +30,12 @@
     world, start, before = fleet_after_loss(seed)
     age = report_age_bound(0.25, LOSSY.loss, LOSSY.delay + LOSSY.jitter, 8, 4, FLUSH)
     world.until(start + 5)
-    at_five = world.taken["a"]
+    at_five = world.accepted["a"]
     while world.time < 35:
         world.until(world.time + 0.25)
-        excess = world.taken["a"] - before - QUOTA.rate * (world.time - start) - QUOTA.burst
+        excess = world.accepted["a"] - before - QUOTA.rate * (world.time - start) - QUOTA.burst
         assert excess <= overshoot(20, 20, 8, age)
-    assert world.taken["a"] - at_five >= 0.9 * QUOTA.rate * (35 - start - 5)
+    assert world.accepted["a"] - at_five >= 0.9 * QUOTA.rate * (35 - start - 5)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -57,7 +57,7 @@
 
 
 def test_an_incarnation_that_is_replaced_at_its_address_is_marked_as_left_at_once() -> None:
-    world = World({"a": QUOTA}, 1, Weather(loss=0.0, delay=0.05))
+    world = World({"a": QUOTA}, 1, NetworkFaults(loss=0.0, delay=0.05))
     world.add("n0", "n1", "n2")
     world.load({"a": 30}, 6)
     world.until(6)
