--- a/mountgauge/lab/rig/mutants.py
+++ b/mountgauge/lab/rig/mutants.py
@@ -96,7 +96,7 @@
 
 def _deaf_to_waits() -> None:
     """Ignores required waits."""
-    setattr(next_hops, "wait_s", lambda message: 0.0)  # noqa: B010
+    setattr(next_hops, "retry_after_s", lambda message: 0.0)  # noqa: B010
 
 
 def _deaf_to_drains() -> None:
