--- a/mountgauge/lab/scale/hollow.py
+++ b/mountgauge/lab/scale/hollow.py
@@ -171,7 +171,7 @@
             self.subscription.failed(call, now, silent=True)
 
     def _tell_policy(self, update: Update, now: float) -> None:
-        if not (update.put or update.gone):
+        if not (update.put or update.removed):
             return
         self._revision += 1
         hops = [removed_hop(record) for record in removed_records(update)]
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -68,7 +68,7 @@
 def removed_records(update: Update) -> Iterator[EndpointRecord]:
     """Return the endpoints that an update removes, without those that it moves to another destination."""
     put = {record.id for record in update.put}
-    return (record for record in update.gone if record.id not in put)
+    return (record for record in update.removed if record.id not in put)
 
 
 class ShardMap:
@@ -164,7 +164,7 @@
 
     def _map_update(self, full: bool, update: Update) -> MapUpdate:
         """Give each entry the version of its shard: a released shard may be fetched again at an older one."""
-        records = [*update.gone, *update.put]
+        records = [*update.removed, *update.put]
         versions = {record.id: self.store.version(self.shard(record.destination)) for record in records}
         return MapUpdate(self._version(), full, self._hops(update), versions=versions)
 
@@ -223,7 +223,7 @@
         elif self.subscription.placement.revision == NO_VERSION:
             self._log_no_placement(call)
         check_done = self._completes_check(call)
-        if update.put or update.gone or check_done:
+        if update.put or update.removed or check_done:
             self._on_change(update)
 
     def _log_no_placement(self, call: Call) -> None:
@@ -285,7 +285,7 @@
         finished, self._finished = self._finished, []
         for shard in finished:
             update = self.subscription.message_finished(shard)
-            if update.put or update.gone:
+            if update.put or update.removed:
                 self._on_change(update)
 
     # The kept list
--- a/mountgauge/relay/wire.py
+++ b/mountgauge/relay/wire.py
@@ -163,7 +163,7 @@
 
 def _delta_form(delta: ShardDelta) -> dict[str, Any]:
     servers = [record.line() for record in delta.put]
-    servers += [{"id": name, "state": EndpointState.LEFT.value} for name in delta.gone]
+    servers += [{"id": name, "state": EndpointState.LEFT.value} for name in delta.removed]
     return {"shard": delta.shard, "version": delta.version, "full": False, "from": delta.base,
             "digest": delta.digest, "servers": servers}  # fmt: skip
 
--- a/mountgauge/sharding/list_watch.py
+++ b/mountgauge/sharding/list_watch.py
@@ -167,29 +167,29 @@
     def _apply_delta(self, version: int, records: Mapping[str, EndpointRecord], bad: set[int]) -> set[int]:
         """Apply changes; return the shards that have changed."""
         put: dict[int, list[EndpointRecord]] = {}
-        gone: dict[int, list[str]] = {}
+        removed: dict[int, list[str]] = {}
         for record in records.values():
             shard, before = self._shard(record), self._shards.get(record.id)
             if before is not None and before != shard:
-                gone.setdefault(before, []).append(record.id)
+                removed.setdefault(before, []).append(record.id)
             if record.state is EndpointState.LEFT:
-                gone.setdefault(shard, []).append(record.id)
+                removed.setdefault(shard, []).append(record.id)
             else:
                 put.setdefault(shard, []).append(record)
         separate = set(self.store.separate())
         changed = set()
-        for shard in put.keys() | gone.keys():
+        for shard in put.keys() | removed.keys():
             if shard in bad or shard in separate or shard not in self.store:
                 bad.add(shard)
                 continue
-            changed_records, removed_ids = tuple(put.get(shard, ())), tuple(gone.get(shard, ()))
+            changed_records, removed_ids = tuple(put.get(shard, ())), tuple(removed.get(shard, ()))
             self.store.apply_change(shard, version, changed_records, removed_ids)
             self._update_index(shard, changed_records, removed_ids)
             changed.add(shard)
         return changed
 
-    def _update_index(self, shard: int, put: tuple[EndpointRecord, ...], gone: tuple[str, ...]) -> None:
-        for name in gone:
+    def _update_index(self, shard: int, put: tuple[EndpointRecord, ...], removed: tuple[str, ...]) -> None:
+        for name in removed:
             if self._shards.get(name) == shard:
                 del self._shards[name]
         for record in put:
@@ -222,10 +222,10 @@
         """Bring one shard to its content in the full list; return whether that changed it."""
         held, listed_by_id = self.store.records(shard), {one.id: one for one in listed}
         put = tuple(one for one in listed if held.get(one.id) != one)
-        gone = tuple(name for name in held if name not in listed_by_id)
-        if put or gone:
-            self.store.apply_change(shard, version, put, gone)
-        return bool(put or gone)
+        removed = tuple(name for name in held if name not in listed_by_id)
+        if put or removed:
+            self.store.apply_change(shard, version, put, removed)
+        return bool(put or removed)
 
 
 def _fields(body: object) -> tuple[int, bool, list[Any]]:
--- a/mountgauge/sharding/shards.py
+++ b/mountgauge/sharding/shards.py
@@ -138,7 +138,7 @@
     base: int
     version: int
     put: tuple[EndpointRecord, ...]  # each replaces the record with the same id
-    gone: tuple[str, ...]  # ids of removed endpoints
+    removed: tuple[str, ...]  # ids of removed endpoints
     digest: int  # of the content at `version`
 
 
--- a/mountgauge/sharding/store.py
+++ b/mountgauge/sharding/store.py
@@ -67,16 +67,16 @@
     """The effect of a change on a shard's records."""
 
     put: tuple[EndpointRecord, ...] = ()
-    gone: tuple[EndpointRecord, ...] = ()  # as they were before
+    removed: tuple[EndpointRecord, ...] = ()  # as they were before
 
     def __bool__(self) -> bool:
-        return bool(self.put or self.gone)
+        return bool(self.put or self.removed)
 
 
 class _Change(NamedTuple):
     version: int
     put: tuple[EndpointRecord, ...]
-    gone: tuple[str, ...]
+    removed: tuple[str, ...]
 
 
 @dataclass(slots=True)
@@ -164,7 +164,7 @@
             raise DigestMismatchError(
                 f"shard {delta.shard}: delta to version {delta.version} has another content"
             )
-        self._commit(delta.shard, held, _Change(delta.version, delta.put, delta.gone), digest)
+        self._commit(delta.shard, held, _Change(delta.version, delta.put, delta.removed), digest)
         self._separate[delta.shard] = HeldVersion(delta.version, known.confirmed_at)
         return change
 
@@ -182,19 +182,19 @@
         held = self._shards.get(shard) or _Shard(NO_VERSION, NO_VERSION)
         records = {one.id: one for one in snapshot.records}
         put = tuple(one for one in snapshot.records if held.records.get(one.id) != one)
-        gone = tuple(one for name, one in held.records.items() if name not in records)
+        removed = tuple(one for name, one in held.records.items() if name not in records)
         self._shards[shard] = _Shard(snapshot.version, snapshot.version, records, [], snapshot.digest)
         self._mark_changed(shard, snapshot.version)
         self._separate[shard] = HeldVersion(snapshot.version, known.confirmed_at)
-        return RecordChange(put, gone)
+        return RecordChange(put, removed)
 
     def apply_change(
-        self, shard: int, version: int, put: tuple[EndpointRecord, ...], gone: tuple[str, ...]
+        self, shard: int, version: int, put: tuple[EndpointRecord, ...], removed: tuple[str, ...]
     ) -> RecordChange:
         """Apply changes from discovery's own list: the state at `version` of all that changed since then."""
         held, known = self._shards[shard], self.held_version(shard)
-        change, digest = self._preview(held, ShardDelta(shard, NO_VERSION, version, put, gone, 0))
-        self._commit(shard, held, _Change(version, put, gone), digest)
+        change, digest = self._preview(held, ShardDelta(shard, NO_VERSION, version, put, removed, 0))
+        self._commit(shard, held, _Change(version, put, removed), digest)
         self._separate[shard] = HeldVersion(version, known.confirmed_at)
         return change
 
@@ -299,18 +299,18 @@
 
     def _delta(self, shard: int, held: _Shard, base: int) -> ShardDelta:
         put: dict[str, EndpointRecord] = {}
-        gone: dict[str, None] = {}
+        removed: dict[str, None] = {}
         for change in held.log:
             if change.version <= base:
                 continue
-            for name in change.gone:
+            for name in change.removed:
                 put.pop(name, None)
-                gone[name] = None
+                removed[name] = None
             for record in change.put:
-                gone.pop(record.id, None)
+                removed.pop(record.id, None)
                 put[record.id] = record
         return ShardDelta(
-            shard, base, self.version(shard), tuple(put.values()), tuple(gone), self.digest(shard)
+            shard, base, self.version(shard), tuple(put.values()), tuple(removed), self.digest(shard)
         )
 
     # Internal
@@ -318,20 +318,20 @@
     def _preview(self, held: _Shard, delta: ShardDelta) -> tuple[RecordChange, int]:
         """Return the effect of a delta and the digest of the resulting content, without applying it."""
         digest = held.digest if held.digest is not None else digest_of(held.records.values())
-        put, gone = [], []
-        for name in delta.gone:
+        put, removed = [], []
+        for name in delta.removed:
             if (old := held.records.get(name)) is not None:
                 digest ^= old.digest()
-                gone.append(old)
+                removed.append(old)
         for record in delta.put:
             old = held.records.get(record.id)
             if old != record:
                 digest ^= record.digest() ^ (old.digest() if old is not None else 0)
                 put.append(record)
-        return RecordChange(tuple(put), tuple(gone)), digest
+        return RecordChange(tuple(put), tuple(removed)), digest
 
     def _commit(self, shard: int, held: _Shard, change: _Change, digest: int) -> None:
-        for name in change.gone:
+        for name in change.removed:
             held.records.pop(name, None)
         for record in change.put:
             held.records[record.id] = record
--- a/mountgauge/sharding/subscription.py
+++ b/mountgauge/sharding/subscription.py
@@ -45,13 +45,13 @@
     def __init__(self) -> None:
         self.shards: set[int] = set()
         self.put: dict[str, EndpointRecord] = {}
-        self.gone: list[EndpointRecord] = []
+        self.removed: list[EndpointRecord] = []
         self.rejections: list[Rejection] = []
         self.placement: PlacementUpdate | None = None
 
     def update(self) -> Update:
         return Update(
-            frozenset(self.shards), tuple(self.put.values()), tuple(self.gone), tuple(self.rejections),
+            frozenset(self.shards), tuple(self.put.values()), tuple(self.removed), tuple(self.rejections),
             self.placement,
         )  # fmt: skip
 
@@ -475,14 +475,14 @@
         result.shards.add(shard)
         if self.all_shards:
             return
-        for record in change.gone:
+        for record in change.removed:
             if self._shard_by_endpoint.get(record.id) == shard:
                 del self._shard_by_endpoint[record.id]
                 result.put.pop(record.id, None)
-                result.gone.append(record)
+                result.removed.append(record)
         for record in change.put:
             owner = self._shard_by_endpoint.get(record.id)
             if owner is not None and owner != shard:
-                result.gone.append(record)
+                result.removed.append(record)
             self._shard_by_endpoint[record.id] = shard
             result.put[record.id] = record
--- a/mountgauge/sharding/upstream.py
+++ b/mountgauge/sharding/upstream.py
@@ -59,13 +59,13 @@
 class Update:
     """What an answer has changed.
 
-    Apply `gone` before `put`: an endpoint that moves to another destination is in both. Both are empty at
+    Apply `removed` before `put`: an endpoint that moves to another destination is in both. Both are empty at
     relays, which only use `shards`.
     """
 
     shards: frozenset[int] = frozenset()
     put: tuple[EndpointRecord, ...] = ()
-    gone: tuple[EndpointRecord, ...] = ()
+    removed: tuple[EndpointRecord, ...] = ()
     rejections: tuple[Rejection, ...] = ()
     placement: PlacementUpdate | None = None
 
--- a/tests/sharding/network.py
+++ b/tests/sharding/network.py
@@ -227,7 +227,7 @@
 
     def apply_update(self, update: Update) -> None:
         super().apply_update(update)
-        for record in update.gone:
+        for record in update.removed:
             self.endpoints.pop(record.id, None)
         for record in update.put:
             self.endpoints[record.id] = record
--- a/tests/sharding/test_network.py
+++ b/tests/sharding/test_network.py
@@ -291,7 +291,7 @@
     def alter(reply: Reply) -> Reply:
         if not isinstance(reply, Answer):
             return reply
-        deltas = tuple(replace(one, put=(), gone=()) for one in reply.deltas)
+        deltas = tuple(replace(one, put=(), removed=()) for one in reply.deltas)
         snapshots = tuple(replace(one, records=one.records[1:]) for one in reply.snapshots)
         return replace(reply, deltas=deltas, snapshots=snapshots)
 
--- a/tests/sharding/test_store.py
+++ b/tests/sharding/test_store.py
@@ -182,7 +182,7 @@
         store = ShardStore(SHARDS)
         store.apply_snapshot(snapshot(held_at, record("a", 1), record("b", 1)))
         change = store.apply_delta(delta(5, 7))
-        assert {one.id for one in change.put} == {"c"} and {one.id for one in change.gone} == {"b"}
+        assert {one.id for one in change.put} == {"c"} and {one.id for one in change.removed} == {"b"}
         assert store.version(shard_of(1, SHARDS)) == 7
 
 
--- a/tests/sharding/test_subscription.py
+++ b/tests/sharding/test_subscription.py
@@ -76,7 +76,7 @@
     assert call.ask.placement == 1
     delta = ShardDelta(3, 10, 12, (), ("e3",), 0)
     update = subscription.answered(call, Answer(12, 0.2, 0.5, (delta,)), 1.0)
-    assert [one.id for one in update.gone] == ["e3"] and update.put == () and update.shards == {3}
+    assert [one.id for one in update.removed] == ["e3"] and update.put == () and update.shards == {3}
     assert subscription.store.version(3) == subscription.store.version(5) == 12
     assert subscription.poll(1.0)[0].ask.positions[0].digest is None  # compared only once per relay
 
@@ -98,11 +98,11 @@
     subscription.message_accepted(3, 0.0)
     call = call_on(subscription.poll(0.0), Lane.WATCH)
     update = subscription.answered(call, Answer(10, 0.0, placement=placement_update(2, 5)), 0.1)
-    assert update.gone == () and subscription.shards() == {3, 5} and subscription.replicas(3) == ()
+    assert update.removed == () and subscription.shards() == {3, 5} and subscription.replicas(3) == ()
     call = call_on(subscription.poll(0.2), Lane.WATCH)
     delta = ShardDelta(3, 10, 11, (), ("e3",), 0)
     # It still receives the shard's changes.
-    assert subscription.answered(call, Answer(11, 0.0, deltas=(delta,)), 0.3).gone
+    assert subscription.answered(call, Answer(11, 0.0, deltas=(delta,)), 0.3).removed
     assert subscription.message_finished(3).shards == frozenset() and subscription.follows(3)
     subscription.message_finished(3)
     assert not subscription.follows(3) and 3 not in subscription.store
@@ -112,7 +112,7 @@
     subscription = started_subscription(3, 5)
     call = call_on(subscription.poll(0.0), Lane.WATCH)
     update = subscription.answered(call, Answer(10, 0.0, placement=placement_update(2, 5)), 0.1)
-    assert [one.id for one in update.gone] == ["e3"] and subscription.shards() == {5}
+    assert [one.id for one in update.removed] == ["e3"] and subscription.shards() == {5}
     call = call_on(subscription.poll(0.2), Lane.WATCH)
     subscription.answered(call, Answer(10, 0.0, placement=placement_update(1, 3)), 0.3)
     assert subscription.shards() == {5}  # an older placement is ignored
@@ -126,7 +126,7 @@
     assert [one.shard for one in call.ask.positions] == [9] and call.ask.wait_s == 0
     update = subscription.answered(call, Answer(12, 0.0, snapshots=(snapshot(9, 12, record("n", 9)),)), 0.2)
     assert [one.id for one in update.put] == ["n"]
-    assert [one.id for one in subscription.message_finished(9).gone] == ["n"]
+    assert [one.id for one in subscription.message_finished(9).removed] == ["n"]
 
 
 def test_an_endpoint_that_changes_shards_is_moved_in_either_order_of_the_deltas() -> None:
@@ -142,7 +142,7 @@
             call = call_on(subscription.poll(0.0), Lane.WATCH)
             version = 11 if shard == order[0] else 12
             update = subscription.answered(call, Answer(version, 0.0, deltas=(deltas[shard],)), 0.1)
-            for one in update.gone:
+            for one in update.removed:
                 endpoints.pop(one.id, None)
             endpoints.update((one.id, one.destination) for one in update.put)
         assert endpoints == {"e3": 5, "e5": 5}, order
@@ -163,7 +163,7 @@
     call = call_on(subscription.poll(0.0), Lane.WATCH)
     subscription.failed(call, 1.0)
     late = Answer(20, 0.0, deltas=(ShardDelta(3, 10, 20, (), ("e3",), 0),))
-    assert subscription.answered(call, late, 1.1).gone == () and subscription.store.version(3) == 10
+    assert subscription.answered(call, late, 1.1).removed == () and subscription.store.version(3) == 10
 
 
 def test_only_a_second_time_out_moves_on_and_a_reset_moves_on_after_a_random_pause() -> None:
