--- a/mountgauge/budgets/gate.py
+++ b/mountgauge/budgets/gate.py
@@ -190,7 +190,7 @@
                 account.call_times.append(now)
         return wait
 
-    def give_back(self, tenant: str) -> None:
+    def refund(self, tenant: str) -> None:
         """Undo `admit` for a message that was not accepted."""
         for account in self._tenant_accounts.get(tenant, ()):
             if account.budget.kind is Kind.RATE:
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -86,9 +86,9 @@
         """0: a message of the tenant may be accepted. Else the seconds until a retry."""
         return self.gate.admit(tenant, self._loop.time())
 
-    def give_back(self, tenant: str) -> None:
+    def refund(self, tenant: str) -> None:
         """Undo `admit` for a message that was not accepted."""
-        self.gate.give_back(tenant)
+        self.gate.refund(tenant)
 
     def start(self, call: Call) -> bool:
         """Whether the call may choose a connection now; else it is checked again at `release`."""
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -103,7 +103,7 @@
         if call_gate is None or (wait := call_gate.admit(submission.tenant)) <= 0:
             return None
         if self.gate is not None:
-            self.gate.give_back(submission.tenant)
+            self.gate.refund(submission.tenant)
         self._counts["refused", "budget"] += 1
         return MessageOutcome(Status.DEFERRED, math.ceil(min(wait, self.rules.max_retry_after) * 1000))
 
@@ -133,8 +133,8 @@
         message.finished = True
         self._outcomes.remove(message)
         if self.gate is not None:
-            self.gate.give_back(submission.tenant)
+            self.gate.refund(submission.tenant)
         if self._attempts.call_gate is not None:
-            self._attempts.call_gate.give_back(submission.tenant)
+            self._attempts.call_gate.refund(submission.tenant)
         self._counts["refused", outcome.status.value] += 1
         submission.answer(outcome)
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -139,7 +139,7 @@
     def admit(self, tenant: str, now: float) -> float | None:
         """Return None if a message may be accepted, else after how many seconds to try again."""
 
-    def give_back(self, tenant: str) -> None:
+    def refund(self, tenant: str) -> None:
         """Return the quota of a message that was admitted but not accepted."""
 
     def accepted(self, tenant: str) -> None: ...
@@ -151,7 +151,7 @@
     def admit(self, tenant: str) -> float:
         """Return 0 if a message of the tenant may be accepted, else after how many seconds to try again."""
 
-    def give_back(self, tenant: str) -> None:
+    def refund(self, tenant: str) -> None:
         """Return the share of a message that was admitted but not accepted."""
 
     def start(self, call: Call) -> bool:
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -104,7 +104,7 @@
     def admit(self, tenant: str, now: float) -> float | None:
         return self.admission.admit(tenant, now)
 
-    def give_back(self, tenant: str) -> None:
+    def refund(self, tenant: str) -> None:
         self.admission.give_back(tenant)
 
     def accepted(self, tenant: str) -> None:
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -165,7 +165,7 @@
     )
     assert one.admit("rossi", 0.0) == 0.5 and one.admit("rossi", 0.5) == 0
     assert one.admit("rossi", 0.5) > 0
-    one.give_back("rossi")
+    one.refund("rossi")
     assert one.admit("rossi", 0.5) == 0 and one.usage({}, 0.5)["t"].demand > 1
 
 
