--- a/mountgauge/core/config.py
+++ b/mountgauge/core/config.py
@@ -36,7 +36,7 @@
 
     def __init__(self, path: Path, error: OSError) -> None:
         super().__init__(f"{path}: {error.strerror}")
-        self.passing = error.errno in _TEMPORARY  # if not, waiting will not make it readable
+        self.temporary = error.errno in _TEMPORARY  # if not, waiting will not make it readable
 
 
 @dataclass(frozen=True, slots=True)
--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -122,7 +122,7 @@
         try:
             hops = load_hops(self._path, self._version + 1)
         except ConfigError as error:
-            again = isinstance(error, FileUnreadableError) and error.passing
+            again = isinstance(error, FileUnreadableError) and error.temporary
             log.warning("file-not-read", extra=kv(error=error, again=again))
             if again:
                 self._stamp = _NO_FILE  # read it again at the next check
--- a/mountgauge/run/reload_retry.py
+++ b/mountgauge/run/reload_retry.py
@@ -25,7 +25,7 @@
 
     def failed(self, error: ConfigError) -> None:
         """Handle a failed reload: schedule a retry if the error may be transient, else only log it."""
-        again = isinstance(error, FileUnreadableError) and error.passing
+        again = isinstance(error, FileUnreadableError) and error.temporary
         if again and self._timer is not None:
             return  # logged, and a retry is scheduled
         self._log.error("reload-failed", extra=kv(error=error, kept=self._kept, again=again))
--- a/mountgauge/run/serve.py
+++ b/mountgauge/run/serve.py
@@ -82,7 +82,9 @@
             return make()
         except (JournalUnavailableError, FileUnreadableError) as error:
             transient = (
-                error.passing if isinstance(error, FileUnreadableError) else error.errno in _TRANSIENT_ERRNOS
+                error.temporary
+                if isinstance(error, FileUnreadableError)
+                else error.errno in _TRANSIENT_ERRNOS
             )
             if not transient:
                 raise
