--- a/mountgauge/core/journal_records.py
+++ b/mountgauge/core/journal_records.py
@@ -39,7 +39,7 @@
     body: bytes
     attempts: int = 0
     # Time and zone of each attempt that may have run.
-    ran: list[tuple[float, int]] = field(default_factory=list)
+    maybe_ran: list[tuple[float, int]] = field(default_factory=list)
     notice: MessageOutcome | None = None  # abandoned with this outcome, which is not reported yet
 
     def record(self) -> bytes:
@@ -53,7 +53,7 @@
             self.key,
             self.front,
             self.attempts,
-            self.ran,
+            self.maybe_ran,
             notice,
         ]
         return record(b"T", head, self.body)
@@ -61,11 +61,11 @@
     def merge(self, copy: StoredMessage) -> None:
         """Merge another record of this message: an attempt that is in either may have run."""
         ran: list[tuple[float, int]] = []
-        for at, zone in sorted([*self.ran, *copy.ran]):
+        for at, zone in sorted([*self.maybe_ran, *copy.maybe_ran]):
             if not any(other == zone and at - before <= CLOCK_TOLERANCE_S for before, other in ran):
                 ran.append((at, zone))
-        longer = max(self.ran, copy.ran, key=len)
-        self.ran = ran if len(ran) > len(longer) else list(longer)
+        longer = max(self.maybe_ran, copy.maybe_ran, key=len)
+        self.maybe_ran = ran if len(ran) > len(longer) else list(longer)
         self.attempts = max(self.attempts, copy.attempts)
         self.notice = self.notice or copy.notice
 
@@ -131,7 +131,9 @@
             set_back = basis is Basis.SET_BACK
             for stored in self.live.values():
                 stored.expires += shift
-                stored.ran = [(LONG_AGO if set_back else at + shift, zone) for at, zone in stored.ran]
+                stored.maybe_ran = [
+                    (LONG_AGO if set_back else at + shift, zone) for at, zone in stored.maybe_ran
+                ]
             self._newest_past += shift
         self._note_past(stamp.base)
 
@@ -147,9 +149,9 @@
             return
         elif kind == b"A":
             stored.attempts += 1
-            stored.ran.append((float(head[1]), int(head[2])))
-        elif kind == b"O" and stored.ran:
-            stored.ran.pop()
+            stored.maybe_ran.append((float(head[1]), int(head[2])))
+        elif kind == b"O" and stored.maybe_ran:
+            stored.maybe_ran.pop()
         elif kind == b"N":
             stored.notice = MessageOutcome(Status(head[1]), head[2])
 
--- a/mountgauge/core/message_outcomes.py
+++ b/mountgauge/core/message_outcomes.py
@@ -77,7 +77,7 @@
             item.number == message.number for item in message.call.sent
         )
         grade = self._state.grades.get(message.stored.grade)
-        if send_guard.may_reject(grade, in_flight or bool(message.stored.ran)):
+        if send_guard.may_reject(grade, in_flight or bool(message.stored.maybe_ran)):
             return outcome
         self._counts["withheld", send_guard.Refusal.MAY_HAVE_RUN] += 1
         return MessageOutcome(Status.UNDELIVERABLE)
--- a/mountgauge/core/restore.py
+++ b/mountgauge/core/restore.py
@@ -20,7 +20,7 @@
     """
     if stored.grade in names.grades or stored.notice is not None:
         return None
-    return MessageOutcome(Status.UNDELIVERABLE if stored.ran else Status.DEFERRED)
+    return MessageOutcome(Status.UNDELIVERABLE if stored.maybe_ran else Status.DEFERRED)
 
 
 class Backlog:
@@ -36,7 +36,7 @@
         """`time` converts the journal's times to the sender's clock."""
         stored = message.stored
         message.issued = stored.attempts
-        ran = tuple((time.monotonic(at), zone) for at, zone in stored.ran)
+        ran = tuple((time.monotonic(at), zone) for at, zone in stored.maybe_ran)
         self._waiting.append(
             Restored(message.number, message.expires, stored.dest, grade, stored.attempts, ran)
         )
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -59,19 +59,19 @@
         return MessageState(
             item.expires,
             self.grades.get(item.grade),
-            self.ran(item.number),
+            self.maybe_ran(item.number),
             message.finished or item.reported,
             item.id in self._journal.live,
         )
 
-    def ran(self, number: int) -> list[tuple[float, int]]:
+    def maybe_ran(self, number: int) -> list[tuple[float, int]]:
         """When, on the sender's clock, and in which zone the attempts of a pending message began that may
         have run.
         """
         message = self._pending.get(number)
         if message is None:
             return []
-        return [(self._journal.time.monotonic(at), zone) for at, zone in message.stored.ran]
+        return [(self._journal.time.monotonic(at), zone) for at, zone in message.stored.maybe_ran]
 
     def useful_until(self, call: Call) -> float:
         """Until when a waiting call may still be sent with any of its messages."""
@@ -80,5 +80,5 @@
 
     def _repeat_until(self, call: Call, item: CallItem) -> float:
         grade = self.grades.get(item.grade)
-        until = send_guard.repeat_until(grade, self.ran(item.number), call.hop.entry.zone)
+        until = send_guard.repeat_until(grade, self.maybe_ran(item.number), call.hop.entry.zone)
         return -math.inf if isinstance(until, Refusal) else until
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -222,7 +222,7 @@
             if stored.id in self.numbers_by_id:
                 continue
             message = self._add_pending(stored, self.journal.time.monotonic(stored.expires))
-            self.monitor.restored(stored.id, self.attempts.state.ran(message.number))
+            self.monitor.restored(stored.id, self.attempts.state.maybe_ran(message.number))
             if stored.notice is not None:  # abandoned by the other process, whose notice may be lost
                 message.finished = True
                 self.outcomes.report(message, stored.notice)
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -51,7 +51,7 @@
     assert bench.sender.admit(call, call.items)
     bench.journal.close()
     again = Journal(tmp_path, 2_000_000, clock=bench)
-    assert again.live["a"].attempts == 1 and len(again.live["a"].ran) == 1
+    assert again.live["a"].attempts == 1 and len(again.live["a"].maybe_ran) == 1
     again.close()
 
 
@@ -81,7 +81,7 @@
     bench.journal.attempt(["a"], bench.journal.time.of(bench.time), 0)
     bench.journal.close()
     again = Journal(tmp_path, 1_000_000, clock=bench)
-    assert again.live["a"].attempts == 2 and len(again.live["a"].ran) == 1
+    assert again.live["a"].attempts == 2 and len(again.live["a"].maybe_ran) == 1
     again.close()
 
 
--- a/tests/crossings/test_restart.py
+++ b/tests/crossings/test_restart.py
@@ -225,7 +225,7 @@
     old.finish("b", MessageOutcome(Status.DELIVERED))
     old.close()
     [one] = new.adopt()
-    assert (one.id, one.attempts, one.ran) == ("a", 1, [(5.0, 0)])
+    assert (one.id, one.attempts, one.maybe_ran) == ("a", 1, [(5.0, 0)])
     assert new.adopt() == [] and "b" in new.outcomes
     new.close()
 
@@ -268,7 +268,7 @@
     assert not bench.timers or bench.pass_time(1.0) is None
     bench.journal.close()
     last = Journal(tmp_path, 1_000_000)
-    assert {one.id: len(one.ran) for one in last.live.values()} == {"never": 0, "maybe": 1}
+    assert {one.id: len(one.maybe_ran) for one in last.live.values()} == {"never": 0, "maybe": 1}
     assert set(last.outcomes) == {"done"}
     last.close()
 
@@ -297,7 +297,7 @@
         (folder / new.path.name).write_bytes(mine)
         for _ in range(2):  # a second time, to read what the first one wrote
             found = reopened(folder)
-            assert {one.id: len(one.ran) for one in found.live.values()} == {"a": 1, "c": 0, "d": 0}
+            assert {one.id: len(one.maybe_ran) for one in found.live.values()} == {"a": 1, "c": 0, "d": 0}
             assert found.live["d"].notice == MessageOutcome(Status.DEFERRED, 70) and set(found.outcomes) == {
                 "b"
             }
--- a/tests/faults/test_failing_disk.py
+++ b/tests/faults/test_failing_disk.py
@@ -89,7 +89,7 @@
 
 
 def state_of(journal: Journal) -> object:
-    live = {i: (one.attempts, len(one.ran), one.notice) for i, one in journal.live.items()}
+    live = {i: (one.attempts, len(one.maybe_ran), one.notice) for i, one in journal.live.items()}
     return live, dict(journal.outcomes)
 
 
@@ -136,7 +136,7 @@
     journal.attempt(["a"], 6.0, 2)
     killed(journal, files)
     again = reopened(tmp_path)
-    assert [zone for _, zone in again.live["a"].ran] == [2] and again.live["a"].attempts == 2
+    assert [zone for _, zone in again.live["a"].maybe_ran] == [2] and again.live["a"].attempts == 2
     again.close()
 
 
@@ -299,7 +299,7 @@
             (tmp_path / name).rename(tmp_path / to)
     again = reopened(tmp_path)
     assert state_of(again) == now and not again.unadopted
-    assert [zone for _, zone in again.live["a"].ran] == [0, 1]
+    assert [zone for _, zone in again.live["a"].maybe_ran] == [0, 1]
     again.close()
     last = reopened(tmp_path)
     assert state_of(last) == now
@@ -414,7 +414,7 @@
     later = bench.calls[begun:]
     assert sorted(item.id for call in later for item in call.items) == ["a", "b"]
     assert all(bench.sender.admit(call, call.items) for call in later)
-    assert {one.id: len(one.ran) for one in bench.journal.live.values()} == {"a": 1, "b": 1}
+    assert {one.id: len(one.maybe_ran) for one in bench.journal.live.values()} == {"a": 1, "b": 1}
 
 
 @errors
@@ -703,7 +703,7 @@
         killed(self.journal, self.files)
         self.files.heal()
         self.journal = Journal(self.folder, DISK, files=self.files)
-        live = {name: len(one.ran) for name, one in self.journal.live.items()}
+        live = {name: len(one.maybe_ran) for name, one in self.journal.live.items()}
         assert set(live) >= set(self.unfinished) and all(
             live[name] >= n for name, n in self.unfinished.items()
         )
@@ -726,7 +726,7 @@
         new.adopt()
         self.files.heal()
         new.adopt()
-        live = {name: len(one.ran) for name, one in new.live.items()}
+        live = {name: len(one.maybe_ran) for name, one in new.live.items()}
         assert not new.unadopted and set(live) >= set(self.unfinished)
         assert all(live[name] >= n for name, n in self.unfinished.items())
         if flushed:
@@ -739,7 +739,7 @@
 
     @invariant()
     def knows(self) -> None:
-        assert {name: len(one.ran) for name, one in self.journal.live.items()} == self.unfinished
+        assert {name: len(one.maybe_ran) for name, one in self.journal.live.items()} == self.unfinished
 
     def teardown(self) -> None:
         self.journal.close()
--- a/tests/faults/test_stepped_clock.py
+++ b/tests/faults/test_stepped_clock.py
@@ -335,7 +335,7 @@
                 until, tried = real[stored.id]
                 about = CLOCK_TOLERANCE_S * runs + 0.001
                 assert journal.time.monotonic(stored.expires) == pytest.approx(until, abs=about)
-                [(at, _)] = stored.ran
+                [(at, _)] = stored.maybe_ran
                 assert journal.time.monotonic(at) == pytest.approx(tried, abs=about)
         journal.close()
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -100,7 +100,7 @@
     @invariant()
     def preserves_the_model(self) -> None:
         found = {
-            name: (one.body, one.attempts, len(one.ran), one.notice)
+            name: (one.body, one.attempts, len(one.maybe_ran), one.notice)
             for name, one in self.journal.live.items()
         }
         assert found == self.live
