--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -48,7 +48,7 @@
         """Return the fields of the state line: whether the list may be used, and the age of its evidence."""
         return self._lease_log.state(self._now() - self._lease.evidence_at)
 
-    def lease_ended(self, dest: int) -> LeaseEnd | None:
+    def lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Return why the list may not be used, or None if it may. A check that is late is made first."""
         if self._lease.ended(self._now()) is not None:
             self._read_if_changed()
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -109,19 +109,19 @@
     def state(self) -> Mapping[str, Any]:
         """Return the fields of the state line: the age of the list, and the calls in flight."""
         now, open_calls = self._now(), self._watch.open_calls
-        self.lease_ended()
+        self.lease_end_reason()
         return {
             **self._lease.state(self._watch.list_age_s(now)),
             "list_calls_out": len(open_calls),
             "list_call_oldest_s": round(now - open_calls[0].made_at, 3) if open_calls else 0.0,
         }
 
-    def lease_ended(self) -> LeaseEnd | None:
+    def lease_end_reason(self) -> LeaseEnd | None:
         """Return why the list may not be used now, or None if it may be."""
         now = self._now()
         # Evaluated in any case, as it also records when a socket was last found empty.
         exchange_end = self._exchange_lease_end()
-        ended = self._watch.lease_ended(now) or exchange_end
+        ended = self._watch.lease_end_reason(now) or exchange_end
         self._lease.record(ended, self._watch.list_age_s(now))
         return ended
 
@@ -236,7 +236,7 @@
         self._calls.failed(call, failure, detail)
         self._report_failure(call, failure)
         self._watch.failed(call, failure, self._now())
-        failures, lease = self._watch.failures, self._watch.lease_ended(self._now()) or "valid"
+        failures, lease = self._watch.failures, self._watch.lease_end_reason(self._now()) or "valid"
         log.warning(
             "watch-failed", extra=kv(kind=failure.value, error=detail, failures=failures, lease=lease)
         )
--- a/mountgauge/platform/watch.py
+++ b/mountgauge/platform/watch.py
@@ -104,7 +104,7 @@
         """The age of the newest evidence for the list; infinite if there is none."""
         return now - self._lease.evidence_at
 
-    def lease_ended(self, now: float) -> LeaseEnd | None:
+    def lease_end_reason(self, now: float) -> LeaseEnd | None:
         """Return why the list may not be used now, or None if it may be."""
         return self._lease.ended(now)
 
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -189,7 +189,7 @@
         """Fields of the state line: whether calls may use the list, and the age of the newest evidence."""
         return self._lease_log.state(self._loop.time() - self._evidence.lease.evidence_at)
 
-    def lease_ended(self, dest: int) -> LeaseEnd | None:
+    def lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Return why no call may use the list now; None if calls may use it."""
         now = self._loop.time()
         ended = self._evidence.ended(now)
@@ -203,7 +203,7 @@
 
     def _check_renewal(self) -> None:
         was_ended = self._lease_log.ended is not None
-        if was_ended and self.lease_ended(NO_VERSION) is None:
+        if was_ended and self.lease_end_reason(NO_VERSION) is None:
             self.on_renewed()
 
     # From the subscription
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -152,14 +152,14 @@
         sharding = self.operator.sharding
         if sharding is None:
             file_map = FileMap(self.sender, self.operator, self._apply_hops)
-            self.sender.list_lease, file_map.on_lease_renewed = file_map.lease_ended, self.sender.release
+            self.sender.list_lease, file_map.on_lease_renewed = file_map.lease_end_reason, self.sender.release
             return file_map
         from mountgauge.relay.shard_map import ShardMap  # imported only where it is configured
         from mountgauge.run.sharding import ShardingSubsystem
 
         grace_s = self.config.rules.drain_grace
         found = ShardMap(self.sender, sharding, self.config.name, self.config.state, drain_grace_s=grace_s)
-        self.sender.list_lease, found.on_renewed = found.lease_ended, self.sender.release
+        self.sender.list_lease, found.on_renewed = found.lease_end_reason, self.sender.release
         known = found.known(one.dest for one in self.journal.live.values())
         self.config = replace(self.config, known=known)
         subsystem = ShardingSubsystem(found, sharding, self.sender, self.config.name)
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -42,7 +42,7 @@
         bounds = WatchBounds.of(rules)
         self.discovery = TransportMap(self.sender, config.discovery, names, bounds, random, self._evidence)
         self._recheck: asyncio.TimerHandle | None = None
-        self.sender.list_lease = self._lease_ended
+        self.sender.list_lease = self._lease_end_reason
         self.sender.admission.cut_off = self.discovery.cut_off
         self.map = self.discovery
         self.registry = Registry(platform_settings(clients))
@@ -55,9 +55,9 @@
         self.add_console(self.front)
         self.attach_peers()
 
-    def _lease_ended(self, dest: int) -> LeaseEnd | None:
+    def _lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Why the list allows no call at present, if so; waiting calls are then retried soon."""
-        ended = self.discovery.lease_ended()
+        ended = self.discovery.lease_end_reason()
         if ended is not None and self._recheck is None:
             pause_s = READ_RECHECK_S if ended in _BRIEF_LEASE_ENDS else RECHECK_S
             self._recheck = asyncio.get_running_loop().call_later(pause_s, self._release)
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -69,7 +69,7 @@
             log.error("folder-not-read", extra=kv(error=error))
             self._failed = True
         self._source_lease = runtime.sender.list_lease
-        runtime.sender.list_lease = self.lease_ended
+        runtime.sender.list_lease = self.lease_end_reason
         runtime.sender.on_list_update = self._on_list
         self._timer = asyncio.get_running_loop().call_later(bounds.CHECK_INTERVAL_S, self._check)
 
@@ -113,7 +113,7 @@
 
     # Before each first byte
 
-    def lease_ended(self, dest: int) -> LeaseEnd | None:
+    def lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Why no call to this destination may be sent now: the list's source, or a pause of this process."""
         ended = None if self._source_lease is None else self._source_lease(dest)
         if ended is not None:
--- a/tests/crossings/test_list_lease.py
+++ b/tests/crossings/test_list_lease.py
@@ -74,7 +74,7 @@
 
     def held_back(self) -> bool:
         """Whether calls are held back now."""
-        return self.map.lease_ended() is not None
+        return self.map.lease_end_reason() is not None
 
     def heal_later(self, call: str, after_s: float = FAULT_S) -> None:
         self.loop.call_later(after_s, self.faults.fail_always, call, None)
--- a/tests/platform/mutants.py
+++ b/tests/platform/mutants.py
@@ -49,8 +49,8 @@
 class ExpiredLeaseIgnored(DiscoveryWatch):
     """The list is used as long as no answer is known to be lost."""
 
-    def lease_ended(self, now: float) -> LeaseEnd | None:
-        ended = super().lease_ended(now)
+    def lease_end_reason(self, now: float) -> LeaseEnd | None:
+        ended = super().lease_end_reason(now)
         return None if ended in (LeaseEnd.EXPIRED, LeaseEnd.NO_EVIDENCE, LeaseEnd.MOVED) else ended
 
 
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -298,7 +298,7 @@
         held = PendingMessages()
         journal, waits = cast(Journal, _Journal(time)), Waits()
         state = SendState(rules, self.table, journal, held, waits)
-        state.list_lease = lambda dest: self.watch.lease_ended(time.now())
+        state.list_lease = lambda dest: self.watch.lease_end_reason(time.now())
         self._message = held.add(StoredMessage("m", "note", 1e9, 7, "k", "platform", b""), 1e9)
         self.attempts = components.attempts(
             state, time, journal, self.table, held, waits,
--- a/tests/platform/test_asked_again.py
+++ b/tests/platform/test_asked_again.py
@@ -47,7 +47,7 @@
         if not open_calls:
             assert (
                 watch.wakes_at() - now <= longest_pause_s(limits, last) + FAIR
-                or watch.lease_ended(now) is None
+                or watch.lease_end_reason(now) is None
             )
             continue
         call, what = rng.choice(open_calls), rng.random()
@@ -61,5 +61,5 @@
         else:
             last = rng.choice(list(Failure))
             watch.failed(call, last, now)
-        if not watch.open_calls and watch.lease_ended(now) is not None:
+        if not watch.open_calls and watch.lease_end_reason(now) is not None:
             assert watch.wakes_at() - now <= longest_pause_s(limits, last) + FAIR
--- a/tests/platform/test_list_lease.py
+++ b/tests/platform/test_list_lease.py
@@ -303,7 +303,7 @@
     lost_at = short.made_at + short.wait_s / 2
     driven.watch.failed(lost, Failure.CORRUPT, lost_at)
     driven.watch.answered(short, 5, short.made_at + 0.3)
-    assert driven.watch.lease_ended(short.made_at + 0.3) is LeaseEnd.ANSWER_LOST
+    assert driven.watch.lease_end_reason(short.made_at + 0.3) is LeaseEnd.ANSWER_LOST
 
 
 @pytest.mark.parametrize("grace_s", [0.0, 0.1, 0.25, 1.0])
@@ -342,7 +342,7 @@
 
     def held_back(self, at: float | None = None) -> bool:
         """Whether calls are held back now, or at that time."""
-        return self.watch.lease_ended(self.now if at is None else at) is not None
+        return self.watch.lease_end_reason(self.now if at is None else at) is not None
 
     def call(self) -> ListCall:
         """Advance to the next call."""
