--- a/mountgauge/core/list_lease.py
+++ b/mountgauge/core/list_lease.py
@@ -223,7 +223,7 @@
             until = min(until, self._no_call_since + self.terms.not_asked_s)
         return until
 
-    def ended(self, now: float) -> LeaseEnd | None:
+    def end_reason(self, now: float) -> LeaseEnd | None:
         """Why the list may not be used now; None if it may."""
         if now < self.until:
             return None
--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -50,9 +50,9 @@
 
     def lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Return why the list may not be used, or None if it may. A check that is late is made first."""
-        if self._lease.ended(self._now()) is not None:
+        if self._lease.end_reason(self._now()) is not None:
             self._read_if_changed()
-        ended = self._lease.ended(self._now())
+        ended = self._lease.end_reason(self._now())
         self._lease_log.record(ended, self._now() - self._lease.evidence_at)
         self._calls_held_back = self._calls_held_back or ended is not None
         return ended
@@ -91,7 +91,7 @@
 
     def _check(self) -> None:
         self._read_if_changed()
-        if self._calls_held_back and self._lease.ended(self._now()) is None:
+        if self._calls_held_back and self._lease.end_reason(self._now()) is None:
             self._calls_held_back = False
             self.on_lease_renewed()
 
--- a/mountgauge/platform/watch.py
+++ b/mountgauge/platform/watch.py
@@ -106,14 +106,14 @@
 
     def lease_end_reason(self, now: float) -> LeaseEnd | None:
         """Return why the list may not be used now, or None if it may be."""
-        return self._lease.ended(now)
+        return self._lease.end_reason(now)
 
     def cut_off(self, now: float) -> bool:
         """Whether the lease has ended and no connection can be established: then nothing may be sent, and no
         outcome can be reported to the platform either.
         """
         unreachable = self._since_answer.unreachable_since is not None
-        return unreachable and self._lease.ended(now) is not None
+        return unreachable and self._lease.end_reason(now) is not None
 
     def start(self, now: float) -> None:
         """Start watching; does nothing if the watch is on."""
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -192,7 +192,7 @@
     def lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Return why no call may use the list now; None if calls may use it."""
         now = self._loop.time()
-        ended = self._evidence.ended(now)
+        ended = self._evidence.end_reason(now)
         self._lease_log.record(ended, now - self._evidence.lease.evidence_at)
         return ended
 
--- a/mountgauge/sharding/evidence.py
+++ b/mountgauge/sharding/evidence.py
@@ -58,6 +58,6 @@
             else:
                 self.lease.answer_lost(Loss.POSSIBLE, now)
 
-    def ended(self, now: float) -> LeaseEnd | None:
+    def end_reason(self, now: float) -> LeaseEnd | None:
         """Return why the list must not be used now, or None if it may be used."""
-        return self.lease.ended(now)
+        return self.lease.end_reason(now)
--- a/tests/platform/test_list_lease.py
+++ b/tests/platform/test_list_lease.py
@@ -51,13 +51,13 @@
 def test_without_evidence_the_list_is_never_used() -> None:
     """The list that a process is started with has no time of confirmation."""
     lease = ListLease(TERMS)
-    assert lease.ended(0.0) is lease.ended(1e9) is LeaseEnd.NO_EVIDENCE
+    assert lease.end_reason(0.0) is lease.end_reason(1e9) is LeaseEnd.NO_EVIDENCE
 
 
 def test_a_lease_expires_before_the_time_of_the_rule() -> None:
     lease = confirmed(10.0)
     assert lease.until == pytest.approx(10.0 + TERM_S)
-    assert lease.ended(lease.until - FAIR) is None and lease.ended(lease.until) is LeaseEnd.EXPIRED
+    assert lease.end_reason(lease.until - FAIR) is None and lease.end_reason(lease.until) is LeaseEnd.EXPIRED
     assert lease.until + MAX_STALL_S <= 10.0 + NOTIFIED_S + GRACE_S + FAIR
 
 
@@ -76,20 +76,20 @@
     """
     lease = confirmed(10.0)
     lease.call_refused(10.0 + NOTIFIED_S + FAIR)
-    assert lease.ended(17.0) is LeaseEnd.EXPIRED
+    assert lease.end_reason(17.0) is LeaseEnd.EXPIRED
     lease.confirm(17.0)
     for at in (23.0, 29.0, 35.0):  # an outage that goes on
         lease.call_refused(at)
-        assert lease.ended(at) is None
+        assert lease.end_reason(at) is None
 
 
 def test_a_new_process_uses_its_list_only_if_it_is_refused_within_the_time_of_the_rule() -> None:
     for refused_at, ended in ((16.0, None), (16.1, LeaseEnd.NO_EVIDENCE)):
         lease = ListLease(TERMS)
         lease.process_started(10.0)
-        assert lease.ended(10.0) is LeaseEnd.NO_EVIDENCE
+        assert lease.end_reason(10.0) is LeaseEnd.NO_EVIDENCE
         lease.call_refused(refused_at)
-        assert lease.ended(refused_at) is ended
+        assert lease.end_reason(refused_at) is ended
 
 
 @pytest.mark.parametrize("loss", Loss)
@@ -97,10 +97,10 @@
     lease = confirmed(9.0)
     lease.answer_lost(loss, 10.0)
     lease.confirm(9.9)  # made before the loss: its list may be older
-    assert lease.ended(10.1) is LeaseEnd.ANSWER_LOST and lease.lacks_answer
-    assert lease.ended(1e9) is LeaseEnd.ANSWER_LOST, "it is not renewed by time alone"
+    assert lease.end_reason(10.1) is LeaseEnd.ANSWER_LOST and lease.lacks_answer
+    assert lease.end_reason(1e9) is LeaseEnd.ANSWER_LOST, "it is not renewed by time alone"
     lease.confirm(10.0)
-    assert lease.ended(10.1) is None and not lease.lacks_answer
+    assert lease.end_reason(10.1) is None and not lease.lacks_answer
 
 
 @pytest.mark.parametrize(("loss", "ends"), [(Loss.POSSIBLE, True), (Loss.CERTAIN, False)])
@@ -108,9 +108,9 @@
     lease = confirmed(9.0)
     lease.answer_lost(loss, 10.0)
     lease.call_refused(9.9)
-    assert lease.ended(10.1) is LeaseEnd.ANSWER_LOST, "refused before the loss"
+    assert lease.end_reason(10.1) is LeaseEnd.ANSWER_LOST, "refused before the loss"
     lease.call_refused(10.0)
-    assert (lease.ended(10.1) is None) is ends
+    assert (lease.end_reason(10.1) is None) is ends
 
 
 def test_of_two_losses_the_later_time_and_the_more_severe_kind_count() -> None:
@@ -119,9 +119,9 @@
     lease.answer_lost(Loss.POSSIBLE, 11.0)
     lease.call_refused(11.0)
     lease.confirm(10.5)
-    assert lease.ended(11.1) is LeaseEnd.ANSWER_LOST
+    assert lease.end_reason(11.1) is LeaseEnd.ANSWER_LOST
     lease.confirm(11.0)
-    assert lease.ended(11.1) is None
+    assert lease.end_reason(11.1) is None
 
 
 def test_calls_that_keep_breaking_show_that_discovery_is_down() -> None:
@@ -129,9 +129,9 @@
     down_at = 10.0 + DOWN_AFTER_S
     for at in (10.0, 10.0, 10.2, down_at - 0.1):
         assert lease.call_broke(at, at), "a fault that breaks every connection may last so long"
-        assert lease.ended(at) is LeaseEnd.ANSWER_LOST
+        assert lease.end_reason(at) is LeaseEnd.ANSWER_LOST
     assert not lease.call_broke(down_at, down_at + 0.01)
-    assert lease.ended(down_at + 0.01) is None and lease.until == pytest.approx(down_at + TERM_S)
+    assert lease.end_reason(down_at + 0.01) is None and lease.until == pytest.approx(down_at + TERM_S)
 
 
 def test_calls_that_break_late_or_beside_another_call_show_no_outage() -> None:
@@ -142,7 +142,7 @@
         lease = confirmed(9.0)
         for at in (10.0, 11.5, 13.0, 20.0):
             assert lease.call_broke(at - asked_s, at, alone)
-            assert lease.ended(at) is LeaseEnd.ANSWER_LOST
+            assert lease.end_reason(at) is LeaseEnd.ANSWER_LOST
     lease = confirmed(9.0)
     lease.call_broke(10.0, 10.0)
     lease.call_broke(10.5, 11.0)
@@ -172,13 +172,13 @@
     lease, at = confirmed(9.0), 10.0 + DOWN_AFTER_S
     lease.call_broke(10.0, 10.0)
     lease.call_broke(at, at)
-    assert lease.ended(at) is None
+    assert lease.end_reason(at) is None
     assert (
         lease.call_broke(12.0, 12.0)
         and lease.call_broke(12.0, 12.0)
-        and lease.ended(12.0) is LeaseEnd.ANSWER_LOST
+        and lease.end_reason(12.0) is LeaseEnd.ANSWER_LOST
     )
-    assert not lease.call_broke(12.0 + BURST_S, 12.2) and lease.ended(12.2) is None
+    assert not lease.call_broke(12.0 + BURST_S, 12.2) and lease.end_reason(12.2) is None
     lease.confirm(13.0)
     assert lease.call_broke(14.0, 14.0) and lease.call_broke(14.0 + BURST_S, 14.2), "that was another outage"
 
@@ -198,7 +198,7 @@
     lease = confirmed(9.0, PUSHED)
     for at in (10.0, 10.5, 20.0):
         assert lease.call_broke(at, at)
-        assert lease.ended(at) is LeaseEnd.ANSWER_LOST
+        assert lease.end_reason(at) is LeaseEnd.ANSWER_LOST
 
 
 def test_after_a_move_the_lease_lasts_for_the_time_of_a_move_until_the_new_address_answers() -> None:
@@ -206,9 +206,9 @@
     lease.source_moved(11.0)
     lease.call_refused(14.9)  # it may recover, and still must have sent the list by 15.0
     end = 11.0 + MOVED_S + GRACE_S - MAX_STALL_S
-    assert lease.ended(end - FAIR) is None and lease.ended(end + FAIR) is LeaseEnd.MOVED
+    assert lease.end_reason(end - FAIR) is None and lease.end_reason(end + FAIR) is LeaseEnd.MOVED
     lease.source_moved(14.0)  # again, without an answer in between: the first move counts
-    assert lease.ended(end + FAIR) is LeaseEnd.MOVED
+    assert lease.end_reason(end + FAIR) is LeaseEnd.MOVED
     lease.confirm(15.2)
     assert lease.until == pytest.approx(15.2 + TERM_S)
 
@@ -217,21 +217,24 @@
     lease = confirmed(10.0)
     lease.source_moved(11.0)
     lease.call_refused(11.0 + MOVED_S)
-    assert lease.ended(16.0) is None
+    assert lease.end_reason(16.0) is None
 
 
 def test_where_lists_are_pushed_a_call_must_be_in_flight() -> None:
     lease = confirmed(10.0, PUSHED)
     lease.no_call_open(10.0)
     spare_s = GRACE_S - MAX_STALL_S
-    assert lease.ended(10.0 + spare_s - FAIR) is None and lease.ended(10.0 + spare_s) is LeaseEnd.NOT_ASKED
+    assert (
+        lease.end_reason(10.0 + spare_s - FAIR) is None
+        and lease.end_reason(10.0 + spare_s) is LeaseEnd.NOT_ASKED
+    )
     lease.no_call_open(10.05)
-    assert lease.ended(10.0 + spare_s) is LeaseEnd.NOT_ASKED, "from the first time"
+    assert lease.end_reason(10.0 + spare_s) is LeaseEnd.NOT_ASKED, "from the first time"
     lease.call_made(10.05, 10.0 + spare_s - FAIR)
-    assert lease.ended(10.0 + spare_s) is None
+    assert lease.end_reason(10.0 + spare_s) is None
     asked_of_discovery = confirmed(10.0)
     asked_of_discovery.no_call_open(10.0)
-    assert asked_of_discovery.ended(12.0) is None
+    assert asked_of_discovery.end_reason(12.0) is None
 
 
 def test_a_change_while_no_call_was_in_flight_to_an_agent_is_known_only_by_an_answer() -> None:
@@ -241,9 +244,9 @@
     lease = confirmed(10.0, PUSHED)
     lease.no_call_open(10.0)
     lease.call_made(10.0, 10.5)
-    assert lease.ended(10.5) is LeaseEnd.ANSWER_LOST
+    assert lease.end_reason(10.5) is LeaseEnd.ANSWER_LOST
     lease.confirm(10.0)
-    assert lease.ended(10.6) is None, "it was written after the gap"
+    assert lease.end_reason(10.6) is None, "it was written after the gap"
     driven = Driven(subscribe=False)
     watch = driven.asked()
     driven.watch.request_blocked(driven.now)
@@ -491,7 +494,7 @@
     lease = confirmed(10.0)
     refused_at = 10.0 + TERM_S + 1.0
     lease.call_refused(refused_at, lasting)
-    assert (lease.ended(refused_at) is None) is lasting
+    assert (lease.end_reason(refused_at) is None) is lasting
 
 
 def test_the_call_after_a_watch_that_has_shown_an_outage_is_made_within_the_lease() -> None:
--- a/tests/sharding/test_evidence.py
+++ b/tests/sharding/test_evidence.py
@@ -26,12 +26,12 @@
 
 def test_a_saved_list_is_not_used_before_a_relay_has_answered_a_watch() -> None:
     found = RelayEvidence(TERMS, RELAYS)
-    assert found.ended(0.0) is LeaseEnd.NO_EVIDENCE
+    assert found.end_reason(0.0) is LeaseEnd.NO_EVIDENCE
     found.answered(call(10.0, lane=Lane.FETCH))
-    assert found.ended(10.0) is LeaseEnd.NO_EVIDENCE, "a fetch covers only new shards"
+    assert found.end_reason(10.0) is LeaseEnd.NO_EVIDENCE, "a fetch covers only new shards"
     found.answered(call(10.0))
-    assert found.ended(10.0 + TERMS.term_s - 0.01) is None
-    assert found.ended(10.0 + TERMS.term_s) is LeaseEnd.EXPIRED
+    assert found.end_reason(10.0 + TERMS.term_s - 0.01) is None
+    assert found.end_reason(10.0 + TERMS.term_s) is LeaseEnd.EXPIRED
 
 
 @pytest.mark.parametrize("failure", [RelayFailure.SILENT, RelayFailure.REFUSED])
@@ -39,18 +39,20 @@
     found = answered()
     for made_at in (12.0, 14.0, 16.0):
         found.failed(call(made_at), failure, made_at)
-    assert found.ended(10.0 + TERMS.term_s) is LeaseEnd.EXPIRED
+    assert found.end_reason(10.0 + TERMS.term_s) is LeaseEnd.EXPIRED
 
 
 def test_the_lease_is_renewed_once_every_relay_has_refused() -> None:
     found = answered()
     found.failed(call(13.0), RelayFailure.REFUSED, 13.0)
     found.failed(call(15.0, "two"), RelayFailure.REFUSED, 15.0)
-    assert found.ended(13.0 + TERMS.term_s - 0.01) is None
-    assert found.ended(13.0 + TERMS.term_s) is LeaseEnd.EXPIRED, "from the first refusal on"
+    assert found.end_reason(13.0 + TERMS.term_s - 0.01) is None
+    assert found.end_reason(13.0 + TERMS.term_s) is LeaseEnd.EXPIRED, "from the first refusal on"
     found.answered(call(20.0))
     found.failed(call(21.0), RelayFailure.REFUSED, 21.0)
-    assert found.ended(20.0 + TERMS.term_s) is LeaseEnd.EXPIRED, "the other relay may have a change again"
+    assert found.end_reason(20.0 + TERMS.term_s) is LeaseEnd.EXPIRED, (
+        "the other relay may have a change again"
+    )
 
 
 @pytest.mark.parametrize(
@@ -67,30 +69,30 @@
 ) -> None:
     found = answered()
     found.failed(call(11.0, lane=lane), failure, 11.5)
-    assert (found.ended(11.5) is LeaseEnd.ANSWER_LOST) is lost
+    assert (found.end_reason(11.5) is LeaseEnd.ANSWER_LOST) is lost
     found.answered(call(11.4))
-    assert (found.ended(11.6) is LeaseEnd.ANSWER_LOST) is lost, "the call was made before the loss"
+    assert (found.end_reason(11.6) is LeaseEnd.ANSWER_LOST) is lost, "the call was made before the loss"
     found.answered(call(11.5))
-    assert found.ended(11.6) is None
+    assert found.end_reason(11.6) is None
 
 
 def test_a_sender_that_starts_while_all_relays_refuse_uses_its_saved_list() -> None:
     found = RelayEvidence(TERMS, RELAYS)
     found.failed(call(10.0), RelayFailure.REFUSED, 10.0)
-    assert found.ended(10.0) is LeaseEnd.NO_EVIDENCE
+    assert found.end_reason(10.0) is LeaseEnd.NO_EVIDENCE
     found.failed(call(20.0, "two"), RelayFailure.REFUSED, 20.0)
     found.failed(call(20.5), RelayFailure.REFUSED, 20.5)
-    assert found.ended(20.5) is None
+    assert found.end_reason(20.5) is None
 
 
 def test_relays_that_all_keep_breaking_their_calls_are_down() -> None:
     found = answered()
     found.failed(call(11.0), RelayFailure.BROKEN, 11.0)
     found.failed(call(11.5, "two"), RelayFailure.BROKEN, 11.5)
-    assert found.ended(11.5) is LeaseEnd.ANSWER_LOST
+    assert found.end_reason(11.5) is LeaseEnd.ANSWER_LOST
     found.failed(call(12.6), RelayFailure.BROKEN, 12.6)
-    assert found.ended(12.6) is None
+    assert found.end_reason(12.6) is None
     alone = answered()
     for made_at in (11.0, 12.6, 15.0):
         alone.failed(call(made_at), RelayFailure.BROKEN, made_at)
-        assert alone.ended(made_at) is LeaseEnd.ANSWER_LOST, "the other relay may have a change"
+        assert alone.end_reason(made_at) is LeaseEnd.ANSWER_LOST, "the other relay may have a change"
