--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -45,7 +45,7 @@
         # Discovery has sent this process the full list, or confirmed the one that it was started with.
         self.list_received = False
         # Whether a message accepted now could neither be sent nor have its outcome reported.
-        self.cut_off: Callable[[], bool] = lambda: False
+        self.isolated: Callable[[], bool] = lambda: False
         self._policy, self._journal, self._table, self._pending = policy, journal, table, pending
         self._attempts, self._outcomes, self._counts, self._started = attempts, outcomes, counts, started
 
@@ -74,7 +74,7 @@
             return known
         if not send_guard.may_accept(bool(self._journal.unreadable), now - self._started):
             return MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
-        if self.cut_off():
+        if self.isolated():
             self._counts["refused", "cut-off"] += 1
             return MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
         scope = self._outcomes.scope
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -125,11 +125,11 @@
         self._lease.record(ended, self._watch.list_age_s(now))
         return ended
 
-    def cut_off(self) -> bool:
+    def isolated(self) -> bool:
         """Whether the network to the platform is cut, so that a message accepted now could neither be sent
         nor be reported as undelivered.
         """
-        return self._watch.cut_off(self._now())
+        return self._watch.isolated(self._now())
 
     def _exchange_lease_end(self) -> LeaseEnd | None:
         if any([exchange.answer_pending for exchange in self._exchanges.values()]):
--- a/mountgauge/platform/watch.py
+++ b/mountgauge/platform/watch.py
@@ -108,7 +108,7 @@
         """Return why the list may not be used now, or None if it may be."""
         return self._lease.end_reason(now)
 
-    def cut_off(self, now: float) -> bool:
+    def isolated(self, now: float) -> bool:
         """Whether the lease has ended and no connection can be established: then nothing may be sent, and no
         outcome can be reported to the platform either.
         """
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -43,7 +43,7 @@
         self.discovery = TransportMap(self.sender, config.discovery, names, bounds, random, self._evidence)
         self._recheck: asyncio.TimerHandle | None = None
         self.sender.list_lease = self._lease_end_reason
-        self.sender.admission.cut_off = self.discovery.cut_off
+        self.sender.admission.isolated = self.discovery.isolated
         self.map = self.discovery
         self.registry = Registry(platform_settings(clients))
         deadlines = [grade.deadline for grade in rules.message_classes]
--- a/tests/platform/test_list_lease.py
+++ b/tests/platform/test_list_lease.py
@@ -405,15 +405,15 @@
 def test_a_sender_is_cut_off_when_its_lease_has_ended_and_no_connection_is_established() -> None:
     driven = Driven()
     silent = driven.asked()
-    assert not driven.watch.cut_off(silent.made_at + 100.0), "a connected call: outcomes can be reported"
+    assert not driven.watch.isolated(silent.made_at + 100.0), "a connected call: outcomes can be reported"
     for _ in range(3):
         hung = driven.call()
-    assert not driven.watch.cut_off(driven.now), "the list may still be used"
-    assert driven.watch.cut_off(driven.now + TERM_S), "although a silent call is in flight"
-    assert driven.watch.connected(hung, driven.now) and not driven.watch.cut_off(driven.now + TERM_S)
+    assert not driven.watch.isolated(driven.now), "the list may still be used"
+    assert driven.watch.isolated(driven.now + TERM_S), "although a silent call is in flight"
+    assert driven.watch.connected(hung, driven.now) and not driven.watch.isolated(driven.now + TERM_S)
     refused = Driven()
     refused.watch.failed(refused.call(), Failure.REFUSED, refused.now)
-    assert not refused.watch.cut_off(refused.now + 100.0), "a refusal shows that discovery is down"
+    assert not refused.watch.isolated(refused.now + 100.0), "a refusal shows that discovery is down"
 
 
 def test_a_503_counts_from_its_arrival_less_its_time_in_transit() -> None:
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -164,7 +164,7 @@
 ) -> None:
     """The network to the platform is cut and the list lease has ended, so no outcome could be reported."""
     cut = True
-    bench.sender.admission.cut_off = lambda: cut
+    bench.sender.admission.isolated = lambda: cut
     bench.submit("a")
     bench.pass_time(0.01)
     assert (
