--- a/mountgauge/budgets/gate.py
+++ b/mountgauge/budgets/gate.py
@@ -2,14 +2,14 @@
 no clock.
 
 A call passes two checks: `start`, before a connection is chosen, so that calls without a slot stay queued;
-and `take`, in the last step before its first byte, which is the one that counts. Between the two its slot is
+and `acquire`, in the last step before its first byte, which is the one that counts. Between the two its slot is
 only pending and costs nothing.
 
 Invariant (rate): in any span of `w` s a member starts at most `tokens(0) + share x w` calls, where its tokens
 are at most `member_burst(share)`; a share that grows brings no tokens with it, one that shrinks removes them
 (`refresh` is called before and after whatever may change a share). So the fleet's calls in any span are at
-most `total x w + burst`. (concurrent): at each `take` the calls in flight, with those that may still run at
-the partner, are fewer than the share. (allowance): at each `take` the calls of the last `period_s` are fewer
+most `total x w + burst`. (concurrent): at each `acquire` the calls in flight, with those that may still run at
+the partner, are fewer than the share. (allowance): at each `acquire` the calls of the last `period_s` are fewer
 than the share.
 """
 
@@ -43,7 +43,7 @@
     in_flight: int = 0
     maybe_running: deque[float] = field(default_factory=deque)  # by when unanswered calls have surely ended
     call_times: deque[float] = field(default_factory=deque)  # starts of the calls of the last period
-    pending: int = 0  # calls that passed `start` but not `take`
+    pending: int = 0  # calls that passed `start` but not `acquire`
     demand: float = 0.0  # calls per second that ask for a slot, smoothed
     demand_at: float = 0.0  # when `demand` was computed
     waiting: int = 0  # calls that wait for a slot
@@ -154,7 +154,7 @@
             account.pending += 1
         return 0.0
 
-    def take(self, dest: int, endpoint: str, now: float) -> bool:
+    def acquire(self, dest: int, endpoint: str, now: float) -> bool:
         """Use a slot of all budgets of a started call, or of none; in the last step before its first byte."""
         accounts = self.binding(dest, endpoint)
         if any(self._wait_s(account, now, 0) > 0 for account in accounts):
@@ -169,8 +169,8 @@
                 account.in_flight += 1
         return True
 
-    def until(self, dest: int, endpoint: str, now: float) -> float:
-        """Until when a slot that was just taken may be used: while the leases last. Reserves don't expire."""
+    def usable_until(self, dest: int, endpoint: str, now: float) -> float:
+        """Until when a slot that was just acquired may be used: while the leases last. Reserves don't expire."""
         ends = [account.share.until for account in self.binding(dest, endpoint)]
         return min((end for end in ends if end > now), default=math.inf)
 
@@ -204,7 +204,7 @@
             account.pending = max(0, account.pending - 1)
 
     def finish(self, dest: int, endpoint: str, now: float, answered: bool) -> None:
-        """A call that passed `take` is finished; without an answer it may run at the partner for
+        """A call that passed `acquire` is finished; without an answer it may run at the partner for
         `ends_within_s`.
         """
         for account in self.binding(dest, endpoint):
--- a/mountgauge/budgets/service.py
+++ b/mountgauge/budgets/service.py
@@ -49,7 +49,7 @@
         self.sent_bytes = 0
         self.busy_s = 0.0  # processing time of asks, answers and updates
         self._started: set[Call] = set()  # calls with a pending slot
-        self._taken: set[Call] = set()  # calls that use a slot
+        self._acquired: set[Call] = set()  # calls that use a slot
         self._counted_demand: set[Call] = set()  # calls whose demand is counted
         self._wait_until: dict[tuple[int, str], float] = {}  # by destination and endpoint: no slot before
         self._timer: asyncio.TimerHandle | None = None
@@ -112,17 +112,17 @@
         self._wait_until.clear()
         self.release()
 
-    def take(self, call: Call) -> bool:
+    def acquire(self, call: Call) -> bool:
         """Whether the call has its slots, in the last step before its first byte."""
-        taken = self.gate.take(call.hop.entry.owner, call.hop.id, self._loop.time())
-        if taken:
+        acquired = self.gate.acquire(call.hop.entry.owner, call.hop.id, self._loop.time())
+        if acquired:
             self._started.discard(call)
-            self._taken.add(call)
-        return taken
+            self._acquired.add(call)
+        return acquired
 
-    def until(self, call: Call) -> float:
-        """Until when the slot that the call has just taken may be used."""
-        return self.gate.until(call.hop.entry.owner, call.hop.id, self._loop.time())
+    def usable_until(self, call: Call) -> float:
+        """Until when the slot that the call has just acquired may be used."""
+        return self.gate.usable_until(call.hop.entry.owner, call.hop.id, self._loop.time())
 
     def finished(self, call: Call, answered: bool) -> None:
         """The call is finished, whether it was sent or not."""
@@ -131,8 +131,8 @@
         if call in self._started:
             self._started.discard(call)
             self.gate.cancel(dest, hop)
-        elif call in self._taken:
-            self._taken.discard(call)
+        elif call in self._acquired:
+            self._acquired.discard(call)
             self.gate.finish(dest, hop, self._loop.time(), answered)
 
     # Running
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -178,10 +178,10 @@
         if not admitted:
             return []
         if self.call_gate is not None:
-            if not self.call_gate.take(call):
+            if not self.call_gate.acquire(call):
                 self._withheld(Refusal.NO_BUDGET, call, admitted[0])
                 return []
-            until = min(until, self.call_gate.until(call))
+            until = min(until, self.call_gate.usable_until(call))
         try:
             ids, zone = [item.id for item in admitted], endpoint.zone
             self._journal.attempt(ids, self._journal.time.of(now), zone)
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -157,10 +157,10 @@
     def start(self, call: Call) -> bool:
         """Whether it may look for a connection now; if not, `Sender.release` asks again."""
 
-    def take(self, call: Call) -> bool:
+    def acquire(self, call: Call) -> bool:
         """Acquire a slot as the last step before the first byte; whether there was one."""
 
-    def until(self, call: Call) -> float:
+    def usable_until(self, call: Call) -> float:
         """Until when the acquired slot may be used; infinite if no budget applies."""
 
     def finished(self, call: Call, answered: bool) -> None:
--- a/tests/budgets/test_parts.py
+++ b/tests/budgets/test_parts.py
@@ -61,7 +61,7 @@
             shares["a-rate"] = had = Share(had.reserve, 0.0, INF)
         level = min(level, 1 + 4 * had.total / 20)
         if what == "call":
-            if one.start(7, "x", now) == 0 and one.take(7, "x", now):
+            if one.start(7, "x", now) == 0 and one.acquire(7, "x", now):
                 level -= 1
                 assert level >= -1e-6
             continue
@@ -118,7 +118,7 @@
     visits: list[object] = []
     count_all_iterations(one, visits)
     one.record_demand(7, "x", 1.0)
-    assert one.start(7, "x", 1.0) == 0 and one.take(7, "x", 1.0) and not visits
+    assert one.start(7, "x", 1.0) == 0 and one.acquire(7, "x", 1.0) and not visits
     one.finish(7, "x", 2.0, True)
     assert one.admit("nobody", 2.0) == 0 and not visits
     one.refresh(2.0)
@@ -132,12 +132,12 @@
     assert one.start(7, "x", 1.0) == 0 and one.start(7, "x", 1.0) == 0
     assert one.start(7, "x", 1.0) > 0, "both slots for calls in flight are pending"
     level = one.accounts["a-rate"].tokens
-    assert one.take(7, "x", 1.0) and one.take(7, "x", 1.0) and not one.take(7, "x", 1.0)
+    assert one.acquire(7, "x", 1.0) and one.acquire(7, "x", 1.0) and not one.acquire(7, "x", 1.0)
     assert one.accounts["a-rate"].tokens == pytest.approx(level - 2) and one.accounts["c-day"].used(1.0) == 2
     one.finish(7, "x", 1.1, answered=False)
     assert one.start(7, "x", 4.0) > 0, "it may still run at the partner"
     one.finish(7, "x", 4.0, answered=True)
-    assert one.start(7, "x", 4.0) == 0 and one.take(7, "x", 4.0)
+    assert one.start(7, "x", 4.0) == 0 and one.acquire(7, "x", 4.0)
     one.finish(7, "x", 4.05, answered=True)
     assert one.start(7, "x", 4.2) > 0 and one.start(7, "y", 4.2) == 0, (
         "three of three in the period, for `x` alone"
@@ -145,14 +145,14 @@
     assert one.start(7, "x", 101.5) == 0, "the first has left the period"
     shares["b-out"] = Share(0, 0, INF)
     one.refresh(101.5)
-    assert not one.take(7, "x", 101.5), "the share was lost between `start` and `take`"
+    assert not one.acquire(7, "x", 101.5), "the share was lost between `start` and `acquire`"
 
 
 def test_usage_reports_the_demand_and_only_unused_slots_as_spare() -> None:
     shares = {"b-out": Share(1, 4, INF)}
     one = gate(shares, OUT)
     for _ in range(3):
-        assert one.start(7, "x", 0.0) == 0 and one.take(7, "x", 0.0)
+        assert one.start(7, "x", 0.0) == 0 and one.acquire(7, "x", 0.0)
     use = one.usage({(7, "x"): 4, (7, ""): 2, (8, ""): 9}, 0.0)["b-out"]
     assert use.demand == 9 and use.spare == 2
 
