--- a/mountgauge/core/list_lease.py
+++ b/mountgauge/core/list_lease.py
@@ -53,7 +53,7 @@
     ANSWER_LOST = "answer-lost"
     ANSWER_UNREAD = "answer-unread"  # data from the source has arrived and waits to be read
     MOVED = "moved"  # to an address that has not answered in time
-    NOT_ASKED = "not-asked"  # no call is open to a source whose changes count as notified at once
+    NO_REQUEST = "not-asked"  # no call is open to a source whose changes count as notified at once
     PAUSED = "paused"  # the process was stopped for a while, and has not read from the source since
 
 
@@ -235,7 +235,7 @@
             return LeaseEnd.MOVED
         if now >= self.renewed_by:
             return LeaseEnd.EXPIRED
-        return LeaseEnd.NOT_ASKED
+        return LeaseEnd.NO_REQUEST
 
     # Internals
 
--- a/mountgauge/lease_log.py
+++ b/mountgauge/lease_log.py
@@ -15,7 +15,7 @@
 
 LEASE = "list-lease"  # the kind under which these counts are reported
 # These last until an answer has been read or a request written, so they are counted but not logged.
-_BRIEF = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NOT_ASKED)
+_BRIEF = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NO_REQUEST)
 
 
 class LeaseLog:
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -135,7 +135,7 @@
         if any([exchange.answer_pending for exchange in self._exchanges.values()]):
             return LeaseEnd.ANSWER_UNREAD
         if any(exchange.request_unsent for exchange in self._exchanges.values()):
-            return LeaseEnd.NOT_ASKED
+            return LeaseEnd.NO_REQUEST
         return None
 
     # Events of the exchanges
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -24,7 +24,7 @@
 
 # Between two checks whether waiting calls may be sent: for new evidence, or while an answer is being read.
 RECHECK_S, READ_RECHECK_S = 0.02, 0.005
-_BRIEF_LEASE_ENDS = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NOT_ASKED)
+_BRIEF_LEASE_ENDS = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NO_REQUEST)
 _RESTART_ONLY = ("listen", "state", "limits")  # settings that a running process cannot change
 
 
--- a/tests/platform/test_list_lease.py
+++ b/tests/platform/test_list_lease.py
@@ -226,10 +226,10 @@
     spare_s = GRACE_S - MAX_STALL_S
     assert (
         lease.end_reason(10.0 + spare_s - FAIR) is None
-        and lease.end_reason(10.0 + spare_s) is LeaseEnd.NOT_ASKED
+        and lease.end_reason(10.0 + spare_s) is LeaseEnd.NO_REQUEST
     )
     lease.no_call_open(10.05)
-    assert lease.end_reason(10.0 + spare_s) is LeaseEnd.NOT_ASKED, "from the first time"
+    assert lease.end_reason(10.0 + spare_s) is LeaseEnd.NO_REQUEST, "from the first time"
     lease.call_made(10.05, 10.0 + spare_s - FAIR)
     assert lease.end_reason(10.0 + spare_s) is None
     asked_of_discovery = confirmed(10.0)
