--- a/mountgauge/budgets/gate.py
+++ b/mountgauge/budgets/gate.py
@@ -2,15 +2,15 @@
 no clock.
 
 A call passes two checks: `start`, before a connection is chosen, so that calls without a slot stay queued;
-and `acquire`, in the last step before its first byte, which is the one that counts. Between the two its slot is
-only pending and costs nothing.
+and `acquire`, in the last step before its first byte, which is the one that counts. Between the two its slot
+is only pending and costs nothing.
 
 Invariant (rate): in any span of `w` s a member starts at most `tokens(0) + share x w` calls, where its tokens
 are at most `member_burst(share)`; a share that grows brings no tokens with it, one that shrinks removes them
 (`refresh` is called before and after whatever may change a share). So the fleet's calls in any span are at
-most `total x w + burst`. (concurrent): at each `acquire` the calls in flight, with those that may still run at
-the partner, are fewer than the share. (allowance): at each `acquire` the calls of the last `period_s` are fewer
-than the share.
+most `total x w + burst`. (concurrent): at each `acquire` the calls in flight, with those that may still run
+at the partner, are fewer than the share. (allowance): at each `acquire` the calls of the last `period_s` are
+fewer than the share.
 """
 
 from __future__ import annotations
@@ -170,7 +170,7 @@
         return True
 
     def usable_until(self, dest: int, endpoint: str, now: float) -> float:
-        """Until when a slot that was just acquired may be used: while the leases last. Reserves don't expire."""
+        """Until when a slot that was just acquired may be used: until its leases end. Reserves never do."""
         ends = [account.share.until for account in self.binding(dest, endpoint)]
         return min((end for end in ends if end > now), default=math.inf)
 
