--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -123,8 +123,8 @@
         super().buffer_updated(nbytes)
         self._track_partial_message()
 
-    def more(self) -> None:
-        super().more()
+    def continue_reading(self) -> None:
+        super().continue_reading()
         self._track_partial_message()
         if (
             not self._frames_pending
--- a/mountgauge/amqp/link.py
+++ b/mountgauge/amqp/link.py
@@ -72,7 +72,7 @@
     def on_protocol_header(self, header: bytes) -> None: ...
 
     def wait_turn(self) -> None:
-        """Called with more than `frames_per_turn` frames received; `more` must be called in turn."""
+        """Called with more than `frames_per_turn` frames received; the turn must call `continue_reading`."""
 
     def on_error(self, channel: int, error: AmqpError) -> None:
         self.close_with(error)
@@ -226,7 +226,7 @@
             except AmqpError as error:
                 self.on_error(frame.channel, error)
 
-    def more(self) -> None:
+    def continue_reading(self) -> None:
         """Handle further received frames: the connection's turn has come."""
         self._frames_pending = False
         if self.transport is not None and not self.transport.is_closing():
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -131,7 +131,7 @@
         self._parser.feed(memoryview(_RECEIVE)[:nbytes])
         self._read()
 
-    def more(self) -> None:
+    def continue_reading(self) -> None:
         """Read further commands in the connection's turn."""
         self._turn_queued = False
         self._read()
--- a/mountgauge/connections/registry.py
+++ b/mountgauge/connections/registry.py
@@ -40,7 +40,7 @@
     def on_due(self, now: float) -> None:
         """Its deadline has passed."""
 
-    def more(self) -> None:
+    def continue_reading(self) -> None:
         """Read further commands: the scheduler has granted a turn."""
 
     def abandon_partial(self) -> None:
@@ -203,7 +203,7 @@
                 if transport is not None:
                     transport.on_event(mask)
         for connection in self.scheduler.round(BATCH):
-            connection.more()
+            connection.continue_reading()
         self._close_finished(BATCH)
         if self.scheduler or self._finished:
             self._schedule_turn()
