--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -178,7 +178,7 @@
     def start(self, call: Call) -> None:
         """Send a call on an idle connection, or on a new one if there is none."""
         loop = asyncio.get_running_loop()
-        open_call = _OpenCall(call, loop.call_at(call.times_out_at, self._give_up, call))
+        open_call = _OpenCall(call, loop.call_at(call.times_out_at, self._stop_call, call))
         self._open_calls[call] = open_call
         if (connection := self._take_idle(_pool_key(call.hop))) is not None:
             open_call.connection = connection
@@ -248,7 +248,7 @@
         if first_expiry < call.times_out_at:
             call.times_out_at = first_expiry
             open_call.timer.cancel()
-            open_call.timer = loop.call_at(first_expiry, self._give_up, call)
+            open_call.timer = loop.call_at(first_expiry, self._stop_call, call)
         remaining_ms = max(1, math.floor((call.times_out_at - loop.time()) * 1000))
         host = f"{call.hop.host}:{call.hop.port}"
         headers = {"X-Expires-In-Ms": str(remaining_ms)}
@@ -311,7 +311,7 @@
         lease = open_call.call.lease
         return Outcome.MOOT if lease is not None and lease.refusal is not None else Outcome.CONNECT_FAILED
 
-    def _give_up(self, call: Call, outcome: Outcome = Outcome.TIMEOUT) -> None:
+    def _stop_call(self, call: Call, outcome: Outcome = Outcome.TIMEOUT) -> None:
         """Time out or cancel a call. Its connection is closed too, because a late answer would be taken for
         the answer to the next call.
         """
@@ -329,7 +329,7 @@
 
     def cancel(self, call: Call) -> None:
         """Cancel a call, if it has not finished."""
-        self._give_up(call, Outcome.CANCELLED)
+        self._stop_call(call, Outcome.CANCELLED)
 
     def _finish(self, open_call: _OpenCall, results: dict[int, AttemptResult]) -> None:
         if self._open_calls.pop(open_call.call, None) is not None:
@@ -344,7 +344,7 @@
     def close(self) -> None:
         """End all calls as reset, and close the idle connections."""
         for open_call in list(self._open_calls.values()):
-            self._give_up(open_call.call, Outcome.RESET)
+            self._stop_call(open_call.call, Outcome.RESET)
         for pool in list(self._pools.values()):
             for connection in list(pool):
                 connection.close()
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -217,7 +217,7 @@
             hops.start(one)
             for _ in range(turns):
                 await asyncio.sleep(0)
-            hops.cancel(one) if how == "cancel" else hops._give_up(one)
+            hops.cancel(one) if how == "cancel" else hops._stop_call(one)
             await until(lambda: owner.done)
             await asyncio.sleep(0.02)
             assert len(owner.done) == 1 and hops._open == 0
