--- a/mountgauge/relay/wire.py
+++ b/mountgauge/relay/wire.py
@@ -90,21 +90,21 @@
     raw = _object(body, MAX_ASK_BYTES, "ask")
     if raw.get("shard_count", shard_count) != shard_count:
         raise UnreadableMessageError(
-            f"shard_count: {str(raw['shard_count'])[:20]} in the ask, {shard_count} here"
+            f"shard_count: {str(raw['shard_count'])[:20]} asked by, {shard_count} here"
         )
     asker = _name(raw.get("asker"), "asker")
     wait_s = _seconds(raw.get("wait_s", 0.0), "wait_s")
     if wait_s > MAX_WAIT_S:
-        raise UnreadableMessageError(f"wait_s: more than {MAX_WAIT_S:g}")
+        raise UnreadableMessageError(f"wait_s: above {MAX_WAIT_S:g}")
     placement = _version(raw.get("placement", NO_VERSION), "placement")
     if "index" in raw:
         if "shards" in raw:
-            raise UnreadableMessageError("index and shards can't both be set")
+            raise UnreadableMessageError("index and shards: only one of them can be asked by")
         verify = raw.get("verify", False) is True
         return Ask(asker, (), _version(raw["index"], "index"), wait_s, placement, verify)
     positions = tuple(_position(one, shard_count) for one in _array(raw.get("shards", []), "shards"))
     if len({position.shard for position in positions}) < len(positions):
-        raise UnreadableMessageError("shards: a shard is listed twice")
+        raise UnreadableMessageError("shards: one stands twice")
     return Ask(asker, positions, None, wait_s, placement)
 
 
@@ -116,7 +116,7 @@
         if integers and 0 <= shard < shard_count and NO_VERSION <= version <= MAX_VERSION:
             return Position(shard, version)
     if not isinstance(raw, list) or len(raw) not in (2, 3):
-        raise UnreadableMessageError("shards: a position is a shard, a version and an optional digest")
+        raise UnreadableMessageError("shards: a position is a shard, a version and maybe a digest")
     digest = _integer(raw[2], "digest", 0, _MAX_DIGEST) if len(raw) == 3 else None
     return Position(_shard(raw[0], shard_count), _version(raw[1], "version"), digest)
 
