--- a/mountgauge/amqp/link.py
+++ b/mountgauge/amqp/link.py
@@ -108,7 +108,7 @@
         self.arm(self.deadline)
 
     def discard_input(self) -> None:
-        """Discard further input for at most LINGER, so that the peer can read the last frames sent."""
+        """Discard further input for at most a second, so that the peer can read the last frames sent."""
         if self._drain is None and self.transport is not None:
             self._drain = InputDiscarder(self.transport)
             self._close_deadline = asyncio.get_running_loop().time() + LINGER_S
