--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -190,7 +190,7 @@
         )
 
     def _half_close(self) -> None:
-        """Close the sending side after the last frame; discard input until the peer closes, at most a second."""
+        """Close the sending side after the last frame; discard input for at most a second."""
         if self.transport is not None and not self.transport.is_closing():
             self.state = State.CLOSING
             self.discard_input()
