--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -298,7 +298,7 @@
         if address is None:
             raise ConfigError(f"{table.name}.addr: missing")
         if hop_id in protocols:
-            raise ConfigError(f"{table.name}.id: '{hop_id}' is used twice")
+            raise ConfigError(f"{table.name}.id: '{hop_id}' is listed twice")
         protocol = table.get("protocol", str, default="http")
         if protocol not in _PROTOCOLS:
             raise ConfigError(f"{table.name}.protocol: not one of {', '.join(_PROTOCOLS)}")
