--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -90,10 +90,10 @@
         self._watch.move(self._now())
         self.watch(True)
 
-    def retune(self, names: SettingNames, bounds: WatchBounds) -> None:
+    def apply_settings(self, names: SettingNames, bounds: WatchBounds) -> None:
         """Apply new settings."""
         self._names = names
-        self._watch.retune(bounds, self._now())
+        self._watch.apply_settings(bounds, self._now())
         self._step()
 
     def close(self) -> None:
--- a/mountgauge/platform/watch.py
+++ b/mountgauge/platform/watch.py
@@ -129,7 +129,7 @@
         self._next_at = inf
         self._drop(self._open, DropReason.STOPPED, now)
 
-    def retune(self, bounds: WatchBounds, now: float) -> None:
+    def apply_settings(self, bounds: WatchBounds, now: float) -> None:
         """Apply new settings; a watch whose wait is too long for them is followed by another call in time."""
         self.bounds = bounds
         self._lease.terms = bounds.lease
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -80,7 +80,7 @@
             self.discovery.move(config.discovery)
         if config.settings != old.settings:
             self.sender.apply_settings(config.rules, config.names)
-            self.discovery.retune(config.names, WatchBounds.of(config.rules))
+            self.discovery.apply_settings(config.names, WatchBounds.of(config.rules))
             self._evidence.apply_settings(config.rules)
             self.front.set_classes(
                 config.names.grades, [grade.deadline for grade in config.rules.message_classes]
--- a/tests/platform/simulation.py
+++ b/tests/platform/simulation.py
@@ -376,7 +376,7 @@
         if self._waits(lambda: self.reload(reload), READ_FIRST_S):
             return
         rules = rules_of(self._schedule, reload.ask_within_s)
-        self.watch.retune(self._components.bounds.of(rules), self._time.now())
+        self.watch.apply_settings(self._components.bounds.of(rules), self._time.now())
         self.step()
 
     def try_all(self) -> None:
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -371,7 +371,7 @@
     driven = Driven()
     watch = driven.watching()
     driven.now += 1.0
-    driven.watch.retune(bounds_of(ask_within_s=2.0), driven.now)
+    driven.watch.apply_settings(bounds_of(ask_within_s=2.0), driven.now)
     call = driven.call()
     assert call.short and call.made_at == driven.now <= watch.made_at + 1.0 + 2.0 + ANSWER_MARGIN_S
 
