--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -52,10 +52,10 @@
         """Return why the list may not be used, or None if it may. A check that is late is made first."""
         if self._lease.end_reason(self._now()) is not None:
             self._read_if_changed()
-        ended = self._lease.end_reason(self._now())
-        self._lease_log.record(ended, self._now() - self._lease.evidence_at)
-        self._calls_held_back = self._calls_held_back or ended is not None
-        return ended
+        end_reason = self._lease.end_reason(self._now())
+        self._lease_log.record(end_reason, self._now() - self._lease.evidence_at)
+        self._calls_held_back = self._calls_held_back or end_reason is not None
+        return end_reason
 
     @staticmethod
     def _now() -> float:
--- a/mountgauge/lease_log.py
+++ b/mountgauge/lease_log.py
@@ -23,22 +23,25 @@
 
     def __init__(self) -> None:
         self.counts: Counter[tuple[str, str]] = Counter()
-        self.ended: LeaseEnd | None = LeaseEnd.NO_EVIDENCE  # at the last check; None while the lease is valid
+        # At the last check; None while the lease is valid.
+        self.end_reason: LeaseEnd | None = LeaseEnd.NO_EVIDENCE
 
-    def record(self, ended: LeaseEnd | None, age_s: float) -> None:
+    def record(self, end_reason: LeaseEnd | None, age_s: float) -> None:
         """Record the current state; `age_s` is the age of the newest evidence that renewed the lease."""
-        before, self.ended = self.ended, ended
-        if ended is before:
+        before, self.end_reason = self.end_reason, end_reason
+        if end_reason is before:
             return
-        if ended is not None:
-            self.counts[LEASE, ended] += 1
-        if (before is None or before in _BRIEF) and (ended is None or ended in _BRIEF):
+        if end_reason is not None:
+            self.counts[LEASE, end_reason] += 1
+        if (before is None or before in _BRIEF) and (end_reason is None or end_reason in _BRIEF):
             return
-        log.info("list-lease", extra=kv(state=ended or "valid", before=before or "valid", age_s=_age(age_s)))
+        log.info(
+            "list-lease", extra=kv(state=end_reason or "valid", before=before or "valid", age_s=_age(age_s))
+        )
 
     def state(self, age_s: float) -> Mapping[str, Any]:
         """Return the fields of the state line: whether the list may be used, and the age of its evidence."""
-        return {"list_lease": self.ended or "valid", "list_age_s": _age(age_s)}
+        return {"list_lease": self.end_reason or "valid", "list_age_s": _age(age_s)}
 
 
 def _age(age_s: float) -> object:
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -121,9 +121,9 @@
         now = self._now()
         # Evaluated in any case, as it also records when a socket was last found empty.
         exchange_end = self._exchange_lease_end()
-        ended = self._watch.lease_end_reason(now) or exchange_end
-        self._lease.record(ended, self._watch.list_age_s(now))
-        return ended
+        end_reason = self._watch.lease_end_reason(now) or exchange_end
+        self._lease.record(end_reason, self._watch.list_age_s(now))
+        return end_reason
 
     def isolated(self) -> bool:
         """Whether the network to the platform is cut, so that a message accepted now could neither be sent
--- a/mountgauge/relay/shard_map.py
+++ b/mountgauge/relay/shard_map.py
@@ -192,9 +192,9 @@
     def lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Return why no call may use the list now; None if calls may use it."""
         now = self._loop.time()
-        ended = self._evidence.end_reason(now)
-        self._lease_log.record(ended, now - self._evidence.lease.evidence_at)
-        return ended
+        end_reason = self._evidence.end_reason(now)
+        self._lease_log.record(end_reason, now - self._evidence.lease.evidence_at)
+        return end_reason
 
     def _on_failure(self, call: Call, failure: RelayFailure) -> None:
         if isinstance(call, RelayCall):
@@ -202,7 +202,7 @@
             self._check_renewal()
 
     def _check_renewal(self) -> None:
-        was_ended = self._lease_log.ended is not None
+        was_ended = self._lease_log.end_reason is not None
         if was_ended and self.lease_end_reason(NO_VERSION) is None:
             self.on_renewed()
 
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -57,11 +57,11 @@
 
     def _lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Why the list allows no call at present, if so; waiting calls are then retried soon."""
-        ended = self.discovery.lease_end_reason()
-        if ended is not None and self._recheck is None:
-            pause_s = READ_RECHECK_S if ended in _BRIEF_LEASE_ENDS else RECHECK_S
+        end_reason = self.discovery.lease_end_reason()
+        if end_reason is not None and self._recheck is None:
+            pause_s = READ_RECHECK_S if end_reason in _BRIEF_LEASE_ENDS else RECHECK_S
             self._recheck = asyncio.get_running_loop().call_later(pause_s, self._release)
-        return ended
+        return end_reason
 
     def _release(self) -> None:
         self._recheck = None
