--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -142,7 +142,7 @@
     def _track_partial_message(self) -> None:
         """Set the deadline of a partially received message, and report its size to the front.
 
-        Such a message uses memory and a connection slot. The deadline is for the message as a total, since a
+        Such a message uses memory and a connection slot. The deadline is for the complete message, since a
         client could send single bytes for ever.
         """
         if self.state is State.CLOSED:
--- a/mountgauge/budgets/grants.py
+++ b/mountgauge/budgets/grants.py
@@ -67,9 +67,8 @@
     drift: float
     silent_until: float = 0.0  # grants nothing before
     grants_by_holder: dict[Holder, Grant] = field(default_factory=dict)
-    newest: dict[Holder, int] = field(
-        default_factory=dict
-    )  # number of each holder's newest ask, oldest first
+    # The number of each holder's newest ask, oldest first.
+    newest: dict[Holder, int] = field(default_factory=dict)
 
     @classmethod
     def restored(
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -76,9 +76,8 @@
         self._read_paused = self._write_paused = False
         self._turn_queued = False  # commands are buffered for the connection's next turn
         self._reading = False  # commands are being read from the parser
-        self._drain: InputDiscarder | None = (
-            None  # discards what is received once commands can't be delimited
-        )
+        # Discards what is received once commands can't be delimited.
+        self._drain: InputDiscarder | None = None
         self._close_by = INFINITE  # set once the sending side is shut
         self._bad_requests = 0
         self._partial_since = INFINITE  # when the incomplete command began
--- a/mountgauge/connections/descriptors.py
+++ b/mountgauge/connections/descriptors.py
@@ -4,9 +4,8 @@
 
 import resource
 
-RESERVED_DESCRIPTORS = (
-    48  # the loop, log, journal, discovery, notices, status, listeners, the acceptor's reserve
-)
+# For the loop, log, journal, discovery, notices, status, listeners and the acceptor's reserve.
+RESERVED_DESCRIPTORS = 48
 
 
 def limits() -> tuple[int, int]:
--- a/mountgauge/core/config.py
+++ b/mountgauge/core/config.py
@@ -169,9 +169,8 @@
     rules: Settings
     names: SettingNames
     conn_idle: float
-    listen_fd: int | None = (
-        None  # the clients' listening socket, which the platform keeps open across processes
-    )
+    # The clients' listening socket, which the platform keeps open across processes.
+    listen_fd: int | None = None
     console: Address | None = None  # for the operators' console
 
     @classmethod
--- a/mountgauge/core/restore.py
+++ b/mountgauge/core/restore.py
@@ -36,11 +36,11 @@
         """`time` converts the journal's times to the sender's clock."""
         stored = message.stored
         message.issued = stored.attempts
-        ran = tuple((time.monotonic(at), zone) for at, zone in stored.maybe_ran)
+        maybe_ran = tuple((time.monotonic(at), zone) for at, zone in stored.maybe_ran)
         self._waiting.append(
-            Restored(message.number, message.expires, stored.dest, grade, stored.attempts, ran)
+            Restored(message.number, message.expires, stored.dest, grade, stored.attempts, maybe_ran)
         )
 
-    def take(self) -> list[Restored]:
+    def next_batch(self) -> list[Restored]:
         """Remove and return the messages for one turn."""
         return [self._waiting.popleft() for _ in range(min(RESTORED_PER_TURN, len(self._waiting)))]
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -49,7 +49,7 @@
 _SHRUNK_BELOW = 0.8
 _MIN_RATE = 0.3  # calls/s; a lower one would delay the first call after a share has grown again
 _NEW_PER_TURN = 64  # new messages that the module decides on in one turn
-_WRITE_RETRY_S = 0.05  # between two tries to write the records that the disk did not take
+_WRITE_RETRY_S = 0.05  # between two attempts to write records that could not be written
 _OVERDUE_AFTER_S = 0.1  # after its expiry a message that the module still holds is withdrawn from it
 _WAITS_SWEPT = 64  # waits checked with each change of the list, to drop the elapsed ones
 
@@ -398,7 +398,7 @@
         ready, self._ready = self._ready, []
         for due in self._timers.due(now):
             ready.extend(self._overdue(due.number) if isinstance(due, Overdue) else [due])
-        ready.extend(self._backlog.take())
+        ready.extend(self._backlog.next_batch())
         if self._backlog:
             self._schedule_turn()
         actions: list[io.Action] = []
--- a/mountgauge/notices.py
+++ b/mountgauge/notices.py
@@ -67,7 +67,7 @@
         failures, max_lines = 0, _MAX_BATCH_LINES
         while self._unacknowledged:
             batch = dict(islice(self._unacknowledged.items(), max_lines))
-            body = b"".join(_line(msg_id, end) for msg_id, (end, _) in batch.items())
+            body = b"".join(_line(msg_id, outcome) for msg_id, (outcome, _) in batch.items())
             host = f"{self._address.host}:{self._address.port}"
             try:
                 timeout_s = min(_TIMEOUT_S * 2**failures, _MAX_TIMEOUT_S)
@@ -92,14 +92,14 @@
                 failures = min(failures + 1, _MAX_FAILURES)
                 continue
             failures = 0
-            for msg_id, (_, told) in batch.items():
+            for msg_id, (_, on_delivered) in batch.items():
                 self._unacknowledged.pop(msg_id, None)
-                told()
+                on_delivered()
         self._task = None
 
 
-def _line(msg_id: str, end: MessageOutcome) -> bytes:
-    line: dict[str, object] = {"id": msg_id, "status": end.status.value}
-    if end.status is Status.DEFERRED and end.retry_after_ms > 0:
-        line["again_ms"] = end.retry_after_ms
+def _line(msg_id: str, outcome: MessageOutcome) -> bytes:
+    line: dict[str, object] = {"id": msg_id, "status": outcome.status.value}
+    if outcome.status is Status.DEFERRED and outcome.retry_after_ms > 0:
+        line["again_ms"] = outcome.retry_after_ms
     return orjson.dumps(line) + b"\n"
--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -32,7 +32,7 @@
 _STATES = {"active": Readiness.READY, "leaving": Readiness.DRAINING}
 _PROTOCOLS = ("http", "amqp")
 _KIND = "next-hop"
-BUDGETS_DISK_BYTES = 512 * 1024  # for the file of promises: twice `budgets.files.REWRITE_ABOVE_BYTES`
+BUDGETS_DISK_BYTES = 512 * 1024  # for the file of grants: twice `budgets.files.REWRITE_ABOVE_BYTES`
 SHARDS_DISK_BYTES = 2 * 1024 * 1024  # for the file of the last shards: twice `relay.kept_list.MAX_BYTES`
 _SHARDED_SLOTS = 64  # with shards the number of next hops is not known beforehand
 _MIN_JOURNAL_BYTES = 512 * 1024  # of disk, which the other files must leave to the journal
--- a/mountgauge/sharding/relay.py
+++ b/mountgauge/sharding/relay.py
@@ -78,8 +78,8 @@
     retry_after_s: float = 0.0
 
     @property
-    def worth_sending(self) -> bool:
-        """Whether to answer before the wait is over."""
+    def should_answer(self) -> bool:
+        """Whether to answer before the wait has passed."""
         return bool(self.deltas or self.snapshots or self.retry_after_s > 0)
 
 
@@ -240,7 +240,7 @@
             return self._answer_all_shards(ask, age, expired)
         placement = self._placement_update(ask)
         changes = self._changes_for(ask, now)
-        if placement is None and not changes.worth_sending and not expired:
+        if placement is None and not changes.should_answer and not expired:
             return None
         return Answer(
             self.store.as_of, age, 0.0, tuple(changes.deltas), tuple(changes.snapshots),
--- a/mountgauge/sockets.py
+++ b/mountgauge/sockets.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-_DISCARDED = bytearray(256 * 1024)  # shared by all connections: nobody reads it
+_DISCARDED = bytearray(256 * 1024)  # shared by all connections: its content is never used
 _READ_PAUSE_S = 0.02  # between two reads
-LINGER_S = 1.0  # a peer has so long to read the reason why its connection is closed
+LINGER_S = 1.0  # time for a peer to read the reason why its connection is closed
 
 
 class InputDiscarder:
--- a/rillspindle/catalog.py
+++ b/rillspindle/catalog.py
@@ -26,9 +26,8 @@
         self._created = 0
         self._changed: dict[Dest, None] = {}  # since the last `refresh`
         self._waiting: set[Dest] = set()  # with queued messages, and some without any more
-        self._unlisted: OrderedDict[Dest, None] = (
-            OrderedDict()
-        )  # without endpoints, in the order of the sweep
+        # Destinations without endpoints, in the order of the sweep.
+        self._unlisted: OrderedDict[Dest, None] = OrderedDict()
         self._refreshed_at = 0.0
 
     def dest(self, dest_id: int) -> Dest:
--- a/rillspindle/policy.py
+++ b/rillspindle/policy.py
@@ -264,7 +264,7 @@
         """The fail window grows with the outage, as about demand * age nodes send trials then (rule 4)."""
         age, gap = self.now - ep.route.down_at, 1 / max(self._demand(ep.dest), self.min_rate)
         share = self.settings.fall_multiple * self.settings.start_capacity
-        share *= TRIAL_SHARE if age < gap else 1.0  # after `gap` the other nodes have met the outage too
+        share *= TRIAL_SHARE if age < gap else 1.0  # after `gap` the other nodes have observed the outage too
         return self._jitter(max(FAIL_WINDOW_S, min(age, gap) / share))
 
     def _allowed(self, msg: Message, ep: Endpoint) -> bool:
@@ -307,7 +307,7 @@
                 elif (ep := self._choose_endpoint(msg)) is not None:
                     self._send(msg, ep)
                 elif not msg.maybe_ran and msg.message_class.semantics != "at_most_once":
-                    break  # one that any endpoint may get found none, so the others won't either
+                    break  # none for a message that every endpoint may get: the others won't find one either
         if dest.queued:
             due = min([due, *(at for ep in dest.endpoints if (at := self._next_call_at(ep)) > self.now)])
             if due < dest.wake_at - self.settings.tick:
@@ -449,9 +449,8 @@
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.TIMEOUT, Outcome.RESET):
             if outcome == Outcome.TIMEOUT:  # a slow endpoint is recognised by longer timeouts, within bounds
                 ep.latency_dev = max(ep.latency_dev, event.elapsed / 8)
-            self._on_failure(
-                call, ep.answered_at < call.sent_at
-            )  # if others were answered, its table is full
+            # If other calls were answered since, the endpoint's connection table is full: no outage.
+            self._on_failure(call, ep.answered_at < call.sent_at)
         if call.trial:
             ep.trial = False
 
--- a/rillspindle/send_monitor.py
+++ b/rillspindle/send_monitor.py
@@ -107,11 +107,11 @@
         if len(self._waits) > _MAX_WAITS:
             self._waits = {one: span for one, span in self._waits.items() if span[1] > now}
 
-    def restored(self, message: str, ran: Sequence[tuple[float, int]]) -> None:
+    def restored(self, message: str, maybe_ran: Sequence[tuple[float, int]]) -> None:
         """A previous process may have sent it at these times, in these zones."""
-        if ran:
-            first = min(at for at, _ in ran)
-            zones = frozenset(zone for _, zone in ran)
+        if maybe_ran:
+            first = min(at for at, _ in maybe_ran)
+            zones = frozenset(zone for _, zone in maybe_ran)
             self._messages[message] = _Attempts(may_have_run=True, first_at=first, zones=zones)
 
     def forget(self, message: str) -> None:
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -145,9 +145,8 @@
         hops.start(Call(NextHop("h1", HOST, brokers[1].port, entry), [item], now, now + 2))
         hops.start(Call(NextHop("h0", HOST, brokers[0].port, entry), [item], now, now + 2))
         await until(lambda: len(done) == 3)
-        assert (
-            done[2] == {} and len(brokers[0].calls) == 1
-        )  # no slot is free and no connection idle: not sent
+        # No slot is free and no connection idle, so the third call is not sent.
+        assert done[2] == {} and len(brokers[0].calls) == 1
         hops.close()
         for broker in brokers:
             await broker.stop()
