--- a/mountgauge/connections/connection.py
+++ b/mountgauge/connections/connection.py
@@ -82,7 +82,7 @@
         self._update_events()
 
     def stop_reading(self) -> None:
-        """Leave further bytes unread, so that the peer can tell that they were not processed."""
+        """Leave further bytes unread, so that the peer knows that they were not processed."""
         self._reading = Reading.EOF_ONLY
         self._update_events()
 
--- a/mountgauge/connections/front.py
+++ b/mountgauge/connections/front.py
@@ -82,7 +82,7 @@
         return True
 
     def reject_connection(self, connection: C, why: Rejection) -> None:
-        """Count the rejection and tell the client when to retry."""
+        """Count the rejection and send the client its retry delay."""
         self.counts["clients", "turned-away"] += 1
         if self.registry.sheds_load:
             self.counts["clients", f"turned-away-{why.value}"] += 1
--- a/mountgauge/console/service.py
+++ b/mountgauge/console/service.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger("mountgauge.console")
 
-_MISSING = (0, 0)  # stands for the size and time of a file that does not exist
+_MISSING = (0, 0)  # as the size and time of a file that does not exist
 _DRAIN_CHECK_INTERVAL_S = 0.05  # while waiting for the drain to end
 
 
--- a/mountgauge/core/drain_memory.py
+++ b/mountgauge/core/drain_memory.py
@@ -5,10 +5,10 @@
 `leaving` or `left`, or that a full list no longer contained, isn't active again until a version at least as
 new says so.
 
-Versions may also be restarted for good. A single list does not show whether that happened or the list is old,
-but an old list is soon followed by a newer one: what contradicts a drain for `WITHHELD_FOR_S` without a break
-is believed. No I/O, no clock: times are parameters, in seconds, and never go back. The cost of a call does
-not depend on how much is remembered.
+Versions may also be restarted permanently. A single list does not show whether that happened or the list is
+old, but an old list is soon followed by a newer one: what contradicts a drain for `WITHHELD_FOR_S` without a
+break is believed. No I/O, no clock: times are parameters, in seconds, and never go back. The cost of a call
+does not depend on how much is remembered.
 """
 
 from __future__ import annotations
--- a/mountgauge/core/files.py
+++ b/mountgauge/core/files.py
@@ -80,6 +80,6 @@
     try:
         write_all(files, file, content)
     finally:
-        with contextlib.suppress(OSError):  # it is closed even so
+        with contextlib.suppress(OSError):  # the descriptor is closed even if this fails
             files.close(file)
     files.replace(spare, path)
--- a/mountgauge/core/journal.py
+++ b/mountgauge/core/journal.py
@@ -133,7 +133,7 @@
             self._close(lock)
 
     def _close(self, file: int) -> None:
-        with contextlib.suppress(OSError):  # it is closed even so
+        with contextlib.suppress(OSError):  # the descriptor is closed even if this fails
             self._files.close(file)
 
     def _remove_if_possible(self, path: Path) -> None:
--- a/mountgauge/lab/rig/oracle.py
+++ b/mountgauge/lab/rig/oracle.py
@@ -9,7 +9,7 @@
 - `two-out`: no call with a message arrives while another call with it is in flight on an open connection.
 - `repeat`: an `at_most_once` message is not sent again once it may have run, a `deduplicated` one only
   within its repeat window.
-- `handed-back`: an `at_most_once` message whose client was told that submitting it again is harmless (by a
+- `handed-back`: an `at_most_once` message whose client was notified that a resubmission is harmless (by a
   rejection, or by the notice `deferred`) is never sent in a call that may run it, neither before nor after.
 - `attempts`: a message is sent in no more calls than the settings allow.
 - `wait`: a member that received a required wait sends nothing to that destination until the wait is over; a
@@ -227,7 +227,7 @@
         statuses = {one.fields["status"] for one in notices}
         if len(statuses) > 1 and not self._lost_after(member, min(one.at for one in notices)):
             self._report(
-                "ends", notices[-1].at, member, msg_id, f"told as {' and as '.join(sorted(statuses))}"
+                "ends", notices[-1].at, member, msg_id, f"reported as {' and as '.join(sorted(statuses))}"
             )
         if delivered:
             self.found.delivered += 1
@@ -257,7 +257,7 @@
     def _repeats(self, msg_id: str, calls: list[Call]) -> None:
         if (submitted := self.submitted.get(msg_id)) is None:
             call = calls[0]
-            self._report("unasked", call.at, call.member, msg_id, "nobody handed it in")
+            self._report("unasked", call.at, call.member, msg_id, "no client submitted it")
             return
         message_class = self.message_classes[submitted.fields["grade"]]
         ran: Call | None = None
@@ -286,7 +286,7 @@
         ran = next((call for call in calls if call.may_have_run), None)
         if reported_at is None or ran is None or self._lost_after(ran.member, submitted.at):
             return
-        why = f"told at {reported_at:.3f} that it may come again, but call {ran.number} may have run"
+        why = f"reported at {reported_at:.3f} as harmless to submit again, but call {ran.number} may have run"
         self._report("handed-back", max(reported_at, ran.at), ran.member, msg_id, why)
 
     def _starts(self, member: str) -> list[float]:
@@ -308,7 +308,7 @@
                 if began < call.at < ended - 0.005 and not any(
                     began - WAIT_SLACK_S < at <= call.at for at in starts[call.member]
                 ):
-                    why = f"told to wait until {ended:.3f}"
+                    why = f"required to wait until {ended:.3f}"
                     self._report("wait", call.at, call.member, call.id, why)
                     break
 
@@ -367,7 +367,7 @@
             elif event.kind == "call":
                 since, began = inactive_since.get((f["member"], f["endpoint"])), f.get("began", event.at)
                 if since is not None and began > since + DRAIN_GRACE_S + self.slack:
-                    why = f"{f['endpoint']} was told to leave {began - since:.3f} s before"
+                    why = f"{f['endpoint']} was listed as draining or removed {began - since:.3f} s before"
                     self._report("drain", event.at, f["member"], f["id"], why)
                     found.add(f["call"])
         return found
--- a/mountgauge/lab/rig/page.py
+++ b/mountgauge/lab/rig/page.py
@@ -161,10 +161,10 @@
     from jinja2 import Environment
 
     shown = [
-        ("served in 5 s", f"{figures['served_share_5s']:.0%}", "of what it could bear"),
+        ("served in 5 s", f"{figures['served_share_5s']:.0%}", "of its capacity"),
         ("refused in 5 s", f"{figures['refused_share']:.0%}", "of the calls"),
-        ("worst 100 ms", figures["peak_over_bearing_100ms"], "times what was borne"),
-        ("delivered", f"{figures['delivered']} of {figures['taken']}", "taken on"),
+        ("worst 100 ms", figures["peak_over_bearing_100ms"], "times the capacity"),
+        ("delivered", f"{figures['delivered']} of {figures['taken']}", "accepted"),
         ("latency p50 / p99", f"{figures['latency_s']['p50']:.2f} / {figures['latency_s']['p99']:.2f}", "s"),
         ("lost, doubled, stale", f"{figures['lost']}, {figures['doubled']}, {figures['stale_sends']}", ""),
     ]
--- a/mountgauge/lab/rig/schedule.py
+++ b/mountgauge/lab/rig/schedule.py
@@ -257,7 +257,7 @@
         raise ConfigError("partner: at least one is needed")
     dests, named = {one.dest for one in partners}, {one.name for one in message_classes}
     if len(dests) < len(partners):
-        raise ConfigError("partner.dest: stands twice")
+        raise ConfigError("partner.dest: a destination is listed twice")
     for index, one in enumerate(loads):
         if one.dest not in dests:
             raise ConfigError(f"load[{index}].dest: no partner has {one.dest}")
--- a/mountgauge/next_hops.py
+++ b/mountgauge/next_hops.py
@@ -36,7 +36,7 @@
 _IDLE_RANGE_BOUNDS_S = (0.05, 0.1, 0.2, 0.4, 0.8, 1.6)  # of the idle times that are counted separately
 _STALE_SHARE_GAIN = 1 / 16  # weight of the newest use in a range's share of stale connections
 _MAX_STALE_SHARE = 0.15  # above it a new connection costs less than the resets
-_RETRIED_EVERY = 16  # one in so many connections of a range above that share is reused all the same
+_RETRIED_EVERY = 16  # above that share, one in so many connections of a range is still reused
 
 
 class ReuseStatistics:
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -29,8 +29,8 @@
         super().__init__(folder)
         self.processes: list[asyncio.subprocess.Process] = []
 
-    async def start(self, _fds: int | None = None, **told: str) -> asyncio.subprocess.Process:
-        self.processes.append(process := await super().start(_fds, **told))
+    async def start(self, _fds: int | None = None, **env: str) -> asyncio.subprocess.Process:
+        self.processes.append(process := await super().start(_fds, **env))
         return process
 
     async def __aenter__(self) -> Self:
--- a/tests/lab/test_notified.py
+++ b/tests/lab/test_notified.py
@@ -298,7 +298,9 @@
 
 def test_the_oracle_reports_a_call_once_by_the_written_list() -> None:
     written = at(4.1, "told", version=2, full=True, states={"e1-0": "leaving", "e1-1": "active"})
-    assert drains(*STARTED, DRAINED, written, call(4.5)) == ["e1-0 was told to leave 0.400 s before"]
+    assert drains(*STARTED, DRAINED, written, call(4.5)) == [
+        "e1-0 was listed as draining or removed 0.400 s before"
+    ]
 
 
 def test_the_list_that_a_process_was_started_with_counts_as_notified() -> None:
