--- a/mountgauge/amqp/connection.py
+++ b/mountgauge/amqp/connection.py
@@ -123,8 +123,8 @@
         super().buffer_updated(nbytes)
         self._track_partial_message()
 
-    def more(self) -> None:
-        super().more()
+    def continue_reading(self) -> None:
+        super().continue_reading()
         self._track_partial_message()
         if (
             not self._frames_pending
@@ -142,7 +142,7 @@
     def _track_partial_message(self) -> None:
         """Set the deadline of a partially received message, and report its size to the front.
 
-        Such a message uses memory and a connection slot. The deadline is for the message as a total, since a
+        Such a message uses memory and a connection slot. The deadline is for the complete message, since a
         client could send single bytes for ever.
         """
         if self.state is State.CLOSED:
@@ -190,7 +190,7 @@
         )
 
     def _half_close(self) -> None:
-        """Close the sending side after the last frame; discard input until the peer closes, or for LINGER."""
+        """Close the sending side after the last frame; discard input for at most a second."""
         if self.transport is not None and not self.transport.is_closing():
             self.state = State.CLOSING
             self.discard_input()
--- a/mountgauge/clients/connection.py
+++ b/mountgauge/clients/connection.py
@@ -76,9 +76,8 @@
         self._read_paused = self._write_paused = False
         self._turn_queued = False  # commands are buffered for the connection's next turn
         self._reading = False  # commands are being read from the parser
-        self._drain: InputDiscarder | None = (
-            None  # discards what is received once commands can't be delimited
-        )
+        # Discards what is received once commands can't be delimited.
+        self._drain: InputDiscarder | None = None
         self._close_by = INFINITE  # set once the sending side is shut
         self._bad_requests = 0
         self._partial_since = INFINITE  # when the incomplete command began
@@ -131,7 +130,7 @@
         self._parser.feed(memoryview(_RECEIVE)[:nbytes])
         self._read()
 
-    def more(self) -> None:
+    def continue_reading(self) -> None:
         """Read further commands in the connection's turn."""
         self._turn_queued = False
         self._read()
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -45,7 +45,7 @@
         # Discovery has sent this process the full list, or confirmed the one that it was started with.
         self.list_received = False
         # Whether a message accepted now could neither be sent nor have its outcome reported.
-        self.cut_off: Callable[[], bool] = lambda: False
+        self.isolated: Callable[[], bool] = lambda: False
         self._policy, self._journal, self._table, self._pending = policy, journal, table, pending
         self._attempts, self._outcomes, self._counts, self._started = attempts, outcomes, counts, started
 
@@ -74,7 +74,7 @@
             return known
         if not send_guard.may_accept(bool(self._journal.unreadable), now - self._started):
             return MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
-        if self.cut_off():
+        if self.isolated():
             self._counts["refused", "cut-off"] += 1
             return MessageOutcome(Status.DEFERRED, _RETRY_AFTER_MS)
         scope = self._outcomes.scope
@@ -103,7 +103,7 @@
         if call_gate is None or (wait := call_gate.admit(submission.tenant)) <= 0:
             return None
         if self.gate is not None:
-            self.gate.give_back(submission.tenant)
+            self.gate.refund(submission.tenant)
         self._counts["refused", "budget"] += 1
         return MessageOutcome(Status.DEFERRED, math.ceil(min(wait, self.rules.max_retry_after) * 1000))
 
@@ -133,8 +133,8 @@
         message.finished = True
         self._outcomes.remove(message)
         if self.gate is not None:
-            self.gate.give_back(submission.tenant)
+            self.gate.refund(submission.tenant)
         if self._attempts.call_gate is not None:
-            self._attempts.call_gate.give_back(submission.tenant)
+            self._attempts.call_gate.refund(submission.tenant)
         self._counts["refused", outcome.status.value] += 1
         submission.answer(outcome)
--- a/mountgauge/core/config.py
+++ b/mountgauge/core/config.py
@@ -36,7 +36,7 @@
 
     def __init__(self, path: Path, error: OSError) -> None:
         super().__init__(f"{path}: {error.strerror}")
-        self.passing = error.errno in _TEMPORARY  # if not, waiting will not make it readable
+        self.temporary = error.errno in _TEMPORARY  # if not, waiting will not make it readable
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,9 +169,8 @@
     rules: Settings
     names: SettingNames
     conn_idle: float
-    listen_fd: int | None = (
-        None  # the clients' listening socket, which the platform keeps open across processes
-    )
+    # The clients' listening socket, which the platform keeps open across processes.
+    listen_fd: int | None = None
     console: Address | None = None  # for the operators' console
 
     @classmethod
--- a/mountgauge/file_map.py
+++ b/mountgauge/file_map.py
@@ -48,14 +48,14 @@
         """Return the fields of the state line: whether the list may be used, and the age of its evidence."""
         return self._lease_log.state(self._now() - self._lease.evidence_at)
 
-    def lease_ended(self, dest: int) -> LeaseEnd | None:
+    def lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Return why the list may not be used, or None if it may. A check that is late is made first."""
-        if self._lease.ended(self._now()) is not None:
+        if self._lease.end_reason(self._now()) is not None:
             self._read_if_changed()
-        ended = self._lease.ended(self._now())
-        self._lease_log.record(ended, self._now() - self._lease.evidence_at)
-        self._calls_held_back = self._calls_held_back or ended is not None
-        return ended
+        end_reason = self._lease.end_reason(self._now())
+        self._lease_log.record(end_reason, self._now() - self._lease.evidence_at)
+        self._calls_held_back = self._calls_held_back or end_reason is not None
+        return end_reason
 
     @staticmethod
     def _now() -> float:
@@ -91,7 +91,7 @@
 
     def _check(self) -> None:
         self._read_if_changed()
-        if self._calls_held_back and self._lease.ended(self._now()) is None:
+        if self._calls_held_back and self._lease.end_reason(self._now()) is None:
             self._calls_held_back = False
             self.on_lease_renewed()
 
@@ -122,7 +122,7 @@
         try:
             hops = load_hops(self._path, self._version + 1)
         except ConfigError as error:
-            again = isinstance(error, FileUnreadableError) and error.passing
+            again = isinstance(error, FileUnreadableError) and error.temporary
             log.warning("file-not-read", extra=kv(error=error, again=again))
             if again:
                 self._stamp = _NO_FILE  # read it again at the next check
--- a/mountgauge/operator_file.py
+++ b/mountgauge/operator_file.py
@@ -32,7 +32,7 @@
 _STATES = {"active": Readiness.READY, "leaving": Readiness.DRAINING}
 _PROTOCOLS = ("http", "amqp")
 _KIND = "next-hop"
-BUDGETS_DISK_BYTES = 512 * 1024  # for the file of promises: twice `budgets.files.REWRITE_ABOVE_BYTES`
+BUDGETS_DISK_BYTES = 512 * 1024  # for the file of grants: twice `budgets.files.REWRITE_ABOVE_BYTES`
 SHARDS_DISK_BYTES = 2 * 1024 * 1024  # for the file of the last shards: twice `relay.kept_list.MAX_BYTES`
 _SHARDED_SLOTS = 64  # with shards the number of next hops is not known beforehand
 _MIN_JOURNAL_BYTES = 512 * 1024  # of disk, which the other files must leave to the journal
@@ -298,7 +298,7 @@
         if address is None:
             raise ConfigError(f"{table.name}.addr: missing")
         if hop_id in protocols:
-            raise ConfigError(f"{table.name}.id: '{hop_id}' is used twice")
+            raise ConfigError(f"{table.name}.id: '{hop_id}' is listed twice")
         protocol = table.get("protocol", str, default="http")
         if protocol not in _PROTOCOLS:
             raise ConfigError(f"{table.name}.protocol: not one of {', '.join(_PROTOCOLS)}")
--- a/mountgauge/platform/discovery.py
+++ b/mountgauge/platform/discovery.py
@@ -90,10 +90,10 @@
         self._watch.move(self._now())
         self.watch(True)
 
-    def retune(self, names: SettingNames, bounds: WatchBounds) -> None:
+    def apply_settings(self, names: SettingNames, bounds: WatchBounds) -> None:
         """Apply new settings."""
         self._names = names
-        self._watch.retune(bounds, self._now())
+        self._watch.apply_settings(bounds, self._now())
         self._step()
 
     def close(self) -> None:
@@ -109,33 +109,33 @@
     def state(self) -> Mapping[str, Any]:
         """Return the fields of the state line: the age of the list, and the calls in flight."""
         now, open_calls = self._now(), self._watch.open_calls
-        self.lease_ended()
+        self.lease_end_reason()
         return {
             **self._lease.state(self._watch.list_age_s(now)),
             "list_calls_out": len(open_calls),
             "list_call_oldest_s": round(now - open_calls[0].made_at, 3) if open_calls else 0.0,
         }
 
-    def lease_ended(self) -> LeaseEnd | None:
+    def lease_end_reason(self) -> LeaseEnd | None:
         """Return why the list may not be used now, or None if it may be."""
         now = self._now()
         # Evaluated in any case, as it also records when a socket was last found empty.
         exchange_end = self._exchange_lease_end()
-        ended = self._watch.lease_ended(now) or exchange_end
-        self._lease.record(ended, self._watch.list_age_s(now))
-        return ended
+        end_reason = self._watch.lease_end_reason(now) or exchange_end
+        self._lease.record(end_reason, self._watch.list_age_s(now))
+        return end_reason
 
-    def cut_off(self) -> bool:
+    def isolated(self) -> bool:
         """Whether the network to the platform is cut, so that a message accepted now could neither be sent
         nor be reported as undelivered.
         """
-        return self._watch.cut_off(self._now())
+        return self._watch.isolated(self._now())
 
     def _exchange_lease_end(self) -> LeaseEnd | None:
         if any([exchange.answer_pending for exchange in self._exchanges.values()]):
             return LeaseEnd.ANSWER_UNREAD
         if any(exchange.request_unsent for exchange in self._exchanges.values()):
-            return LeaseEnd.NOT_ASKED
+            return LeaseEnd.NO_REQUEST
         return None
 
     # Events of the exchanges
@@ -236,7 +236,7 @@
         self._calls.failed(call, failure, detail)
         self._report_failure(call, failure)
         self._watch.failed(call, failure, self._now())
-        failures, lease = self._watch.failures, self._watch.lease_ended(self._now()) or "valid"
+        failures, lease = self._watch.failures, self._watch.lease_end_reason(self._now()) or "valid"
         log.warning(
             "watch-failed", extra=kv(kind=failure.value, error=detail, failures=failures, lease=lease)
         )
--- a/mountgauge/platform/watch.py
+++ b/mountgauge/platform/watch.py
@@ -104,16 +104,16 @@
         """The age of the newest evidence for the list; infinite if there is none."""
         return now - self._lease.evidence_at
 
-    def lease_ended(self, now: float) -> LeaseEnd | None:
+    def lease_end_reason(self, now: float) -> LeaseEnd | None:
         """Return why the list may not be used now, or None if it may be."""
-        return self._lease.ended(now)
+        return self._lease.end_reason(now)
 
-    def cut_off(self, now: float) -> bool:
+    def isolated(self, now: float) -> bool:
         """Whether the lease has ended and no connection can be established: then nothing may be sent, and no
         outcome can be reported to the platform either.
         """
         unreachable = self._since_answer.unreachable_since is not None
-        return unreachable and self._lease.ended(now) is not None
+        return unreachable and self._lease.end_reason(now) is not None
 
     def start(self, now: float) -> None:
         """Start watching; does nothing if the watch is on."""
@@ -129,7 +129,7 @@
         self._next_at = inf
         self._drop(self._open, DropReason.STOPPED, now)
 
-    def retune(self, bounds: WatchBounds, now: float) -> None:
+    def apply_settings(self, bounds: WatchBounds, now: float) -> None:
         """Apply new settings; a watch whose wait is too long for them is followed by another call in time."""
         self.bounds = bounds
         self._lease.terms = bounds.lease
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -24,7 +24,7 @@
 
 # Between two checks whether waiting calls may be sent: for new evidence, or while an answer is being read.
 RECHECK_S, READ_RECHECK_S = 0.02, 0.005
-_BRIEF_LEASE_ENDS = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NOT_ASKED)
+_BRIEF_LEASE_ENDS = (LeaseEnd.ANSWER_UNREAD, LeaseEnd.NO_REQUEST)
 _RESTART_ONLY = ("listen", "state", "limits")  # settings that a running process cannot change
 
 
@@ -42,8 +42,8 @@
         bounds = WatchBounds.of(rules)
         self.discovery = TransportMap(self.sender, config.discovery, names, bounds, random, self._evidence)
         self._recheck: asyncio.TimerHandle | None = None
-        self.sender.list_lease = self._lease_ended
-        self.sender.admission.cut_off = self.discovery.cut_off
+        self.sender.list_lease = self._lease_end_reason
+        self.sender.admission.isolated = self.discovery.isolated
         self.map = self.discovery
         self.registry = Registry(platform_settings(clients))
         deadlines = [grade.deadline for grade in rules.message_classes]
@@ -55,13 +55,13 @@
         self.add_console(self.front)
         self.attach_peers()
 
-    def _lease_ended(self, dest: int) -> LeaseEnd | None:
+    def _lease_end_reason(self, dest: int) -> LeaseEnd | None:
         """Why the list allows no call at present, if so; waiting calls are then retried soon."""
-        ended = self.discovery.lease_ended()
-        if ended is not None and self._recheck is None:
-            pause_s = READ_RECHECK_S if ended in _BRIEF_LEASE_ENDS else RECHECK_S
+        end_reason = self.discovery.lease_end_reason()
+        if end_reason is not None and self._recheck is None:
+            pause_s = READ_RECHECK_S if end_reason in _BRIEF_LEASE_ENDS else RECHECK_S
             self._recheck = asyncio.get_running_loop().call_later(pause_s, self._release)
-        return ended
+        return end_reason
 
     def _release(self) -> None:
         self._recheck = None
@@ -80,7 +80,7 @@
             self.discovery.move(config.discovery)
         if config.settings != old.settings:
             self.sender.apply_settings(config.rules, config.names)
-            self.discovery.retune(config.names, WatchBounds.of(config.rules))
+            self.discovery.apply_settings(config.names, WatchBounds.of(config.rules))
             self._evidence.apply_settings(config.rules)
             self.front.set_classes(
                 config.names.grades, [grade.deadline for grade in config.rules.message_classes]
