--- a/mountgauge/amqp/next_hops.py
+++ b/mountgauge/amqp/next_hops.py
@@ -310,7 +310,7 @@
             open_call.tags[channel.last_tag] = item
             properties = {
                 "message_id": item.id,
-                "type": item.grade,
+                "type": item.class_name,
                 "delivery_mode": 2,
                 "expiration": str(
                     max(1, math.floor((min(item.expires, open_call.call.times_out_at) - now) * 1000))
--- a/mountgauge/core/admission.py
+++ b/mountgauge/core/admission.py
@@ -109,9 +109,15 @@
 
     def stored(self, submission: Submission, expires: float) -> StoredMessage:
         """The message as recorded in the journal; `expires` is on the sender's clock."""
-        until, grade = self._journal.time.of(expires), self.names.grades[submission.grade]
+        until, class_name = self._journal.time.of(expires), self.names.class_names[submission.message_class]
         return StoredMessage(
-            submission.id, grade, until, submission.dest, submission.key, submission.front, submission.body
+            submission.id,
+            class_name,
+            until,
+            submission.dest,
+            submission.key,
+            submission.front,
+            submission.body,
         )
 
     def accept(self, submission: Submission, message: PendingMessage) -> bool:
--- a/mountgauge/core/attempts.py
+++ b/mountgauge/core/attempts.py
@@ -99,7 +99,7 @@
             return
         stored = message.stored
         item = CallItem(
-            message.number, send_no, stored.id, stored.key, stored.grade, stored.body, message.expires
+            message.number, send_no, stored.id, stored.key, stored.class_name, stored.body, message.expires
         )
         times_out_at = now + max(0.0, action.timeout)
         if (full := calls.full(hop)) is not None:
@@ -208,7 +208,10 @@
         if complete and call.lease is not None:
             messages = [
                 SentMessage(
-                    item.id, self.state.grades.get(item.grade), item.expires, item.id in self._journal.live
+                    item.id,
+                    self.state.message_classes.get(item.class_name),
+                    item.expires,
+                    item.id in self._journal.live,
                 )
                 for item in call.sent
             ]
--- a/mountgauge/core/config.py
+++ b/mountgauge/core/config.py
@@ -76,7 +76,7 @@
 class SettingNames:
     """Names in the settings that are numbers in the decision module."""
 
-    grades: tuple[str, ...]
+    class_names: tuple[str, ...]
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
 
--- a/mountgauge/core/journal_records.py
+++ b/mountgauge/core/journal_records.py
@@ -31,7 +31,7 @@
     """An accepted message that has not finished. Times are in the time base of this process."""
 
     id: str
-    grade: str
+    class_name: str
     expires: float
     dest: int
     key: str
@@ -47,7 +47,7 @@
         notice = [self.notice.status, self.notice.retry_after_ms] if self.notice else None
         head = [
             self.id,
-            self.grade,
+            self.class_name,
             self.expires,
             self.dest,
             self.key,
@@ -154,12 +154,14 @@
             stored.notice = MessageOutcome(Status(head[1]), head[2])
 
     def _add(self, head: list[Any], body: bytes) -> None:
-        msg_id, grade, expires, dest, key, front, attempts, ran, notice = head
+        msg_id, class_name, expires, dest, key, front, attempts, ran, notice = head
         if msg_id in self.outcomes:  # an outdated copy, from a journal that was adopted twice
             return
         unreported = MessageOutcome(Status(notice[0]), notice[1]) if notice else None
         times = [(float(at), int(zone)) for at, zone in ran]
-        stored = StoredMessage(msg_id, grade, expires, dest, key, front, body, attempts, times, unreported)
+        stored = StoredMessage(
+            msg_id, class_name, expires, dest, key, front, body, attempts, times, unreported
+        )
         if msg_id in self.live:
             self.live[msg_id].merge(stored)
         else:
--- a/mountgauge/core/ports.py
+++ b/mountgauge/core/ports.py
@@ -41,7 +41,7 @@
     """A message that a client submits, and the callback that answers the client."""
 
     id: str
-    grade: int  # index of its message class
+    message_class: int  # index of its message class
     remaining_s: float  # time left for delivery
     dest: int
     key: str
@@ -69,7 +69,7 @@
     send_no: int
     id: str
     key: str
-    grade: str
+    class_name: str
     body: bytes
     expires: float
     reported: bool = False
--- a/mountgauge/core/restore.py
+++ b/mountgauge/core/restore.py
@@ -18,7 +18,7 @@
     """The outcome of a message whose class is no longer in the settings, so that its repeat rule is unknown:
     deferred only if it certainly has not run. None if the class is known, or an outcome is on record.
     """
-    if stored.grade in names.grades or stored.notice is not None:
+    if stored.class_name in names.class_names or stored.notice is not None:
         return None
     return MessageOutcome(Status.UNDELIVERABLE if stored.ran else Status.DEFERRED)
 
@@ -32,13 +32,13 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def add(self, message: PendingMessage, grade: int, time: ProcessTime) -> None:
+    def add(self, message: PendingMessage, message_class: int, time: ProcessTime) -> None:
         """`time` converts the journal's times to the sender's clock."""
         stored = message.stored
         message.issued = stored.attempts
         ran = tuple((time.monotonic(at), zone) for at, zone in stored.ran)
         self._waiting.append(
-            Restored(message.number, message.expires, stored.dest, grade, stored.attempts, ran)
+            Restored(message.number, message.expires, stored.dest, message_class, stored.attempts, ran)
         )
 
     def take(self) -> list[Restored]:
--- a/mountgauge/core/send_state.py
+++ b/mountgauge/core/send_state.py
@@ -24,7 +24,7 @@
         self, rules: io.Settings, table: HopTable, journal: Journal, pending: PendingMessages, waits: Waits
     ) -> None:
         self.rules = rules
-        self.grades: Mapping[str, io.MessageClass] = {}  # message classes by name
+        self.message_classes: Mapping[str, io.MessageClass] = {}  # message classes by name
         self.list_lease: LeaseCheck | None = None  # of the source of lists; None if lists need no lease
         self.stopped = False  # nothing new is sent
         self._table, self._journal, self._pending, self._waits = table, journal, pending, waits
@@ -58,7 +58,7 @@
             return MessageState(item.expires, None, (), finished=True)
         return MessageState(
             item.expires,
-            self.grades.get(item.grade),
+            self.message_classes.get(item.class_name),
             self.ran(item.number),
             message.finished or item.reported,
             item.id in self._journal.live,
@@ -79,6 +79,6 @@
         return min(call.times_out_at, max(latest))
 
     def _repeat_until(self, call: Call, item: CallItem) -> float:
-        grade = self.grades.get(item.grade)
-        until = send_guard.repeat_until(grade, self.ran(item.number), call.hop.entry.zone)
+        message_class = self.message_classes.get(item.class_name)
+        until = send_guard.repeat_until(message_class, self.ran(item.number), call.hop.entry.zone)
         return -math.inf if isinstance(until, Refusal) else until
--- a/mountgauge/core/sender.py
+++ b/mountgauge/core/sender.py
@@ -78,7 +78,7 @@
         self.counts: Counter[tuple[str, str]] = Counter()  # for metrics, by kind and label
         self.monitor = SendMonitor(self.rules.drain_grace, _log_violation)
         state = SendState(self.rules, self.table, journal, self.pending, self.waits)
-        state.grades = dict(zip(names.grades, self.rules.message_classes, strict=False))
+        state.message_classes = dict(zip(names.class_names, self.rules.message_classes, strict=False))
         self.outcomes = MessageOutcomes(
             journal, self.pending, fronts, self.counts, state, self.monitor, clock.now
         )
@@ -229,7 +229,7 @@
             elif (outcome := outcome_without_class(stored, self.names)) is not None:
                 self.outcomes.abandon(message, outcome)
             else:
-                self._backlog.add(message, self.names.grades.index(stored.grade), self.journal.time)
+                self._backlog.add(message, self.names.class_names.index(stored.class_name), self.journal.time)
         if messages:
             log.info("restored", extra=kv(messages=len(messages), cut_bytes=self.journal.truncated_bytes))
         self._schedule_turn()
@@ -339,7 +339,9 @@
         self.policy.settings = self.rules = self.attempts.state.rules = self.admission.rules = rules
         self.table.balancers = rules.balancers
         self.names = self.admission.names = names
-        self.attempts.state.grades = dict(zip(names.grades, rules.message_classes, strict=False))
+        self.attempts.state.message_classes = dict(
+            zip(names.class_names, rules.message_classes, strict=False)
+        )
         self.monitor.drain_grace_s = rules.drain_grace
 
     def set_detached(self, detached: set[str]) -> None:
@@ -415,7 +417,9 @@
                 self._schedule_turn()
             elif (message := self._admit_submission(one, now)) is not None:
                 fresh[message.number] = one, message
-                event = io.Incoming(message.number, 0, message.expires, 0, 0.0, one.dest, one.grade, 0)
+                event = io.Incoming(
+                    message.number, 0, message.expires, 0, 0.0, one.dest, one.message_class, 0
+                )
                 actions += self._decide(event, now)
         self._answer(fresh, actions)
         self._carry_out(actions, now)
--- a/mountgauge/run/operator.py
+++ b/mountgauge/run/operator.py
@@ -179,17 +179,17 @@
         most_clients, _ = shares(self.config.limits.sockets, rules.workers)
         self.registry = Registry(replace(settings, most=min(settings.most, most_clients)))
         if operator.resp is not None:
-            deadlines = [grade.deadline for grade in rules.message_classes]
+            deadlines = [message_class.deadline for message_class in rules.message_classes]
             resp = Clients(
-                self.sender.submit, names.grades, settings.most_resp, deadlines=deadlines,
+                self.sender.submit, names.class_names, settings.most_resp, deadlines=deadlines,
                 access=operator.access, registry=self.registry,
             )  # fmt: skip
             self.listeners.append((resp, operator.resp))
             self.add_console(resp)
         if operator.amqp is not None:
             amqp = AmqpClients(
-                self.sender.submit, names.grades, rules.message_classes, settings.most_amqp, operator.access,
-                operator.amqp.heartbeat, operator.amqp.exchange, self.registry,
+                self.sender.submit, names.class_names, rules.message_classes, settings.most_amqp,
+                operator.access, operator.amqp.heartbeat, operator.amqp.exchange, self.registry,
             )  # fmt: skip
             self.fronts["amqp"] = amqp
             self.listeners.append((amqp, operator.amqp.listen))
--- a/mountgauge/run/platform.py
+++ b/mountgauge/run/platform.py
@@ -46,9 +46,9 @@
         self.sender.admission.cut_off = self.discovery.cut_off
         self.map = self.discovery
         self.registry = Registry(platform_settings(clients))
-        deadlines = [grade.deadline for grade in rules.message_classes]
+        deadlines = [message_class.deadline for message_class in rules.message_classes]
         self.front = Clients(
-            self.sender.submit, names.grades, clients, deadlines=deadlines, registry=self.registry
+            self.sender.submit, names.class_names, clients, deadlines=deadlines, registry=self.registry
         )
         self.front.inherited = config.listen_fd
         self.listeners.append((self.front, config.listen))
@@ -83,9 +83,10 @@
             self.discovery.retune(config.names, WatchBounds.of(config.rules))
             self._evidence.apply_settings(config.rules)
             self.front.set_classes(
-                config.names.grades, [grade.deadline for grade in config.rules.message_classes]
+                config.names.class_names,
+                [message_class.deadline for message_class in config.rules.message_classes],
             )
-            classes, attempts = ",".join(config.names.grades), config.rules.attempts_cap
+            classes, attempts = ",".join(config.names.class_names), config.rules.attempts_cap
             log.info("retuned", extra=kv(classes=classes, attempts=attempts))
         needs = [name for name in _RESTART_ONLY if getattr(config, name) != getattr(old, name)]
         for subsystem in self.subsystems:
--- a/mountgauge/run/recovery.py
+++ b/mountgauge/run/recovery.py
@@ -246,7 +246,7 @@
         now, wall, policy = stamp.monotonic, stamp.wall, sender.policy
         rules, origin = sender.rules, self.identity.id
         lasts = wall + bounds.fact_lifetime(
-            max(grade.deadline for grade in rules.message_classes), rules.cold
+            max(message_class.deadline for message_class in rules.message_classes), rules.cold
         )
         found = [Fact("list", "", sender.version, wall, origin, wall + 86_400)] if sender.version >= 0 else []
         for dest in policy.destinations.values():
--- a/tests/crossings/test_records.py
+++ b/tests/crossings/test_records.py
@@ -89,7 +89,7 @@
     """Another process on the folder has sent the message that is pending here, and has ended."""
     other = Journal(bench.journal.folder, 1_000_000, clock=bench)
     one = bench.journal.live["a"]
-    other.accept(StoredMessage("a", one.grade, one.expires, one.dest, one.key, one.front, one.body))
+    other.accept(StoredMessage("a", one.class_name, one.expires, one.dest, one.key, one.front, one.body))
     other.attempt(["a"], bench.journal.time.of(bench.time), 0)
     if finished:
         other.finish("a", MessageOutcome(Status.DELIVERED))
--- a/tests/test_product.py
+++ b/tests/test_product.py
@@ -331,4 +331,4 @@
     file.write_text(FILE + '[otlp]\nendpoint = "http://127.0.0.1:4318"\n')
     operator = load(file)
     assert operator.otlp is not None and operator.otlp.path == "/v1/metrics"
-    assert operator.hops.protocols == {"h": "http"} and operator.config.names.grades == ("note",)
+    assert operator.hops.protocols == {"h": "http"} and operator.config.names.class_names == ("note",)
