--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -82,7 +82,7 @@
         """Submit one message of a client; None if it is accepted, else s until a retry makes sense."""
         retry_after_s = self.admission.admit(tenant, self.now)
         if retry_after_s is None:
-            self.admission.taken(tenant)
+            self.admission.count_accepted(tenant)
             self.accepted[tenant] += 1
             self.world.accepted[tenant] += 1
         else:
--- a/mountgauge/tenants/admission.py
+++ b/mountgauge/tenants/admission.py
@@ -89,7 +89,7 @@
         if (bucket := self.buckets.get(self._index(tenant))) is not None:
             bucket.give_back()
 
-    def taken(self, tenant: str) -> None:
+    def count_accepted(self, tenant: str) -> None:
         """Count a message that was accepted."""
         index = self._index(tenant)
         self.pending[index] = self.pending.get(index, 0) + 1
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -109,7 +109,7 @@
         self.admission.give_back(tenant)
 
     def accepted(self, tenant: str) -> None:
-        self.admission.taken(tenant)
+        self.admission.count_accepted(tenant)
 
     def peers(self) -> Peers | None:
         """The other members, for the recovery of this one; None without a fleet."""
