--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -112,7 +112,7 @@
             ]  # fmt: skip
             disk.past = {k: n for k, n in zip(counts.keys, counts.past, strict=True) if n}
             disk.folded = list(counts.folded.items())
-            disk.past_name = (counts.past_id, counts.past_lives)
+            disk.past_name = (counts.past_id, counts.folded_count)
             self.fleet.replicas_changed = False
 
     def _flush(self) -> None:
--- a/mountgauge/tenants/admission.py
+++ b/mountgauge/tenants/admission.py
@@ -234,7 +234,7 @@
             "unjoined": gap,
             "conflicts": sorted(fleet.members.conflicts()),
             "members": [self._member(member, now) for member in fleet.members.all.values()],
-            "folded_lives": self.counts.past_lives,
+            "folded_lives": self.counts.folded_count,
             "gossip": {
                 "sent": fleet.sent, "sent_bytes": fleet.sent_bytes, "received": fleet.received,
                 "received_bytes": fleet.received_bytes, "dropped": dict(fleet.dropped),
--- a/mountgauge/tenants/counts.py
+++ b/mountgauge/tenants/counts.py
@@ -118,7 +118,7 @@
         self.past = [0] * len(self.keys)
         self.folded: OrderedDict[int, Mark] = OrderedDict()
         self.past_id = 0  # exclusive or of the identifiers of the folded incarnations
-        self.past_lives = 0  # number of folded incarnations
+        self.folded_count = 0  # folded incarnations, also those whose identifiers were dropped
         self.total = [0] * len(self.keys)  # all incarnations and the past, by tenant
         self.quota_total = [0] * len(self.keys)  # as `total`, without counts that were reported late
         self.over_limit = 0
@@ -248,7 +248,7 @@
         self.folded.clear()
         self.past = [0] * len(self.keys)
         self.total = [0] * len(self.keys)
-        self.past_id = self.past_lives = 0
+        self.past_id = self.folded_count = 0
 
     # Incarnations that ended
 
@@ -263,7 +263,7 @@
     def _record_folded(self, id: int, mark: Mark) -> None:
         self.folded[id] = mark
         self.past_id ^= id
-        self.past_lives += 1
+        self.folded_count += 1
         if len(self.folded) > MAX_FOLDED:
             self.folded.popitem(last=False)
 
@@ -273,7 +273,7 @@
         Returns False, with nothing changed, if this replica has folded an incarnation that the other has not.
         """
         names = {one for one, _ in folded}
-        if not set(self.folded) <= names or lives < self.past_lives:
+        if not set(self.folded) <= names or lives < self.folded_count:
             return False
         for one in names & set(self.incarnations):
             if one == self.own.id:
@@ -285,7 +285,7 @@
             if index is not None:
                 self.past[index] = count
         self.folded = OrderedDict(folded)
-        self.past_lives, self.past_id = lives, id
+        self.folded_count, self.past_id = lives, id
         self.total = [
             self.past[i] + sum(incarnation.count[i] for incarnation in self.incarnations.values())
             for i in range(len(self.keys))
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -180,7 +180,7 @@
                 name=self.me.name, life=self.me.life, boot=self.me.boot, run=self.me.run, seq=self._seq,
                 beat=self.members.me.beat, left=self.leaving, echo_run=echo.run, echo_seq=echo.seq,
                 echo_ms=echo.ms, past=self.counts.past_id,
-                past_lives=self.counts.past_lives, here=len(self.members.present),
+                past_lives=self.counts.folded_count, here=len(self.members.present),
                 want=self._pages.want(contact, now), words=digests, deltas=deltas or [], tombs=tombs,
                 page=page, phase=self.phase,
             ))  # fmt: skip
--- a/mountgauge/tenants/gossip/pages.py
+++ b/mountgauge/tenants/gossip/pages.py
@@ -44,9 +44,9 @@
     def want(self, contact: Contact | None, now: float) -> tuple[int, int] | None:
         """The contact's past and the first page to request, if it is ahead and folding does not catch up."""
         counts = self._state.counts
-        if contact is None or contact.past[1] <= counts.past_lives or contact.past[0] == counts.past_id:
+        if contact is None or contact.past[1] <= counts.folded_count or contact.past[0] == counts.past_id:
             return None
-        if counts.past_lives and now - contact.past_ahead_since < _ASK_AFTER_S:
+        if counts.folded_count and now - contact.past_ahead_since < _ASK_AFTER_S:
             return None
         past = contact.past[0]
         received = self._received if any(p.past == past for p in self._received.values()) else {}
@@ -65,7 +65,7 @@
         for number in range(first, min(pages, first + _MAX_PAGES_PER_REPLY)):
             on_page = lines[number * _LINES_PER_PAGE : (number + 1) * _LINES_PER_PAGE]
             found.append(Page(
-                past, counts.past_lives, number, pages,
+                past, counts.folded_count, number, pages,
                 [(one[0], one[1]) for one in on_page if len(one) == 2],
                 [(one[0], one[1], one[2]) for one in on_page if len(one) == 3],
             ))  # fmt: skip
@@ -74,7 +74,7 @@
     def receive(self, page: Page) -> None:
         """Store a page; with the last missing one the past is adopted."""
         counts = self._state.counts
-        if page.lives <= counts.past_lives:
+        if page.lives <= counts.folded_count:
             return
         if any(other.past != page.past for other in self._received.values()):
             self._received = {}
--- a/mountgauge/tenants/store.py
+++ b/mountgauge/tenants/store.py
@@ -179,7 +179,7 @@
                 "insert into folded (life, version, mark) values (?, ?, ?)",
                 [(one, mark.version, str(mark.check)) for one, mark in counts.folded.items()],
             )
-            self._db.execute("insert into past_name values (?, ?)", (counts.past_id, counts.past_lives))
+            self._db.execute("insert into past_name values (?, ?)", (counts.past_id, counts.folded_count))
 
         return self._write(write)
 
--- a/tests/tenants/test_counts.py
+++ b/tests/tenants/test_counts.py
@@ -146,16 +146,16 @@
             replica.fold(life)
         assert replica.total == total and set(replica.incarnations) == {9}
         assert dict(replica.folded) == {i: marks[i] for i in order}
-        pasts.append((replica.past_id, replica.past_lives, replica.past))
+        pasts.append((replica.past_id, replica.folded_count, replica.past))
         newcomer = counts(10)
         newcomer.join(*deltas(counts(1), [(0, 999)])[0])  # holds one of them in part
         sums = dict(zip(replica.keys, replica.past, strict=True))
-        assert newcomer.adopt(sums, list(replica.folded.items()), replica.past_lives, replica.past_id)
+        assert newcomer.adopt(sums, list(replica.folded.items()), replica.folded_count, replica.past_id)
         assert newcomer.total == total and newcomer.incarnation(1) is None  # it cannot be added a second time
         other = counts(11)
         other.incarnation(77, "x")
         other.fold(77)  # an incarnation that the first has not folded: neither past contains the other
-        assert not other.adopt(sums, list(replica.folded.items()), replica.past_lives, replica.past_id)
+        assert not other.adopt(sums, list(replica.folded.items()), replica.folded_count, replica.past_id)
     assert all(one == pasts[0] for one in pasts)
 
 
--- a/tests/tenants/test_fleet.py
+++ b/tests/tenants/test_fleet.py
@@ -227,7 +227,7 @@
     assert len(used) == 1 and 0 <= world.accepted["b"] - max(used) <= 8 * (30 / 6 * 1.5 + 3)
     for node in world.up:
         assert len(node.admission.counts.incarnations) <= 4 + 2 + 1 and len(node.fleet.contacts) <= 8
-        assert node.admission.counts.past_lives >= 20 and not node.fleet.diverged
+        assert node.admission.counts.folded_count >= 20 and not node.fleet.diverged
     newcomer = world.start("late", ("10.0.2.0", 1))
     world.until(270)
     assert {newcomer.used("b")} == used
