--- a/mountgauge/tenants/gossip/deltas.py
+++ b/mountgauge/tenants/gossip/deltas.py
@@ -127,7 +127,7 @@
         """Merge the changes of a datagram."""
         state = self._state
         for delta in deltas:
-            if delta.life == state.me.life and delta.upto > state.counts.own.version:
+            if delta.life == state.me.incarnation and delta.upto > state.counts.own.version:
                 state.request_new_incarnation("peers hold more counts than the file", outdated=True)
             entries = [Entry(*line) for line in delta.lines]
             state.counts.join(delta.life, delta.name, delta.after, delta.upto, entries)
@@ -138,7 +138,7 @@
     def observe(self, contact: Contact, digest: MemberDigest, now: float) -> bool:
         """Apply the contact's digest of a member. Returns whether it lacks counts that may be sent to it."""
         state = self._state
-        if digest.life == state.me.life:
+        if digest.life == state.me.incarnation:
             if digest.version > state.counts.own.version or digest.boot > state.me.boot:
                 state.request_new_incarnation("peers hold more counts than the file", outdated=True)
         elif digest.life in state.counts.folded:
--- a/mountgauge/tenants/gossip/folding.py
+++ b/mountgauge/tenants/gossip/folding.py
@@ -63,7 +63,7 @@
     def observe(self, contact: Contact, incarnation: int, mark: Mark, now: float) -> None:
         """Apply the contact's notice that it has folded an incarnation."""
         state = self._state
-        if incarnation == state.me.life:
+        if incarnation == state.me.incarnation:
             state.handle_folded_self(exact=mark == state.counts.own.mark)
             return
         if incarnation in state.counts.incarnations:
--- a/mountgauge/tenants/gossip/membership.py
+++ b/mountgauge/tenants/gossip/membership.py
@@ -25,7 +25,7 @@
         self._round_robin: list[UdpAddress] = []  # addresses that this pass over the peers has not used yet
         self._own_addresses: set[UdpAddress] = set()  # listed addresses that reach this member itself
         for incarnation in state.counts.incarnations.values():  # restored from the file, not yet reported
-            if incarnation.id != state.me.life:
+            if incarnation.id != state.me.incarnation:
                 member = state.members.observe(incarnation.id, incarnation.name or "?", 0, 0, False, now)
                 if member is not None:
                     member.beat_seen_at = now
@@ -94,7 +94,7 @@
     def contact_of(self, datagram: Datagram, source: UdpAddress, now: float) -> Contact:
         """The contact that sent a datagram; RefusedDatagramError if the datagram must be dropped."""
         state = self._state
-        if datagram.life == state.me.life:
+        if datagram.life == state.me.incarnation:
             self._reject_own_incarnation(datagram)
         contact = state.contacts.get(datagram.life)
         member = state.members.all.get(datagram.life)
@@ -137,7 +137,7 @@
             raise RefusedDatagramError("too-many")
         # After a long split each side has folded the other's incarnations: the smaller side starts new ones.
         own = len(state.members.present), state.counts.past_id
-        if (datagram.here, datagram.past) > own and any(t[0] == state.me.life for t in datagram.tombs):
+        if (datagram.here, datagram.past) > own and any(t[0] == state.me.incarnation for t in datagram.tombs):
             state.handle_folded_self(exact=False)
         raise FoldedIncarnationError(
             Contact(datagram.life, last_received=(datagram.run, datagram.seq, now), tombs={datagram.life})
@@ -162,11 +162,11 @@
         """
         state = self._state
         for contact in state.contacts.values():
-            member = state.members.all.get(contact.life)
-            if contact.life == datagram.life or member is None or member.name != datagram.name:
+            member = state.members.all.get(contact.incarnation)
+            if contact.incarnation == datagram.life or member is None or member.name != datagram.name:
                 continue
             if contact.source_address == source and Members.is_present(member):
-                state.members.mark_replaced(contact.life, now)
+                state.members.mark_replaced(contact.incarnation, now)
                 state.replicas_changed = True
 
     def process_echo(self, contact: Contact, datagram: Datagram, now: float) -> None:
@@ -188,7 +188,7 @@
     def digests(self, max_bytes: int, contact: Contact | None) -> list[MemberDigest]:
         """Digests of the sender, of the receiver, and of as many others as fit, in random order."""
         state = self._state
-        receiver = contact.life if contact is not None else 0
+        receiver = contact.incarnation if contact is not None else 0
         others = [m for m in state.members.all.values() if m is not state.members.me]
         state.rng.shuffle(others)
         # Those that ended come first: they do not report themselves any more.
--- a/mountgauge/tenants/gossip/node.py
+++ b/mountgauge/tenants/gossip/node.py
@@ -98,8 +98,8 @@
         if datagram.page is not None:
             self._pages.receive(datagram.page)
         lacking = [digest.life for digest in datagram.words if self._deltas.observe(contact, digest, now)]
-        if self.me.life in lacking and len(contact.in_flight.get(self.me.life, ())) > 0:
-            lacking.remove(self.me.life)  # each round pushes the own new counts
+        if self.me.incarnation in lacking and len(contact.in_flight.get(self.me.incarnation, ())) > 0:
+            lacking.remove(self.me.incarnation)  # each round pushes the own new counts
         address = contact.listed_address or source
         pages = self._pages.answer(datagram.want) if datagram.want is not None else []
         out = [self._datagram(contact, address, now, page=page) for page in pages]
@@ -150,7 +150,7 @@
         contact = self._membership.contact_at(address)
         if contact is None:
             return [self._datagram(None, address, now)]
-        own, mark = self.counts.own, contact.marks.get(self.me.life, Mark(0, 0))
+        own, mark = self.counts.own, contact.marks.get(self.me.incarnation, Mark(0, 0))
         lacking = [own.id] if mark.version < own.version else []
         out = self._send_deltas(contact, address, lacking, now, _MAX_PUSH_DATAGRAMS)
         return out or [self._datagram(contact, address, now)]
@@ -177,9 +177,9 @@
         digests = [] if page is not None else self._membership.digests(digest_bytes, contact)
         while True:
             data = self.seal.encode(Datagram(
-                name=self.me.name, life=self.me.life, boot=self.me.boot, run=self.me.run, seq=self._seq,
-                beat=self.members.me.beat, left=self.leaving, echo_run=echo.run, echo_seq=echo.seq,
-                echo_ms=echo.ms, past=self.counts.past_id,
+                name=self.me.name, life=self.me.incarnation, boot=self.me.boot, run=self.me.run,
+                seq=self._seq, beat=self.members.me.beat, left=self.leaving, echo_run=echo.run,
+                echo_seq=echo.seq, echo_ms=echo.ms, past=self.counts.past_id,
                 past_lives=self.counts.folded_count, here=len(self.members.present),
                 want=self._pages.want(contact, now), words=digests, deltas=deltas or [], tombs=tombs,
                 page=page, phase=self.phase,
--- a/mountgauge/tenants/gossip/pages.py
+++ b/mountgauge/tenants/gossip/pages.py
@@ -92,7 +92,7 @@
         if not state.counts.adopt(sums, folded, lives, past):
             return
         for id, _ in folded:
-            if id != state.me.life:
+            if id != state.me.incarnation:
                 state.members.remove(id)
                 state.contacts.pop(id, None)
         state.replicas_changed = True
--- a/mountgauge/tenants/gossip/state.py
+++ b/mountgauge/tenants/gossip/state.py
@@ -36,7 +36,7 @@
     """A member's name, and its incarnation, the number of starts of it, and the process run."""
 
     name: str
-    life: int
+    incarnation: int
     boot: int
     run: int
 
@@ -53,7 +53,7 @@
 class Contact:
     """The state of the exchange with one incarnation of another member."""
 
-    life: int = 0
+    incarnation: int = 0
     windows: list[Window] = field(default_factory=list)
     source_address: UdpAddress | None = None  # where its datagrams come from
     listed_address: UdpAddress | None = None  # the address of the file that reaches it
@@ -102,7 +102,7 @@
 
     def __init__(self, me: Identity, plan: Plan, counts: Counts, now: float, rng: random.Random) -> None:
         self.me, self.plan, self.counts, self.rng = me, plan, counts, rng
-        self.members = Members(me.life, me.name, plan.timing, now)
+        self.members = Members(me.incarnation, me.name, plan.timing, now)
         self.members.me.boot = me.boot
         self.contacts: dict[int, Contact] = {}
         self.sent_log = SentLog()
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -70,7 +70,7 @@
         keys = [tenant_key(one.name) for one in settings.tenants]
         self.store = Store(folder, len(keys) + 1)
         saved = self.store.load(name)
-        incarnation, boot = saved.life or _random_id(), saved.boot + 1
+        incarnation, boot = saved.incarnation or _random_id(), saved.boot + 1
         counts = Counts(keys, len(keys) + 1 + _SPARE_TENANTS, incarnation, name)
         counts.adopt(saved.past, saved.folded, saved.past_name[1], saved.past_name[0])
         for id, member, version, entries in saved.incarnations:
--- a/mountgauge/tenants/store.py
+++ b/mountgauge/tenants/store.py
@@ -40,9 +40,9 @@
 
 @dataclass(slots=True)
 class Saved:
-    """What a previous process run saved. `life` is None if it saved nothing readable under this name."""
+    """What a previous process run saved; `incarnation` is None if nothing is readable under this name."""
 
-    life: int | None = None
+    incarnation: int | None = None
     boot: int = 0
     incarnations: list[tuple[int, str, int, list[Entry]]] = field(default_factory=list)
     pending: dict[int, int] = field(default_factory=dict)
@@ -107,7 +107,7 @@
         try:
             me = self._db.execute("select name, life, boot from me").fetchone()
             if me is not None and me[0] == name:
-                saved.life, saved.boot = me[1], me[2]
+                saved.incarnation, saved.boot = me[1], me[2]
             counted: dict[int, list[Entry]] = {}
             for incarnation, *line in self._db.execute(
                 "select life, key, count, version, demand from counted order by life, version"
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -368,7 +368,7 @@
             raise AssertionError(cut) from error
         saved = again.load("n")
         again.close()
-        if saved.life is not None and saved.incarnations:
+        if saved.incarnation is not None and saved.incarnations:
             ((_, _, version, lines),) = saved.incarnations
             assert (version, sum(line.accepted for line in lines)) in states and not again.error
             seen.add(version)
@@ -389,15 +389,15 @@
     store.close()
     store = Store(tmp_path, 3)
     saved = store.load("n")
-    assert (saved.life, saved.boot, saved.past, saved.past_name) == (7, 4, {22: 6}, (9, 1))
-    assert store.load("another").life is None  # another member's folder: its incarnation is not continued
+    assert (saved.incarnation, saved.boot, saved.past, saved.past_name) == (7, 4, {22: 6}, (9, 1))
+    assert store.load("another").incarnation is None  # of another member: not continued
     store._db.execute("pragma user_version=2")
     store.close()
     with pytest.raises(StoreError, match="newer version"):
         Store(tmp_path, 3)
     (tmp_path / "tenants.db").write_bytes(b"rubbish" * 1000)
     store = Store(tmp_path, 3)
-    assert store.error and store.load("n").life is None and (tmp_path / "tenants.damaged").exists()
+    assert store.error and store.load("n").incarnation is None and (tmp_path / "tenants.damaged").exists()
     store._db.execute("pragma max_page_count=1")
     big = Counts(range(5000), 5000, 7, "n")
     assert not store.save(big.own, [big.add(p, 1, 0) for p in range(5000)]) and store.failed == 1
