--- a/mountgauge/tenants/admission.py
+++ b/mountgauge/tenants/admission.py
@@ -37,7 +37,7 @@
         for key, count in (pending or {}).items():
             if (index := counts.tenant_index(key)) is not None:
                 self.pending[index] = count
-        self._started = self._stepped = self._swept = now
+        self._started = self._stepped_at = self._idle_checked_at = now
         self._history: deque[tuple[float, list[int]]] = deque(maxlen=_RATE_WINDOW_S + 1)
         self.configure(quotas)
 
@@ -117,7 +117,7 @@
 
     def step(self, now: float) -> list[Entry]:
         """Once a flush interval: add pending counts to this member's incarnation. Returns what changed."""
-        passed, self._stepped = now - self._stepped, now
+        passed, self._stepped_at = now - self._stepped_at, now
         may_publish = self.fleet is None or self.fleet.publishing
         rates: dict[int, int] = {}
         for index, demand in list(self.demands.items()):
@@ -127,8 +127,8 @@
                 del self.demands[index]
         if not self._history or now - self._history[-1][0] >= 1.0:
             self._history.append((now, list(self.counts.quota_total)))
-        if now - self._swept >= _IDLE_CHECK_INTERVAL_S:
-            self._swept = now
+        if now - self._idle_checked_at >= _IDLE_CHECK_INTERVAL_S:
+            self._idle_checked_at = now
             for index, bucket in list(self.buckets.items()):
                 if now - bucket.at > IDLE_S:
                     del self.buckets[index]
@@ -136,10 +136,10 @@
             return []
         changed = []
         for index in {*self.pending, *rates}:
-            asked = self.demands.get(index)
-            rate = rates.get(index, asked.announced if asked is not None else 0)
-            if asked is not None:
-                asked.announced = rate
+            tenant_demand = self.demands.get(index)
+            rate = rates.get(index, tenant_demand.announced if tenant_demand is not None else 0)
+            if tenant_demand is not None:
+                tenant_demand.announced = rate
             changed.append(self.counts.add(index, self.pending.get(index, 0), rate))
         self.pending.clear()
         return changed
@@ -184,7 +184,7 @@
         quota = self.quotas.get(index)
         ages = self._ages(now) if ages is None else ages
         more = self.fleet.plan.flush + self.fleet.plan.interval
-        # Only members that are present are in the measured rate: those beyond a split may accept as much.
+        # The measured rate covers present members only; members beyond a split may accept as much.
         present = len(self.fleet.members.present)
         usual = 2 * self.rate(index) / present if quota is None else 0.0
         for incarnation, age in ages:
@@ -223,7 +223,7 @@
         return {**found, **self.fleet_report(now)}
 
     def fleet_report(self, now: float) -> dict[str, Any]:
-        """The part of the report on the members and the gossip between them."""
+        """The members and the gossip between them, for the report."""
         fleet = self.fleet
         if fleet is None:
             return {"split": False, "exact": True, "unjoined": "", "conflicts": [], "members": []}
--- a/mountgauge/tenants/counts.py
+++ b/mountgauge/tenants/counts.py
@@ -243,7 +243,7 @@
         return incarnation
 
     def clear(self) -> None:
-        """Forget everything but the tenants, before a start under a new incarnation."""
+        """Remove everything but the tenants, before a start under a new incarnation."""
         self.incarnations.clear()
         self.folded.clear()
         self.past = [0] * len(self.keys)
@@ -267,15 +267,17 @@
         if len(self.folded) > MAX_FOLDED:
             self.folded.popitem(last=False)
 
-    def adopt(self, past: dict[int, int], folded: Sequence[tuple[int, Mark]], lives: int, id: int) -> bool:
+    def adopt(
+        self, past: dict[int, int], folded: Sequence[tuple[int, Mark]], folded_count: int, id: int
+    ) -> bool:
         """Replace the past by that of another replica, which must contain it.
 
         Returns False, with nothing changed, if this replica has folded an incarnation that the other has not.
         """
-        names = {one for one, _ in folded}
-        if not set(self.folded) <= names or lives < self.folded_count:
+        folded_ids = {one for one, _ in folded}
+        if not set(self.folded) <= folded_ids or folded_count < self.folded_count:
             return False
-        for one in names & set(self.incarnations):
+        for one in folded_ids & set(self.incarnations):
             if one == self.own.id:
                 return False
             del self.incarnations[one]
@@ -285,7 +287,7 @@
             if index is not None:
                 self.past[index] = count
         self.folded = OrderedDict(folded)
-        self.folded_count, self.past_id = lives, id
+        self.folded_count, self.past_id = folded_count, id
         self.total = [
             self.past[i] + sum(incarnation.count[i] for incarnation in self.incarnations.values())
             for i in range(len(self.keys))
--- a/mountgauge/tenants/gossip/membership.py
+++ b/mountgauge/tenants/gossip/membership.py
@@ -150,7 +150,7 @@
             contact.windows = [*contact.windows[-1:], window]
             contact.in_flight.clear()
             contact.repairs.clear()
-            contact.listed_address = None  # the new process may be elsewhere
+            contact.listed_address = None  # the new process may have another address
         return window
 
     def _end_replaced_incarnations(self, datagram: Datagram, source: UdpAddress, now: float) -> None:
@@ -191,7 +191,7 @@
         receiver = contact.incarnation if contact is not None else 0
         others = [m for m in state.members.all.values() if m is not state.members.me]
         state.rng.shuffle(others)
-        # Those that ended come first: they do not report themselves any more.
+        # Incarnations that ended come first, because they send no reports of their own.
         others.sort(key=lambda m: (m.id != receiver, m.ended_at is None))
         found: list[MemberDigest] = []
         for member in (state.members.me, *others):
--- a/mountgauge/tenants/gossip/pages.py
+++ b/mountgauge/tenants/gossip/pages.py
@@ -9,8 +9,8 @@
 _LINES_PER_PAGE = 34
 _MAX_PAGES_PER_REPLY = 6
 _MAX_FOLDED = 8192  # incarnations that a received past may name
-_ASK_AFTER_S = 3.0  # for which another member's past must be ahead
-_DIVERGED_AFTER_S = 60.0  # for which the pasts of two present members differ
+_REQUEST_AFTER_S = 3.0  # how long another member's past must be ahead before it is requested
+_DIVERGED_AFTER_S = 60.0  # how long the pasts of two present members must differ
 
 
 class Pages:
@@ -46,7 +46,7 @@
         counts = self._state.counts
         if contact is None or contact.past[1] <= counts.folded_count or contact.past[0] == counts.past_id:
             return None
-        if counts.folded_count and now - contact.past_ahead_since < _ASK_AFTER_S:
+        if counts.folded_count and now - contact.past_ahead_since < _REQUEST_AFTER_S:
             return None
         past = contact.past[0]
         received = self._received if any(p.past == past for p in self._received.values()) else {}
@@ -83,13 +83,13 @@
         if len(self._received) >= page.pages:
             self._adopt(page.lives, page.past)
 
-    def _adopt(self, lives: int, past: int) -> None:
+    def _adopt(self, folded_count: int, past: int) -> None:
         state = self._state
         sums = {key: count for page in self._received.values() for key, count in page.sums}
         in_order = [page for _, page in sorted(self._received.items())]
         folded = [(id, Mark(version, check)) for page in in_order for id, version, check in page.folded]
         self._received = {}
-        if not state.counts.adopt(sums, folded, lives, past):
+        if not state.counts.adopt(sums, folded, folded_count, past):
             return
         for id, _ in folded:
             if id != state.me.incarnation:
--- a/mountgauge/tenants/gossip/state.py
+++ b/mountgauge/tenants/gossip/state.py
@@ -72,7 +72,7 @@
 
 
 class FoldedIncarnationError(RefusedDatagramError):
-    """A datagram of an incarnation that is folded here: its sender has to be notified."""
+    """A datagram of an incarnation that is folded here, of which its sender has to be notified."""
 
     def __init__(self, contact: Contact) -> None:
         super().__init__("folded")
@@ -98,7 +98,7 @@
 
 
 class State:
-    """What one member holds. `new_incarnation_reason` is not empty if the owner must start a new one."""
+    """One member's state. The owner must start a new incarnation if `new_incarnation_reason` is not empty."""
 
     def __init__(self, me: Identity, plan: Plan, counts: Counts, now: float, rng: random.Random) -> None:
         self.me, self.plan, self.counts, self.rng = me, plan, counts, rng
@@ -127,7 +127,7 @@
         return min(self.plan.timing.gone, self.plan.flush + attempts + one_way)
 
     def request_new_incarnation(self, why: str, outdated: bool = False) -> None:
-        """This incarnation must not be added to any more: the owner has to start a new one."""
+        """Require the owner to start a new incarnation: no more counts may be added to the current one."""
         if not self.new_incarnation_reason:
             self.new_incarnation_reason, self.outdated = why, self.outdated or outdated
             self.counts_uncertain |= self.publishing
--- a/mountgauge/tenants/members.py
+++ b/mountgauge/tenants/members.py
@@ -6,7 +6,7 @@
 on the observer's own clock: clocks need not agree.
 
 A member that is gone is still a member, because it may be on the other side of a split. It stops being one
-when it reports that it leaves, when another incarnation has taken its name, or after `forget` seconds.
+when it reports that it leaves, when another incarnation uses its name, or after `forget` seconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     SUSPECTED = "suspected"  # silent for a short time; still counted as present
     GONE = "gone"  # silent for long: stopped, or on the other side of a split
     LEFT = "left"  # reported that it leaves, or was replaced at its address
-    ENDED = "ended"  # another incarnation has its name, or it was forgotten
+    ENDED = "ended"  # another incarnation uses its name, or it was silent for `forget` seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
 
 
 class Members:
-    """All incarnations that one member is notified of, its own among them."""
+    """All incarnations that one member has reports of, its own included."""
 
     def __init__(self, me: int, name: str, timing: Timing, now: float) -> None:
         self.timing = timing
--- a/mountgauge/tenants/quota.py
+++ b/mountgauge/tenants/quota.py
@@ -69,7 +69,7 @@
         self.larger_share_since = self.larger_share_min = 0.0
         self.fleet_tokens = min(quota.burst, quota.rate * up)  # a bucket for the whole fleet, by the counts
         self.seen = view.accepted_total
-        self.promised = 0.0  # messages that were rejected and may come back after their wait
+        self.promised = 0.0  # rejected messages that may be submitted again after their wait
         self.tokens = min(self._capacity(view), max(1.0, quota.rate * up / max(1, view.known)))
 
     def _side_share(self, view: View) -> float:
@@ -92,14 +92,15 @@
         return max(1.0, self.quota.burst * self._side_share(view) / view.present)
 
     def _advance(self, now: float, view: View) -> float:
-        """Account for the time that passed and the counts received. Returns the present rate."""
+        """Account for the time that passed and the counts received. Returns the current rate."""
         passed, self.at = max(0.0, now - self.at), max(now, self.at)
         quota = self.quota
-        least = -max(quota.burst, MAX_DEBT_S * quota.rate)
+        min_fleet_tokens = -max(quota.burst, MAX_DEBT_S * quota.rate)
         accepted, self.seen = view.accepted_total - self.seen, view.accepted_total
         side = self._side_share(view)
         self.fleet_tokens = max(
-            least, min(quota.burst * side, self.fleet_tokens + quota.rate * side * passed) - accepted
+            min_fleet_tokens,
+            min(quota.burst * side, self.fleet_tokens + quota.rate * side * passed) - accepted,
         )
         target = self._target_share(view)
         if target <= self.share:
@@ -127,7 +128,7 @@
         if self._side_share(view) > 0 and self.tokens >= 1.0:
             self.tokens -= 1.0
             return None
-        # The waits of rejected clients are staggered, so that not all come back for the next token.
+        # The waits of rejected clients are staggered, so that not all retry for the same token.
         wait = (1.0 - self.tokens + self.promised) / rate if rate > 0 else _MAX_WAIT_S
         if wait < _MAX_WAIT_S:
             self.promised += 1.0
--- a/mountgauge/tenants/service.py
+++ b/mountgauge/tenants/service.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger("mountgauge.tenants")
 
-_SPARE_TENANTS = 1024  # for tenants that only other members' files name, until this one is reloaded
+_SPARE_TENANTS = 1024  # for tenants that only the files of other members list, until this file is reloaded
 _REPLICA_SAVE_INTERVAL_S = 10.0  # between writes of counts of other members, if they have changed
 _LEAVE_ROUNDS = 3  # rounds in which a member reports that it leaves
 _MAX_EXPORTED_TENANTS = 1000  # the most used ones
@@ -75,7 +75,7 @@
         counts.adopt(saved.past, saved.folded, saved.past_name[1], saved.past_name[0])
         for id, member, version, entries in saved.incarnations:
             counts.join(id, member, 0, version, entries)
-            for index in range(len(counts.keys)):  # the demand of the previous run is not the present one
+            for index in range(len(counts.keys)):  # the demand of the previous run no longer applies
                 counts.incarnations[id].demand[index] = 0
         if self.store.error:
             log.error("tenants-file-damaged", extra=kv(error=self.store.error, kept=str(self.store.path)))
--- a/mountgauge/tenants/settings.py
+++ b/mountgauge/tenants/settings.py
@@ -65,13 +65,13 @@
     for index, tenant in enumerate(tenants):
         same = keys.setdefault(tenant_key(tenant.name), tenant.name)
         if same == tenant.name and any(tenant.name == other.name for other in tenants[:index]):
-            raise ConfigError(f"tenant[{index}].name: '{tenant.name}' appears twice")
+            raise ConfigError(f"tenant[{index}].name: '{tenant.name}' is listed twice")
         if same and same != tenant.name:
             raise ConfigError(
                 f"tenant[{index}].name: '{tenant.name}' has the same key on the wire as '{same}'"
             )
         if duplicates := users & set(tenant.users):
-            raise ConfigError(f"tenant[{index}].users: '{min(duplicates)}' appears twice")
+            raise ConfigError(f"tenant[{index}].users: '{min(duplicates)}' is listed twice")
         users |= set(tenant.users)
     return TenantFile(_fleet(fleet) if fleet is not None else None, tenants)
 
@@ -130,7 +130,7 @@
         peers.append((peer.host, peer.port))
     _require_ip_address(listen, "fleet.listen")
     if len(set(peers)) < len(peers):
-        raise ConfigError("fleet.peers: an address appears twice")
+        raise ConfigError("fleet.peers: an address is listed twice")
     interval = table.positive("interval", 0.25)
     if not 0.05 <= interval <= 60:
         raise ConfigError("fleet.interval: 0.05 to 60 s")
--- a/mountgauge/tenants/store.py
+++ b/mountgauge/tenants/store.py
@@ -132,7 +132,7 @@
     def save(
         self, own: Incarnation, entries: Iterable[Entry], pending: Mapping[int, int] | None = None
     ) -> bool:
-        """Write own counts that changed, and pending ones that are not part of an incarnation yet."""
+        """Write own counts that changed, and pending ones that no incarnation contains yet."""
 
         def write() -> None:
             self._db.executemany(
--- a/mountgauge/tenants/udp.py
+++ b/mountgauge/tenants/udp.py
@@ -34,7 +34,7 @@
             raise OSError(f"fleet.listen: {address.host}:{address.port}: {error.strerror}") from None
         self.port = int(self._socket.getsockname()[1])
         self._loop = asyncio.get_running_loop()
-        self._left = _DATAGRAMS_PER_PERIOD
+        self._datagrams_left = _DATAGRAMS_PER_PERIOD
         self._period_timer: asyncio.TimerHandle | None = None
         self._loop.add_reader(self._socket, self._ready)
 
@@ -47,17 +47,17 @@
             except OSError as error:  # an ICMP error for a datagram sent before
                 self.counts[f"recv-{error.errno}"] += 1
                 continue
-            self._left -= 1
+            self._datagrams_left -= 1
             self.send(self._receive(data, source[:2]))
         if self._period_timer is None:
             self._period_timer = self._loop.call_later(_PERIOD_S, self._start_period)
-        if self._left <= 0:  # a flood of datagrams must not keep the loop from delivering messages
+        if self._datagrams_left <= 0:  # a flood of datagrams must not keep the loop from delivering messages
             self.counts["paused"] += 1
             self._loop.remove_reader(self._socket)
 
     def _start_period(self) -> None:
         self._period_timer = None
-        paused, self._left = self._left <= 0, _DATAGRAMS_PER_PERIOD
+        paused, self._datagrams_left = self._datagrams_left <= 0, _DATAGRAMS_PER_PERIOD
         if paused:
             self._loop.add_reader(self._socket, self._ready)
 
--- a/tests/tenants/test_counts.py
+++ b/tests/tenants/test_counts.py
@@ -120,8 +120,8 @@
 
 def test_changes_older_than_the_recent_ones_are_found_by_a_scan() -> None:
     owner = Counts(range(100, 100 + 3 * _MAX_RECENT_CHANGES), 4 * _MAX_RECENT_CHANGES, 1, "m1")
-    for place in range(3 * _MAX_RECENT_CHANGES):
-        owner.add(place, 1, 0)
+    for index in range(3 * _MAX_RECENT_CHANGES):
+        owner.add(index, 1, 0)
     for after in (
         0,
         1,
