--- a/benchmarks/fleet_model.py
+++ b/benchmarks/fleet_model.py
@@ -82,7 +82,7 @@
         """Submit one message of a client; None if it is accepted, else s until a retry makes sense."""
         retry_after_s = self.admission.admit(tenant, self.now)
         if retry_after_s is None:
-            self.admission.taken(tenant)
+            self.admission.count_accepted(tenant)
             self.accepted[tenant] += 1
             self.world.accepted[tenant] += 1
         else:
@@ -112,7 +112,7 @@
             ]  # fmt: skip
             disk.past = {k: n for k, n in zip(counts.keys, counts.past, strict=True) if n}
             disk.folded = list(counts.folded.items())
-            disk.past_name = (counts.past_id, counts.past_lives)
+            disk.past_name = (counts.past_id, counts.folded_count)
             self.fleet.replicas_changed = False
 
     def _flush(self) -> None:
--- a/mountgauge/tenants/gossip/pages.py
+++ b/mountgauge/tenants/gossip/pages.py
@@ -9,8 +9,8 @@
 _LINES_PER_PAGE = 34
 _MAX_PAGES_PER_REPLY = 6
 _MAX_FOLDED = 8192  # incarnations that a received past may name
-_ASK_AFTER_S = 3.0  # for which another member's past must be ahead
-_DIVERGED_AFTER_S = 60.0  # for which the pasts of two present members differ
+_REQUEST_AFTER_S = 3.0  # how long another member's past must be ahead before it is requested
+_DIVERGED_AFTER_S = 60.0  # how long the pasts of two present members must differ
 
 
 class Pages:
@@ -44,9 +44,9 @@
     def want(self, contact: Contact | None, now: float) -> tuple[int, int] | None:
         """The contact's past and the first page to request, if it is ahead and folding does not catch up."""
         counts = self._state.counts
-        if contact is None or contact.past[1] <= counts.past_lives or contact.past[0] == counts.past_id:
+        if contact is None or contact.past[1] <= counts.folded_count or contact.past[0] == counts.past_id:
             return None
-        if counts.past_lives and now - contact.past_ahead_since < _ASK_AFTER_S:
+        if counts.folded_count and now - contact.past_ahead_since < _REQUEST_AFTER_S:
             return None
         past = contact.past[0]
         received = self._received if any(p.past == past for p in self._received.values()) else {}
@@ -65,7 +65,7 @@
         for number in range(first, min(pages, first + _MAX_PAGES_PER_REPLY)):
             on_page = lines[number * _LINES_PER_PAGE : (number + 1) * _LINES_PER_PAGE]
             found.append(Page(
-                past, counts.past_lives, number, pages,
+                past, counts.folded_count, number, pages,
                 [(one[0], one[1]) for one in on_page if len(one) == 2],
                 [(one[0], one[1], one[2]) for one in on_page if len(one) == 3],
             ))  # fmt: skip
@@ -74,7 +74,7 @@
     def receive(self, page: Page) -> None:
         """Store a page; with the last missing one the past is adopted."""
         counts = self._state.counts
-        if page.lives <= counts.past_lives:
+        if page.lives <= counts.folded_count:
             return
         if any(other.past != page.past for other in self._received.values()):
             self._received = {}
@@ -83,16 +83,16 @@
         if len(self._received) >= page.pages:
             self._adopt(page.lives, page.past)
 
-    def _adopt(self, lives: int, past: int) -> None:
+    def _adopt(self, folded_count: int, past: int) -> None:
         state = self._state
         sums = {key: count for page in self._received.values() for key, count in page.sums}
         in_order = [page for _, page in sorted(self._received.items())]
         folded = [(id, Mark(version, check)) for page in in_order for id, version, check in page.folded]
         self._received = {}
-        if not state.counts.adopt(sums, folded, lives, past):
+        if not state.counts.adopt(sums, folded, folded_count, past):
             return
         for id, _ in folded:
-            if id != state.me.life:
+            if id != state.me.incarnation:
                 state.members.remove(id)
                 state.contacts.pop(id, None)
         state.replicas_changed = True
--- a/mountgauge/tenants/gossip/state.py
+++ b/mountgauge/tenants/gossip/state.py
@@ -36,7 +36,7 @@
     """A member's name, and its incarnation, the number of starts of it, and the process run."""
 
     name: str
-    life: int
+    incarnation: int
     boot: int
     run: int
 
@@ -53,7 +53,7 @@
 class Contact:
     """The state of the exchange with one incarnation of another member."""
 
-    life: int = 0
+    incarnation: int = 0
     windows: list[Window] = field(default_factory=list)
     source_address: UdpAddress | None = None  # where its datagrams come from
     listed_address: UdpAddress | None = None  # the address of the file that reaches it
@@ -72,7 +72,7 @@
 
 
 class FoldedIncarnationError(RefusedDatagramError):
-    """A datagram of an incarnation that is folded here: its sender has to be notified."""
+    """A datagram of an incarnation that is folded here, of which its sender has to be notified."""
 
     def __init__(self, contact: Contact) -> None:
         super().__init__("folded")
@@ -98,11 +98,11 @@
 
 
 class State:
-    """What one member holds. `new_incarnation_reason` is not empty if the owner must start a new one."""
+    """One member's state. The owner must start a new incarnation if `new_incarnation_reason` is not empty."""
 
     def __init__(self, me: Identity, plan: Plan, counts: Counts, now: float, rng: random.Random) -> None:
         self.me, self.plan, self.counts, self.rng = me, plan, counts, rng
-        self.members = Members(me.life, me.name, plan.timing, now)
+        self.members = Members(me.incarnation, me.name, plan.timing, now)
         self.members.me.boot = me.boot
         self.contacts: dict[int, Contact] = {}
         self.sent_log = SentLog()
@@ -127,7 +127,7 @@
         return min(self.plan.timing.gone, self.plan.flush + attempts + one_way)
 
     def request_new_incarnation(self, why: str, outdated: bool = False) -> None:
-        """This incarnation must not be added to any more: the owner has to start a new one."""
+        """Require the owner to start a new incarnation: no more counts may be added to the current one."""
         if not self.new_incarnation_reason:
             self.new_incarnation_reason, self.outdated = why, self.outdated or outdated
             self.counts_uncertain |= self.publishing
--- a/tests/tenants/test_service.py
+++ b/tests/tenants/test_service.py
@@ -55,17 +55,17 @@
     ("[fleet]\n", "fleet.name: missing"),
     ('[fleet]\nname = "f"\nkeys = ["x"]\n', "fleet.listen: missing"),
     (fleet(1).replace(KEY, "short"), "fleet.keys"),
-    (fleet(1, 2, 2), "an address appears twice"),
+    (fleet(1, 2, 2), "an address is listed twice"),
     (fleet(1, 0), "port 0"),
     (fleet(1).replace(HOST, "localhost"), "not an IP address"),
     (fleet(1) + "gone = 0.2\n", "suspect < gone"),
     (fleet(1) + "leader = true\n", "fleet.leader: unknown setting"),
     ('[[tenant]]\nname = "a b"\n', "tenant[0].name"),
-    ('[[tenant]]\nname = "a"\n[[tenant]]\nname = "a"\n', "'a' appears twice"),
+    ('[[tenant]]\nname = "a"\n[[tenant]]\nname = "a"\n', "'a' is listed twice"),
     ('[[tenant]]\nname = "a"\nrate = 0\n', "tenant[0].rate: must be above 0"),
     ('[[tenant]]\nname = "a"\nburst = 3\n', "needs a rate"),
     ('[[tenant]]\nname = "a"\nrate = 3\nsplit = "maybe"\n', "tenant[0].split: not one of"),
-    ('[[tenant]]\nname = "a"\nusers.x = "1"\n[[tenant]]\nname = "b"\nusers.x = "2"\n', "'x' appears twice"),
+    ('[[tenant]]\nname = "a"\nusers.x = "1"\n[[tenant]]\nname = "b"\nusers.x = "2"\n', "'x' is listed twice"),
     ('[[tenant]]\nname = "a"\nusers = { boss = "1" }\n', "'boss' is a tenant's user too"),
     ('[[tenant]]\nname = "a"\nusers = { x = 1 }\n', "passwords are text"),
     ('[limits]\ndisk_mb = 0.5\n[[tenant]]\nname = "a"\n', "limits.disk_mb: 1.3 at least"),
@@ -368,7 +368,7 @@
             raise AssertionError(cut) from error
         saved = again.load("n")
         again.close()
-        if saved.life is not None and saved.incarnations:
+        if saved.incarnation is not None and saved.incarnations:
             ((_, _, version, lines),) = saved.incarnations
             assert (version, sum(line.accepted for line in lines)) in states and not again.error
             seen.add(version)
@@ -389,15 +389,15 @@
     store.close()
     store = Store(tmp_path, 3)
     saved = store.load("n")
-    assert (saved.life, saved.boot, saved.past, saved.past_name) == (7, 4, {22: 6}, (9, 1))
-    assert store.load("another").life is None  # another member's folder: its incarnation is not continued
+    assert (saved.incarnation, saved.boot, saved.past, saved.past_name) == (7, 4, {22: 6}, (9, 1))
+    assert store.load("another").incarnation is None  # of another member: not continued
     store._db.execute("pragma user_version=2")
     store.close()
     with pytest.raises(StoreError, match="newer version"):
         Store(tmp_path, 3)
     (tmp_path / "tenants.db").write_bytes(b"rubbish" * 1000)
     store = Store(tmp_path, 3)
-    assert store.error and store.load("n").life is None and (tmp_path / "tenants.damaged").exists()
+    assert store.error and store.load("n").incarnation is None and (tmp_path / "tenants.damaged").exists()
     store._db.execute("pragma max_page_count=1")
     big = Counts(range(5000), 5000, 7, "n")
     assert not store.save(big.own, [big.add(p, 1, 0) for p in range(5000)]) and store.failed == 1
